--- a/src/core/catalog.c
+++ b/src/core/catalog.c
@@ -35,12 +35,12 @@
 
 static void store_catalog_value(struct core *core, const char *key, json_t *value)
 {
-	struct txn t;
+	struct txn txn;
 
-	txn_begin(&t);
-	txn_guard(&t, key, 0);
-	txn_put(&t, key, value, 0);
-	store_commit(core, txn_finish(&t), on_nothing, NULL);
+	txn_begin(&txn);
+	txn_guard(&txn, key, 0);
+	txn_put(&txn, key, value, 0);
+	store_commit(core, txn_finish(&txn), on_nothing, NULL);
 }
 
 /* One value, or where that would be too large one for each type of machine. */
--- a/src/core/commit.c
+++ b/src/core/commit.c
@@ -14,465 +14,466 @@
 #include "core/state.h"
 #include "util/log.h"
 
-static struct write *write_add(struct write **list, enum write_kind kind, struct job *j,
+static struct write *write_add(struct write **list, enum write_kind kind, struct job *job,
 			       uint32_t chunk)
 {
-	struct write *w = calloc(1, sizeof(*w));
+	struct write *item = calloc(1, sizeof(*item));
 
-	if (!w)
+	if (!item)
 		abort();
-	w->kind = kind;
-	w->job = j;
-	w->chunk = chunk;
-	w->list = list;
-	DL_APPEND(*list, w);
-	return w;
+	item->kind = kind;
+	item->job = job;
+	item->chunk = chunk;
+	item->list = list;
+	DL_APPEND(*list, item);
+	return item;
 }
 
 /* Out of the queue that it waits in. */
-static void write_unlist(struct write *w)
+static void write_unlist(struct write *item)
 {
-	DL_DELETE(*w->list, w);
-	w->list = NULL;
-	if (w->kind == WR_CHUNK)
-		w->job->chunks[w->chunk].queued = NULL;
+	DL_DELETE(*item->list, item);
+	item->list = NULL;
+	if (item->kind == WR_CHUNK)
+		item->job->chunks[item->chunk].queued = NULL;
 }
 
-static void write_move(struct write *w, struct write **list)
+static void write_move(struct write *item, struct write **list)
 {
-	DL_DELETE(*w->list, w);
-	w->list = list;
-	DL_APPEND(*list, w);
+	DL_DELETE(*item->list, item);
+	item->list = list;
+	DL_APPEND(*list, item);
 }
 
 /* The chunk that holds the task is to be written, at the latest after `delay_s`. */
-void commit_chunk(struct core *c, struct job *j, uint32_t task, double delay_s)
+void commit_chunk(struct core *core, struct job *j, uint32_t task, double delay_s)
 {
 	uint32_t k = job_chunk_of(j, task);
-	struct write *w;
+	struct write *item;
 
 	if (k >= job_chunks(j) || (j->final_queued && !j->chunks[k].nbound && !j->final_done))
 		return;
-	w = j->chunks[k].queued;
-	if (!w) {
-		w = write_add(&c->writes, WR_CHUNK, j, k);
-		w->due = c->now + delay_s;
-		j->chunks[k].queued = w;
-	} else if (w->list == &c->migrations) {
-		write_move(w, &c->writes);
-		w->due = c->now + delay_s;
+	item = j->chunks[k].queued;
+	if (!item) {
+		item = write_add(&core->writes, WR_CHUNK, j, k);
+		item->due = core->now + delay_s;
+		j->chunks[k].queued = item;
+	} else if (item->list == &core->migrations) {
+		write_move(item, &core->writes);
+		item->due = core->now + delay_s;
 	}
-	if (w->due > c->now + delay_s)
-		w->due = c->now + delay_s;
+	if (item->due > core->now + delay_s)
+		item->due = core->now + delay_s;
 }
 
-void commit_migrate(struct core *c, struct job *j, uint32_t chunk)
+void commit_migrate(struct core *core, struct job *j, uint32_t chunk)
 {
 	if (!j->chunks[chunk].queued)
-		j->chunks[chunk].queued = write_add(&c->migrations, WR_CHUNK, j, chunk);
+		j->chunks[chunk].queued = write_add(&core->migrations, WR_CHUNK, j, chunk);
 }
 
-void commit_drop(struct core *c, const char *key, uint64_t version)
+void commit_drop(struct core *core, const char *key, uint64_t version)
 {
-	struct write *w = write_add(&c->drops, WR_DROP, NULL, 0);
+	struct write *w = write_add(&core->drops, WR_DROP, NULL, 0);
 
 	snprintf(w->key, sizeof(w->key), "%s", key);
 	w->version = version;
 }
 
-static void unqueue_chunks(struct core *c, struct job *j)
+static void unqueue_chunks(struct core *core, struct job *j)
 {
-	(void)c;
+	(void)core;
 	for (uint32_t k = 0; k < job_chunks(j); k++) {
-		struct write *w = j->chunks[k].queued;
+		struct write *item = j->chunks[k].queued;
 
-		if (!w)
+		if (!item)
 			continue;
-		write_unlist(w);
-		free(w);
+		write_unlist(item);
+		free(item);
 	}
 }
 
-void commit_final(struct core *c, struct job *j)
+void commit_final(struct core *core, struct job *j)
 {
 	if (j->final_queued)
 		return;
 	j->final_queued = true;
 	/* The final record stands for the chunks that were still to be written. */
-	unqueue_chunks(c, j);
-	write_add(&c->finals_due, WR_FINAL, j, 0);
+	unqueue_chunks(core, j);
+	write_add(&core->finals_due, WR_FINAL, j, 0);
 }
 
 static void drop_list(struct write **list)
 {
-	struct write *w, *tmp;
+	struct write *item, *tmp;
 
-	DL_FOREACH_SAFE (*list, w, tmp) {
-		DL_DELETE(*list, w);
-		free(w);
+	DL_FOREACH_SAFE (*list, item, tmp) {
+		DL_DELETE(*list, item);
+		free(item);
 	}
 }
 
-static void commit_clear_flight(struct core *c)
+static void commit_clear_flight(struct core *core)
 {
-	drop_list(&c->flight.items);
-	free(c->flight.body);
-	memset(&c->flight, 0, sizeof(c->flight));
-	c->flying = false;
+	drop_list(&core->flight.items);
+	free(core->flight.body);
+	memset(&core->flight, 0, sizeof(core->flight));
+	core->flying = false;
 }
 
-void commit_clear(struct core *c)
+void commit_clear(struct core *core)
 {
-	drop_list(&c->writes);
-	drop_list(&c->migrations);
-	drop_list(&c->finals_due);
-	drop_list(&c->drops);
-	commit_clear_flight(c);
+	drop_list(&core->writes);
+	drop_list(&core->migrations);
+	drop_list(&core->finals_due);
+	drop_list(&core->drops);
+	commit_clear_flight(core);
 }
 
-void commit_forget_chunks(struct core *c)
+void commit_forget_chunks(struct core *core)
 {
-	drop_list(&c->writes);
-	drop_list(&c->migrations);
+	drop_list(&core->writes);
+	drop_list(&core->migrations);
 }
 
-bool commit_settled(const struct job *j, uint32_t task)
+bool commit_settled(const struct job *job, uint32_t task)
 {
-	const struct chunk *k = &j->chunks[job_chunk_of(j, task)];
+	const struct chunk *chunk = &job->chunks[job_chunk_of(job, task)];
 
-	if (j->final_queued)
-		return j->final_done;
-	return !k->queued && !k->flying;
+	if (job->final_queued)
+		return job->final_done;
+	return !chunk->queued && !chunk->flying;
 }
 
-static void key_job(char *key, const struct job *j)
+static void key_job(char *key, const struct job *job)
 {
-	snprintf(key, KEY_MAX, JOBS_OPEN "%s", j->spec.id);
+	snprintf(key, KEY_MAX, JOBS_OPEN "%s", job->spec.id);
 }
 
 /* --- building --- */
 
 /* On record, and nothing is bound in it or about to be written of it. */
-static bool chunk_idle(const struct chunk *k)
+static bool chunk_idle(const struct chunk *chunk)
 {
-	return k->version && !k->nbound && !k->queued && !k->flying;
+	return chunk->version && !chunk->nbound && !chunk->queued && !chunk->flying;
 }
 
-static int write_ops(const struct write *w, int most)
+static int write_ops(const struct write *item, int most)
 {
 	int n = 2;
 
-	if (w->kind != WR_FINAL)
+	if (item->kind != WR_FINAL)
 		return 1;
-	for (uint32_t k = 0; k < job_chunks(w->job) && n < most; k++)
-		n += chunk_idle(&w->job->chunks[k]);
+	for (uint32_t k = 0; k < job_chunks(item->job) && n < most; k++)
+		n += chunk_idle(&item->job->chunks[k]);
 	return n;
 }
 
 /* Cancelled stays cancelled, even if the last task was done before its stop arrived. */
-static enum job_state final_state(const struct job *j)
+static enum job_state final_state(const struct job *job)
 {
-	return j->cancelled ? JS_CANCELLED : JS_DONE;
+	return job->cancelled ? JS_CANCELLED : JS_DONE;
 }
 
-static void add_drop(struct txn *t, const char *key, uint64_t version)
+static void add_drop(struct txn *txn, const char *key, uint64_t version)
 {
-	txn_guard(t, key, version);
-	txn_drop(t, key);
+	txn_guard(txn, key, version);
+	txn_drop(txn, key);
 }
 
 /* Chunks beyond what one transaction holds are left over, and dropped one by one afterwards. */
-static void add_final(struct txn *t, const struct job *j, int most)
+static void add_final(struct txn *txn, const struct job *job, int most)
 {
 	char key[KEY_MAX], fkey[KEY_MAX];
 	int n = 2;
 
-	key_job(key, j);
-	snprintf(fkey, sizeof(fkey), JOBS_OVER "%s", j->spec.id);
-	txn_guard(t, key, j->version);
-	txn_guard(t, fkey, 0);
-	txn_drop(t, key);
-	txn_put(t, fkey,
-		json_pack("{s:s,s:i}", "state", wire_job_state(final_state(j)), "tasks",
-			  (int)j->spec.ntasks),
+	key_job(key, job);
+	snprintf(fkey, sizeof(fkey), JOBS_OVER "%s", job->spec.id);
+	txn_guard(txn, key, job->version);
+	txn_guard(txn, fkey, 0);
+	txn_drop(txn, key);
+	txn_put(txn, fkey,
+		json_pack("{s:s,s:i}", "state", wire_job_state(final_state(job)), "tasks",
+			  (int)job->spec.ntasks),
 		0);
-	for (uint32_t k = 0; k < job_chunks(j) && n < most; k++) {
-		if (!chunk_idle(&j->chunks[k]))
+	for (uint32_t k = 0; k < job_chunks(job) && n < most; k++) {
+		if (!chunk_idle(&job->chunks[k]))
 			continue;
-		task_record_key(key, j, k);
-		add_drop(t, key, j->chunks[k].version);
-		j->chunks[k].ending = true;
+		task_record_key(key, job, k);
+		add_drop(txn, key, job->chunks[k].version);
+		job->chunks[k].ending = true;
 		n++;
 	}
 }
 
 /* Nothing is bound in it any more and its job is over: the record goes. */
-static bool chunk_ends(const struct write *w)
+static bool chunk_ends(const struct write *item)
 {
-	return w->job->orphan && !w->job->chunks[w->chunk].nbound;
+	return item->job->orphan && !item->job->chunks[item->chunk].nbound;
 }
 
 /* The bytes of the chunk's value; 0 if its record goes. */
-static size_t add_chunk(struct txn *t, const struct write *w)
+static size_t add_chunk(struct txn *txn, const struct write *item)
 {
 	char key[KEY_MAX];
 
-	task_record_key(key, w->job, w->chunk);
-	txn_guard(t, key, w->job->chunks[w->chunk].version);
-	if (!chunk_ends(w))
-		return txn_put(t, key, task_record_value(w->job, w->chunk), 0);
-	txn_drop(t, key);
+	task_record_key(key, item->job, item->chunk);
+	txn_guard(txn, key, item->job->chunks[item->chunk].version);
+	if (!chunk_ends(item))
+		return txn_put(txn, key, task_record_value(item->job, item->chunk), 0);
+	txn_drop(txn, key);
 	return 0;
 }
 
 /* Its bindings are on their way to the record as they are now. */
-static void chunk_flies(struct job *j, uint32_t chunk)
+static void chunk_flies(struct job *job, uint32_t chunk)
 {
-	struct binding *b;
+	struct binding *binding;
 
-	j->chunks[chunk].flying = true;
-	DL_FOREACH2 (j->bindings, b, jnext)
-		if (job_chunk_of(j, b->task) == chunk)
-			b->flying = true;
+	job->chunks[chunk].flying = true;
+	DL_FOREACH2 (job->bindings, binding, jnext)
+		if (job_chunk_of(job, binding->task) == chunk)
+			binding->flying = true;
 }
 
 /* The bytes of its largest value, as far as that can grow. */
-static size_t add_write(struct txn *t, const struct write *w, int most)
+static size_t add_write(struct txn *txn, const struct write *item, int most)
 {
-	if (w->kind == WR_CHUNK)
-		return add_chunk(t, w);
-	if (w->kind == WR_FINAL)
-		add_final(t, w->job, most);
+	if (item->kind == WR_CHUNK)
+		return add_chunk(txn, item);
+	if (item->kind == WR_FINAL)
+		add_final(txn, item->job, most);
 	else
-		add_drop(t, w->key, w->version);
+		add_drop(txn, item->key, item->version);
 	return 0;
 }
 
 /* The transaction that was to end the job is not sent. */
-static void final_unsent(struct job *j)
+static void final_unsent(struct job *job)
 {
-	for (uint32_t k = 0; k < job_chunks(j); k++)
-		j->chunks[k].ending = false;
+	for (uint32_t k = 0; k < job_chunks(job); k++)
+		job->chunks[k].ending = false;
 }
 
 /* --- outcomes --- */
 
-static void binding_committed(struct core *c, struct binding *b)
+static void binding_committed(struct core *core, struct binding *b)
 {
-	struct job *j = b->job;
-	struct binding *o;
+	struct job *job = b->job;
+	struct binding *binding;
 
 	b->committed = true;
-	j->uncommitted--;
-	if (j->spec.kind != JOB_GANG) {
-		workers_kick(c, b->machine);
+	job->uncommitted--;
+	if (job->spec.kind != JOB_GANG) {
+		workers_kick(core, b->machine);
 		return;
 	}
 	/* A gang starts when all of it is on record. */
-	if (!j->uncommitted)
-		DL_FOREACH2 (j->bindings, o, jnext)
-			workers_kick(c, o->machine);
+	if (!job->uncommitted)
+		DL_FOREACH2 (job->bindings, binding, jnext)
+			workers_kick(core, binding->machine);
 }
 
-static void chunk_committed(struct core *c, struct write *w, uint64_t revision)
+static void chunk_committed(struct core *core, struct write *w, uint64_t revision)
 {
-	struct job *j = w->job;
-	struct chunk *k = &j->chunks[w->chunk];
+	struct job *job = w->job;
+	struct chunk *chunk = &job->chunks[w->chunk];
 	bool dropped = chunk_ends(w);
-	struct binding *b;
+	struct binding *binding;
 
-	k->flying = false;
-	k->version = dropped ? 0 : revision;
-	DL_FOREACH2 (j->bindings, b, jnext) {
-		if (job_chunk_of(j, b->task) != w->chunk)
+	chunk->flying = false;
+	chunk->version = dropped ? 0 : revision;
+	DL_FOREACH2 (job->bindings, binding, jnext) {
+		if (job_chunk_of(job, binding->task) != w->chunk)
 			continue;
-		if (b->flying && !b->committed)
-			binding_committed(c, b);
-		b->flying = false;
+		if (binding->flying && !binding->committed)
+			binding_committed(core, binding);
+		binding->flying = false;
 	}
-	task_record_superseded(c, j, w->chunk);
-	job_release(c, j);
+	task_record_superseded(core, job, w->chunk);
+	job_release(core, job);
 }
 
-static void final_committed(struct core *c, struct job *j)
+static void final_committed(struct core *core, struct job *j)
 {
 	enum job_state s = final_state(j);
 	char key[KEY_MAX];
 
 	log_info("job_final", "job=%s state=%s", j->spec.id, wire_job_state(s));
-	users_note_final(c, j->spec.id, s, j->spec.ntasks);
+	users_note_final(core, j->spec.id, s, j->spec.ntasks);
 	j->final_done = true;
 	j->orphan = true;
 	for (uint32_t k = 0; k < job_chunks(j); k++) {
-		struct chunk *x = &j->chunks[k];
+		struct chunk *chunk = &j->chunks[k];
 
-		if (!x->ending && chunk_idle(x)) {
+		if (!chunk->ending && chunk_idle(chunk)) {
 			task_record_key(key, j, k);
-			commit_drop(c, key, x->version);
+			commit_drop(core, key, chunk->version);
 		}
-		if (x->ending)
-			x->version = 0;
-		x->ending = false;
-		if (!x->nbound && !x->queued && !x->flying)
-			task_record_superseded(c, j, k);
+		if (chunk->ending)
+			chunk->version = 0;
+		chunk->ending = false;
+		if (!chunk->nbound && !chunk->queued && !chunk->flying)
+			task_record_superseded(core, j, k);
 	}
-	job_release(c, j);
+	job_release(core, j);
 }
 
-static void write_committed(struct core *c, struct write *w, uint64_t revision)
+static void write_committed(struct core *core, struct write *w, uint64_t revision)
 {
 	if (w->kind == WR_CHUNK)
-		chunk_committed(c, w, revision);
+		chunk_committed(core, w, revision);
 	else if (w->kind == WR_FINAL)
-		final_committed(c, w->job);
+		final_committed(core, w->job);
 }
 
-static void committed(struct core *c, uint64_t revision)
+static void committed(struct core *core, uint64_t revision)
 {
-	struct write *w, *tmp;
+	struct write *item, *tmp;
 
-	DL_FOREACH_SAFE (c->flight.items, w, tmp) {
-		DL_DELETE(c->flight.items, w);
-		write_committed(c, w, revision);
-		free(w);
+	DL_FOREACH_SAFE (core->flight.items, item, tmp) {
+		DL_DELETE(core->flight.items, item);
+		write_committed(core, item, revision);
+		free(item);
 	}
-	if (c->flight.fence) {
-		log_info("fence", "old=%llu new=%llu", (unsigned long long)c->el.token,
+	if (core->flight.fence) {
+		log_info("fence", "old=%llu new=%llu", (unsigned long long)core->el.token,
 			 (unsigned long long)revision);
-		c->el.token = c->el.revision = revision;
-		c->attempts = 0;
-		if (c->flight.raises) {
-			election_raised(c, FORMAT_NEWEST, revision);
-			task_records_raise(c);
+		core->el.token = core->el.revision = revision;
+		core->attempts = 0;
+		if (core->flight.raises) {
+			election_raised(core, FORMAT_NEWEST, revision);
+			task_records_raise(core);
 			log_info("format", "raised=%d", FORMAT_NEWEST);
 		}
 		log_token(revision);
-		workers_fenced(c);
+		workers_fenced(core);
 	}
-	commit_clear_flight(c);
+	commit_clear_flight(core);
 }
 
-static void requeue_chunk(struct core *c, struct write *w)
+static void requeue_chunk(struct core *core, struct write *w)
 {
-	struct job *j = w->job;
-	struct binding *b;
+	struct job *job = w->job;
+	struct binding *binding;
 
-	j->chunks[w->chunk].flying = false;
-	DL_FOREACH2 (j->bindings, b, jnext)
-		if (job_chunk_of(j, b->task) == w->chunk)
-			b->flying = false;
-	if (j->chunks[w->chunk].queued) {
+	job->chunks[w->chunk].flying = false;
+	DL_FOREACH2 (job->bindings, binding, jnext)
+		if (job_chunk_of(job, binding->task) == w->chunk)
+			binding->flying = false;
+	if (job->chunks[w->chunk].queued) {
 		free(w);
 		return;
 	}
-	j->chunks[w->chunk].queued = w;
-	w->due = c->now;
-	w->list = &c->writes;
-	DL_PREPEND(c->writes, w);
+	job->chunks[w->chunk].queued = w;
+	w->due = core->now;
+	w->list = &core->writes;
+	DL_PREPEND(core->writes, w);
 }
 
 /* All that flew is to be written again, before what came after it. */
-static void requeue(struct core *c)
-{
-	struct write *w, *tmp;
-
-	DL_FOREACH_SAFE (c->flight.items, w, tmp) {
-		DL_DELETE(c->flight.items, w);
-		if (w->kind == WR_CHUNK) {
-			requeue_chunk(c, w);
-		} else if (w->kind == WR_FINAL) {
-			final_unsent(w->job);
-			w->list = &c->finals_due;
-			DL_PREPEND(c->finals_due, w);
+static void requeue(struct core *core)
+{
+	struct write *item, *tmp;
+
+	DL_FOREACH_SAFE (core->flight.items, item, tmp) {
+		DL_DELETE(core->flight.items, item);
+		if (item->kind == WR_CHUNK) {
+			requeue_chunk(core, item);
+		} else if (item->kind == WR_FINAL) {
+			final_unsent(item->job);
+			item->list = &core->finals_due;
+			DL_PREPEND(core->finals_due, item);
 		} else {
-			free(w); /* read again at the next take-over */
+			free(item); /* read again at the next take-over */
 		}
 	}
-	commit_clear_flight(c);
+	commit_clear_flight(core);
 }
 
 /* What a key holds now; a final record that is there already was our own write. */
-static void adopt(struct core *c, const char *key, json_t *value, uint64_t version)
+static void adopt(struct core *core, const char *key, json_t *value, uint64_t version)
 {
-	struct write *w;
+	struct write *item;
 	char k[KEY_MAX];
 
-	DL_FOREACH (c->flight.items, w) {
-		struct job *j = w->job;
+	DL_FOREACH (core->flight.items, item) {
+		struct job *job = item->job;
 
-		if (w->kind == WR_CHUNK) {
-			task_record_key(k, j, w->chunk);
+		if (item->kind == WR_CHUNK) {
+			task_record_key(k, job, item->chunk);
 			if (!strcmp(k, key))
-				j->chunks[w->chunk].version = version;
-		} else if (w->kind == WR_FINAL) {
-			key_job(k, j);
+				job->chunks[item->chunk].version = version;
+		} else if (item->kind == WR_FINAL) {
+			key_job(k, job);
 			if (strcmp(k, key))
 				continue;
-			j->final_done = !value;
+			job->final_done = !value;
 			if (!value)
 				continue;
-			j->version = version;
+			job->version = version;
 			if (json_is_true(json_object_get(value, "cancelled")))
-				job_cancel(c, j);
+				job_cancel(core, job);
 		}
 	}
 }
 
-static void reread_done(struct core *c)
+static void reread_done(struct core *core)
 {
-	struct write *w, *tmp;
+	struct write *item, *tmp;
 
-	DL_FOREACH_SAFE (c->flight.items, w, tmp) {
-		if (w->kind != WR_FINAL || !w->job->final_done)
+	DL_FOREACH_SAFE (core->flight.items, item, tmp) {
+		if (item->kind != WR_FINAL || !item->job->final_done)
 			continue;
-		DL_DELETE(c->flight.items, w);
-		final_committed(c, w->job);
-		free(w);
+		DL_DELETE(core->flight.items, item);
+		final_committed(core, item->job);
+		free(item);
 	}
-	requeue(c);
+	requeue(core);
 }
 
-static void on_reread(struct core *c, struct call *call, int status, const char *body, size_t len)
+static void on_reread(struct core *core, struct call *call, int status, const char *body,
+		      size_t len)
 {
 	struct kv_item it = {0};
 	json_t *o = NULL;
 
-	if (election_stale(c, call))
+	if (election_stale(core, call))
 		return;
-	store_heard(c, status);
+	store_heard(core, status);
 	if (status != 200 && status != 404) {
-		store_get(c, call->key, on_reread, NULL);
+		store_get(core, call->key, on_reread, NULL);
 		return;
 	}
 	if (status == 200) {
 		o = wire_parse(body, len);
 		wire_kv(o, &it);
 	}
-	adopt(c, call->key, it.value, it.version);
+	adopt(core, call->key, it.value, it.version);
 	json_decref(o);
-	if (--c->flight.reads_out == 0)
-		reread_done(c);
+	if (--core->flight.reads_out == 0)
+		reread_done(core);
 }
 
 /* Someone else changed a key, or an earlier copy of this transaction was applied: read them all. */
-static void reread(struct core *c)
+static void reread(struct core *core)
 {
-	struct write *w;
+	struct write *item;
 	char key[KEY_MAX];
 
-	c->flight.reads_out = 0;
-	DL_FOREACH (c->flight.items, w) {
-		if (w->kind == WR_DROP)
+	core->flight.reads_out = 0;
+	DL_FOREACH (core->flight.items, item) {
+		if (item->kind == WR_DROP)
 			continue;
-		if (w->kind == WR_CHUNK)
-			task_record_key(key, w->job, w->chunk);
+		if (item->kind == WR_CHUNK)
+			task_record_key(key, item->job, item->chunk);
 		else
-			key_job(key, w->job);
-		c->flight.reads_out++;
-		store_get(c, key, on_reread, NULL);
+			key_job(key, item->job);
+		core->flight.reads_out++;
+		store_get(core, key, on_reread, NULL);
 	}
-	if (!c->flight.reads_out)
-		requeue(c);
+	if (!core->flight.reads_out)
+		requeue(core);
 }
 
 /*
@@ -480,32 +481,32 @@
  * it: only our own transaction writes our name over the token we hold.
  */
 /* The leader's key once the transaction under way is done. */
-static const char *fence_key(const struct core *c)
+static const char *fence_key(const struct core *core)
 {
-	return election_key(c->flight.raises ? FORMAT_NEWEST : c->el.format);
+	return election_key(core->flight.raises ? FORMAT_NEWEST : core->el.format);
 }
 
-static void on_fence_read(struct core *c, struct call *call, int status, const char *body,
+static void on_fence_read(struct core *core, struct call *call, int status, const char *body,
 			  size_t len)
 {
 	const char *name;
 	struct kv_item it = {0};
 	json_t *o;
 
-	if (election_stale(c, call) || !c->flying)
+	if (election_stale(core, call) || !core->flying)
 		return;
-	store_heard(c, status);
+	store_heard(core, status);
 	if (status != 200 && status != 404) {
-		store_get(c, fence_key(c), on_fence_read, NULL);
+		store_get(core, fence_key(core), on_fence_read, NULL);
 		return;
 	}
 	o = status == 200 ? wire_parse(body, len) : NULL;
 	wire_kv(o, &it);
 	name = json_string_value(json_object_get(it.value, "name"));
-	if (name && !strcmp(name, c->conf->name) && it.version > c->el.token)
-		committed(c, it.version);
+	if (name && !strcmp(name, core->conf->name) && it.version > core->el.token)
+		committed(core, it.version);
 	else
-		election_step_down(c, "guard_failed");
+		election_step_down(core, "guard_failed");
 	json_decref(o);
 }
 
@@ -513,111 +514,113 @@
  * A definite answer: too many changes or too large a value, if the key of the leader has no part in
  * it. What was sent so is not sent again unchanged, unless nothing of it can be smaller.
  */
-static void refused(struct core *c, const char *body, size_t len)
+static void refused(struct core *core, const char *body, size_t len)
 {
 	bool small =
-	    c->flight.nops <= LIMITS_TXN_OPS_MIN && c->flight.largest <= LIMITS_VALUE_FLOOR;
+	    core->flight.nops <= LIMITS_TXN_OPS_MIN && core->flight.largest <= LIMITS_VALUE_FLOOR;
 
-	log_error("commit_refused", "nops=%d largest=%zu body=%.*s", c->flight.nops,
-		  c->flight.largest, (int)(len < 200 ? len : 200), body);
-	if (c->flight.fence) {
-		election_step_down(c, "lease_refused");
+	log_error("commit_refused", "nops=%d largest=%zu body=%.*s", core->flight.nops,
+		  core->flight.largest, (int)(len < 200 ? len : 200), body);
+	if (core->flight.fence) {
+		election_step_down(core, "lease_refused");
 		return;
 	}
-	limits_refused(c, c->flight.nops, c->flight.largest);
-	requeue(c);
-	c->commit_again = c->now + (small ? LIMITS_REFUSED_S : COMMIT_RETRY_S);
+	limits_refused(core, core->flight.nops, core->flight.largest);
+	requeue(core);
+	core->commit_again = core->now + (small ? LIMITS_REFUSED_S : COMMIT_RETRY_S);
 }
 
-static void on_commit(struct core *c, struct call *call, int status, const char *body, size_t len)
+static void on_commit(struct core *core, struct call *call, int status, const char *body,
+		      size_t len)
 {
 	json_t *o;
 
-	store_heard(c, status);
-	if (election_stale(c, call) || !c->flying)
+	store_heard(core, status);
+	if (election_stale(core, call) || !core->flying)
 		return;
 	if (status == 200) {
 		o = wire_parse(body, len);
-		committed(c, wire_revision(o));
+		committed(core, wire_revision(o));
 		json_decref(o);
 		return;
 	}
 	if (status == 409) {
 		o = wire_parse(body, len);
 		log_info("commit_conflict", "body=%.*s", (int)(len < 200 ? len : 200), body);
-		if (c->flight.fence)
-			store_get(c, fence_key(c), on_fence_read, NULL);
-		else if (wire_failed_has(o, election_key(c->el.format)))
-			election_step_down(c, "guard_failed");
+		if (core->flight.fence)
+			store_get(core, fence_key(core), on_fence_read, NULL);
+		else if (wire_failed_has(o, election_key(core->el.format)))
+			election_step_down(core, "guard_failed");
 		else
-			reread(c);
+			reread(core);
 		json_decref(o);
 		return;
 	}
 	if (status == 400) {
-		refused(c, body, len);
+		refused(core, body, len);
 		return;
 	}
 	/*
 	 * Refused, or unknown: the very same transaction goes again. Only a definite answer ends
 	 * it, since an unknown one may still be applied at any time until then.
 	 */
-	c->commit_again = c->now + COMMIT_RETRY_S;
-	c->flight.waiting = true;
+	core->commit_again = core->now + COMMIT_RETRY_S;
+	core->flight.waiting = true;
 }
 
 /* --- sending --- */
 
-static void refill(struct core *c)
+static void refill(struct core *core)
 {
-	allowance_fill(c, &c->puts, limits_write_rps(c) * WRITE_SHARE_LEADER);
+	allowance_fill(core, &core->puts, limits_write_rps(core) * WRITE_SHARE_LEADER);
 }
 
-static void fly(struct core *c)
+static void fly(struct core *core)
 {
-	c->flight.waiting = false;
-	refill(c);
-	c->puts.left -= c->flight.nops;
-	store_commit(c, strdup(c->flight.body), on_commit, NULL);
+	core->flight.waiting = false;
+	refill(core);
+	core->puts.left -= core->flight.nops;
+	store_commit(core, strdup(core->flight.body), on_commit, NULL);
 }
 
-static void fly_txn(struct core *c, struct txn *t)
+static void fly_txn(struct core *core, struct txn *t)
 {
-	c->flying = true;
-	c->flight.nops = t->nops;
-	c->flight.largest = t->largest;
-	c->flight.body = txn_finish(t);
-	fly(c);
+	core->flying = true;
+	core->flight.nops = t->nops;
+	core->flight.largest = t->largest;
+	core->flight.body = txn_finish(t);
+	fly(core);
 }
 
 /* The leader's key is written again, for a new token; with it, the format is raised if it can be.
  */
-static void fly_fence(struct core *c)
+static void fly_fence(struct core *core)
 {
-	bool raises = format_wanted(c);
-	struct txn t;
+	bool raises = format_wanted(core);
+	struct txn txn;
 
-	txn_begin(&t);
-	txn_guard(&t, election_key(c->el.format), c->el.token);
+	txn_begin(&txn);
+	txn_guard(&txn, election_key(core->el.format), core->el.token);
 	if (raises)
-		txn_put(&t, LEADER_KEY, election_gate_value(FORMAT_NEWEST), 0);
-	txn_put(&t, election_key(raises ? FORMAT_NEWEST : c->el.format), election_value(c),
-		c->el.lease);
-	c->flight.fence = true;
-	c->flight.raises = raises;
-	c->fence_wanted = false;
-	c->fence_at = c->now;
-	fly_txn(c, &t);
+		txn_put(&txn, LEADER_KEY, election_gate_value(FORMAT_NEWEST), 0);
+	txn_put(&txn, election_key(raises ? FORMAT_NEWEST : core->el.format), election_value(core),
+		core->el.lease);
+	core->flight.fence = true;
+	core->flight.raises = raises;
+	core->fence_wanted = false;
+	core->fence_at = core->now;
+	fly_txn(core, &txn);
 }
 
 /* A binding that the chunk's last record does not hold and no transaction carries. */
-static struct binding *unrecorded(const struct job *j, uint32_t chunk)
+static struct binding *unrecorded(const struct job *job, uint32_t chunk)
 {
-	struct binding *b;
+	struct binding *binding;
 
-	DL_FOREACH2 (j->bindings, b, jnext)
-		if (job_chunk_of(j, b->task) == chunk && !b->committed && binding_unsent(b))
-			return b;
+	DL_FOREACH2 (job->bindings, binding, jnext)
+		if (job_chunk_of(job, binding->task) == chunk && !binding->committed &&
+		    binding_unsent(binding))
+			return binding;
 	return NULL;
 }
 
@@ -625,19 +628,19 @@
  * The chunk's value is over the limit, as when that was lowered: bindings that were never on record
  * are taken back. Without any, it waits until tasks have ended.
  */
-static void chunk_too_large(struct core *c, struct write *w)
+static void chunk_too_large(struct core *core, struct write *w)
 {
-	struct job *j = w->job;
+	struct job *job = w->job;
 	uint32_t chunk = w->chunk;
-	struct binding *b;
+	struct binding *binding;
 
-	log_info("record_too_large", "job=%s chunk=%u bound=%u limit=%zu", j->spec.id, chunk,
-		 j->chunks[chunk].nbound, limits_value_bytes(c));
-	j->not_before = c->now + LIMITS_WAIT_S;
-	if (!unrecorded(j, chunk))
-		w->held_until = c->now + LIMITS_WAIT_S;
-	while ((b = unrecorded(j, chunk)))
-		binding_end(c, b, WHY_STOPPED);
+	log_info("record_too_large", "job=%s chunk=%u bound=%u limit=%zu", job->spec.id, chunk,
+		 job->chunks[chunk].nbound, limits_value_bytes(core));
+	job->not_before = core->now + LIMITS_WAIT_S;
+	if (!unrecorded(job, chunk))
+		w->held_until = core->now + LIMITS_WAIT_S;
+	while ((binding = unrecorded(job, chunk)))
+		binding_end(core, binding, WHY_STOPPED);
 }
 
 enum batch_result {
@@ -646,130 +649,132 @@
 	BATCH_FULL
 };
 
-static enum batch_result batch_add(struct core *c, struct txn *t, struct write *w)
+static enum batch_result batch_add(struct core *core, struct txn *t, struct write *item)
 {
-	int most = limits_txn_ops(c), n = write_ops(w, most);
+	int most = limits_txn_ops(core), n = write_ops(item, most);
 	struct txn_mark mark = txn_mark(t);
 	size_t bytes;
 
-	if (c->now < w->held_until)
+	if (core->now < item->held_until)
 		return BATCH_SKIPPED;
-	if (t->nops && (t->nops + n > most || t->nops + n > c->puts.left))
+	if (t->nops && (t->nops + n > most || t->nops + n > core->puts.left))
 		return BATCH_FULL;
-	bytes = add_write(t, w, most);
+	bytes = add_write(t, item, most);
 	if (mark.nops && txn_bytes(t) > COMMIT_BYTES) {
 		txn_rollback(t, &mark);
-		if (w->kind == WR_FINAL)
-			final_unsent(w->job);
+		if (item->kind == WR_FINAL)
+			final_unsent(item->job);
 		return BATCH_FULL;
 	}
-	if (bytes > limits_value_bytes(c)) {
+	if (bytes > limits_value_bytes(core)) {
 		txn_rollback(t, &mark);
-		chunk_too_large(c, w);
+		chunk_too_large(core, item);
 		return BATCH_FULL; /* other writes may have left the queue with it */
 	}
-	write_unlist(w);
-	DL_APPEND(c->flight.items, w);
-	if (w->kind == WR_CHUNK)
-		chunk_flies(w->job, w->chunk);
+	write_unlist(item);
+	DL_APPEND(core->flight.items, item);
+	if (item->kind == WR_CHUNK)
+		chunk_flies(item->job, item->chunk);
 	return BATCH_ADDED;
 }
 
 /* The chunk has no record of its own, and needs none any more. */
-static bool chunk_needless(const struct write *w)
+static bool chunk_needless(const struct write *item)
 {
-	return chunk_ends(w) && !w->job->chunks[w->chunk].version;
+	return chunk_ends(item) && !item->job->chunks[item->chunk].version;
 }
 
-static void chunk_forget(struct core *c, struct write *w)
+static void chunk_forget(struct core *core, struct write *w)
 {
-	struct job *j = w->job;
+	struct job *job = w->job;
 
 	write_unlist(w);
-	task_record_superseded(c, j, w->chunk);
-	job_release(c, j);
+	task_record_superseded(core, job, w->chunk);
+	job_release(core, job);
 	free(w);
 }
 
 /* Chunks of the list that are due, or those that could wait; false if there is no room for all. */
-static bool batch_chunks(struct core *c, struct txn *t, struct write **list, bool due)
+static bool batch_chunks(struct core *core, struct txn *t, struct write **list, bool due)
 {
-	struct write *w, *tmp;
+	struct write *item, *tmp;
 
-	DL_FOREACH_SAFE (*list, w, tmp) {
-		if ((w->due <= c->now) != due || w->job->chunks[w->chunk].flying)
+	DL_FOREACH_SAFE (*list, item, tmp) {
+		if ((item->due <= core->now) != due || item->job->chunks[item->chunk].flying)
 			continue;
-		if (chunk_needless(w))
-			chunk_forget(c, w);
-		else if (batch_add(c, t, w) == BATCH_FULL)
+		if (chunk_needless(item))
+			chunk_forget(core, item);
+		else if (batch_add(core, t, item) == BATCH_FULL)
 			return false;
 	}
 	return true;
 }
 
-static bool batch_all(struct core *c, struct txn *t, struct write **list)
+static bool batch_all(struct core *core, struct txn *t, struct write **list)
 {
 	while (*list)
-		if (batch_add(c, t, *list) == BATCH_FULL)
+		if (batch_add(core, t, *list) == BATCH_FULL)
 			return false;
 	return true;
 }
 
 /* Enough of the rate is left for what can wait for ever. */
-static bool puts_spare(const struct core *c)
+static bool puts_spare(const struct core *core)
 {
-	return c->puts.left > limits_write_rps(c) / 2;
+	return core->puts.left > limits_write_rps(core) / 2;
 }
 
-static void fly_writes(struct core *c)
+static void fly_writes(struct core *core)
 {
-	struct txn t;
+	struct txn txn;
 
-	txn_begin(&t);
-	txn_guard(&t, election_key(c->el.format), c->el.token);
+	txn_begin(&txn);
+	txn_guard(&txn, election_key(core->el.format), core->el.token);
 	/* Ends of jobs first: they are few, and their users wait for the word. */
-	if (batch_all(c, &t, &c->finals_due) && batch_chunks(c, &t, &c->writes, true) && t.nops)
-		batch_chunks(c, &t, &c->writes, false);
-	if (!t.nops)
-		batch_chunks(c, &t, &c->migrations, true);
-	if (!t.nops)
-		batch_all(c, &t, &c->drops);
-	log_debug("commit", "nops=%d largest=%zu tokens=%.1f kind=%d", t.nops, t.largest,
-		  c->puts.left, c->flight.items ? (int)c->flight.items->kind : -1);
-	if (t.nops) {
-		fly_txn(c, &t);
+	if (batch_all(core, &txn, &core->finals_due) &&
+	    batch_chunks(core, &txn, &core->writes, true) && txn.nops)
+		batch_chunks(core, &txn, &core->writes, false);
+	if (!txn.nops)
+		batch_chunks(core, &txn, &core->migrations, true);
+	if (!txn.nops)
+		batch_all(core, &txn, &core->drops);
+	log_debug("commit", "nops=%d largest=%zu tokens=%.1f kind=%d", txn.nops, txn.largest,
+		  core->puts.left, core->flight.items ? (int)core->flight.items->kind : -1);
+	if (txn.nops) {
+		fly_txn(core, &txn);
 		return;
 	}
-	txn_abandon(&t);
-	commit_clear_flight(c);
+	txn_abandon(&txn);
+	commit_clear_flight(core);
 }
 
-static bool anything_due(const struct core *c)
+static bool anything_due(const struct core *core)
 {
-	const struct write *w;
+	const struct write *item;
 
-	if (c->finals_due || ((c->drops || c->migrations) && puts_spare(c)))
+	if (core->finals_due || ((core->drops || core->migrations) && puts_spare(core)))
 		return true;
-	DL_FOREACH (c->writes, w)
-		if (w->due <= c->now && w->held_until <= c->now)
+	DL_FOREACH (core->writes, item)
+		if (item->due <= core->now && item->held_until <= core->now)
 			return true;
 	return false;
 }
 
-void commit_tick(struct core *c)
+void commit_tick(struct core *core)
 {
-	if (c->flying) {
-		if (c->flight.waiting && c->now >= c->commit_again)
-			fly(c);
+	if (core->flying) {
+		if (core->flight.waiting && core->now >= core->commit_again)
+			fly(core);
 		return;
 	}
-	if (c->now < c->commit_again)
+	if (core->now < core->commit_again)
 		return;
-	refill(c);
-	if (c->puts.left < 1)
+	refill(core);
+	if (core->puts.left < 1)
 		return;
-	if ((c->fence_wanted && c->now - c->fence_at >= FENCE_EVERY_S) || format_wanted(c))
-		fly_fence(c);
-	else if (anything_due(c))
-		fly_writes(c);
+	if ((core->fence_wanted && core->now - core->fence_at >= FENCE_EVERY_S) ||
+	    format_wanted(core))
+		fly_fence(core);
+	else if (anything_due(core))
+		fly_writes(core);
 }
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -12,46 +12,46 @@
 
 struct core *core_new(const struct conf *conf, uint64_t seed, struct core_time now)
 {
-	struct core *c = calloc(1, sizeof(*c));
+	struct core *core = calloc(1, sizeof(*core));
 
-	if (!c)
+	if (!core)
 		abort();
-	c->conf = conf;
-	c->now = now.steady;
-	c->wall = now.wall;
-	c->next_call = 1;
-	c->el.format = FORMAT_CHUNKS;
-	c->incarnation = seed;
-	c->rand48[0] = (unsigned short)seed;
-	c->rand48[1] = (unsigned short)(seed >> 16);
-	c->rand48[2] = (unsigned short)(seed >> 32);
-	c->teams = calloc(conf->nteams + 1, sizeof(*c->teams));
-	if (!c->teams)
+	core->conf = conf;
+	core->now = now.steady;
+	core->wall = now.wall;
+	core->next_call = 1;
+	core->el.format = FORMAT_CHUNKS;
+	core->incarnation = seed;
+	core->rand48[0] = (unsigned short)seed;
+	core->rand48[1] = (unsigned short)(seed >> 16);
+	core->rand48[2] = (unsigned short)(seed >> 32);
+	core->teams = calloc(conf->nteams + 1, sizeof(*core->teams));
+	if (!core->teams)
 		abort();
-	c->peers = calloc(conf->npeers + 1, sizeof(*c->peers));
-	if (!c->peers)
+	core->peers = calloc(conf->npeers + 1, sizeof(*core->peers));
+	if (!core->peers)
 		abort();
 	for (size_t i = 0; i < conf->npeers; i++)
-		c->peers[i].heard = -1;
-	c->state_heard = c->now;
-	c->counts_at = c->counts_wanted = c->now - COUNTS_ASKED_S;
-	c->peer_live = calloc(conf->npeers + 1, sizeof(*c->peer_live));
-	if (!c->peer_live)
+		core->peers[i].heard = -1;
+	core->state_heard = core->now;
+	core->counts_at = core->counts_wanted = core->now - COUNTS_ASKED_S;
+	core->peer_live = calloc(conf->npeers + 1, sizeof(*core->peer_live));
+	if (!core->peer_live)
 		abort();
 	for (size_t i = 0; i < conf->nteams; i++)
-		c->teams[i].conf = &conf->teams[i];
-	return c;
+		core->teams[i].conf = &conf->teams[i];
+	return core;
 }
 
-double core_random(struct core *c)
+double core_random(struct core *core)
 {
-	return erand48(c->rand48);
+	return erand48(core->rand48);
 }
 
-void allowance_fill(const struct core *c, struct allowance *a, double rate)
+void allowance_fill(const struct core *core, struct allowance *a, double rate)
 {
-	a->left = fmin(rate, a->left + (c->now - a->filled) * rate);
-	a->filled = c->now;
+	a->left = fmin(rate, a->left + (core->now - a->filled) * rate);
+	a->filled = core->now;
 }
 
 char *fmt_path(const char *fmt, ...)
@@ -67,187 +67,188 @@
 	return s;
 }
 
-static struct core_action *action_add(struct core *c, enum core_action_kind kind, uint64_t id)
+static struct core_action *action_add(struct core *core, enum core_action_kind kind, uint64_t id)
 {
-	struct core_action *a = calloc(1, sizeof(*a));
+	struct core_action *action = calloc(1, sizeof(*action));
 
-	if (!a)
+	if (!action)
 		abort();
-	a->kind = kind;
-	a->id = id;
-	DL_APPEND(c->actions, a);
-	return a;
+	action->kind = kind;
+	action->id = id;
+	DL_APPEND(core->actions, action);
+	return action;
 }
 
-struct call *core_call(struct core *c, const char *addr, const char *method, char *path, char *body,
-		       double timeout_s, call_fn fn, void *arg)
+struct call *core_call(struct core *core, const char *addr, const char *method, char *path,
+		       char *body, double timeout_s, call_fn fn, void *arg)
 {
 	struct call *call = calloc(1, sizeof(*call));
-	struct core_action *a;
+	struct core_action *action;
 
 	if (!call)
 		abort();
-	call->id = c->next_call++;
+	call->id = core->next_call++;
 	call->fn = fn;
 	call->arg = arg;
-	call->term = c->el.term;
-	call->sent = c->now;
-	HASH_ADD(hh, c->calls, id, sizeof(call->id), call);
-	a = action_add(c, ACT_SEND, call->id);
-	snprintf(a->addr, sizeof(a->addr), "%s", addr);
-	a->method = method;
-	a->path = path;
-	a->body = body;
-	a->len = body ? strlen(body) : 0;
-	a->timeout_s = timeout_s;
+	call->term = core->el.term;
+	call->sent = core->now;
+	HASH_ADD(hh, core->calls, id, sizeof(call->id), call);
+	action = action_add(core, ACT_SEND, call->id);
+	snprintf(action->addr, sizeof(action->addr), "%s", addr);
+	action->method = method;
+	action->path = path;
+	action->body = body;
+	action->len = body ? strlen(body) : 0;
+	action->timeout_s = timeout_s;
 	return call;
 }
 
-struct call *core_call_packed(struct core *c, const char *addr, const char *path, uint8_t *buf,
+struct call *core_call_packed(struct core *core, const char *addr, const char *path, uint8_t *buf,
 			      size_t len, call_fn fn, void *arg)
 {
 	struct call *call =
-	    core_call(c, addr, "POST", fmt_path("%s", path), NULL, CALL_PEER_S, fn, arg);
-	struct core_action *a = c->actions->prev;
+	    core_call(core, addr, "POST", fmt_path("%s", path), NULL, CALL_PEER_S, fn, arg);
+	struct core_action *action = core->actions->prev;
 
-	a->body = (char *)buf;
-	a->len = len;
+	action->body = (char *)buf;
+	action->len = len;
 	return call;
 }
 
-void core_reply_packed(struct core *c, uint64_t conn, uint8_t *buf, size_t len)
+void core_reply_packed(struct core *core, uint64_t conn, uint8_t *buf, size_t len)
 {
-	struct core_action *a;
+	struct core_action *action;
 
-	core_reply(c, conn, 200, 0, NULL);
-	a = c->actions->prev;
-	a->body = (char *)buf;
-	a->len = len;
+	core_reply(core, conn, 200, 0, NULL);
+	action = core->actions->prev;
+	action->body = (char *)buf;
+	action->len = len;
 }
 
-void core_reply(struct core *c, uint64_t conn, int status, int retry_after, char *body)
+void core_reply(struct core *core, uint64_t conn, int status, int retry_after, char *body)
 {
-	struct core_action *a = action_add(c, ACT_ANSWER, conn);
+	struct core_action *action = action_add(core, ACT_ANSWER, conn);
 	size_t len = body ? strlen(body) : 0;
 
-	if (peers_wrap(c, conn, &status, retry_after, &body, &len))
+	if (peers_wrap(core, conn, &status, retry_after, &body, &len))
 		retry_after = 0;
-	a->status = status;
-	a->retry_after = retry_after;
-	a->body = body;
-	a->len = len;
+	action->status = status;
+	action->retry_after = retry_after;
+	action->body = body;
+	action->len = len;
 }
 
-void core_reply_error(struct core *c, uint64_t conn, int status, int retry_after, const char *why)
+void core_reply_error(struct core *core, uint64_t conn, int status, int retry_after,
+		      const char *why)
 {
-	core_reply(c, conn, status, retry_after, fmt_path("{\"error\":\"%s\"}", why));
+	core_reply(core, conn, status, retry_after, fmt_path("{\"error\":\"%s\"}", why));
 }
 
-static void set_time(struct core *c, struct core_time now)
+static void set_time(struct core *core, struct core_time now)
 {
-	if (now.steady > c->now)
-		c->now = now.steady;
-	c->wall = now.wall;
+	if (now.steady > core->now)
+		core->now = now.steady;
+	core->wall = now.wall;
 }
 
-void core_request(struct core *c, struct core_time now, const struct core_request *r)
+void core_request(struct core *core, struct core_time now, const struct core_request *request)
 {
-	set_time(c, now);
-	if (!strcmp(r->path, W_PATH_BEAT)) {
-		if (strcmp(r->method, "POST"))
-			core_reply_error(c, r->conn, 405, 0, "method");
+	set_time(core, now);
+	if (!strcmp(request->path, W_PATH_BEAT)) {
+		if (strcmp(request->method, "POST"))
+			core_reply_error(core, request->conn, 405, 0, "method");
 		else
-			workers_beat(c, r);
-	} else if (r->side == CORE_BACK && !strcmp(r->path, PAIR_PATH)) {
-		pair_request(c, r);
-	} else if (r->side == CORE_BACK) {
-		peers_request(c, r);
+			workers_beat(core, request);
+	} else if (request->side == CORE_BACK && !strcmp(request->path, PAIR_PATH)) {
+		pair_request(core, request);
+	} else if (request->side == CORE_BACK) {
+		peers_request(core, request);
 	} else {
-		users_request(c, r);
+		users_request(core, request);
 	}
-	core_tick(c, now);
+	core_tick(core, now);
 }
 
-void core_answer(struct core *c, struct core_time now, const struct core_answer *a)
+void core_answer(struct core *core, struct core_time now, const struct core_answer *a)
 {
 	struct call *call;
 
-	set_time(c, now);
-	HASH_FIND(hh, c->calls, &a->id, sizeof(a->id), call);
+	set_time(core, now);
+	HASH_FIND(hh, core->calls, &a->id, sizeof(a->id), call);
 	if (!call)
 		return;
-	HASH_DEL(c->calls, call);
-	call->fn(c, call, a->status, a->body, a->len);
+	HASH_DEL(core->calls, call);
+	call->fn(core, call, a->status, a->body, a->len);
 	free(call);
-	core_tick(c, now);
+	core_tick(core, now);
 }
 
-void core_tick(struct core *c, struct core_time now)
+void core_tick(struct core *core, struct core_time now)
 {
-	set_time(c, now);
-	election_tick(c);
-	format_tick(c);
-	catalog_tick(c);
-	users_tick(c);
-	peers_tick(c);
-	if (c->el.role != ROLE_LEAD)
+	set_time(core, now);
+	election_tick(core);
+	format_tick(core);
+	catalog_tick(core);
+	users_tick(core);
+	peers_tick(core);
+	if (core->el.role != ROLE_LEAD)
 		return;
-	load_tick(c);
-	machine_tick(c);
-	job_tick(c);
-	round_tick(c);
-	rent_tick(c);
-	pair_tick(c);
-	commit_tick(c);
-	workers_tick(c);
+	load_tick(core);
+	machine_tick(core);
+	job_tick(core);
+	round_tick(core);
+	rent_tick(core);
+	pair_tick(core);
+	commit_tick(core);
+	workers_tick(core);
 }
 
 /* The parts look at their own due times; a coarse beat covers them, rounds and commits come first.
  */
-double core_next(const struct core *c)
+double core_next(const struct core *core)
 {
-	double next = c->now + TICK_S;
+	double next = core->now + TICK_S;
 
-	if (c->el.role == ROLE_LEAD && c->round_due && c->next_round < next)
-		next = c->next_round;
+	if (core->el.role == ROLE_LEAD && core->round_due && core->next_round < next)
+		next = core->next_round;
 	return next;
 }
 
-struct core_action *core_take(struct core *c)
+struct core_action *core_take(struct core *core)
 {
-	struct core_action *a = c->actions;
+	struct core_action *action = core->actions;
 
-	if (a)
-		DL_DELETE(c->actions, a);
-	return a;
+	if (action)
+		DL_DELETE(core->actions, action);
+	return action;
 }
 
-void core_action_free(struct core_action *a)
+void core_action_free(struct core_action *action)
 {
-	free(a->path);
-	free(a->body);
-	free(a);
+	free(action->path);
+	free(action->body);
+	free(action);
 }
 
-void core_free(struct core *c)
+void core_free(struct core *core)
 {
-	struct core_action *a;
+	struct core_action *action;
 	struct call *call, *tmp;
 
-	leader_clear(c);
-	users_clear(c);
-	peers_clear(c);
-	while ((a = core_take(c)))
-		core_action_free(a);
-	HASH_ITER (hh, c->calls, call, tmp) {
-		HASH_DEL(c->calls, call);
+	leader_clear(core);
+	users_clear(core);
+	peers_clear(core);
+	while ((action = core_take(core)))
+		core_action_free(action);
+	HASH_ITER (hh, core->calls, call, tmp) {
+		HASH_DEL(core->calls, call);
 		if (call->drop)
 			call->drop(call->arg);
 		free(call);
 	}
-	free(c->types);
-	free(c->teams);
-	free(c->peer_live);
-	free(c->peers);
-	free(c);
+	free(core->types);
+	free(core->teams);
+	free(core->peer_live);
+	free(core->peers);
+	free(core);
 }
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -53,14 +53,14 @@
 };
 
 struct core *core_new(const struct conf *conf, uint64_t seed, struct core_time now);
-void core_free(struct core *c);
-void core_request(struct core *c, struct core_time now, const struct core_request *r);
-void core_answer(struct core *c, struct core_time now, const struct core_answer *a);
-void core_tick(struct core *c, struct core_time now);
+void core_free(struct core *core);
+void core_request(struct core *core, struct core_time now, const struct core_request *request);
+void core_answer(struct core *core, struct core_time now, const struct core_answer *a);
+void core_tick(struct core *core, struct core_time now);
 /* The steady time by which the next tick is wanted. */
-double core_next(const struct core *c);
+double core_next(const struct core *core);
 /* The next action, NULL if none; the caller frees it. */
-struct core_action *core_take(struct core *c);
-void core_action_free(struct core_action *a);
+struct core_action *core_take(struct core *core);
+void core_action_free(struct core_action *action);
 
 #endif
--- a/src/core/election.c
+++ b/src/core/election.c
@@ -24,81 +24,82 @@
 	return json_pack("{s:o,s:i}", "name", json_sprintf("format-%d", format), "format", format);
 }
 
-json_t *election_value(const struct core *c)
+json_t *election_value(const struct core *core)
 {
-	return json_pack("{s:s}", "name", c->conf->name);
+	return json_pack("{s:s}", "name", core->conf->name);
 }
 
-bool election_stale(const struct core *c, const struct call *call)
+bool election_stale(const struct core *core, const struct call *call)
 {
-	return call->term != c->el.term || c->el.role == ROLE_FOLLOW;
+	return call->term != core->el.term || core->el.role == ROLE_FOLLOW;
 }
 
-void election_reread(struct core *c)
+void election_reread(struct core *core)
 {
-	c->el.known = false;
-	if (c->el.next_try < c->now)
-		c->el.next_try = c->now;
+	core->el.known = false;
+	if (core->el.next_try < core->now)
+		core->el.next_try = core->now;
 }
 
-void election_step_down(struct core *c, const char *why)
+void election_step_down(struct core *core, const char *why)
 {
-	if (c->el.role == ROLE_FOLLOW)
+	if (core->el.role == ROLE_FOLLOW)
 		return;
 	log_info("step_down", "reason=%s", why);
-	c->el.role = ROLE_FOLLOW;
-	c->el.term++;
-	c->el.lease = 0;
-	c->el.token = 0;
-	c->el.renew_out = false;
+	core->el.role = ROLE_FOLLOW;
+	core->el.term++;
+	core->el.lease = 0;
+	core->el.token = 0;
+	core->el.renew_out = false;
 	log_token(0);
-	leader_clear(c);
-	election_reread(c);
+	leader_clear(core);
+	election_reread(core);
 }
 
-void election_raised(struct core *c, int format, uint64_t revision)
+void election_raised(struct core *core, int format, uint64_t revision)
 {
-	c->el.format = format;
-	c->el.gate_revision = revision;
+	core->el.format = format;
+	core->el.gate_revision = revision;
 }
 
-static void on_nothing(struct core *c, struct call *call, int status, const char *body, size_t len)
+static void on_nothing(struct core *core, struct call *call, int status, const char *body,
+		       size_t len)
 {
-	(void)c;
+	(void)core;
 	(void)call;
 	(void)status;
 	(void)body;
 	(void)len;
 }
 
-static void lease_return(struct core *c)
+static void lease_return(struct core *core)
 {
-	if (c->el.lease)
-		core_call(c, c->conf->state, "DELETE",
-			  fmt_path(W_PATH_LEASES "/%llu", (unsigned long long)c->el.lease), NULL,
+	if (core->el.lease)
+		core_call(core, core->conf->state, "DELETE",
+			  fmt_path(W_PATH_LEASES "/%llu", (unsigned long long)core->el.lease), NULL,
 			  CALL_STATE_S, on_nothing, NULL);
-	c->el.lease = 0;
+	core->el.lease = 0;
 }
 
 /* Another controller leads, by its own word. Workers are sent there, though the key can't be read.
  */
-void election_deposed(struct core *c, const char *leader)
+void election_deposed(struct core *core, const char *leader)
 {
-	if (c->el.role == ROLE_FOLLOW)
+	if (core->el.role == ROLE_FOLLOW)
 		return;
-	election_step_down(c, "peer_leads");
-	snprintf(c->el.leader, sizeof(c->el.leader), "%s", leader);
+	election_step_down(core, "peer_leads");
+	snprintf(core->el.leader, sizeof(core->el.leader), "%s", leader);
 }
 
 /* Gives the lease back, so that another controller need not wait for its end. */
-void election_yield(struct core *c, const char *why)
+void election_yield(struct core *core, const char *why)
 {
-	uint64_t lease = c->el.lease;
+	uint64_t lease = core->el.lease;
 
-	c->el.stand_back = c->now + LEADER_YIELD_S;
-	election_step_down(c, why);
-	c->el.lease = lease;
-	lease_return(c);
+	core->el.stand_back = core->now + LEADER_YIELD_S;
+	election_step_down(core, why);
+	core->el.lease = lease;
+	lease_return(core);
 }
 
 /*
@@ -108,72 +109,73 @@
  * alone shows that the key is held, not that the changes were read. In an outage the others, who
  * alone can have told users, say what they told.
  */
-bool election_may_serve(const struct core *c)
+bool election_may_serve(const struct core *core)
 {
-	const struct conf *f = c->conf;
-	double rest = (f->cancel_s - f->lease_s * (1 + CLOCK_DRIFT)) * (1 - CLOCK_DRIFT);
+	const struct conf *conf = core->conf;
+	double rest = (conf->cancel_s - conf->lease_s * (1 + CLOCK_DRIFT)) * (1 - CLOCK_DRIFT);
 	/* With less, a slow answer would end a term: if cancel_s leaves so little, all of it is
 	 * used. */
 	double span = fmax(rest - CANCEL_MARGIN_S, LEADER_TTL_MS / 1000.0);
 
-	double known = fmax(fmin(c->el.renewed, c->jobs_read), peers_heard(c));
+	double known = fmax(fmin(core->el.renewed, core->jobs_read), peers_heard(core));
 
-	return c->el.role == ROLE_LEAD && c->now - known < span;
+	return core->el.role == ROLE_LEAD && core->now - known < span;
 }
 
 /* Looked at before anything is answered: a process that was frozen wakes with questions waiting. */
-void election_look(struct core *c)
+void election_look(struct core *core)
 {
-	if (c->el.role == ROLE_LEAD && !election_may_serve(c))
-		election_step_down(c, "state_unreachable");
+	if (core->el.role == ROLE_LEAD && !election_may_serve(core))
+		election_step_down(core, "state_unreachable");
 }
 
 /* A term's own new token is on its way: what the key tells meanwhile is for its answer to judge. */
-static bool token_changes(const struct core *c)
+static bool token_changes(const struct core *core)
 {
-	return c->el.role != ROLE_FOLLOW && c->flying && c->flight.fence;
+	return core->el.role != ROLE_FOLLOW && core->flying && core->flight.fence;
 }
 
 /* An answer from before the term's own write: versions of a key only grow. */
-static bool older_than_term(const struct core *c, const struct kv_item *it)
+static bool older_than_term(const struct core *core, const struct kv_item *it)
 {
-	return c->el.role != ROLE_FOLLOW && it->version && it->version < c->el.token;
+	return core->el.role != ROLE_FOLLOW && it->version && it->version < core->el.token;
 }
 
-static void heard_leader(struct core *c, const struct kv_item *it)
+static void heard_leader(struct core *core, const struct kv_item *it)
 {
 	const char *name = it->value ? json_string_value(json_object_get(it->value, "name")) : NULL;
 
-	c->el.revision = it->value ? it->version : 0;
-	snprintf(c->el.leader, sizeof(c->el.leader), "%s", name ? name : "");
+	core->el.revision = it->value ? it->version : 0;
+	snprintf(core->el.leader, sizeof(core->el.leader), "%s", name ? name : "");
 	/* Our own name while we do not lead: a process that is no more, or a term given up. */
-	if (c->el.role == ROLE_FOLLOW && !c->el.claiming && !strcmp(c->el.leader, c->conf->name))
-		c->el.leader[0] = 0;
-	log_debug("leader", "name=%s revision=%llu", c->el.leader,
-		  (unsigned long long)c->el.revision);
-	if (c->el.role != ROLE_FOLLOW && c->el.revision != c->el.token)
-		election_step_down(c, "key_taken");
+	if (core->el.role == ROLE_FOLLOW && !core->el.claiming &&
+	    !strcmp(core->el.leader, core->conf->name))
+		core->el.leader[0] = 0;
+	log_debug("leader", "name=%s revision=%llu", core->el.leader,
+		  (unsigned long long)core->el.revision);
+	if (core->el.role != ROLE_FOLLOW && core->el.revision != core->el.token)
+		election_step_down(core, "key_taken");
 }
 
 /*
  * LEADER_KEY tells the records' format as well. A format that this version does not know leaves it
  * a follower: the key then names a leader that it can't find, and is never free.
  */
-static void heard_format(struct core *c, const struct kv_item *it)
+static void heard_format(struct core *core, const struct kv_item *it)
 {
 	json_t *format = it->value ? json_object_get(it->value, "format") : NULL;
 	int known = format ? (int)json_integer_value(format) : FORMAT_CHUNKS;
 
-	if (known == c->el.format)
+	if (known == core->el.format)
 		return;
-	log_info("format", "old=%d new=%d", c->el.format, known);
-	c->el.format = known;
-	c->el.gate_revision = it->value ? it->version : 0;
+	log_info("format", "old=%d new=%d", core->el.format, known);
+	core->el.format = known;
+	core->el.gate_revision = it->value ? it->version : 0;
 	/* The key of the new format may be free, or be told of next. */
-	c->el.leader[0] = 0;
-	c->el.revision = 0;
-	if (c->el.role != ROLE_FOLLOW)
-		election_step_down(c, "format_raised");
+	core->el.leader[0] = 0;
+	core->el.revision = 0;
+	if (core->el.role != ROLE_FOLLOW)
+		election_step_down(core, "format_raised");
 }
 
 /* The two keys of one read, or of one answer of the watch. */
@@ -201,32 +203,33 @@
 		heard_leader(keys->c, it);
 }
 
-static void on_read(struct core *c, struct call *call, int status, const char *body, size_t len)
+static void on_read(struct core *core, struct call *call, int status, const char *body, size_t len)
 {
-	struct leader_keys keys = {c, false};
+	struct leader_keys keys = {core, false};
 	const struct kv_item absent = {0};
 	json_t *o;
 
 	(void)call;
-	c->el.reading = false;
-	store_heard(c, status);
-	c->el.next_try = c->now + LEADER_REREAD_S;
-	if (status != 200 || token_changes(c))
+	core->el.reading = false;
+	store_heard(core, status);
+	core->el.next_try = core->now + LEADER_REREAD_S;
+	if (status != 200 || token_changes(core))
 		return;
 	o = wire_parse(body, len);
-	c->el.watched = wire_revision(o);
-	c->el.known = true;
+	core->el.watched = wire_revision(o);
+	core->el.known = true;
 	wire_items(o, read_format, &keys);
 	wire_items(o, read_leader, &keys);
 	if (!keys.found)
-		heard_leader(c, &absent);
+		heard_leader(core, &absent);
 	json_decref(o);
 }
 
 /* News from before our own write: the watch may lag behind the answers. */
-static bool leader_news(const struct core *c, const struct kv_item *it)
+static bool leader_news(const struct core *core, const struct kv_item *it)
 {
-	return !token_changes(c) && (c->el.role == ROLE_FOLLOW || it->version > c->el.token);
+	return !token_changes(core) &&
+	       (core->el.role == ROLE_FOLLOW || it->version > core->el.token);
 }
 
 static void watch_format(void *ctx, const struct kv_item *it)
@@ -245,138 +248,139 @@
 		read_leader(ctx, it);
 }
 
-static void on_watch(struct core *c, struct call *call, int status, const char *body, size_t len)
+static void on_watch(struct core *core, struct call *call, int status, const char *body, size_t len)
 {
-	struct leader_keys keys = {c, false};
+	struct leader_keys keys = {core, false};
 	json_t *o;
 
 	(void)call;
-	c->el.watching = false;
+	core->el.watching = false;
 	if (status != 200) {
 		if (status != 410)
-			store_heard(c, status);
-		c->el.known = false;
-		c->el.next_try = c->now + LEADER_REREAD_S;
+			store_heard(core, status);
+		core->el.known = false;
+		core->el.next_try = core->now + LEADER_REREAD_S;
 		return;
 	}
-	store_heard(c, status);
+	store_heard(core, status);
 	o = wire_parse(body, len);
-	if (wire_revision(o) > c->el.watched)
-		c->el.watched = wire_revision(o);
+	if (wire_revision(o) > core->el.watched)
+		core->el.watched = wire_revision(o);
 	wire_items(o, watch_format, &keys);
 	wire_items(o, watch_leader, &keys);
 	json_decref(o);
 }
 
-static void on_claim(struct core *c, struct call *call, int status, const char *body, size_t len)
+static void on_claim(struct core *core, struct call *call, int status, const char *body, size_t len)
 {
 	json_t *o;
 
-	c->el.claiming = false;
-	store_heard(c, status);
-	if (status != 200 || call->term != c->el.term) {
+	core->el.claiming = false;
+	store_heard(core, status);
+	if (status != 200 || call->term != core->el.term) {
 		log_debug("claim_failed", "status=%d", status);
-		c->el.lease = 0;
-		c->el.known = false;
-		c->el.next_try = c->now + LEADER_REREAD_S;
+		core->el.lease = 0;
+		core->el.known = false;
+		core->el.next_try = core->now + LEADER_REREAD_S;
 		return;
 	}
 	o = wire_parse(body, len);
-	c->el.token = wire_revision(o);
+	core->el.token = wire_revision(o);
 	json_decref(o);
-	c->el.revision = c->el.first_token = c->el.token;
-	snprintf(c->el.leader, sizeof(c->el.leader), "%s", c->conf->name);
-	c->el.role = ROLE_LOADING;
-	c->el.term++;
-	log_token(c->el.token);
+	core->el.revision = core->el.first_token = core->el.token;
+	snprintf(core->el.leader, sizeof(core->el.leader), "%s", core->conf->name);
+	core->el.role = ROLE_LOADING;
+	core->el.term++;
+	log_token(core->el.token);
 	log_info("lead", "state=loading");
-	load_start(c);
+	load_start(core);
 }
 
-static void on_lease(struct core *c, struct call *call, int status, const char *body, size_t len)
+static void on_lease(struct core *core, struct call *call, int status, const char *body, size_t len)
 {
-	struct txn t;
+	struct txn txn;
 	json_t *o;
 
-	store_heard(c, status);
-	if (status != 200 || call->term != c->el.term) {
-		c->el.claiming = false;
-		c->el.next_try = c->now + LEADER_REREAD_S;
+	store_heard(core, status);
+	if (status != 200 || call->term != core->el.term) {
+		core->el.claiming = false;
+		core->el.next_try = core->now + LEADER_REREAD_S;
 		return;
 	}
 	o = wire_parse(body, len);
-	c->el.lease = wire_lease(o);
+	core->el.lease = wire_lease(o);
 	json_decref(o);
 	/* Another took the key while the lease was asked for: it must not be put down again. */
-	if (*c->el.leader) {
-		c->el.claiming = false;
-		lease_return(c);
+	if (*core->el.leader) {
+		core->el.claiming = false;
+		lease_return(core);
 		return;
 	}
-	c->el.renewed = call->sent;
-	c->el.next_renew = call->sent + LEADER_RENEW_S;
-	txn_begin(&t);
-	txn_guard(&t, election_key(c->el.format), c->el.revision);
-	if (c->el.format >= FORMAT_PIECES)
-		txn_guard(&t, LEADER_KEY, c->el.gate_revision);
-	txn_put(&t, election_key(c->el.format), election_value(c), c->el.lease);
-	store_commit(c, txn_finish(&t), on_claim, NULL);
+	core->el.renewed = call->sent;
+	core->el.next_renew = call->sent + LEADER_RENEW_S;
+	txn_begin(&txn);
+	txn_guard(&txn, election_key(core->el.format), core->el.revision);
+	if (core->el.format >= FORMAT_PIECES)
+		txn_guard(&txn, LEADER_KEY, core->el.gate_revision);
+	txn_put(&txn, election_key(core->el.format), election_value(core), core->el.lease);
+	store_commit(core, txn_finish(&txn), on_claim, NULL);
 }
 
-static void on_renew(struct core *c, struct call *call, int status, const char *body, size_t len)
+static void on_renew(struct core *core, struct call *call, int status, const char *body, size_t len)
 {
 	(void)body;
 	(void)len;
-	if (call->term != c->el.term)
+	if (call->term != core->el.term)
 		return;
-	c->el.renew_out = false;
-	store_heard(c, status);
+	core->el.renew_out = false;
+	store_heard(core, status);
 	if (status == 200) {
-		c->el.renewed = call->sent;
-		c->el.next_renew = call->sent + LEADER_RENEW_S;
+		core->el.renewed = call->sent;
+		core->el.next_renew = call->sent + LEADER_RENEW_S;
 	} else if (status == 404) {
-		election_step_down(c, "lease_ended");
+		election_step_down(core, "lease_ended");
 	} else {
-		c->el.next_renew = c->now + LEADER_RETRY_S;
+		core->el.next_renew = core->now + LEADER_RETRY_S;
 	}
 }
 
-static void renew(struct core *c)
+static void renew(struct core *core)
 {
-	if (c->el.renew_out || c->now < c->el.next_renew || !c->el.lease)
+	if (core->el.renew_out || core->now < core->el.next_renew || !core->el.lease)
 		return;
-	c->el.renew_out = true;
-	core_call(c, c->conf->state, "POST",
-		  fmt_path(W_PATH_LEASES "/%llu" W_PATH_RENEW, (unsigned long long)c->el.lease),
+	core->el.renew_out = true;
+	core_call(core, core->conf->state, "POST",
+		  fmt_path(W_PATH_LEASES "/%llu" W_PATH_RENEW, (unsigned long long)core->el.lease),
 		  strdup("{}"), CALL_STATE_S, on_renew, NULL);
 }
 
-static void claim(struct core *c)
+static void claim(struct core *core)
 {
-	c->el.claiming = true;
-	core_call(c, c->conf->state, "POST", fmt_path(W_PATH_LEASES),
+	core->el.claiming = true;
+	core_call(core, core->conf->state, "POST", fmt_path(W_PATH_LEASES),
 		  wire_lease_body(LEADER_TTL_MS), CALL_STATE_S, on_lease, NULL);
 }
 
-void election_tick(struct core *c)
+void election_tick(struct core *core)
 {
-	struct election *e = &c->el;
+	struct election *election = &core->el;
 
-	if (!e->known) {
-		if (!e->reading && c->now >= e->next_try) {
-			e->reading = true;
-			store_range(c, LEADER_KEY, "", on_read, NULL);
+	if (!election->known) {
+		if (!election->reading && core->now >= election->next_try) {
+			election->reading = true;
+			store_range(core, LEADER_KEY, "", on_read, NULL);
 		}
-	} else if (!e->watching) {
-		e->watching = true;
-		store_watch(c, LEADER_KEY, e->watched, LEADER_WATCH_MS, on_watch, NULL);
+	} else if (!election->watching) {
+		election->watching = true;
+		store_watch(core, LEADER_KEY, election->watched, LEADER_WATCH_MS, on_watch, NULL);
 	}
-	if (e->role != ROLE_FOLLOW) {
-		renew(c);
-		election_look(c);
+	if (election->role != ROLE_FOLLOW) {
+		renew(core);
+		election_look(core);
 		return;
 	}
-	if (e->known && !*e->leader && !e->claiming && c->now >= e->next_try &&
-	    c->now >= e->stand_back && e->format <= FORMAT_NEWEST)
-		claim(c);
+	if (election->known && !*election->leader && !election->claiming &&
+	    core->now >= election->next_try && core->now >= election->stand_back &&
+	    election->format <= FORMAT_NEWEST)
+		claim(core);
 }
--- a/src/core/jobs.c
+++ b/src/core/jobs.c
@@ -19,41 +19,41 @@
 		bits[task / 8] &= (uint8_t) ~(1u << (task % 8));
 }
 
-uint32_t job_chunks(const struct job *j)
+uint32_t job_chunks(const struct job *job)
 {
-	return (j->spec.ntasks + j->chunk_tasks - 1) / j->chunk_tasks;
+	return (job->spec.ntasks + job->chunk_tasks - 1) / job->chunk_tasks;
 }
 
-uint32_t job_chunk_of(const struct job *j, uint32_t task)
+uint32_t job_chunk_of(const struct job *job, uint32_t task)
 {
-	return task / j->chunk_tasks;
+	return task / job->chunk_tasks;
 }
 
-struct job *job_find(struct core *c, const char *id)
+struct job *job_find(struct core *core, const char *id)
 {
-	struct job *j;
+	struct job *job;
 
-	HASH_FIND_STR(c->jobs, id, j);
-	return j;
+	HASH_FIND_STR(core->jobs, id, job);
+	return job;
 }
 
-struct job *job_add(struct core *c, const struct job_spec *spec)
+struct job *job_add(struct core *core, const struct job_spec *spec)
 {
-	struct job *j = calloc(1, sizeof(*j));
+	struct job *job = calloc(1, sizeof(*job));
 	size_t bytes = (spec->ntasks + 7) / 8 + 1;
 
-	if (!j)
+	if (!job)
 		abort();
-	j->spec = *spec;
-	j->done = calloc(1, bytes);
-	j->bound = calloc(1, bytes);
-	j->chunk_tasks = c->el.format >= FORMAT_PIECES ? PIECE_TASKS : CHUNK_TASKS;
-	j->chunks = calloc(job_chunks(j), sizeof(*j->chunks));
-	if (!j->done || !j->bound || !j->chunks)
+	job->spec = *spec;
+	job->done = calloc(1, bytes);
+	job->bound = calloc(1, bytes);
+	job->chunk_tasks = core->el.format >= FORMAT_PIECES ? PIECE_TASKS : CHUNK_TASKS;
+	job->chunks = calloc(job_chunks(job), sizeof(*job->chunks));
+	if (!job->done || !job->bound || !job->chunks)
 		abort();
-	j->waiting_since = c->now;
-	HASH_ADD_STR(c->jobs, spec.id, j);
-	return j;
+	job->waiting_since = core->now;
+	HASH_ADD_STR(core->jobs, spec.id, job);
+	return job;
 }
 
 /* More of an array of which `count` elements are in use; the rest is zero. */
@@ -67,23 +67,23 @@
 	return more;
 }
 
-void job_grow(struct job *j, uint32_t ntasks)
+void job_grow(struct job *job, uint32_t ntasks)
 {
-	uint32_t chunks = job_chunks(j);
-	size_t bytes = (j->spec.ntasks + 7) / 8 + 1;
+	uint32_t chunks = job_chunks(job);
+	size_t bytes = (job->spec.ntasks + 7) / 8 + 1;
 
-	if (ntasks <= j->spec.ntasks)
+	if (ntasks <= job->spec.ntasks)
 		return;
-	j->spec.ntasks = ntasks;
-	j->done = grown(j->done, bytes, (ntasks + 7) / 8 + 1, 1);
-	j->bound = grown(j->bound, bytes, (ntasks + 7) / 8 + 1, 1);
-	j->chunks = grown(j->chunks, chunks, job_chunks(j), sizeof(*j->chunks));
+	job->spec.ntasks = ntasks;
+	job->done = grown(job->done, bytes, (ntasks + 7) / 8 + 1, 1);
+	job->bound = grown(job->bound, bytes, (ntasks + 7) / 8 + 1, 1);
+	job->chunks = grown(job->chunks, chunks, job_chunks(job), sizeof(*job->chunks));
 }
 
-void job_free(struct core *c, struct job *j)
+void job_free(struct core *core, struct job *j)
 {
-	plan_release(c, j);
-	HASH_DEL(c->jobs, j);
+	plan_release(core, j);
+	HASH_DEL(core->jobs, j);
 	free(j->done);
 	free(j->bound);
 	free(j->chunks);
@@ -91,44 +91,44 @@
 	free(j);
 }
 
-void job_release(struct core *c, struct job *j)
+void job_release(struct core *core, struct job *j)
 {
 	if (!j->orphan || j->bindings)
 		return;
 	for (uint32_t k = 0; k < job_chunks(j); k++)
 		if (j->chunks[k].queued || j->chunks[k].flying)
 			return;
-	job_free(c, j);
+	job_free(core, j);
 }
 
 /* Its record would grow beyond what one value may hold. */
-bool job_chunk_full(const struct core *c, const struct job *j, uint32_t task)
+bool job_chunk_full(const struct core *core, const struct job *job, uint32_t task)
 {
-	return j->chunks[job_chunk_of(j, task)].bytes + CHUNK_SPARE_BYTES + CHUNK_ENTRY_BYTES >
-	       limits_value_bytes(c);
+	return job->chunks[job_chunk_of(job, task)].bytes + CHUNK_SPARE_BYTES + CHUNK_ENTRY_BYTES >
+	       limits_value_bytes(core);
 }
 
-uint32_t job_waiting(const struct job *j)
+uint32_t job_waiting(const struct job *job)
 {
-	uint32_t busy = j->ndone + j->nbound;
+	uint32_t busy = job->ndone + job->nbound;
 
-	if (j->cancelled || j->orphan || j->final_queued || busy >= j->spec.ntasks)
+	if (job->cancelled || job->orphan || job->final_queued || busy >= job->spec.ntasks)
 		return 0;
-	return j->spec.ntasks - busy;
+	return job->spec.ntasks - busy;
 }
 
 /* The first task that is neither done nor bound; ntasks if there is none. */
-uint32_t job_next_waiting(struct job *j)
+uint32_t job_next_waiting(struct job *job)
 {
-	uint32_t t = j->next_task;
+	uint32_t t = job->next_task;
 
-	while (t < j->spec.ntasks && (job_bit(j->done, t) || job_bit(j->bound, t)))
+	while (t < job->spec.ntasks && (job_bit(job->done, t) || job_bit(job->bound, t)))
 		t++;
-	j->next_task = t;
+	job->next_task = t;
 	return t;
 }
 
-void job_task_done(struct core *c, struct job *j, uint32_t task)
+void job_task_done(struct core *core, struct job *j, uint32_t task)
 {
 	if (j->orphan || task >= j->spec.ntasks || job_bit(j->done, task) ||
 	    j->spec.kind == JOB_SERVICE)
@@ -138,11 +138,11 @@
 	log_debug("task_done", "job=%s task=%u done=%u of=%u", j->spec.id, task, j->ndone,
 		  j->spec.ntasks);
 	if (j->ndone < j->spec.ntasks)
-		commit_chunk(c, j, task, END_DELAY_S);
+		commit_chunk(core, j, task, END_DELAY_S);
 }
 
 /* Looks whether the job is over; call after anything that ends a task or a binding. */
-void job_settle(struct core *c, struct job *j)
+void job_settle(struct core *core, struct job *j)
 {
 	if (!j->bindings && j->gang_stopping)
 		j->gang_stopping = false;
@@ -150,60 +150,60 @@
 		return;
 	if (j->cancelled) {
 		if (!j->bindings)
-			commit_final(c, j);
+			commit_final(core, j);
 		return;
 	}
 	if (j->ndone < j->spec.ntasks)
 		return;
 	/* The last tasks of a gang are heard of within moments: one transaction for all. */
 	if (j->done_at <= 0)
-		j->done_at = c->now;
-	if (!j->bindings || c->now - j->done_at >= FINAL_WAIT_S)
-		commit_final(c, j);
+		j->done_at = core->now;
+	if (!j->bindings || core->now - j->done_at >= FINAL_WAIT_S)
+		commit_final(core, j);
 }
 
-void job_tick(struct core *c)
+void job_tick(struct core *core)
 {
-	struct job *j, *tmp;
+	struct job *job, *tmp;
 
-	if (c->now < c->next_jobs)
+	if (core->now < core->next_jobs)
 		return;
-	c->next_jobs = c->now + JOBS_EVERY_S;
-	HASH_ITER (hh, c->jobs, j, tmp)
-		if (j->done_at > 0 && !j->final_queued)
-			job_settle(c, j);
+	core->next_jobs = core->now + JOBS_EVERY_S;
+	HASH_ITER (hh, core->jobs, job, tmp)
+		if (job->done_at > 0 && !job->final_queued)
+			job_settle(core, job);
 }
 
-void job_cancel(struct core *c, struct job *j)
+void job_cancel(struct core *core, struct job *j)
 {
-	struct binding *b, *tmp;
+	struct binding *binding, *tmp;
 
 	if (j->cancelled || j->orphan)
 		return;
 	j->cancelled = true;
 	log_info("job_cancelled", "job=%s bound=%u", j->spec.id, j->nbound);
-	DL_FOREACH_SAFE2 (j->bindings, b, tmp, jnext) {
+	DL_FOREACH_SAFE2 (j->bindings, binding, tmp, jnext) {
 		/* A start that never left needs no proof of its end. */
-		if (binding_unsent(b))
-			binding_end(c, b, WHY_STOPPED);
+		if (binding_unsent(binding))
+			binding_end(core, binding, WHY_STOPPED);
 		else
-			binding_stop(c, b, 0);
+			binding_stop(core, binding, 0);
 	}
-	job_settle(c, j);
+	job_settle(core, j);
 }
 
-void job_cancel_told(struct core *c, const char *id, uint64_t version)
+void job_cancel_told(struct core *core, const char *id, uint64_t version)
 {
-	struct job *j = c->el.role == ROLE_LEAD ? job_find(c, id) : NULL;
+	struct job *job = core->el.role == ROLE_LEAD ? job_find(core, id) : NULL;
 
-	if (!j || j->orphan)
+	if (!job || job->orphan)
 		return;
-	if (version > j->version)
-		j->version = version;
-	job_cancel(c, j);
+	if (version > job->version)
+		job->version = version;
+	job_cancel(core, job);
 }
 
-void job_failed_on(struct core *c, struct job *j, struct machine *m)
+void job_failed_on(struct core *core, struct job *j, struct machine *machine)
 {
 	double wait = ERROR_BACKOFF_S;
 
@@ -212,109 +212,110 @@
 	if (wait > ERROR_BACKOFF_MAX_S)
 		wait = ERROR_BACKOFF_MAX_S;
 	/* The first failure is mostly the machine's: try elsewhere at once. */
-	j->not_before = c->now + (j->errors ? wait : 0);
+	j->not_before = core->now + (j->errors ? wait : 0);
 	j->errors++;
-	snprintf(j->bad[j->nbad % ERROR_JOB_MACHINES], ID_MAX, "%s", m->id);
+	snprintf(j->bad[j->nbad % ERROR_JOB_MACHINES], ID_MAX, "%s", machine->id);
 	j->nbad++;
 }
 
 static void binding_bit(struct binding *b, bool on)
 {
-	struct job *j = b->job;
+	struct job *job = b->job;
 	struct binding *o;
 
-	if (b->task >= j->spec.ntasks || job_bit(j->bound, b->task) == on)
+	if (b->task >= job->spec.ntasks || job_bit(job->bound, b->task) == on)
 		return;
 	/* Records of an older leader may bind a task twice: it is free when both have ended. */
-	DL_FOREACH2 (j->bindings, o, jnext)
+	DL_FOREACH2 (job->bindings, o, jnext)
 		if (!on && o != b && o->task == b->task)
 			return;
-	bit_set(j->bound, b->task, on);
-	j->nbound += on ? 1 : (uint32_t)-1;
-	if (!on && b->task < j->next_task)
-		j->next_task = b->task;
+	bit_set(job->bound, b->task, on);
+	job->nbound += on ? 1 : (uint32_t)-1;
+	if (!on && b->task < job->next_task)
+		job->next_task = b->task;
 }
 
-static void chunk_count(struct binding *b, int sign)
+static void chunk_count(struct binding *binding, int sign)
 {
-	struct chunk *k = &b->job->chunks[job_chunk_of(b->job, b->task)];
+	struct chunk *k = &binding->job->chunks[job_chunk_of(binding->job, binding->task)];
 
 	if (sign > 0)
-		b->record_bytes = task_record_bytes(b);
+		binding->record_bytes = task_record_bytes(binding);
 	k->nbound += (uint32_t)sign;
-	k->bytes += (uint32_t)sign * b->record_bytes;
+	k->bytes += (uint32_t)sign * binding->record_bytes;
 }
 
-struct binding *binding_add(struct core *c, struct machine *m, struct job *j, uint32_t task,
+struct binding *binding_add(struct core *core, struct machine *m, struct job *job, uint32_t task,
 			    uint64_t attempt)
 {
-	struct binding *b = calloc(1, sizeof(*b));
+	struct binding *binding = calloc(1, sizeof(*binding));
 
-	if (!b)
+	if (!binding)
 		abort();
-	b->machine = m;
-	b->job = j;
-	b->task = task;
-	b->attempt = attempt;
-	b->floor_token = c->el.token;
-	DL_APPEND2(m->bindings, b, mprev, mnext);
-	DL_APPEND2(j->bindings, b, jprev, jnext);
+	binding->machine = m;
+	binding->job = job;
+	binding->task = task;
+	binding->attempt = attempt;
+	binding->floor_token = core->el.token;
+	DL_APPEND2(m->bindings, binding, mprev, mnext);
+	DL_APPEND2(job->bindings, binding, jprev, jnext);
 	m->nbindings++;
-	m->nreplicas += j->spec.kind == JOB_SERVICE;
-	m->cpus -= j->spec.cpus;
-	m->gpus -= j->spec.gpus;
-	m->mem_gb -= j->spec.mem_gb;
-	binding_bit(b, true);
-	chunk_count(b, 1);
-	j->uncommitted++;
-	team_charge(c, &j->spec, 1);
-	return b;
+	m->nreplicas += job->spec.kind == JOB_SERVICE;
+	m->cpus -= job->spec.cpus;
+	m->gpus -= job->spec.gpus;
+	m->mem_gb -= job->spec.mem_gb;
+	binding_bit(binding, true);
+	chunk_count(binding, 1);
+	job->uncommitted++;
+	team_charge(core, &job->spec, 1);
+	return binding;
 }
 
 /* Its start never left, nor can an earlier leader have sent it. */
-bool binding_unsent(const struct binding *b)
+bool binding_unsent(const struct binding *binding)
 {
-	return !b->loaded && !b->sent_session && !b->beat_seq;
+	return !binding->loaded && !binding->sent_session && !binding->beat_seq;
 }
 
-void binding_stop(struct core *c, struct binding *b, double grace_s)
+void binding_stop(struct core *core, struct binding *b, double grace_s)
 {
 	if (b->stopping && grace_s >= b->grace_s)
 		return;
 	b->stopping = true;
 	b->grace_s = grace_s;
 	b->stop_at = 0;
-	workers_kick(c, b->machine);
+	workers_kick(core, b->machine);
 }
 
 /* A gang that lost a task stops as a whole; its other tasks would notice by themselves, later. */
-static void gang_lost(struct core *c, struct job *j, enum task_why why)
+static void gang_lost(struct core *core, struct job *j, enum task_why why)
 {
-	struct binding *b;
+	struct binding *binding;
 
 	if (j->ndone)
 		return;
 	j->gang_stopping = true;
-	DL_FOREACH2 (j->bindings, b, jnext) {
+	DL_FOREACH2 (j->bindings, binding, jnext) {
 		/* An orderly stop under way must not be cut short: the others are saving. */
-		if (why != WHY_STOPPED || !b->stopping)
-			binding_stop(c, b, 0);
+		if (why != WHY_STOPPED || !binding->stopping)
+			binding_stop(core, binding, 0);
 	}
 }
 
-static void machine_blamed(struct machine *m, const struct job *j)
+static void machine_blamed(struct machine *machine, const struct job *job)
 {
-	for (int i = 0; i < m->nfailed_jobs; i++)
-		if (!strcmp(m->failed_jobs[i], j->spec.id))
+	for (int i = 0; i < machine->nfailed_jobs; i++)
+		if (!strcmp(machine->failed_jobs[i], job->spec.id))
 			return;
 	/* A job that failed elsewhere too is its owner's mistake, not this machine's. */
-	if (j->nbad > 1)
+	if (job->nbad > 1)
 		return;
-	if (m->nfailed_jobs < MACHINE_FAULT_JOBS)
-		snprintf(m->failed_jobs[m->nfailed_jobs++], ID_MAX, "%s", j->spec.id);
-	if (m->nfailed_jobs == MACHINE_FAULT_JOBS && !m->draining) {
-		m->draining = true;
-		log_info("machine_faulty", "machine=%s jobs=%d", m->id, m->nfailed_jobs);
+	if (machine->nfailed_jobs < MACHINE_FAULT_JOBS)
+		snprintf(machine->failed_jobs[machine->nfailed_jobs++], ID_MAX, "%s", job->spec.id);
+	if (machine->nfailed_jobs == MACHINE_FAULT_JOBS && !machine->draining) {
+		machine->draining = true;
+		log_info("machine_faulty", "machine=%s jobs=%d", machine->id,
+			 machine->nfailed_jobs);
 	}
 }
 
@@ -323,108 +324,108 @@
  * whatever it says, is tried again after a time that grows, so that it does not take all starts;
  * one that has run begins again at once.
  */
-static void replica_ended(struct core *c, struct binding *b, enum task_why why)
+static void replica_ended(struct core *core, struct binding *b, enum task_why why)
 {
-	struct job *j = b->job;
-	bool ran = b->running_since > 0 && c->now - b->running_since >= REPLICA_STEADY_S;
+	struct job *job = b->job;
+	bool ran = b->running_since > 0 && core->now - b->running_since >= REPLICA_STEADY_S;
 
 	if (ran)
-		j->errors = 0;
-	job_failed_on(c, j, b->machine);
+		job->errors = 0;
+	job_failed_on(core, job, b->machine);
 	if (why == WHY_ERROR)
-		machine_blamed(b->machine, j);
+		machine_blamed(b->machine, job);
 }
 
-static void binding_account(struct core *c, struct binding *b, enum task_why why)
+static void binding_account(struct core *core, struct binding *b, enum task_why why)
 {
-	struct job *j = b->job;
+	struct job *job = b->job;
 
-	if (j->spec.kind == JOB_SERVICE && (why == WHY_DONE || why == WHY_ERROR)) {
-		replica_ended(c, b, why);
+	if (job->spec.kind == JOB_SERVICE && (why == WHY_DONE || why == WHY_ERROR)) {
+		replica_ended(core, b, why);
 	} else if (why == WHY_DONE) {
 		b->machine->nfailed_jobs = 0;
-		j->errors = 0;
-		if (j->spec.kind == JOB_GANG)
-			for (uint32_t t = 0; t < j->spec.ntasks; t++)
-				job_task_done(c, j, t);
+		job->errors = 0;
+		if (job->spec.kind == JOB_GANG)
+			for (uint32_t t = 0; t < job->spec.ntasks; t++)
+				job_task_done(core, job, t);
 		else
-			job_task_done(c, j, b->task);
+			job_task_done(core, job, b->task);
 	} else if (why == WHY_ERROR) {
-		job_failed_on(c, j, b->machine);
-		machine_blamed(b->machine, j);
+		job_failed_on(core, job, b->machine);
+		machine_blamed(b->machine, job);
 	} else if (why == WHY_NO_ROOM || why == WHY_BUSY || why == WHY_UNKNOWN) {
-		j->not_before = c->now + REFUSED_BACKOFF_S;
+		job->not_before = core->now + REFUSED_BACKOFF_S;
 		if (why != WHY_UNKNOWN)
-			b->machine->no_place_until = c->now + REFUSED_BACKOFF_S;
+			b->machine->no_place_until = core->now + REFUSED_BACKOFF_S;
 	}
 }
 
 /* Takes the binding out of the books, whatever the reason. */
-void binding_drop(struct core *c, struct binding *b)
+void binding_drop(struct core *core, struct binding *b)
 {
-	struct machine *m = b->machine;
-	struct job *j = b->job;
+	struct machine *machine = b->machine;
+	struct job *job = b->job;
 
 	if (b->running_since > 0)
-		j->nrunning--;
+		job->nrunning--;
 	binding_bit(b, false);
 	chunk_count(b, -1);
-	j->uncommitted -= !b->committed;
-	team_charge(c, &j->spec, -1);
-	DL_DELETE2(m->bindings, b, mprev, mnext);
-	DL_DELETE2(j->bindings, b, jprev, jnext);
-	m->nbindings--;
-	m->nreplicas -= j->spec.kind == JOB_SERVICE;
-	m->cpus += j->spec.cpus;
-	m->gpus += j->spec.gpus;
-	m->mem_gb += j->spec.mem_gb;
-	if (!m->nbindings)
-		m->idle_since = c->now;
+	job->uncommitted -= !b->committed;
+	team_charge(core, &job->spec, -1);
+	DL_DELETE2(machine->bindings, b, mprev, mnext);
+	DL_DELETE2(job->bindings, b, jprev, jnext);
+	machine->nbindings--;
+	machine->nreplicas -= job->spec.kind == JOB_SERVICE;
+	machine->cpus += job->spec.cpus;
+	machine->gpus += job->spec.gpus;
+	machine->mem_gb += job->spec.mem_gb;
+	if (!machine->nbindings)
+		machine->idle_since = core->now;
 	/* The slot stays with its job, unless pairing switched it to another. */
-	if (j->spec.kind == JOB_ARRAY && !j->orphan) {
-		snprintf(m->turn, sizeof(m->turn), "%s",
-			 *b->switched_to ? b->switched_to : j->spec.id);
-		m->turn_until = c->now + TURN_S;
+	if (job->spec.kind == JOB_ARRAY && !job->orphan) {
+		snprintf(machine->turn, sizeof(machine->turn), "%s",
+			 *b->switched_to ? b->switched_to : job->spec.id);
+		machine->turn_until = core->now + TURN_S;
 	}
-	commit_chunk(c, j, b->task, END_DELAY_S);
+	commit_chunk(core, job, b->task, END_DELAY_S);
 	free(b);
 }
 
 /* The end of a binding, proved. The record follows in the next transaction. */
-void binding_end(struct core *c, struct binding *b, enum task_why why)
+void binding_end(struct core *core, struct binding *b, enum task_why why)
 {
-	struct machine *m = b->machine;
-	struct job *j = b->job;
-
-	log_info("task_end", "job=%s task=%u attempt=%llu machine=%s why=%d", j->spec.id, b->task,
-		 (unsigned long long)b->attempt, m->id, why);
-	binding_account(c, b, why);
-	binding_drop(c, b);
-	if (j->spec.kind == JOB_GANG && why != WHY_DONE && !j->cancelled)
-		gang_lost(c, j, why);
-	j->waiting_since = c->now;
-	job_settle(c, j);
-	job_release(c, j);
-	round_wanted(c);
+	struct machine *machine = b->machine;
+	struct job *job = b->job;
+
+	log_info("task_end", "job=%s task=%u attempt=%llu machine=%s why=%d", job->spec.id, b->task,
+		 (unsigned long long)b->attempt, machine->id, why);
+	binding_account(core, b, why);
+	binding_drop(core, b);
+	if (job->spec.kind == JOB_GANG && why != WHY_DONE && !job->cancelled)
+		gang_lost(core, job, why);
+	job->waiting_since = core->now;
+	job_settle(core, job);
+	job_release(core, job);
+	round_wanted(core);
 }
 
 /*
  * A task that is bound here no more, listed as done: the leader before recorded the end of its
  * binding, and ended before its result was on record. Any other attempt of it is needless.
  */
-void job_done_unbound(struct core *c, const char *id, uint32_t task)
+void job_done_unbound(struct core *core, const char *id, uint32_t task)
 {
-	struct job *j = job_find(c, id);
-	struct binding *b;
+	struct job *job = job_find(core, id);
+	struct binding *binding;
 
-	if (!j || j->orphan || task >= j->spec.ntasks || job_bit(j->done, task) ||
-	    j->spec.kind == JOB_SERVICE)
+	if (!job || job->orphan || task >= job->spec.ntasks || job_bit(job->done, task) ||
+	    job->spec.kind == JOB_SERVICE)
 		return;
-	for (uint32_t t = 0; t < j->spec.ntasks; t++)
-		if (t == task || j->spec.kind == JOB_GANG)
-			job_task_done(c, j, t);
-	DL_FOREACH2 (j->bindings, b, jnext)
-		if (job_bit(j->done, b->task))
-			binding_stop(c, b, 0);
-	job_settle(c, j);
+	for (uint32_t t = 0; t < job->spec.ntasks; t++)
+		if (t == task || job->spec.kind == JOB_GANG)
+			job_task_done(core, job, t);
+	DL_FOREACH2 (job->bindings, binding, jnext)
+		if (job_bit(job->done, binding->task))
+			binding_stop(core, binding, 0);
+	job_settle(core, job);
 }
--- a/src/core/load.c
+++ b/src/core/load.c
@@ -11,9 +11,9 @@
 static const char *const prefixes_chunks[] = {JOBS_OPEN, JOBS_BOUND, NULL};
 static const char *const prefixes_pieces[] = {JOBS_OPEN, JOBS_PIECES, JOBS_BOUND, NULL};
 
-static const char *load_prefix(const struct core *c, size_t at)
+static const char *load_prefix(const struct core *core, size_t at)
 {
-	return (c->el.format >= FORMAT_PIECES ? prefixes_pieces : prefixes_chunks)[at];
+	return (core->el.format >= FORMAT_PIECES ? prefixes_pieces : prefixes_chunks)[at];
 }
 
 struct load {
@@ -22,32 +22,32 @@
 	bool first;
 };
 
-void load_job_record(struct core *c, const char *id, json_t *value, uint64_t version)
+void load_job_record(struct core *core, const char *id, json_t *value, uint64_t version)
 {
-	struct job *j = job_find(c, id);
+	struct job *job = job_find(core, id);
 	struct job_spec spec;
 	const char *why;
 
-	if (!j) {
+	if (!job) {
 		if (wire_job_decode(json_object_get(value, "spec"), &spec, &why)) {
 			log_error("record_unreadable", "job=%s field=%s", id, why);
 			return;
 		}
-		j = job_add(c, &spec);
-		j->submitted = json_number_value(json_object_get(value, "at"));
+		job = job_add(core, &spec);
+		job->submitted = json_number_value(json_object_get(value, "at"));
 	}
-	j->version = version;
+	job->version = version;
 	/*
 	 * While loading, its bindings may not have been read yet: a job that seems to have none
 	 * would be closed at once, and its tasks run on with nobody to stop them.
 	 */
 	if (json_is_true(json_object_get(value, "cancelled"))) {
-		if (c->el.role == ROLE_LOADING)
-			j->cancelled = true;
+		if (core->el.role == ROLE_LOADING)
+			job->cancelled = true;
 		else
-			job_cancel(c, j);
+			job_cancel(core, job);
 	}
-	round_wanted(c);
+	round_wanted(core);
 }
 
 struct load_ctx {
@@ -66,162 +66,162 @@
 		task_record_load(x->c, it);
 }
 
-static void load_finish(struct core *c)
+static void load_finish(struct core *core)
 {
-	struct job *j, *tmp;
+	struct job *job, *tmp;
 
-	HASH_ITER (hh, c->jobs, j, tmp) {
-		struct binding *b;
+	HASH_ITER (hh, core->jobs, job, tmp) {
+		struct binding *binding;
 
-		for (uint32_t t = 0; t < j->spec.ntasks; t++)
-			j->ndone += job_bit(j->done, t);
+		for (uint32_t t = 0; t < job->spec.ntasks; t++)
+			job->ndone += job_bit(job->done, t);
 		/* Part of a gang: the leader before ended between two transactions of one
 		 * placement. */
-		if (j->spec.kind == JOB_GANG && !j->orphan && j->nbound &&
-		    j->nbound < j->spec.ntasks) {
-			j->gang_stopping = true;
-			DL_FOREACH2 (j->bindings, b, jnext)
-				binding_stop(c, b, 0);
+		if (job->spec.kind == JOB_GANG && !job->orphan && job->nbound &&
+		    job->nbound < job->spec.ntasks) {
+			job->gang_stopping = true;
+			DL_FOREACH2 (job->bindings, binding, jnext)
+				binding_stop(core, binding, 0);
 		}
-		if (j->cancelled)
-			DL_FOREACH2 (j->bindings, b, jnext)
-				binding_stop(c, b, 0);
+		if (job->cancelled)
+			DL_FOREACH2 (job->bindings, binding, jnext)
+				binding_stop(core, binding, 0);
 	}
-	HASH_ITER (hh, c->jobs, j, tmp) {
-		task_records_migrate(c, j);
-		job_settle(c, j);
-		job_release(c, j);
+	HASH_ITER (hh, core->jobs, job, tmp) {
+		task_records_migrate(core, job);
+		job_settle(core, job);
+		job_release(core, job);
 	}
-	c->el.role = ROLE_LEAD;
-	c->lead_since = c->now;
-	c->puts.filled = c->now;
-	c->puts.left = limits_write_rps(c) * WRITE_SHARE_LEADER;
-	log_info("lead", "state=leading jobs=%u machines=%u", HASH_COUNT(c->jobs),
-		 HASH_COUNT(c->machines));
-	round_wanted(c);
+	core->el.role = ROLE_LEAD;
+	core->lead_since = core->now;
+	core->puts.filled = core->now;
+	core->puts.left = limits_write_rps(core) * WRITE_SHARE_LEADER;
+	log_info("lead", "state=leading jobs=%u machines=%u", HASH_COUNT(core->jobs),
+		 HASH_COUNT(core->machines));
+	round_wanted(core);
 }
 
-static void on_page(struct core *c, struct call *call, int status, const char *body, size_t len);
+static void on_page(struct core *core, struct call *call, int status, const char *body, size_t len);
 
-static void ask_page(struct core *c, struct load *l)
+static void ask_page(struct core *core, struct load *l)
 {
-	store_range(c, load_prefix(c, l->at), l->last, on_page, l)->drop = free;
+	store_range(core, load_prefix(core, l->at), l->last, on_page, l)->drop = free;
 }
 
-static void on_page(struct core *c, struct call *call, int status, const char *body, size_t len)
+static void on_page(struct core *core, struct call *call, int status, const char *body, size_t len)
 {
-	struct load *l = call->arg;
-	struct load_ctx x = {c, l};
+	struct load *load = call->arg;
+	struct load_ctx x = {core, load};
 	json_t *o;
 
-	store_heard(c, status);
-	if (election_stale(c, call)) {
-		free(l);
+	store_heard(core, status);
+	if (election_stale(core, call)) {
+		free(load);
 		return;
 	}
 	if (status != 200) {
-		ask_page(c, l);
+		ask_page(core, load);
 		return;
 	}
 	o = wire_parse(body, len);
-	if (l->first) {
-		c->jobs_revision = wire_revision(o);
-		c->jobs_read = call->sent;
+	if (load->first) {
+		core->jobs_revision = wire_revision(o);
+		core->jobs_read = call->sent;
 	}
-	l->first = false;
+	load->first = false;
 	wire_items(o, load_item, &x);
 	if (!wire_more(o)) {
-		l->at++;
-		l->last[0] = 0;
+		load->at++;
+		load->last[0] = 0;
 	}
 	json_decref(o);
-	if (load_prefix(c, l->at)) {
-		ask_page(c, l);
+	if (load_prefix(core, load->at)) {
+		ask_page(core, load);
 		return;
 	}
-	free(l);
-	load_finish(c);
+	free(load);
+	load_finish(core);
 }
 
-void load_start(struct core *c)
+void load_start(struct core *core)
 {
-	struct load *l = calloc(1, sizeof(*l));
+	struct load *load = calloc(1, sizeof(*load));
 
-	if (!l)
+	if (!load)
 		abort();
-	l->first = true;
-	ask_page(c, l);
+	load->first = true;
+	ask_page(core, load);
 }
 
 static void watch_item(void *ctx, const struct kv_item *it)
 {
-	struct core *c = ctx;
-	struct job *j;
+	struct core *core = ctx;
+	struct job *job;
 
 	size_t n = strlen(JOBS_OPEN);
 
 	if (strncmp(it->key, JOBS_OPEN, n) || !it->value)
 		return;
-	j = job_find(c, it->key + n);
-	if (j && (j->orphan || it->version <= j->version))
+	job = job_find(core, it->key + n);
+	if (job && (job->orphan || it->version <= job->version))
 		return;
-	load_job_record(c, it->key + n, it->value, it->version);
+	load_job_record(core, it->key + n, it->value, it->version);
 }
 
-static void on_watch(struct core *c, struct call *call, int status, const char *body, size_t len)
+static void on_watch(struct core *core, struct call *call, int status, const char *body, size_t len)
 {
 	json_t *o;
 
-	if (election_stale(c, call))
+	if (election_stale(core, call))
 		return;
-	c->jobs_watching = false;
+	core->jobs_watching = false;
 	if (status == 410) {
-		election_step_down(c, "watch_too_old");
+		election_step_down(core, "watch_too_old");
 		return;
 	}
 	if (status != 200) {
-		c->jobs_watch_again = c->now + LEADER_REREAD_S;
+		core->jobs_watch_again = core->now + LEADER_REREAD_S;
 		return;
 	}
 	o = wire_parse(body, len);
-	wire_items(o, watch_item, c);
-	if (wire_revision(o) > c->jobs_revision)
-		c->jobs_revision = wire_revision(o);
-	c->jobs_read = call->sent;
+	wire_items(o, watch_item, core);
+	if (wire_revision(o) > core->jobs_revision)
+		core->jobs_revision = wire_revision(o);
+	core->jobs_read = call->sent;
 	json_decref(o);
 }
 
-void load_tick(struct core *c)
+void load_tick(struct core *core)
 {
-	if (c->jobs_watching || c->now < c->jobs_watch_again)
+	if (core->jobs_watching || core->now < core->jobs_watch_again)
 		return;
-	c->jobs_watching = true;
-	store_watch(c, JOBS_OPEN, c->jobs_revision, JOBS_WATCH_MS, on_watch, NULL);
+	core->jobs_watching = true;
+	store_watch(core, JOBS_OPEN, core->jobs_revision, JOBS_WATCH_MS, on_watch, NULL);
 }
 
 /* All that only a leader knows; what the next one needs is in the records. */
-void leader_clear(struct core *c)
+void leader_clear(struct core *core)
 {
-	struct machine *m, *mtmp;
-	struct job *j, *jtmp;
-
-	commit_clear(c);
-	rent_clear(c);
-	format_clear(c);
-	c->kicked = NULL;
-	HASH_ITER (hh, c->machines, m, mtmp) {
-		struct binding *b, *tmp;
-
-		DL_FOREACH_SAFE2 (m->bindings, b, tmp, mnext)
-			free(b);
-		machine_free(c, m);
+	struct machine *machine, *mtmp;
+	struct job *job, *jtmp;
+
+	commit_clear(core);
+	rent_clear(core);
+	format_clear(core);
+	core->kicked = NULL;
+	HASH_ITER (hh, core->machines, machine, mtmp) {
+		struct binding *binding, *tmp;
+
+		DL_FOREACH_SAFE2 (machine->bindings, binding, tmp, mnext)
+			free(binding);
+		machine_free(core, machine);
 	}
-	HASH_ITER (hh, c->jobs, j, jtmp)
-		job_free(c, j);
-	for (size_t i = 0; i < c->conf->nteams; i++)
-		c->teams[i].cpus = c->teams[i].gpus = 0;
-	c->jobs_watching = false;
-	c->round_due = false;
-	c->fence_wanted = false;
-	c->attempts = 0;
+	HASH_ITER (hh, core->jobs, job, jtmp)
+		job_free(core, job);
+	for (size_t i = 0; i < core->conf->nteams; i++)
+		core->teams[i].cpus = core->teams[i].gpus = 0;
+	core->jobs_watching = false;
+	core->round_due = false;
+	core->fence_wanted = false;
+	core->attempts = 0;
 }
--- a/src/core/machine_list.c
+++ b/src/core/machine_list.c
@@ -11,62 +11,62 @@
 
 bool machine_has_tombstone(struct core *core, const char *id)
 {
-	struct tombstone *t;
+	struct tombstone *tombstone;
 
-	HASH_FIND_STR(core->tombstones, id, t);
-	return t != NULL;
+	HASH_FIND_STR(core->tombstones, id, tombstone);
+	return tombstone != NULL;
 }
 
 void tombstone_add(struct core *core, const char *id)
 {
-	struct tombstone *t, *tmp;
+	struct tombstone *tombstone, *tmp;
 
-	HASH_ITER (hh, core->tombstones, t, tmp) {
+	HASH_ITER (hh, core->tombstones, tombstone, tmp) {
 		if (HASH_COUNT(core->tombstones) < TOMBSTONES_MAX)
 			break; /* oldest first */
-		HASH_DEL(core->tombstones, t);
-		free(t);
+		HASH_DEL(core->tombstones, tombstone);
+		free(tombstone);
 	}
 	if (machine_has_tombstone(core, id))
 		return;
-	t = calloc(1, sizeof(*t));
-	if (!t)
+	tombstone = calloc(1, sizeof(*tombstone));
+	if (!tombstone)
 		abort();
-	snprintf(t->id, sizeof(t->id), "%s", id);
-	t->at = core->now;
-	HASH_ADD_STR(core->tombstones, id, t);
+	snprintf(tombstone->id, sizeof(tombstone->id), "%s", id);
+	tombstone->at = core->now;
+	HASH_ADD_STR(core->tombstones, id, tombstone);
 }
 
-static void take_listed(struct core *core, const struct listed_machine *l)
+static void take_listed(struct core *core, const struct listed_machine *listed)
 {
-	struct machine *m = machine_find(core, l->id);
+	struct machine *m = machine_find(core, listed->id);
 
 	/* A lagging list still names what was deleted: it must not come back to life. */
-	if (!m && (machine_has_tombstone(core, l->id) || l->state == LS_FAILED))
+	if (!m && (machine_has_tombstone(core, listed->id) || listed->state == LS_FAILED))
 		return;
 	if (!m) {
-		m = machine_get(core, l->id);
-		m->rented_at = core->now - l->age_s;
-		log_info("machine_listed", "machine=%s type=%s state=%d age=%.1f", l->id, l->type,
-			 l->state, l->age_s);
+		m = machine_get(core, listed->id);
+		m->rented_at = core->now - listed->age_s;
+		log_info("machine_listed", "machine=%s type=%s state=%d age=%.1f", listed->id,
+			 listed->type, listed->state, listed->age_s);
 	}
-	machine_describe(core, m, l->addr, l->type, l->zone, l->spot);
+	machine_describe(core, m, listed->addr, listed->type, listed->zone, listed->spot);
 	m->listed = m->expected = true;
 	m->missing = 0;
 	m->list_round = core->list_round;
-	if (l->state == LS_FAILED)
+	if (listed->state == LS_FAILED)
 		m->failed = true;
-	if (l->state == LS_RUNNING)
+	if (listed->state == LS_RUNNING)
 		machine_show(core, m);
 }
 
 static void list_ended(struct core *core)
 {
-	struct machine *m, *tmp;
+	struct machine *machine, *tmp;
 
-	HASH_ITER (hh, core->machines, m, tmp)
-		if (m->listed && m->list_round != core->list_round)
-			m->missing++;
+	HASH_ITER (hh, core->machines, machine, tmp)
+		if (machine->listed && machine->list_round != core->list_round)
+			machine->missing++;
 	core->list_after[0] = 0;
 	core->next_list = core->now + LISTED_EVERY_S;
 }
--- a/src/core/machines.c
+++ b/src/core/machines.c
@@ -8,73 +8,73 @@
 #include "core/state.h"
 #include "util/log.h"
 
-struct machine *machine_find(struct core *c, const char *id)
+struct machine *machine_find(struct core *core, const char *id)
 {
-	struct machine *m;
+	struct machine *machine;
 
-	HASH_FIND_STR(c->machines, id, m);
-	return m;
+	HASH_FIND_STR(core->machines, id, machine);
+	return machine;
 }
 
-struct machine *machine_get(struct core *c, const char *id)
+struct machine *machine_get(struct core *core, const char *id)
 {
-	struct machine *m = machine_find(c, id);
+	struct machine *machine = machine_find(core, id);
 
-	if (m)
-		return m;
-	m = calloc(1, sizeof(*m));
-	if (!m)
+	if (machine)
+		return machine;
+	machine = calloc(1, sizeof(*machine));
+	if (!machine)
 		abort();
-	snprintf(m->id, sizeof(m->id), "%s", id);
-	m->last_beat = m->last_word = m->reported = m->notice_s = -1;
-	m->asked_at = c->now - MACHINE_ASK_S;
-	m->hears = true;
-	m->rented_at = m->idle_since = c->now;
-	HASH_ADD_STR(c->machines, id, m);
-	return m;
+	snprintf(machine->id, sizeof(machine->id), "%s", id);
+	machine->last_beat = machine->last_word = machine->reported = machine->notice_s = -1;
+	machine->asked_at = core->now - MACHINE_ASK_S;
+	machine->hears = true;
+	machine->rented_at = machine->idle_since = core->now;
+	HASH_ADD_STR(core->machines, id, machine);
+	return machine;
 }
 
-void machine_free(struct core *c, struct machine *m)
+void machine_free(struct core *core, struct machine *m)
 {
-	HASH_DEL(c->machines, m);
-	report_cache_remove(&c->reports, &m->last_report);
+	HASH_DEL(core->machines, m);
+	report_cache_remove(&core->reports, &m->last_report);
 	free(m->left);
 	free(m);
 }
 
-static const struct machine_type *type_find(const struct core *c, const char *name)
+static const struct machine_type *type_find(const struct core *core, const char *name)
 {
-	for (size_t i = 0; i < c->ntypes; i++)
-		if (!strcmp(c->types[i].name, name))
-			return &c->types[i];
+	for (size_t i = 0; i < core->ntypes; i++)
+		if (!strcmp(core->types[i].name, name))
+			return &core->types[i];
 	return NULL;
 }
 
 /* Free room is what the type offers less what is bound; an unknown type offers nothing. */
-static void machine_link(struct core *c, struct machine *m)
+static void machine_link(struct core *core, struct machine *m)
 {
-	const struct binding *b;
+	const struct binding *binding;
 
-	m->type = type_find(c, m->type_name);
+	m->type = type_find(core, m->type_name);
 	m->cpus = m->type ? m->type->cpus : 0;
 	m->gpus = m->type ? m->type->gpus : 0;
 	m->mem_gb = m->type ? m->type->mem_gb : 0;
-	DL_FOREACH2 (m->bindings, b, mnext) {
-		m->cpus -= b->job->spec.cpus;
-		m->gpus -= b->job->spec.gpus;
-		m->mem_gb -= b->job->spec.mem_gb;
+	DL_FOREACH2 (m->bindings, binding, mnext) {
+		m->cpus -= binding->job->spec.cpus;
+		m->gpus -= binding->job->spec.gpus;
+		m->mem_gb -= binding->job->spec.mem_gb;
 	}
 }
 
-void machines_relink(struct core *c)
+void machines_relink(struct core *core)
 {
-	struct machine *m, *tmp;
+	struct machine *machine, *tmp;
 
-	HASH_ITER (hh, c->machines, m, tmp)
-		machine_link(c, m);
+	HASH_ITER (hh, core->machines, machine, tmp)
+		machine_link(core, machine);
 }
 
-void machine_describe(struct core *c, struct machine *m, const char *addr, const char *type,
+void machine_describe(struct core *core, struct machine *m, const char *addr, const char *type,
 		      const char *zone, bool spot)
 {
 	if (*addr && strcmp(m->addr, addr))
@@ -84,115 +84,118 @@
 	snprintf(m->type_name, sizeof(m->type_name), "%s", type);
 	snprintf(m->zone, sizeof(m->zone), "%s", zone);
 	m->spot = spot;
-	machine_link(c, m);
+	machine_link(core, m);
 }
 
-bool machine_fresh(const struct core *c, const struct machine *m)
+bool machine_fresh(const struct core *core, const struct machine *machine)
 {
-	return m->last_word >= 0 &&
-	       c->now - m->last_word < MACHINE_FRESH_REPORTS * c->conf->report_s;
+	return machine->last_word >= 0 &&
+	       core->now - machine->last_word < MACHINE_FRESH_REPORTS * core->conf->report_s;
 }
 
 /*
  * Only reports keep a worker's lease: one that answers direct commands but reports to nobody, or to
  * a leader of before, will lose what runs on it.
  */
-static bool machine_reports(const struct core *c, const struct machine *m)
+static bool machine_reports(const struct core *core, const struct machine *machine)
 {
-	return m->reported >= 0 && c->now - m->reported < MACHINE_FRESH_REPORTS * c->conf->report_s;
+	return machine->reported >= 0 &&
+	       core->now - machine->reported < MACHINE_FRESH_REPORTS * core->conf->report_s;
 }
 
-bool machine_leaves(const struct machine *m)
+bool machine_leaves(const struct machine *machine)
 {
-	return (m->notice_s >= 0 || m->draining) && !m->deleting;
+	return (machine->notice_s >= 0 || machine->draining) && !machine->deleting;
 }
 
-bool machine_usable(const struct core *c, const struct machine *m)
+bool machine_usable(const struct core *core, const struct machine *machine)
 {
-	return m->type && m->session && m->hears && !m->draining && !m->deleting && !m->failed &&
-	       m->notice_s < 0 && machine_reports(c, m) && c->now >= m->no_place_until;
+	return machine->type && machine->session && machine->hears && !machine->draining &&
+	       !machine->deleting && !machine->failed && machine->notice_s < 0 &&
+	       machine_reports(core, machine) && core->now >= machine->no_place_until;
 }
 
-bool machine_allowed(const struct machine_type *t, const char *zone, bool spot,
-		     const struct job_spec *s)
+bool machine_allowed(const struct machine_type *type, const char *zone, bool spot,
+		     const struct job_spec *spec)
 {
-	if (spot && !s->spot)
+	if (spot && !spec->spot)
 		return false;
-	if (*s->zone && strcmp(s->zone, zone))
+	if (*spec->zone && strcmp(spec->zone, zone))
 		return false;
-	for (int i = 0; i < s->ntypes; i++)
-		if (!strcmp(s->types[i], t->name))
+	for (int i = 0; i < spec->ntypes; i++)
+		if (!strcmp(spec->types[i], type->name))
 			return true;
-	return s->ntypes == 0;
+	return spec->ntypes == 0;
 }
 
-bool machine_has_image(const struct machine *m, const char *image)
+bool machine_has_image(const struct machine *machine, const char *image)
 {
-	for (int i = 0; i < m->nimages; i++)
-		if (!strcmp(m->images[i], image))
+	for (int i = 0; i < machine->nimages; i++)
+		if (!strcmp(machine->images[i], image))
 			return true;
 	return false;
 }
 
 /* Most recently used first, as the machines' caches keep them. */
-void machine_note_image(struct machine *m, const char *image)
+void machine_note_image(struct machine *machine, const char *image)
 {
-	int at = m->nimages < MACHINE_IMAGES ? m->nimages : MACHINE_IMAGES - 1;
+	int at = machine->nimages < MACHINE_IMAGES ? machine->nimages : MACHINE_IMAGES - 1;
 
-	for (int i = 0; i < m->nimages; i++)
-		if (!strcmp(m->images[i], image))
+	for (int i = 0; i < machine->nimages; i++)
+		if (!strcmp(machine->images[i], image))
 			at = i;
-	if (at == m->nimages)
-		m->nimages++;
-	memmove(m->images[1], m->images[0], (size_t)at * NAME_MAX_LEN);
-	snprintf(m->images[0], NAME_MAX_LEN, "%s", image);
+	if (at == machine->nimages)
+		machine->nimages++;
+	memmove(machine->images[1], machine->images[0], (size_t)at * NAME_MAX_LEN);
+	snprintf(machine->images[0], NAME_MAX_LEN, "%s", image);
 }
 
 /* The cloud answered 200 to its delete: it and everything on it is gone. */
-void machine_gone(struct core *c, struct machine *m)
+void machine_gone(struct core *core, struct machine *m)
 {
 	log_info("machine_gone", "machine=%s bound=%d", m->id, m->nbindings);
 	m->gone = m->deleting = true;
 	while (m->bindings)
-		binding_end(c, m->bindings, WHY_NONE);
+		binding_end(core, m->bindings, WHY_NONE);
 }
 
-static bool boot_overdue(const struct core *c, const struct machine *m)
+static bool boot_overdue(const struct core *core, const struct machine *machine)
 {
-	double boot = m->type ? m->type->boot_s : 0;
+	double boot = machine->type ? machine->type->boot_s : 0;
 
-	return m->last_word < 0 &&
-	       c->now - m->rented_at > MACHINE_BOOT_FACTOR * boot + MACHINE_BOOT_EXTRA_S;
+	return machine->last_word < 0 &&
+	       core->now - machine->rented_at > MACHINE_BOOT_FACTOR * boot + MACHINE_BOOT_EXTRA_S;
 }
 
-static bool silent_too_long(const struct core *c, const struct machine *m)
+static bool silent_too_long(const struct core *core, const struct machine *machine)
 {
-	double since = m->last_beat >= 0 ? m->last_beat : fmax(m->up_at, c->lead_since);
-	double most = c->conf->lease_s * (1 + CLOCK_DRIFT) + MACHINE_DEAD_MARGIN_S;
+	double since =
+	    machine->last_beat >= 0 ? machine->last_beat : fmax(machine->up_at, core->lead_since);
+	double most = core->conf->lease_s * (1 + CLOCK_DRIFT) + MACHINE_DEAD_MARGIN_S;
 
-	if (m->last_word < 0 && !m->bindings)
-		return boot_overdue(c, m);
-	return c->now - since > most;
+	if (machine->last_word < 0 && !machine->bindings)
+		return boot_overdue(core, machine);
+	return core->now - since > most;
 }
 
 /*
  * Asks a machine that has not been heard of in this term. All report to a new leader by themselves
  * within two intervals; a question to each before that would cost it as much again.
  */
-void machine_show(struct core *c, struct machine *m)
+void machine_show(struct core *core, struct machine *m)
 {
-	if (m->last_word < 0 && c->now - m->asked_at > MACHINE_SHOW_S &&
-	    c->now - c->lead_since > MACHINE_SHOW_REPORTS * c->conf->report_s)
-		workers_ask(c, m);
+	if (m->last_word < 0 && core->now - m->asked_at > MACHINE_SHOW_S &&
+	    core->now - core->lead_since > MACHINE_SHOW_REPORTS * core->conf->report_s)
+		workers_ask(core, m);
 }
 
 /* No report for longer than one may be late; not heard of in this term though all others were. */
-static bool overdue(const struct core *c, const struct machine *m)
+static bool overdue(const struct core *core, const struct machine *machine)
 {
-	if (m->last_word < 0)
-		return m->nbindings &&
-		       c->now - c->lead_since > MACHINE_SHOW_REPORTS * c->conf->report_s;
-	return c->now - m->last_word > MACHINE_NEWS_REPORTS * c->conf->report_s;
+	if (machine->last_word < 0)
+		return machine->nbindings &&
+		       core->now - core->lead_since > MACHINE_SHOW_REPORTS * core->conf->report_s;
+	return core->now - machine->last_word > MACHINE_NEWS_REPORTS * core->conf->report_s;
 }
 
 /*
@@ -202,81 +205,81 @@
  * its lease. That is allowed only while few machines are silent: else it may be this controller
  * that is cut off.
  */
-static bool replicas_unreachable(struct core *c, struct machine *m)
+static bool replicas_unreachable(struct core *core, struct machine *m)
 {
-	if (!m->nreplicas || !overdue(c, m))
+	if (!m->nreplicas || !overdue(core, m))
 		return false;
-	if (m->unanswered_at > fmax(m->last_word, c->lead_since))
-		return c->few_silent;
-	workers_ask(c, m);
+	if (m->unanswered_at > fmax(m->last_word, core->lead_since))
+		return core->few_silent;
+	workers_ask(core, m);
 	return false;
 }
 
-static void machine_look(struct core *c, struct machine *m)
+static void machine_look(struct core *core, struct machine *m)
 {
-	bool vanished = m->missing >= MACHINE_GONE_LISTS && !machine_fresh(c, m);
+	bool vanished = m->missing >= MACHINE_GONE_LISTS && !machine_fresh(core, m);
 
 	/* Held room that can't be used any more. */
-	if (m->hold_job && !machine_usable(c, m))
+	if (m->hold_job && !machine_usable(core, m))
 		m->hold_job = NULL;
 	if (m->deleting)
 		return;
-	if (m->failed || vanished || silent_too_long(c, m) || replicas_unreachable(c, m)) {
+	if (m->failed || vanished || silent_too_long(core, m) || replicas_unreachable(core, m)) {
 		log_info("machine_lost", "machine=%s failed=%d missing=%d last_word=%.1f bound=%d",
 			 m->id, m->failed, m->missing,
-			 m->last_word < 0 ? -1.0 : c->now - m->last_word, m->nbindings);
+			 m->last_word < 0 ? -1.0 : core->now - m->last_word, m->nbindings);
 		m->deleting = true;
 		return;
 	}
 	/* Known from a record or the list, but not heard of under this leader. */
 	if (m->nbindings)
-		machine_show(c, m);
+		machine_show(core, m);
 	/* Deaf since long, while the lease must have taken its tasks: it is replaced. */
-	if (!m->hears && !m->nbindings && c->now - m->deaf_since > MACHINE_DEAF_S) {
+	if (!m->hears && !m->nbindings && core->now - m->deaf_since > MACHINE_DEAF_S) {
 		log_info("machine_deaf_returned", "machine=%s", m->id);
 		m->deleting = true;
 	}
 }
 
 /* If nearly all fall silent at once, it is this controller that is cut off. */
-static bool looks_cut(struct core *c)
+static bool looks_cut(struct core *core)
 {
 	int heard = 0, silent = 0, late = 0, known = 0;
 	bool leave = false;
-	struct machine *m, *tmp;
+	struct machine *machine, *tmp;
 
-	HASH_ITER (hh, c->machines, m, tmp) {
-		if (m->deleting)
+	HASH_ITER (hh, core->machines, machine, tmp) {
+		if (machine->deleting)
 			continue;
-		leave |= m->nreplicas && machine_leaves(m);
-		known += m->last_word >= 0 || m->nbindings;
-		late += overdue(c, m);
-		if (m->last_word < 0)
+		leave |= machine->nreplicas && machine_leaves(machine);
+		known += machine->last_word >= 0 || machine->nbindings;
+		late += overdue(core, machine);
+		if (machine->last_word < 0)
 			continue;
 		heard++;
-		silent += !machine_fresh(c, m);
+		silent += !machine_fresh(core, machine);
 	}
-	c->replicas_leave = leave;
-	c->few_silent = known >= CUT_MACHINES && late <= fmax(1, SILENT_SHARE * known);
+	core->replicas_leave = leave;
+	core->few_silent = known >= CUT_MACHINES && late <= fmax(1, SILENT_SHARE * known);
 	return heard >= CUT_MACHINES && silent > CUT_SHARE * heard;
 }
 
-void machine_tick(struct core *c)
+void machine_tick(struct core *core)
 {
-	struct machine *m, *tmp;
+	struct machine *machine, *tmp;
 
-	if (c->now < c->next_machines)
+	if (core->now < core->next_machines)
 		return;
-	c->next_machines = c->now + MACHINES_EVERY_S;
-	if (looks_cut(c)) {
-		election_yield(c, "no_worker_heard");
+	core->next_machines = core->now + MACHINES_EVERY_S;
+	if (looks_cut(core)) {
+		election_yield(core, "no_worker_heard");
 		return;
 	}
-	HASH_ITER (hh, c->machines, m, tmp) {
-		machine_look(c, m);
-		if (m->gone && !m->bindings) {
-			workers_unkick(c, m);
-			machine_free(c, m);
+	HASH_ITER (hh, core->machines, machine, tmp) {
+		machine_look(core, machine);
+		if (machine->gone && !machine->bindings) {
+			workers_unkick(core, machine);
+			machine_free(core, machine);
 		}
 	}
 }
--- a/src/core/pair.c
+++ b/src/core/pair.c
@@ -34,36 +34,36 @@
 
 static void counts_free(struct pair_count **counts)
 {
-	struct pair_count *p, *tmp;
+	struct pair_count *count, *tmp;
 
-	HASH_ITER (hh, *counts, p, tmp) {
-		HASH_DEL(*counts, p);
-		free(p);
+	HASH_ITER (hh, *counts, count, tmp) {
+		HASH_DEL(*counts, count);
+		free(count);
 	}
 }
 
 static void work_free(void *arg)
 {
-	struct pair_work *w = arg;
+	struct pair_work *work = arg;
 
-	counts_free(&w->counts);
-	peer__part__free_unpacked(w->part, NULL);
-	free(w);
+	counts_free(&work->counts);
+	peer__part__free_unpacked(work->part, NULL);
+	free(work);
 }
 
 static struct pair_count *count_get(struct pair_count **counts, const char *id)
 {
-	struct pair_count *p;
+	struct pair_count *count;
 
-	HASH_FIND_STR(*counts, id, p);
-	if (p)
-		return p;
-	p = calloc(1, sizeof(*p));
-	if (!p)
+	HASH_FIND_STR(*counts, id, count);
+	if (count)
+		return count;
+	count = calloc(1, sizeof(*count));
+	if (!count)
 		abort();
-	snprintf(p->id, sizeof(p->id), "%s", id);
-	HASH_ADD_STR(*counts, id, p);
-	return p;
+	snprintf(count->id, sizeof(count->id), "%s", id);
+	HASH_ADD_STR(*counts, id, count);
+	return count;
 }
 
 /* The chance that a slot of a job with m_b slots goes over to one with m_a, if m_a < m_b. */
@@ -75,49 +75,49 @@
 }
 
 /* A partner other than the slot's own job, drawn in proportion to its count. */
-static struct pair_count *draw(struct core *c, struct pair_work *w, double total)
+static struct pair_count *draw(struct core *core, struct pair_work *w, double total)
 {
-	double at = core_random(c) * total;
-	struct pair_count *p, *tmp;
+	double at = core_random(core) * total;
+	struct pair_count *count, *tmp;
 
-	HASH_ITER (hh, w->counts, p, tmp) {
-		at -= p->slots;
+	HASH_ITER (hh, w->counts, count, tmp) {
+		at -= count->slots;
 		if (at < 0)
-			return p;
+			return count;
 	}
 	return NULL;
 }
 
-static void switches_send(struct core *c, struct pair_work *w, Peer__Switches *out)
+static void switches_send(struct core *core, struct pair_work *w, Peer__Switches *out)
 {
 	size_t n;
 	uint8_t *buf = peers_pack(&out->base, &n);
 
 	if (w->conn) {
-		core_reply_packed(c, w->conn, buf, n);
+		core_reply_packed(core, w->conn, buf, n);
 		return;
 	}
-	pair_take_switches(c, c->conf->npeers, buf, n);
+	pair_take_switches(core, core->conf->npeers, buf, n);
 	free(buf);
 }
 
-static void pair_decide(struct core *c, struct pair_work *w)
+static void pair_decide(struct core *core, struct pair_work *w)
 {
 	size_t n = w->part->n_slots;
 	Peer__Switch *all = calloc(n + 1, sizeof(*all)), **list = calloc(n + 1, sizeof(*list));
 	Peer__Switches out = PEER__SWITCHES__INIT;
-	struct pair_count *p, *tmp;
+	struct pair_count *count, *tmp;
 	double total = 0;
 
 	if (!all || !list)
 		abort();
-	HASH_ITER (hh, w->counts, p, tmp)
-		total += p->slots;
+	HASH_ITER (hh, w->counts, count, tmp)
+		total += count->slots;
 	for (size_t i = 0; i < n; i++) {
 		Peer__Slot *s = w->part->slots[i];
-		struct pair_count *b = count_get(&w->counts, s->job), *a = draw(c, w, total);
+		struct pair_count *b = count_get(&w->counts, s->job), *a = draw(core, w, total);
 
-		if (!a || a == b || !a->open || core_random(c) >= pair_rho(a->slots, b->slots))
+		if (!a || a == b || !a->open || core_random(core) >= pair_rho(a->slots, b->slots))
 			continue;
 		peer__switch__init(&all[i]);
 		all[i].slot = s;
@@ -125,9 +125,9 @@
 		list[out.n_switches++] = &all[i];
 	}
 	out.token = w->part->token;
-	out.incarnation = c->incarnation;
+	out.incarnation = core->incarnation;
 	out.switches = list;
-	switches_send(c, w, &out);
+	switches_send(core, w, &out);
 	free(all);
 	free(list);
 }
@@ -136,84 +136,86 @@
  * A controller that had more to say some quanta ago left further values behind. Its first value,
  * which comes before them, tells its newest quantum.
  */
-static bool counts_left_over(struct pair_work *w, const struct kv_item *it)
+static bool counts_left_over(struct pair_work *work, const struct kv_item *it)
 {
 	json_int_t quantum = json_integer_value(json_object_get(it->value, "quantum"));
 	const char *name = it->key + strlen("p/");
 	size_t len = strcspn(name, "/");
 
 	if (!name[len]) {
-		w->quantum = quantum;
+		work->quantum = quantum;
 		return false;
 	}
-	return quantum != w->quantum;
+	return quantum != work->quantum;
 }
 
 static void sum_item(void *ctx, const struct kv_item *it)
 {
-	struct pair_work *w = ctx;
+	struct pair_work *work = ctx;
 	const char *job;
 	json_t *v;
 
 	/* Counts of an earlier leader's quantum say nothing about this one. */
-	if ((uint64_t)json_integer_value(json_object_get(it->value, "token")) != w->part->token)
+	if ((uint64_t)json_integer_value(json_object_get(it->value, "token")) != work->part->token)
 		return;
-	if (counts_left_over(w, it))
+	if (counts_left_over(work, it))
 		return;
 	json_object_foreach (json_object_get(it->value, "counts"), job, v) {
 		if (strlen(job) < ID_MAX)
-			count_get(&w->counts, job)->slots += json_number_value(v);
+			count_get(&work->counts, job)->slots += json_number_value(v);
 	}
 }
 
-static void on_counts(struct core *c, struct call *call, int status, const char *body, size_t len)
+static void on_counts(struct core *core, struct call *call, int status, const char *body,
+		      size_t len)
 {
-	struct pair_work *w = call->arg;
+	struct pair_work *work = call->arg;
 	json_t *o;
 
-	store_heard(c, status);
+	store_heard(core, status);
 	if (status == 200) {
 		o = wire_parse(body, len);
-		wire_items(o, sum_item, w);
+		wire_items(o, sum_item, work);
 		json_decref(o);
-		pair_decide(c, w);
-	} else if (w->conn) {
-		core_reply_error(c, w->conn, 503, 0, "state");
+		pair_decide(core, work);
+	} else if (work->conn) {
+		core_reply_error(core, work->conn, 503, 0, "state");
 	}
-	work_free(w);
+	work_free(work);
 }
 
-static void on_written(struct core *c, struct call *call, int status, const char *body, size_t len)
+static void on_written(struct core *core, struct call *call, int status, const char *body,
+		       size_t len)
 {
-	struct pair_work *w = call->arg;
+	struct pair_work *work = call->arg;
 
 	(void)body;
 	(void)len;
-	store_heard(c, status);
+	store_heard(core, status);
 	if (status == 200) {
-		store_range(c, "p/", "", on_counts, w)->drop = work_free;
+		store_range(core, "p/", "", on_counts, work)->drop = work_free;
 		return;
 	}
-	if (w->conn)
-		core_reply_error(c, w->conn, 503, 0, "state");
-	work_free(w);
+	if (work->conn)
+		core_reply_error(core, work->conn, 503, 0, "state");
+	work_free(work);
 }
 
 #define COUNTS_FRAME_BYTES 64 /* of a value beside its entries: names, token, quantum */
 #define COUNT_FRAME_BYTES 16  /* of an entry beside the job's id */
 
-static void add_counts_value(const struct core *c, struct txn *t, uint64_t token, int index,
+static void add_counts_value(const struct core *core, struct txn *t, uint64_t token, int index,
 			     json_t *counts)
 {
 	char key[CONF_NAME_MAX + 16];
 
 	if (index)
-		snprintf(key, sizeof(key), "p/%s/%d", c->conf->name, index);
+		snprintf(key, sizeof(key), "p/%s/%d", core->conf->name, index);
 	else
-		snprintf(key, sizeof(key), "p/%s", c->conf->name);
+		snprintf(key, sizeof(key), "p/%s", core->conf->name);
 	txn_put(t, key,
 		json_pack("{s:I,s:I,s:o}", "token", (json_int_t)token, "quantum",
-			  (json_int_t)c->pair_quantum, "counts", counts),
+			  (json_int_t)core->pair_quantum, "counts", counts),
 		0);
 }
 
@@ -221,85 +223,86 @@
  * Our counts as one value, as several where one would be too large. Jobs that fit in none are not
  * drawn in this quantum.
  */
-static void add_counts(struct core *c, struct txn *t, uint64_t token, struct pair_count *own)
+static void add_counts(struct core *core, struct txn *t, uint64_t token, struct pair_count *own)
 {
-	size_t most = limits_job_record_bytes(c), bytes = COUNTS_FRAME_BYTES;
+	size_t most = limits_job_record_bytes(core), bytes = COUNTS_FRAME_BYTES;
 	json_t *counts = json_object();
-	struct pair_count *p, *tmp;
+	struct pair_count *count, *tmp;
 
-	c->pair_quantum++;
-	HASH_ITER (hh, own, p, tmp) {
-		size_t more = strlen(p->id) + COUNT_FRAME_BYTES;
+	core->pair_quantum++;
+	HASH_ITER (hh, own, count, tmp) {
+		size_t more = strlen(count->id) + COUNT_FRAME_BYTES;
 
-		if (bytes + more > most && t->nops + 1 >= limits_txn_ops(c))
+		if (bytes + more > most && t->nops + 1 >= limits_txn_ops(core))
 			break;
 		if (bytes + more > most) {
-			add_counts_value(c, t, token, t->nops, counts);
+			add_counts_value(core, t, token, t->nops, counts);
 			counts = json_object();
 			bytes = COUNTS_FRAME_BYTES;
 		}
-		json_object_set_new(counts, p->id, json_integer((json_int_t)p->slots));
+		json_object_set_new(counts, count->id, json_integer((json_int_t)count->slots));
 		bytes += more;
 	}
-	add_counts_value(c, t, token, t->nops, counts);
+	add_counts_value(core, t, token, t->nops, counts);
 }
 
 /* Starts on a part: the own counts are written. */
-static void pair_begin(struct core *c, uint64_t conn, const uint8_t *data, size_t len)
+static void pair_begin(struct core *core, uint64_t conn, const uint8_t *data, size_t len)
 {
 	Peer__Part *part = peer__part__unpack(NULL, len, data);
 	struct pair_count *own = NULL;
-	struct pair_work *w;
-	struct txn t;
+	struct pair_work *work;
+	struct txn txn;
 
 	if (!part) {
-		core_reply_error(c, conn, 400, 0, "part");
+		core_reply_error(core, conn, 400, 0, "part");
 		return;
 	}
-	w = calloc(1, sizeof(*w));
-	if (!w)
+	work = calloc(1, sizeof(*work));
+	if (!work)
 		abort();
-	w->conn = conn;
-	w->part = part;
+	work->conn = conn;
+	work->part = part;
 	for (size_t i = 0; i < part->n_open; i++)
-		count_get(&w->counts, part->open[i]->job)->open = true;
+		count_get(&work->counts, part->open[i]->job)->open = true;
 	for (size_t i = 0; i < part->n_slots; i++)
 		count_get(&own, part->slots[i]->job)->slots++;
-	txn_begin(&t);
-	add_counts(c, &t, part->token, own);
+	txn_begin(&txn);
+	add_counts(core, &txn, part->token, own);
 	counts_free(&own);
-	store_commit(c, txn_finish(&t), on_written, w)->drop = work_free;
+	store_commit(core, txn_finish(&txn), on_written, work)->drop = work_free;
 }
 
-void pair_request(struct core *c, const struct core_request *r)
+void pair_request(struct core *core, const struct core_request *request)
 {
-	pair_begin(c, r->conn, (const uint8_t *)r->body, r->len);
+	pair_begin(core, request->conn, (const uint8_t *)request->body, request->len);
 }
 
 /* --- the leader --- */
 
-void pair_take_switches(struct core *c, size_t peer, const uint8_t *data, size_t len)
+void pair_take_switches(struct core *core, size_t peer, const uint8_t *data, size_t len)
 {
 	Peer__Switches *in = peer__switches__unpack(NULL, len, data);
 
 	if (!in)
 		return;
-	if (peer < c->conf->npeers)
-		peers_note_incarnation(c, peer, in->incarnation);
-	for (size_t i = 0; i < in->n_switches && in->token == c->el.token; i++) {
+	if (peer < core->conf->npeers)
+		peers_note_incarnation(core, peer, in->incarnation);
+	for (size_t i = 0; i < in->n_switches && in->token == core->el.token; i++) {
 		Peer__Slot *s = in->switches[i]->slot;
-		struct machine *m = s ? machine_find(c, s->machine) : NULL;
-		struct job *to = job_find(c, in->switches[i]->to);
-		struct binding *b;
+		struct machine *m = s ? machine_find(core, s->machine) : NULL;
+		struct job *to = job_find(core, in->switches[i]->to);
+		struct binding *binding;
 
 		if (!m || !to || !job_waiting(to))
 			continue;
-		DL_FOREACH2 (m->bindings, b, mnext) {
-			if (b->task != s->task || strcmp(b->job->spec.id, s->job) ||
-			    *b->switched_to)
+		DL_FOREACH2 (m->bindings, binding, mnext) {
+			if (binding->task != s->task || strcmp(binding->job->spec.id, s->job) ||
+			    *binding->switched_to)
 				continue;
-			c->switches++;
-			snprintf(b->switched_to, sizeof(b->switched_to), "%s", to->spec.id);
+			core->switches++;
+			snprintf(binding->switched_to, sizeof(binding->switched_to), "%s",
+				 to->spec.id);
 			log_info("switch", "job=%s machine=%s task=%u to=%s", s->job, m->id,
 				 s->task, to->spec.id);
 		}
@@ -307,31 +310,31 @@
 	peer__switches__free_unpacked(in, NULL);
 }
 
-static void on_part_answer(struct core *c, struct call *call, int status, const char *body,
+static void on_part_answer(struct core *core, struct call *call, int status, const char *body,
 			   size_t len)
 {
 	size_t i = (size_t)(uintptr_t)call->arg;
 
-	if (election_stale(c, call))
+	if (election_stale(core, call))
 		return;
-	c->peer_live[i] = status == 200;
+	core->peer_live[i] = status == 200;
 	if (status == 200)
-		pair_take_switches(c, i, (const uint8_t *)body, len);
+		pair_take_switches(core, i, (const uint8_t *)body, len);
 }
 
 /* Rendezvous: of the live controllers, the one whose hash with the machine is highest. */
-static size_t owner_of(const struct core *c, const char *machine)
+static size_t owner_of(const struct core *core, const char *machine)
 {
-	size_t best = c->conf->npeers;
-	XXH64_hash_t top = XXH3_64bits_withSeed(machine, strlen(machine),
-						XXH3_64bits(c->conf->name, strlen(c->conf->name)));
+	size_t best = core->conf->npeers;
+	XXH64_hash_t top = XXH3_64bits_withSeed(
+	    machine, strlen(machine), XXH3_64bits(core->conf->name, strlen(core->conf->name)));
 
-	for (size_t i = 0; i < c->conf->npeers; i++) {
-		const char *name = c->conf->peers[i].name;
+	for (size_t i = 0; i < core->conf->npeers; i++) {
+		const char *name = core->conf->peers[i].name;
 		XXH64_hash_t h =
 		    XXH3_64bits_withSeed(machine, strlen(machine), XXH3_64bits(name, strlen(name)));
 
-		if (c->peer_live[i] && h > top) {
+		if (core->peer_live[i] && h > top) {
 			top = h;
 			best = i;
 		}
@@ -345,88 +348,92 @@
 	size_t nslots, nopen;
 };
 
-static void build_slots(struct core *c, size_t owner, struct part_build *p)
+static void build_slots(struct core *core, size_t owner, struct part_build *build)
 {
-	struct machine *m, *tmp;
-	struct binding *b;
+	struct machine *machine, *tmp;
+	struct binding *binding;
 	size_t cap = 0;
 
-	HASH_ITER (hh, c->machines, m, tmp)
-		cap += (size_t)m->nbindings;
-	p->slots = calloc(cap + 1, sizeof(*p->slots));
-	p->slot_list = calloc(cap + 1, sizeof(*p->slot_list));
-	if (!p->slots || !p->slot_list)
+	HASH_ITER (hh, core->machines, machine, tmp)
+		cap += (size_t)machine->nbindings;
+	build->slots = calloc(cap + 1, sizeof(*build->slots));
+	build->slot_list = calloc(cap + 1, sizeof(*build->slot_list));
+	if (!build->slots || !build->slot_list)
 		abort();
-	HASH_ITER (hh, c->machines, m, tmp) {
-		if (owner_of(c, m->id) != owner)
+	HASH_ITER (hh, core->machines, machine, tmp) {
+		if (owner_of(core, machine->id) != owner)
 			continue;
-		DL_FOREACH2 (m->bindings, b, mnext) {
-			Peer__Slot *s = &p->slots[p->nslots];
+		DL_FOREACH2 (machine->bindings, binding, mnext) {
+			Peer__Slot *s = &build->slots[build->nslots];
 
-			if (b->job->spec.kind != JOB_ARRAY || b->job->orphan || *b->switched_to)
+			if (binding->job->spec.kind != JOB_ARRAY || binding->job->orphan ||
+			    *binding->switched_to)
 				continue;
 			peer__slot__init(s);
-			s->machine = m->id;
-			s->job = b->job->spec.id;
-			s->task = b->task;
-			p->slot_list[p->nslots++] = s;
+			s->machine = machine->id;
+			s->job = binding->job->spec.id;
+			s->task = binding->task;
+			build->slot_list[build->nslots++] = s;
 		}
 	}
 }
 
-static void build_open(struct core *c, struct part_build *p)
+static void build_open(struct core *core, struct part_build *p)
 {
-	struct job *j, *tmp;
+	struct job *job, *tmp;
 
-	p->open = calloc(HASH_COUNT(c->jobs) + 1, sizeof(*p->open));
-	p->open_list = calloc(HASH_COUNT(c->jobs) + 1, sizeof(*p->open_list));
+	p->open = calloc(HASH_COUNT(core->jobs) + 1, sizeof(*p->open));
+	p->open_list = calloc(HASH_COUNT(core->jobs) + 1, sizeof(*p->open_list));
 	if (!p->open || !p->open_list)
 		abort();
-	HASH_ITER (hh, c->jobs, j, tmp) {
+	HASH_ITER (hh, core->jobs, job, tmp) {
 		/* A job whose team is at its limit, or with nothing waiting, is not drawn. */
-		if (j->spec.kind != JOB_ARRAY || !job_waiting(j) || !team_has_room(c, &j->spec, 1))
+		if (job->spec.kind != JOB_ARRAY || !job_waiting(job) ||
+		    !team_has_room(core, &job->spec, 1))
 			continue;
 		peer__open__init(&p->open[p->nopen]);
-		p->open[p->nopen].job = j->spec.id;
+		p->open[p->nopen].job = job->spec.id;
 		p->open_list[p->nopen] = &p->open[p->nopen];
 		p->nopen++;
 	}
 }
 
-static void send_part(struct core *c, size_t owner)
+static void send_part(struct core *core, size_t owner)
 {
-	struct part_build b = {0};
+	struct part_build build = {0};
 	Peer__Part part = PEER__PART__INIT;
 	uint8_t *buf;
 	size_t n;
 
-	build_slots(c, owner, &b);
-	build_open(c, &b);
-	part.token = c->el.token;
-	part.slots = b.slot_list;
-	part.n_slots = b.nslots;
-	part.open = b.open_list;
-	part.n_open = b.nopen;
+	build_slots(core, owner, &build);
+	build_open(core, &build);
+	part.token = core->el.token;
+	part.slots = build.slot_list;
+	part.n_slots = build.nslots;
+	part.open = build.open_list;
+	part.n_open = build.nopen;
 	buf = peers_pack(&part.base, &n);
-	if (owner == c->conf->npeers) {
-		pair_begin(c, 0, buf, n);
+	if (owner == core->conf->npeers) {
+		pair_begin(core, 0, buf, n);
 		free(buf);
 	} else {
-		core_call_packed(c, c->conf->peers[owner].addr, PAIR_PATH, buf, n, on_part_answer,
-				 (void *)(uintptr_t)owner);
+		core_call_packed(core, core->conf->peers[owner].addr, PAIR_PATH, buf, n,
+				 on_part_answer, (void *)(uintptr_t)owner);
 	}
-	free(b.slots);
-	free(b.slot_list);
-	free(b.open);
-	free(b.open_list);
+	free(build.slots);
+	free(build.slot_list);
+	free(build.open);
+	free(build.open_list);
 }
 
 /* Nothing is paired after a take-over until workers have had the time to report. */
-void pair_tick(struct core *c)
+void pair_tick(struct core *core)
 {
-	if (c->now < c->next_pair || c->now - c->lead_since < RENT_SETTLE_S || c->state_down)
+	if (core->now < core->next_pair || core->now - core->lead_since < RENT_SETTLE_S ||
+	    core->state_down)
 		return;
-	c->next_pair = c->now + PAIR_QUANTUM_S * (1 + PAIR_JITTER * (core_random(c) - 0.5));
-	for (size_t i = 0; i <= c->conf->npeers; i++)
-		send_part(c, i);
+	core->next_pair =
+	    core->now + PAIR_QUANTUM_S * (1 + PAIR_JITTER * (core_random(core) - 0.5));
+	for (size_t i = 0; i <= core->conf->npeers; i++)
+		send_part(core, i);
 }
--- a/src/core/peers.c
+++ b/src/core/peers.c
@@ -26,95 +26,96 @@
 }
 
 /* Whatever it says, it is there. */
-static void peer_answered(struct core *c, size_t i, int status)
+static void peer_answered(struct core *core, size_t i, int status)
 {
 	if (status > 0)
-		c->peers[i].answered = c->now;
+		core->peers[i].answered = core->now;
 }
 
 /* --- counts of tasks --- */
 
-static void counts_reply(struct core *c, uint64_t conn)
+static void counts_reply(struct core *core, uint64_t conn)
 {
-	size_t n = HASH_COUNT(c->jobs), len;
+	size_t n = HASH_COUNT(core->jobs), len;
 	Peer__Count *all = calloc(n + 1, sizeof(*all)), **list = calloc(n + 1, sizeof(*list));
 	Peer__Counts out = PEER__COUNTS__INIT;
-	struct job *j, *tmp;
+	struct job *job, *tmp;
 	uint8_t *buf;
 
 	if (!all || !list)
 		abort();
-	HASH_ITER (hh, c->jobs, j, tmp) {
+	HASH_ITER (hh, core->jobs, job, tmp) {
 		Peer__Count *x = &all[out.n_counts];
 
-		if (j->orphan || (!j->ndone && !j->nrunning))
+		if (job->orphan || (!job->ndone && !job->nrunning))
 			continue;
 		peer__count__init(x);
-		x->job = j->spec.id;
-		x->done = j->ndone;
-		x->running = j->nrunning;
+		x->job = job->spec.id;
+		x->done = job->ndone;
+		x->running = job->nrunning;
 		list[out.n_counts++] = x;
 	}
-	out.token = c->el.token;
+	out.token = core->el.token;
 	out.counts = list;
 	buf = peers_pack(&out.base, &len);
-	core_reply_packed(c, conn, buf, len);
+	core_reply_packed(core, conn, buf, len);
 	free(all);
 	free(list);
 }
 
-static void counts_take(struct core *c, const uint8_t *data, size_t len)
+static void counts_take(struct core *core, const uint8_t *data, size_t len)
 {
 	Peer__Counts *in = peer__counts__unpack(NULL, len, data);
-	struct known *k, *tmp;
+	struct known *known, *tmp;
 
 	/* What a deposed leader still believes is no news. */
-	if (in && in->token >= c->counts_token) {
-		c->counts_token = in->token;
-		c->counts_at = c->now;
-		HASH_ITER (hh, c->known, k, tmp)
-			if (!k->final)
-				k->done = k->running = 0;
+	if (in && in->token >= core->counts_token) {
+		core->counts_token = in->token;
+		core->counts_at = core->now;
+		HASH_ITER (hh, core->known, known, tmp)
+			if (!known->final)
+				known->done = known->running = 0;
 		for (size_t i = 0; i < in->n_counts; i++) {
-			HASH_FIND_STR(c->known, in->counts[i]->job, k);
-			if (!k || k->final)
+			HASH_FIND_STR(core->known, in->counts[i]->job, known);
+			if (!known || known->final)
 				continue;
-			k->done = in->counts[i]->done;
-			k->running = in->counts[i]->running;
+			known->done = in->counts[i]->done;
+			known->running = in->counts[i]->running;
 		}
 	}
 	if (in)
 		peer__counts__free_unpacked(in, NULL);
 }
 
-static void on_counts(struct core *c, struct call *call, int status, const char *body, size_t len)
+static void on_counts(struct core *core, struct call *call, int status, const char *body,
+		      size_t len)
 {
 	size_t i = (size_t)(uintptr_t)call->arg;
 
-	c->counts_out = false;
-	peer_answered(c, i, status);
+	core->counts_out = false;
+	peer_answered(core, i, status);
 	if (status == 200)
-		counts_take(c, (const uint8_t *)body, len);
+		counts_take(core, (const uint8_t *)body, len);
 }
 
 /* The message is empty: its path says all. */
-static void counts_ask(struct core *c, size_t i)
+static void counts_ask(struct core *core, size_t i)
 {
-	core_call(c, c->conf->peers[i].addr, "POST", fmt_path(COUNTS_PATH), strdup(""), CALL_PEER_S,
-		  on_counts, (void *)(uintptr_t)i);
+	core_call(core, core->conf->peers[i].addr, "POST", fmt_path(COUNTS_PATH), strdup(""),
+		  CALL_PEER_S, on_counts, (void *)(uintptr_t)i);
 }
 
-static void counts_tick(struct core *c)
+static void counts_tick(struct core *core)
 {
-	if (c->el.role == ROLE_LEAD || c->counts_out || c->now < c->counts_next ||
-	    c->now - c->counts_wanted > COUNTS_ASKED_S)
+	if (core->el.role == ROLE_LEAD || core->counts_out || core->now < core->counts_next ||
+	    core->now - core->counts_wanted > COUNTS_ASKED_S)
 		return;
-	for (size_t i = 0; i < c->conf->npeers; i++) {
-		if (strcmp(c->conf->peers[i].name, c->el.leader))
+	for (size_t i = 0; i < core->conf->npeers; i++) {
+		if (strcmp(core->conf->peers[i].name, core->el.leader))
 			continue;
-		c->counts_out = true;
-		c->counts_next = c->now + COUNTS_EVERY_S;
-		counts_ask(c, i);
+		core->counts_out = true;
+		core->counts_next = core->now + COUNTS_EVERY_S;
+		counts_ask(core, i);
 	}
 }
 
@@ -135,111 +136,114 @@
 	size_t peer;
 };
 
-static void on_forwarded(struct core *c, struct call *call, int status, const char *body,
+static void on_forwarded(struct core *core, struct call *call, int status, const char *body,
 			 size_t len)
 {
-	struct handed *h = call->arg;
-	struct peer_view *p = &c->peers[h->peer];
+	struct handed *handed = call->arg;
+	struct peer_view *peer = &core->peers[handed->peer];
 	Peer__Forwarded *in =
 	    status == 200 ? peer__forwarded__unpack(NULL, len, (const uint8_t *)body) : NULL;
 
-	peer_answered(c, h->peer, status);
+	peer_answered(core, handed->peer, status);
 	/* It can't serve either, or is not there: the outage is everybody's for now. */
 	if (!in || in->status == 503)
-		p->no_forward = c->now + PEER_BACKOFF_S;
+		peer->no_forward = core->now + PEER_BACKOFF_S;
 	if (in)
-		core_reply(c, h->conn, (int)in->status, (int)in->retry_after, text_of(&in->body));
+		core_reply(core, handed->conn, (int)in->status, (int)in->retry_after,
+			   text_of(&in->body));
 	else
-		core_reply_error(c, h->conn, 503, RETRY_AFTER_S, "state");
+		core_reply_error(core, handed->conn, 503, RETRY_AFTER_S, "state");
 	if (in)
 		peer__forwarded__free_unpacked(in, NULL);
-	free(h);
+	free(handed);
 }
 
-static void forward_to(struct core *c, size_t i, const struct user_req *u)
+static void forward_to(struct core *core, size_t i, const struct user_req *request)
 {
 	Peer__Forward out = PEER__FORWARD__INIT;
-	struct handed *h = calloc(1, sizeof(*h));
+	struct handed *handed = calloc(1, sizeof(*handed));
 	char path[HTTP_PATH_MAX];
 	struct call *call;
 	uint8_t *buf;
 	size_t len;
 
-	if (u->kind == USER_SUBMIT)
+	if (request->kind == USER_SUBMIT)
 		snprintf(path, sizeof(path), W_PATH_JOBS);
 	else
-		snprintf(path, sizeof(path), W_PATH_JOBS "/%s%s", u->id,
-			 u->kind == USER_CANCEL ? W_PATH_CANCEL : "");
-	out.method = u->kind == USER_POLL ? "GET" : "POST";
+		snprintf(path, sizeof(path), W_PATH_JOBS "/%s%s", request->id,
+			 request->kind == USER_CANCEL ? W_PATH_CANCEL : "");
+	out.method = request->kind == USER_POLL ? "GET" : "POST";
 	out.path = path;
-	out.body.data = (uint8_t *)u->body;
-	out.body.len = u->body ? strlen(u->body) : 0;
-	if (!h)
+	out.body.data = (uint8_t *)request->body;
+	out.body.len = request->body ? strlen(request->body) : 0;
+	if (!handed)
 		abort();
 	buf = peers_pack(&out.base, &len);
-	h->conn = u->conn;
-	h->peer = i;
-	call = core_call_packed(c, c->conf->peers[i].addr, FORWARD_PATH, buf, len, on_forwarded, h);
+	handed->conn = request->conn;
+	handed->peer = i;
+	call = core_call_packed(core, core->conf->peers[i].addr, FORWARD_PATH, buf, len,
+				on_forwarded, handed);
 	call->drop = free;
 }
 
 /* Hands the request to a controller that the state service may serve; false if there is none. */
-bool forward_user(struct core *c, struct user_req *u)
+bool forward_user(struct core *core, struct user_req *u)
 {
-	size_t best = c->conf->npeers;
-	struct wrapped *w;
+	size_t best = core->conf->npeers;
+	struct wrapped *wrapped;
 
-	HASH_FIND(hh, c->wrapped, &u->conn, sizeof(u->conn), w);
-	if (w)
+	HASH_FIND(hh, core->wrapped, &u->conn, sizeof(u->conn), wrapped);
+	if (wrapped)
 		return false; /* handed on once already */
-	for (size_t i = 0; i < c->conf->npeers; i++)
-		if (c->now >= c->peers[i].no_forward &&
-		    (best == c->conf->npeers || c->peers[i].answered > c->peers[best].answered))
+	for (size_t i = 0; i < core->conf->npeers; i++)
+		if (core->now >= core->peers[i].no_forward &&
+		    (best == core->conf->npeers ||
+		     core->peers[i].answered > core->peers[best].answered))
 			best = i;
-	if (best == c->conf->npeers)
+	if (best == core->conf->npeers)
 		return false;
-	forward_to(c, best, u);
+	forward_to(core, best, u);
 	return true;
 }
 
-static void forward_take(struct core *c, const struct core_request *r)
+static void forward_take(struct core *core, const struct core_request *r)
 {
 	Peer__Forward *in = peer__forward__unpack(NULL, r->len, (const uint8_t *)r->body);
 	struct core_request q = {r->conn, CORE_BACK, NULL, NULL, NULL, 0};
-	struct wrapped *w;
+	struct wrapped *wrapped;
 	char *body;
 
 	if (!in) {
-		core_reply_error(c, r->conn, 400, 0, "forward");
+		core_reply_error(core, r->conn, 400, 0, "forward");
 		return;
 	}
-	w = calloc(1, sizeof(*w));
+	wrapped = calloc(1, sizeof(*wrapped));
 	body = text_of(&in->body);
-	if (!w)
+	if (!wrapped)
 		abort();
-	w->conn = r->conn;
-	HASH_ADD(hh, c->wrapped, conn, sizeof(w->conn), w);
+	wrapped->conn = r->conn;
+	HASH_ADD(hh, core->wrapped, conn, sizeof(wrapped->conn), wrapped);
 	q.method = in->method;
 	q.path = in->path;
 	q.body = body;
 	q.len = strlen(body);
-	users_request(c, &q);
+	users_request(core, &q);
 	free(body);
 	peer__forward__free_unpacked(in, NULL);
 }
 
-bool peers_wrap(struct core *c, uint64_t conn, int *status, int retry_after, char **body,
+bool peers_wrap(struct core *core, uint64_t conn, int *status, int retry_after, char **body,
 		size_t *len)
 {
 	Peer__Forwarded out = PEER__FORWARDED__INIT;
-	struct wrapped *w;
+	struct wrapped *wrapped;
 	uint8_t *buf;
 
-	HASH_FIND(hh, c->wrapped, &conn, sizeof(conn), w);
-	if (!w)
+	HASH_FIND(hh, core->wrapped, &conn, sizeof(conn), wrapped);
+	if (!wrapped)
 		return false;
-	HASH_DEL(c->wrapped, w);
-	free(w);
+	HASH_DEL(core->wrapped, wrapped);
+	free(wrapped);
 	out.status = (uint32_t)*status;
 	out.retry_after = (uint32_t)retry_after;
 	out.body.data = (uint8_t *)*body;
@@ -253,20 +257,20 @@
 
 /* --- cancellations --- */
 
-static void on_told(struct core *c, struct call *call, int status, const char *body, size_t len)
+static void on_told(struct core *core, struct call *call, int status, const char *body, size_t len)
 {
 	(void)body;
 	(void)len;
-	peer_answered(c, (size_t)(uintptr_t)call->arg, status);
+	peer_answered(core, (size_t)(uintptr_t)call->arg, status);
 }
 
 /*
  * The leader may be refused by the state service alone, or be cut from it and deposed without
  * knowing, while workers still report to it: a cancellation goes to all, whoever leads.
  */
-void peers_cancelled(struct core *c, const char *id, uint64_t version)
+void peers_cancelled(struct core *core, const char *id, uint64_t version)
 {
-	for (size_t i = 0; i < c->conf->npeers; i++) {
+	for (size_t i = 0; i < core->conf->npeers; i++) {
 		Peer__Cancelled out = PEER__CANCELLED__INIT;
 		uint8_t *buf;
 		size_t len;
@@ -274,87 +278,88 @@
 		out.job = (char *)id;
 		out.version = version;
 		buf = peers_pack(&out.base, &len);
-		core_call_packed(c, c->conf->peers[i].addr, CANCELLED_PATH, buf, len, on_told,
+		core_call_packed(core, core->conf->peers[i].addr, CANCELLED_PATH, buf, len, on_told,
 				 (void *)(uintptr_t)i);
 	}
 }
 
-static void cancelled_take(struct core *c, const struct core_request *r)
+static void cancelled_take(struct core *core, const struct core_request *request)
 {
-	Peer__Cancelled *in = peer__cancelled__unpack(NULL, r->len, (const uint8_t *)r->body);
+	Peer__Cancelled *in =
+	    peer__cancelled__unpack(NULL, request->len, (const uint8_t *)request->body);
 
 	if (!in) {
-		core_reply_error(c, r->conn, 400, 0, "cancelled");
+		core_reply_error(core, request->conn, 400, 0, "cancelled");
 		return;
 	}
-	job_cancel_told(c, in->job, in->version);
+	job_cancel_told(core, in->job, in->version);
 	peer__cancelled__free_unpacked(in, NULL);
-	core_reply(c, r->conn, 200, 0, strdup("{}"));
+	core_reply(core, request->conn, 200, 0, strdup("{}"));
 }
 
 /* --- what users were told of cancellations, while the state service is silent --- */
 
-void peers_note_told(struct core *c, const char *id, uint64_t version)
+void peers_note_told(struct core *core, const char *id, uint64_t version)
 {
-	struct told *t, *tmp;
+	struct told *told, *tmp;
 
-	HASH_ITER (hh, c->told, t, tmp) {
-		bool old = c->now - t->at > TOLD_KEEP_CANCELS * c->conf->cancel_s;
+	HASH_ITER (hh, core->told, told, tmp) {
+		bool old = core->now - told->at > TOLD_KEEP_CANCELS * core->conf->cancel_s;
 
-		if (!old && HASH_COUNT(c->told) < TOLD_MAX)
+		if (!old && HASH_COUNT(core->told) < TOLD_MAX)
 			break; /* oldest first */
 		/* What is forgotten before its time must not pass for never told. */
-		c->incarnation += !old;
-		HASH_DEL(c->told, t);
-		free(t);
+		core->incarnation += !old;
+		HASH_DEL(core->told, told);
+		free(told);
 	}
-	HASH_FIND_STR(c->told, id, t);
-	if (t)
+	HASH_FIND_STR(core->told, id, told);
+	if (told)
 		return;
-	t = calloc(1, sizeof(*t));
-	if (!t)
+	told = calloc(1, sizeof(*told));
+	if (!told)
 		abort();
-	snprintf(t->id, sizeof(t->id), "%s", id);
-	t->version = version;
-	t->at = c->now;
-	HASH_ADD_STR(c->told, id, t);
+	snprintf(told->id, sizeof(told->id), "%s", id);
+	told->version = version;
+	told->at = core->now;
+	HASH_ADD_STR(core->told, id, told);
 }
 
-static void heard_reply(struct core *c, uint64_t conn)
+static void heard_reply(struct core *core, uint64_t conn)
 {
-	size_t n = HASH_COUNT(c->told), len;
+	size_t n = HASH_COUNT(core->told), len;
 	Peer__Cancelled *all = calloc(n + 1, sizeof(*all)), **list = calloc(n + 1, sizeof(*list));
 	Peer__Heard out = PEER__HEARD__INIT;
-	struct told *t, *tmp;
+	struct told *told, *tmp;
 	uint8_t *buf;
 
 	if (!all || !list)
 		abort();
-	HASH_ITER (hh, c->told, t, tmp) {
+	HASH_ITER (hh, core->told, told, tmp) {
 		Peer__Cancelled *x = &all[out.n_cancelled];
 
 		peer__cancelled__init(x);
-		x->job = t->id;
-		x->version = t->version;
+		x->job = told->id;
+		x->version = told->version;
 		list[out.n_cancelled++] = x;
 	}
-	out.incarnation = c->incarnation;
-	out.token = c->el.role == ROLE_LEAD ? c->el.token : 0;
+	out.incarnation = core->incarnation;
+	out.token = core->el.role == ROLE_LEAD ? core->el.token : 0;
 	out.cancelled = list;
 	buf = peers_pack(&out.base, &len);
-	core_reply_packed(c, conn, buf, len);
+	core_reply_packed(core, conn, buf, len);
 	free(all);
 	free(list);
 }
 
-void peers_note_incarnation(struct core *c, size_t peer, uint64_t incarnation)
+void peers_note_incarnation(struct core *core, size_t peer, uint64_t incarnation)
 {
-	struct peer_view *p = &c->peers[peer];
+	struct peer_view *p = &core->peers[peer];
 
 	if (p->incarnation == incarnation && p->since > 0)
 		return;
 	p->incarnation = incarnation;
-	p->since = c->now;
+	p->since = core->now;
 }
 
 /*
@@ -362,77 +367,77 @@
  * process before this one, that is before we first heard of this one. If the jobs' changes were
  * read after that, we know of those too; if not, the answer proves nothing.
  */
-static void heard_take(struct core *c, size_t i, double asked, const Peer__Heard *in)
+static void heard_take(struct core *core, size_t i, double asked, const Peer__Heard *in)
 {
-	struct peer_view *p = &c->peers[i];
+	struct peer_view *peer = &core->peers[i];
 
-	peers_note_incarnation(c, i, in->incarnation);
-	if (in->token > c->el.token)
-		election_deposed(c, c->conf->peers[i].name);
+	peers_note_incarnation(core, i, in->incarnation);
+	if (in->token > core->el.token)
+		election_deposed(core, core->conf->peers[i].name);
 	for (size_t k = 0; k < in->n_cancelled; k++)
-		job_cancel_told(c, in->cancelled[k]->job, in->cancelled[k]->version);
-	if (c->el.role == ROLE_LEAD && p->since <= c->jobs_read)
-		p->heard = asked;
+		job_cancel_told(core, in->cancelled[k]->job, in->cancelled[k]->version);
+	if (core->el.role == ROLE_LEAD && peer->since <= core->jobs_read)
+		peer->heard = asked;
 }
 
-static void on_heard(struct core *c, struct call *call, int status, const char *body, size_t len)
+static void on_heard(struct core *core, struct call *call, int status, const char *body, size_t len)
 {
 	size_t i = (size_t)(uintptr_t)call->arg;
 	Peer__Heard *in =
 	    status == 200 ? peer__heard__unpack(NULL, len, (const uint8_t *)body) : NULL;
 
-	peer_answered(c, i, status);
+	peer_answered(core, i, status);
 	if (!in)
 		return;
-	heard_take(c, i, call->sent, in);
+	heard_take(core, i, call->sent, in);
 	peer__heard__free_unpacked(in, NULL);
 }
 
-double peers_heard(const struct core *c)
+double peers_heard(const struct core *core)
 {
-	double least = c->now;
+	double least = core->now;
 
-	for (size_t i = 0; i < c->conf->npeers; i++)
-		least = fmin(least, c->peers[i].heard);
-	return c->conf->npeers ? least : -1;
+	for (size_t i = 0; i < core->conf->npeers; i++)
+		least = fmin(least, core->peers[i].heard);
+	return core->conf->npeers ? least : -1;
 }
 
 /* --- the back link --- */
 
-void peers_request(struct core *c, const struct core_request *r)
+void peers_request(struct core *core, const struct core_request *request)
 {
-	if (strcmp(r->method, "POST"))
-		core_reply_error(c, r->conn, 405, 0, "method");
-	else if (!strcmp(r->path, FORWARD_PATH))
-		forward_take(c, r);
-	else if (!strcmp(r->path, CANCELLED_PATH))
-		cancelled_take(c, r);
-	else if (!strcmp(r->path, HEARD_PATH))
-		heard_reply(c, r->conn);
-	else if (strcmp(r->path, COUNTS_PATH))
-		core_reply_error(c, r->conn, 404, 0, "no such path");
-	else if (c->el.role == ROLE_LEAD)
-		counts_reply(c, r->conn);
+	if (strcmp(request->method, "POST"))
+		core_reply_error(core, request->conn, 405, 0, "method");
+	else if (!strcmp(request->path, FORWARD_PATH))
+		forward_take(core, request);
+	else if (!strcmp(request->path, CANCELLED_PATH))
+		cancelled_take(core, request);
+	else if (!strcmp(request->path, HEARD_PATH))
+		heard_reply(core, request->conn);
+	else if (strcmp(request->path, COUNTS_PATH))
+		core_reply_error(core, request->conn, 404, 0, "no such path");
+	else if (core->el.role == ROLE_LEAD)
+		counts_reply(core, request->conn);
 	else
-		core_reply_error(c, r->conn, 421, 0, "not leading");
+		core_reply_error(core, request->conn, 421, 0, "not leading");
 }
 
 /* While the state service is silent, the others are asked what they told users; it is a sign of
  * life too. */
-static void ping_tick(struct core *c)
+static void ping_tick(struct core *core)
 {
-	if (!c->state_down || c->now < c->ping_next)
+	if (!core->state_down || core->now < core->ping_next)
 		return;
-	c->ping_next = c->now + PEER_PING_S;
-	for (size_t i = 0; i < c->conf->npeers; i++)
-		core_call(c, c->conf->peers[i].addr, "POST", fmt_path(HEARD_PATH), strdup(""),
+	core->ping_next = core->now + PEER_PING_S;
+	for (size_t i = 0; i < core->conf->npeers; i++)
+		core_call(core, core->conf->peers[i].addr, "POST", fmt_path(HEARD_PATH), strdup(""),
 			  CALL_PEER_S, on_heard, (void *)(uintptr_t)i);
 }
 
-void peers_tick(struct core *c)
+void peers_tick(struct core *core)
 {
-	counts_tick(c);
-	ping_tick(c);
+	counts_tick(core);
+	ping_tick(core);
 }
 
 /*
@@ -440,27 +445,27 @@
  * later. A controller that hears neither the state service nor any other controller is of no use to
  * them, while others may be.
  */
-bool peers_ready(const struct core *c)
+bool peers_ready(const struct core *core)
 {
-	if (!c->conf->npeers || c->now - c->state_heard < PEER_ALONE_S)
+	if (!core->conf->npeers || core->now - core->state_heard < PEER_ALONE_S)
 		return true;
-	for (size_t i = 0; i < c->conf->npeers; i++)
-		if (c->now - c->peers[i].answered < PEER_ALONE_S)
+	for (size_t i = 0; i < core->conf->npeers; i++)
+		if (core->now - core->peers[i].answered < PEER_ALONE_S)
 			return true;
 	return false;
 }
 
-void peers_clear(struct core *c)
+void peers_clear(struct core *core)
 {
-	struct wrapped *w, *tmp;
-	struct told *t, *ttmp;
+	struct wrapped *wrapped, *tmp;
+	struct told *told, *ttmp;
 
-	HASH_ITER (hh, c->wrapped, w, tmp) {
-		HASH_DEL(c->wrapped, w);
-		free(w);
+	HASH_ITER (hh, core->wrapped, wrapped, tmp) {
+		HASH_DEL(core->wrapped, wrapped);
+		free(wrapped);
 	}
-	HASH_ITER (hh, c->told, t, ttmp) {
-		HASH_DEL(c->told, t);
-		free(t);
+	HASH_ITER (hh, core->told, told, ttmp) {
+		HASH_DEL(core->told, told);
+		free(told);
 	}
 }
--- a/src/core/place.c
+++ b/src/core/place.c
@@ -11,180 +11,181 @@
 #include "core/state.h"
 #include "util/log.h"
 
-void round_wanted(struct core *c)
+void round_wanted(struct core *core)
 {
-	if (c->round_due)
+	if (core->round_due)
 		return;
-	c->round_due = true;
-	c->next_round = c->now + ROUND_MIN_S + ROUND_JOB_S * HASH_COUNT(c->jobs);
+	core->round_due = true;
+	core->next_round = core->now + ROUND_MIN_S + ROUND_JOB_S * HASH_COUNT(core->jobs);
 }
 
-static bool job_bad_on(const struct job *j, const struct machine *m)
+static bool job_bad_on(const struct job *job, const struct machine *machine)
 {
-	for (int i = 0; i < j->nbad && i < ERROR_JOB_MACHINES; i++)
-		if (!strcmp(j->bad[i], m->id))
+	for (int i = 0; i < job->nbad && i < ERROR_JOB_MACHINES; i++)
+		if (!strcmp(job->bad[i], machine->id))
 			return true;
 	return false;
 }
 
-double place_cost(const struct machine *m, const struct job *j)
+double place_cost(const struct machine *machine, const struct job *job)
 {
-	const struct job_spec *s = &j->spec;
+	const struct job_spec *spec = &job->spec;
 	double cost = 0;
 
-	if (!machine_has_image(m, s->image) && m->type->fetch_gb_per_s > 0)
-		cost += s->image_gb / m->type->fetch_gb_per_s;
-	if (m->type->cpus > 0)
-		cost += FIT_WEIGHT_S * (m->cpus - s->cpus) / m->type->cpus;
-	if (!m->nbindings)
+	if (!machine_has_image(machine, spec->image) && machine->type->fetch_gb_per_s > 0)
+		cost += spec->image_gb / machine->type->fetch_gb_per_s;
+	if (machine->type->cpus > 0)
+		cost += FIT_WEIGHT_S * (machine->cpus - spec->cpus) / machine->type->cpus;
+	if (!machine->nbindings)
 		cost += FIT_WEIGHT_S;
-	if (job_bad_on(j, m))
+	if (job_bad_on(job, machine))
 		cost += ERROR_BACKOFF_MAX_S;
 	return cost;
 }
 
 /* --- room --- */
 
-static uint32_t slots_for(const struct spot_room *x, const struct job *j)
+static uint32_t slots_for(const struct spot_room *room, const struct job *j)
 {
-	const struct job *h = x->m->hold_job;
-	const struct job_spec *s = &j->spec;
-	double n = x->m->hold_tasks;
+	const struct job *h = room->m->hold_job;
+	const struct job_spec *spec = &j->spec;
+	double n = room->m->hold_tasks;
 
-	if (x->cpus + ROOM_SLACK < s->cpus || x->gpus + ROOM_SLACK < s->gpus ||
-	    x->mem_gb + ROOM_SLACK < s->mem_gb)
+	if (room->cpus + ROOM_SLACK < spec->cpus || room->gpus + ROOM_SLACK < spec->gpus ||
+	    room->mem_gb + ROOM_SLACK < spec->mem_gb)
 		return 0;
 	if (!h || h == j)
-		return room_slots(x->cpus, x->gpus, x->mem_gb, s);
-	return room_slots(x->cpus - n * h->spec.cpus, x->gpus - n * h->spec.gpus,
-			  x->mem_gb - n * h->spec.mem_gb, s);
+		return room_slots(room->cpus, room->gpus, room->mem_gb, spec);
+	return room_slots(room->cpus - n * h->spec.cpus, room->gpus - n * h->spec.gpus,
+			  room->mem_gb - n * h->spec.mem_gb, spec);
 }
 
 /* A job with room held, or with tasks somewhere, sees other room than its shape alone tells. */
-static bool shape_known(const struct job *j)
+static bool shape_known(const struct job *job)
 {
-	return !j->hold_until && !j->bindings;
+	return !job->hold_until && !job->bindings;
 }
 
-static bool no_room_for(const struct round *r, const struct job *j, uint32_t tasks)
+static bool no_room_for(const struct round *round, const struct job *job, uint32_t tasks)
 {
-	for (size_t i = 0; i < r->nno; i++)
-		if (tasks >= r->no[i].tasks && same_shape(r->no[i].spec, &j->spec))
-			return shape_known(j);
+	for (size_t i = 0; i < round->nno; i++)
+		if (tasks >= round->no[i].tasks && same_shape(round->no[i].spec, &job->spec))
+			return shape_known(job);
 	return false;
 }
 
-static void note_no_room(struct round *r, const struct job *j, uint32_t tasks)
+static void note_no_room(struct round *round, const struct job *job, uint32_t tasks)
 {
-	if (r->nno == ROUND_NO_MAX || !shape_known(j))
+	if (round->nno == ROUND_NO_MAX || !shape_known(job))
 		return;
-	r->no[r->nno].spec = &j->spec;
-	r->no[r->nno++].tasks = tasks;
+	round->no[round->nno].spec = &job->spec;
+	round->no[round->nno++].tasks = tasks;
 }
 
 /* Called right after the pools that the gang may use were marked. */
-static void note_wanted(struct round *r, const struct job *j)
+static void note_wanted(struct round *round, const struct job *job)
 {
-	for (size_t i = 0; i < r->nwanted; i++)
-		if (same_shape(r->wanted[i], &j->spec))
+	for (size_t i = 0; i < round->nwanted; i++)
+		if (same_shape(round->wanted[i], &job->spec))
 			return;
-	if (r->nwanted == ROUND_WANTED_MAX)
+	if (round->nwanted == ROUND_WANTED_MAX)
 		return;
-	for (size_t i = 0; i < r->npools; i++)
-		r->pools[i].wanted |= (uint8_t)(r->pools[i].allowed << r->nwanted);
-	r->wanted[r->nwanted++] = &j->spec;
+	for (size_t i = 0; i < round->npools; i++)
+		round->pools[i].wanted |= (uint8_t)(round->pools[i].allowed << round->nwanted);
+	round->wanted[round->nwanted++] = &job->spec;
 }
 
 /* Whether a task here would take room that a waiting gang of higher priority could use. */
-static bool takes_wanted(const struct round *r, const struct spot_room *x, const struct job_spec *s)
+static bool takes_wanted(const struct round *round, const struct spot_room *room,
+			 const struct job_spec *s)
 {
-	for (size_t i = 0; i < r->nwanted; i++) {
-		const struct job_spec *w = r->wanted[i];
+	for (size_t i = 0; i < round->nwanted; i++) {
+		const struct job_spec *w = round->wanted[i];
 
-		if (w->priority < s->priority && (r->pools[x->pool].wanted >> i & 1) &&
-		    room_slots(x->cpus - s->cpus, x->gpus - s->gpus, x->mem_gb - s->mem_gb, w) <
-			room_slots(x->cpus, x->gpus, x->mem_gb, w))
+		if (w->priority < s->priority && (round->pools[room->pool].wanted >> i & 1) &&
+		    room_slots(room->cpus - s->cpus, room->gpus - s->gpus, room->mem_gb - s->mem_gb,
+			       w) < room_slots(room->cpus, room->gpus, room->mem_gb, w))
 			return true;
 	}
 	return false;
 }
 
-static uint32_t in_zone(const struct job *j, const char *zone)
+static uint32_t in_zone(const struct job *job, const char *zone)
 {
-	const struct binding *b;
+	const struct binding *binding;
 	uint32_t n = 0;
 
-	DL_FOREACH2 (j->bindings, b, jnext)
-		n += !strcmp(b->machine->zone, zone);
+	DL_FOREACH2 (job->bindings, binding, jnext)
+		n += !strcmp(binding->machine->zone, zone);
 	return n;
 }
 
 /* How many more tasks of a spread job the zone may hold. */
-uint32_t job_zone_rest(const struct job *j, const char *zone)
+uint32_t job_zone_rest(const struct job *job, const char *zone)
 {
-	uint32_t most = (j->spec.ntasks + 1) / 2, n;
+	uint32_t most = (job->spec.ntasks + 1) / 2, n;
 
-	if (!j->spec.spread)
-		return j->spec.ntasks;
-	n = in_zone(j, zone);
+	if (!job->spec.spread)
+		return job->spec.ntasks;
+	n = in_zone(job, zone);
 	return n < most ? most - n : 0;
 }
 
 /* The zone that a job of one zone is bound to by tasks it still has anywhere. */
-const char *job_held_zone(const struct job *j)
+const char *job_held_zone(const struct job *job)
 {
-	return j->spec.one_zone && j->bindings ? j->bindings->machine->zone : NULL;
+	return job->spec.one_zone && job->bindings ? job->bindings->machine->zone : NULL;
 }
 
-static uint64_t new_attempt(struct core *c)
+static uint64_t new_attempt(struct core *core)
 {
-	return (c->el.token << ATTEMPT_SHIFT) + ++c->attempts;
+	return (core->el.token << ATTEMPT_SHIFT) + ++core->attempts;
 }
 
 /*
  * Tasks of arrays and services tell starts apart by it, and none starts twice in a round: they
  * share the round's, so that a record names it once.
  */
-static uint64_t round_attempt(struct round *r)
+static uint64_t round_attempt(struct round *round)
 {
-	if (!r->attempt)
-		r->attempt = new_attempt(r->c);
-	return r->attempt;
+	if (!round->attempt)
+		round->attempt = new_attempt(round->c);
+	return round->attempt;
 }
 
-static void place(struct round *r, struct job *j, struct machine *m, uint32_t task,
+static void place(struct round *round, struct job *j, struct machine *machine, uint32_t task,
 		  uint64_t attempt)
 {
-	struct core *c = r->c;
+	struct core *core = round->c;
 
 	if (j->spec.kind != JOB_SERVICE)
-		plan_release(c, j); /* it has what room was held for */
-	else if (m->hold_job == j && !--m->hold_tasks)
-		m->hold_job = NULL;
-	binding_add(c, m, j, task, attempt);
-	round_take(r, m, &j->spec);
+		plan_release(core, j); /* it has what room was held for */
+	else if (machine->hold_job == j && !--machine->hold_tasks)
+		machine->hold_job = NULL;
+	binding_add(core, machine, j, task, attempt);
+	round_take(round, machine, &j->spec);
 	log_info("place", "job=%s task=%u attempt=%llu machine=%s waited=%.2f", j->spec.id, task,
-		 (unsigned long long)attempt, m->id, c->wall - j->submitted);
-	commit_chunk(c, j, task, 0);
+		 (unsigned long long)attempt, machine->id, core->wall - j->submitted);
+	commit_chunk(core, j, task, 0);
 }
 
 /* --- gangs --- */
 
-static void find_candidates(struct round *r, struct job *j)
+static void find_candidates(struct round *round, struct job *j)
 {
-	round_allow(r, &j->spec);
-	r->ncands = 0;
-	for (size_t i = 0; i < r->nrooms; i++) {
-		struct spot_room *x = &r->rooms[i];
-		struct candidate *k;
+	round_allow(round, &j->spec);
+	round->ncands = 0;
+	for (size_t i = 0; i < round->nrooms; i++) {
+		struct spot_room *room = &round->rooms[i];
+		struct candidate *candidate;
 		uint32_t slots;
 
-		if (!r->pools[x->pool].allowed || !(slots = slots_for(x, j)))
+		if (!round->pools[room->pool].allowed || !(slots = slots_for(room, j)))
 			continue;
-		k = &r->cands[r->ncands++];
-		k->room = x;
-		k->slots = slots;
-		k->cost = INFINITY;
+		candidate = &round->cands[round->ncands++];
+		candidate->room = room;
+		candidate->slots = slots;
+		candidate->cost = INFINITY;
 	}
 }
 
@@ -196,80 +197,81 @@
 }
 
 /* Slots that a gang could use in the zone, or anywhere. */
-static uint32_t zone_slots(const struct round *r, const struct job *j, const char *zone)
+static uint32_t zone_slots(const struct round *round, const struct job *job, const char *zone)
 {
 	uint32_t n = 0;
 
-	for (size_t i = 0; i < r->ncands && n < j->spec.ntasks; i++)
-		if (!zone || !strcmp(r->cands[i].room->m->zone, zone))
-			n += r->cands[i].slots;
+	for (size_t i = 0; i < round->ncands && n < job->spec.ntasks; i++)
+		if (!zone || !strcmp(round->cands[i].room->m->zone, zone))
+			n += round->cands[i].slots;
 	return n;
 }
 
-static void cost_candidates(struct round *r, const struct job *j)
+static void cost_candidates(struct round *round, const struct job *job)
 {
-	for (size_t i = 0; i < r->ncands; i++) {
-		struct spot_room *x = r->cands[i].room;
+	for (size_t i = 0; i < round->ncands; i++) {
+		struct spot_room *room = round->cands[i].room;
 
-		if (!isfinite(r->cands[i].cost))
-			r->cands[i].cost = r->pools[x->pool].pool_cost + place_cost(x->m, j);
+		if (!isfinite(round->cands[i].cost))
+			round->cands[i].cost =
+			    round->pools[room->pool].pool_cost + place_cost(room->m, job);
 	}
-	qsort(r->cands, r->ncands, sizeof(*r->cands), by_cost);
+	qsort(round->cands, round->ncands, sizeof(*round->cands), by_cost);
 }
 
-static bool bind_gang(struct round *r, struct job *j, const char *zone)
+static bool bind_gang(struct round *round, struct job *j, const char *zone)
 {
-	uint64_t attempt = new_attempt(r->c);
+	uint64_t attempt = new_attempt(round->c);
 	uint32_t t = 0;
 
-	for (size_t i = 0; i < r->ncands && t < j->spec.ntasks; i++) {
-		struct machine *m = r->cands[i].room->m;
+	for (size_t i = 0; i < round->ncands && t < j->spec.ntasks; i++) {
+		struct machine *machine = round->cands[i].room->m;
 
-		if (zone && strcmp(m->zone, zone))
+		if (zone && strcmp(machine->zone, zone))
 			continue;
-		for (uint32_t k = 0; k < r->cands[i].slots && t < j->spec.ntasks; k++)
-			if (job_zone_rest(j, m->zone))
-				place(r, j, m, t++, attempt);
+		for (uint32_t k = 0; k < round->cands[i].slots && t < j->spec.ntasks; k++)
+			if (job_zone_rest(j, machine->zone))
+				place(round, j, machine, t++, attempt);
 	}
 	j->attempt = attempt;
 	return true;
 }
 
 /* Whether a spread gang can be had at all: half of it in any one zone at most. */
-static bool spread_fits(const struct round *r, const struct job *j)
+static bool spread_fits(const struct round *round, const struct job *job)
 {
 	uint32_t n = 0;
 
-	for (size_t p = 0; p < r->npools; p++) {
-		const char *zone = r->pools[p].zone;
+	for (size_t p = 0; p < round->npools; p++) {
+		const char *zone = round->pools[p].zone;
 		bool again = false;
 
 		for (size_t q = 0; q < p; q++)
-			again |= !strcmp(r->pools[q].zone, zone);
+			again |= !strcmp(round->pools[q].zone, zone);
 		if (!again)
-			n += (uint32_t)fmin(zone_slots(r, j, zone), job_zone_rest(j, zone));
+			n += (uint32_t)fmin(zone_slots(round, job, zone), job_zone_rest(job, zone));
 	}
-	return n >= j->spec.ntasks;
+	return n >= job->spec.ntasks;
 }
 
 /* Of the zones that can take it, the one where its tasks would begin soonest. */
-static const char *best_zone(const struct round *r, const struct job *j)
+static const char *best_zone(const struct round *round, const struct job *job)
 {
 	const char *best = NULL;
 	double best_cost = INFINITY;
 
-	for (size_t p = 0; p < r->npools; p++) {
-		const char *zone = r->pools[p].zone;
+	for (size_t p = 0; p < round->npools; p++) {
+		const char *zone = round->pools[p].zone;
 		double cost = 0;
 		uint32_t n = 0;
 
-		if (!r->pools[p].allowed || zone_slots(r, j, zone) < j->spec.ntasks)
+		if (!round->pools[p].allowed || zone_slots(round, job, zone) < job->spec.ntasks)
 			continue;
-		for (size_t i = 0; i < r->ncands && n < j->spec.ntasks; i++) {
-			if (strcmp(r->cands[i].room->m->zone, zone))
+		for (size_t i = 0; i < round->ncands && n < job->spec.ntasks; i++) {
+			if (strcmp(round->cands[i].room->m->zone, zone))
 				continue;
-			cost = fmax(cost, r->cands[i].cost);
-			n += r->cands[i].slots;
+			cost = fmax(cost, round->cands[i].cost);
+			n += round->cands[i].slots;
 		}
 		if (cost < best_cost) {
 			best_cost = cost;
@@ -279,24 +281,24 @@
 	return best;
 }
 
-static bool place_gang(struct round *r, struct job *j)
+static bool place_gang(struct round *round, struct job *j)
 {
 	bool together = j->spec.one_zone && j->spec.ntasks > 1;
 	const char *zone = NULL;
 
 	/* Tasks of an old attempt keep their places and zones until they exit. */
-	if (j->bindings || !team_has_room(r->c, &j->spec, j->spec.ntasks))
+	if (j->bindings || !team_has_room(round->c, &j->spec, j->spec.ntasks))
 		return false;
-	if (no_room_for(r, j, j->spec.ntasks))
+	if (no_room_for(round, j, j->spec.ntasks))
 		return false;
-	find_candidates(r, j);
-	if (zone_slots(r, j, NULL) >= j->spec.ntasks && spread_fits(r, j)) {
-		cost_candidates(r, j);
-		if (!together || (zone = best_zone(r, j)))
-			return bind_gang(r, j, zone);
+	find_candidates(round, j);
+	if (zone_slots(round, j, NULL) >= j->spec.ntasks && spread_fits(round, j)) {
+		cost_candidates(round, j);
+		if (!together || (zone = best_zone(round, j)))
+			return bind_gang(round, j, zone);
 	}
-	note_no_room(r, j, j->spec.ntasks);
-	note_wanted(r, j);
+	note_no_room(round, j, j->spec.ntasks);
+	note_wanted(round, j);
 	return false;
 }
 
@@ -307,85 +309,87 @@
  * that may be taken back or that tasks failed on: seconds that it is worth to wait for an image
  * elsewhere.
  */
-static double replica_cost(const struct job *j, const struct machine *m)
+static double replica_cost(const struct job *job, const struct machine *machine)
 {
-	const struct binding *b;
+	const struct binding *binding;
 	double cost = 0;
 
-	if (j->spec.kind != JOB_SERVICE)
+	if (job->spec.kind != JOB_SERVICE)
 		return 0;
-	DL_FOREACH2 (j->bindings, b, jnext) {
-		if (b->machine == m)
+	DL_FOREACH2 (job->bindings, binding, jnext) {
+		if (binding->machine == machine)
 			cost += REPLICA_MACHINE_S;
-		else if (!strcmp(b->machine->zone, m->zone))
+		else if (!strcmp(binding->machine->zone, machine->zone))
 			cost += REPLICA_ZONE_S;
 	}
-	return cost + (m->spot ? REPLICA_SPOT_S : 0) + m->nfailed_jobs * REPLICA_MACHINE_S;
+	return cost + (machine->spot ? REPLICA_SPOT_S : 0) +
+	       machine->nfailed_jobs * REPLICA_MACHINE_S;
 }
 
 /* `spare`: only room that no waiting gang could use. */
-static struct machine *best_machine(struct round *r, struct job *j, bool spare)
+static struct machine *best_machine(struct round *round, struct job *j, bool spare)
 {
 	const char *held = job_held_zone(j);
 	struct machine *best = NULL;
 	double best_cost = INFINITY;
 
-	round_allow(r, &j->spec);
-	for (size_t i = 0; i < r->nrooms; i++) {
-		struct spot_room *x = &r->rooms[i];
-		const struct pool *p = &r->pools[x->pool];
-		double cost = p->pool_cost;
+	round_allow(round, &j->spec);
+	for (size_t i = 0; i < round->nrooms; i++) {
+		struct spot_room *room = &round->rooms[i];
+		const struct pool *pool = &round->pools[room->pool];
+		double cost = pool->pool_cost;
 
-		if (!p->allowed || cost >= best_cost || !slots_for(x, j) ||
-		    (held && strcmp(held, p->zone)) || (spare && takes_wanted(r, x, &j->spec)))
+		if (!pool->allowed || cost >= best_cost || !slots_for(room, j) ||
+		    (held && strcmp(held, pool->zone)) ||
+		    (spare && takes_wanted(round, room, &j->spec)))
 			continue;
-		cost += place_cost(x->m, j) + replica_cost(j, x->m);
-		if (cost < best_cost && job_zone_rest(j, p->zone)) {
+		cost += place_cost(room->m, j) + replica_cost(j, room->m);
+		if (cost < best_cost && job_zone_rest(j, pool->zone)) {
 			best_cost = cost;
-			best = x->m;
+			best = room->m;
 		}
 	}
 	return best;
 }
 
 /* The next waiting task whose record has room for one more binding. */
-static uint32_t next_task(const struct core *c, struct job *j)
+static uint32_t next_task(const struct core *core, struct job *j)
 {
 	uint32_t t = job_next_waiting(j);
 
 	while (t < j->spec.ntasks &&
-	       (job_bit(j->done, t) || job_bit(j->bound, t) || job_chunk_full(c, j, t)))
-		t = job_chunk_full(c, j, t) ? (t / CHUNK_TASKS + 1) * CHUNK_TASKS : t + 1;
+	       (job_bit(j->done, t) || job_bit(j->bound, t) || job_chunk_full(core, j, t)))
+		t = job_chunk_full(core, j, t) ? (t / CHUNK_TASKS + 1) * CHUNK_TASKS : t + 1;
 	return t;
 }
 
-static bool place_task(struct round *r, struct job *j, bool spare)
+static bool place_task(struct round *round, struct job *j, bool spare)
 {
-	struct machine *m;
+	struct machine *machine;
 	uint32_t task;
 
-	if (!job_waiting(j) || !team_has_room(r->c, &j->spec, 1) || no_room_for(r, j, 1))
+	if (!job_waiting(j) || !team_has_room(round->c, &j->spec, 1) || no_room_for(round, j, 1))
 		return false;
-	task = next_task(r->c, j);
+	task = next_task(round->c, j);
 	if (task >= j->spec.ntasks)
 		return false;
-	m = best_machine(r, j, spare);
-	if (!m) {
+	machine = best_machine(round, j, spare);
+	if (!machine) {
 		if (!spare)
-			note_no_room(r, j, 1);
+			note_no_room(round, j, 1);
 		return false;
 	}
-	place(r, j, m, task, round_attempt(r));
+	place(round, j, machine, task, round_attempt(round));
 	return true;
 }
 
 /* Replicas are independent, and each that runs serves: they start one by one. */
-static bool place_service(struct round *r, struct job *j)
+static bool place_service(struct round *round, struct job *j)
 {
-	while (place_task(r, j, false))
+	while (place_task(round, j, false))
 		;
 	if (!job_waiting(j))
-		plan_release(r->c, j);
+		plan_release(round->c, j);
 	return job_waiting(j) == 0;
 }
 
@@ -393,16 +397,17 @@
 
 /* Seconds within which a job's tasks should start, by the first aim that it can still meet; 0:
  * none. */
-double wait_aim(const struct core *c, const struct job *j)
+double wait_aim(const struct core *core, const struct job *job)
 {
-	double waited = c->wall - j->submitted, best = 0;
+	double waited = core->wall - job->submitted, best = 0;
 
-	for (size_t i = 0; i < c->conf->nobjectives; i++) {
-		const struct conf_objective *o = &c->conf->objectives[i];
+	for (size_t i = 0; i < core->conf->nobjectives; i++) {
+		const struct conf_objective *objective = &core->conf->objectives[i];
 
-		if (o->kind == OBJ_WAIT && o->within_s > waited &&
-		    !strcmp(o->class_name, j->spec.class_name) && (best <= 0 || o->within_s < best))
-			best = o->within_s;
+		if (objective->kind == OBJ_WAIT && objective->within_s > waited &&
+		    !strcmp(objective->class_name, job->spec.class_name) &&
+		    (best <= 0 || objective->within_s < best))
+			best = objective->within_s;
 	}
 	return best;
 }
@@ -414,22 +419,22 @@
  * Who has waited long goes before all; so does who gathers room, else others take what falls free
  * before it is held.
  */
-static double due(const struct core *c, const struct job *j)
+static double due(const struct core *core, const struct job *job)
 {
 	double aim;
 
-	if (j->spec.kind == JOB_ARRAY)
-		return j->submitted + (j->spec.deadline_s >= 0 ? j->spec.deadline_s : 0);
-	if (j->gathering || c->wall - j->submitted > LATE_FIRST_S)
+	if (job->spec.kind == JOB_ARRAY)
+		return job->submitted + (job->spec.deadline_s >= 0 ? job->spec.deadline_s : 0);
+	if (job->gathering || core->wall - job->submitted > LATE_FIRST_S)
 		return -ORDER_FAR_S;
-	aim = wait_aim(c, j);
+	aim = wait_aim(core, job);
 	return aim > 0 ? aim : ORDER_FAR_S;
 }
 
 /* What a gang takes, for comparison with others alike; an array is served task by task. */
-static double size_of(const struct job *j)
+static double size_of(const struct job *job)
 {
-	return j->spec.kind == JOB_ARRAY || j->due < 0 ? 0 : j->spec.ntasks * j->spec.cpus;
+	return job->spec.kind == JOB_ARRAY || job->due < 0 ? 0 : job->spec.ntasks * job->spec.cpus;
 }
 
 static int by_order(const void *a, const void *b)
@@ -448,34 +453,35 @@
 }
 
 /* The job whose freed slot, kept for it or switched to it, this is; NULL if it can't use it. */
-static struct job *turn_of(struct round *r, struct machine *m)
+static struct job *turn_of(struct round *round, struct machine *m)
 {
-	struct core *c = r->c;
-	struct job *j = *m->turn ? job_find(c, m->turn) : NULL;
-	struct spot_room *x = &r->rooms[m->round_at];
+	struct core *core = round->c;
+	struct job *j = *m->turn ? job_find(core, m->turn) : NULL;
+	struct spot_room *room = &round->rooms[m->round_at];
 	const char *zone;
 
 	m->turn[0] = 0;
-	if (!j || c->now > m->turn_until || !job_waiting(j) || c->now < j->not_before ||
-	    j->spec.kind != JOB_ARRAY || job_bad_on(j, m) || !team_has_room(c, &j->spec, 1))
+	if (!j || core->now > m->turn_until || !job_waiting(j) || core->now < j->not_before ||
+	    j->spec.kind != JOB_ARRAY || job_bad_on(j, m) || !team_has_room(core, &j->spec, 1))
 		return NULL;
-	round_allow(r, &j->spec);
+	round_allow(round, &j->spec);
 	zone = job_held_zone(j);
-	if (!r->pools[x->pool].allowed || !slots_for(x, j) || !job_zone_rest(j, m->zone) ||
-	    (zone && strcmp(zone, m->zone)) || takes_wanted(r, x, &j->spec))
+	if (!round->pools[room->pool].allowed || !slots_for(room, j) ||
+	    !job_zone_rest(j, m->zone) || (zone && strcmp(zone, m->zone)) ||
+	    takes_wanted(round, room, &j->spec))
 		return NULL;
 	return j;
 }
 
-static void serve_turns(struct round *r)
+static void serve_turns(struct round *round)
 {
-	for (size_t i = 0; i < r->nrooms; i++) {
-		struct machine *m = r->rooms[i].m;
-		struct job *j = *m->turn ? turn_of(r, m) : NULL;
-		uint32_t task = j ? next_task(r->c, j) : 0;
+	for (size_t i = 0; i < round->nrooms; i++) {
+		struct machine *machine = round->rooms[i].m;
+		struct job *j = *machine->turn ? turn_of(round, machine) : NULL;
+		uint32_t task = j ? next_task(round->c, j) : 0;
 
 		if (j && task < j->spec.ntasks)
-			place(r, j, m, task, round_attempt(r));
+			place(round, j, machine, task, round_attempt(round));
 	}
 }
 
@@ -487,42 +493,43 @@
 
 /* Slots that an array needs at once to be done by then, as far as the estimate tells; 0: too late.
  */
-static uint32_t slots_needed(const struct core *c, const struct job *j, double times)
+static uint32_t slots_needed(const struct core *core, const struct job *job, double times)
 {
-	double left = j->submitted + times * j->spec.deadline_s - c->wall - NEED_START_S;
-	double run = fmax(j->spec.estimate_s, 1);
-	uint32_t rest = j->spec.ntasks - j->ndone;
+	double left = job->submitted + times * job->spec.deadline_s - core->wall - NEED_START_S;
+	double run = fmax(job->spec.estimate_s, 1);
+	uint32_t rest = job->spec.ntasks - job->ndone;
 
 	return left < run ? 0 : (uint32_t)ceil(rest / floor(left / run));
 }
 
 /* The soonest of the times at which its class's deadline counts that it can still meet. */
-static void job_need(const struct core *c, struct job *j, struct need *out)
+static void job_need(const struct core *core, struct job *j, struct need *out)
 {
-	const struct conf_objective *o = c->conf->objectives;
+	const struct conf_objective *objective = core->conf->objectives;
 	uint32_t n;
 
 	out->job = j;
-	out->slots = j->spec.deadline_s < 0 ? 0 : slots_needed(c, j, 1);
+	out->slots = j->spec.deadline_s < 0 ? 0 : slots_needed(core, j, 1);
 	out->times = 1;
-	for (size_t i = 0; i < c->conf->nobjectives && j->spec.deadline_s >= 0; i++) {
-		if (o[i].kind != OBJ_DEADLINE || strcmp(o[i].class_name, j->spec.class_name) ||
-		    o[i].times <= 1 || (out->slots && o[i].times >= out->times))
+	for (size_t i = 0; i < core->conf->nobjectives && j->spec.deadline_s >= 0; i++) {
+		if (objective[i].kind != OBJ_DEADLINE ||
+		    strcmp(objective[i].class_name, j->spec.class_name) ||
+		    objective[i].times <= 1 || (out->slots && objective[i].times >= out->times))
 			continue;
-		n = slots_needed(c, j, o[i].times);
+		n = slots_needed(core, j, objective[i].times);
 		if (!n)
 			continue;
 		out->slots = n;
-		out->times = o[i].times;
+		out->times = objective[i].times;
 	}
 }
 
-uint32_t array_need(const struct core *c, struct job *j)
+uint32_t array_need(const struct core *core, struct job *j)
 {
-	struct need n;
+	struct need need;
 
-	job_need(c, j, &n);
-	return n.slots;
+	job_need(core, j, &need);
+	return need.slots;
 }
 
 static int by_need(const void *a, const void *b)
@@ -540,7 +547,7 @@
  * When not all can be done by their deadlines, equal shares would make all of them late. Who needs
  * least is served first, up to what it needs; what is left is shared equally.
  */
-static void serve_needs(struct round *r, struct job **jobs, size_t n)
+static void serve_needs(struct round *round, struct job **jobs, size_t n)
 {
 	struct need *all = calloc(n + 1, sizeof(*all));
 	size_t k = 0;
@@ -548,26 +555,26 @@
 	if (!all)
 		abort();
 	for (size_t i = 0; i < n; i++) {
-		job_need(r->c, jobs[i], &all[k]);
+		job_need(round->c, jobs[i], &all[k]);
 		k += all[k].slots > 0;
 	}
 	qsort(all, k, sizeof(*all), by_need);
 	for (size_t i = 0; i < k; i++)
-		while (all[i].job->nbound < all[i].slots && place_task(r, all[i].job, false))
+		while (all[i].job->nbound < all[i].slots && place_task(round, all[i].job, false))
 			;
 	free(all);
 }
 
 /* Arrays that hold nothing: the leader grants one slot to each. */
-static void serve_grants(struct round *r, struct job **jobs, size_t n)
+static void serve_grants(struct round *round, struct job **jobs, size_t n)
 {
 	for (size_t i = 0; i < n; i++)
-		if (!jobs[i]->nbound && !place_task(r, jobs[i], false))
-			plan_room(r, jobs[i]);
+		if (!jobs[i]->nbound && !place_task(round, jobs[i], false))
+			plan_room(round, jobs[i]);
 }
 
 /* Arrays of one priority: whoever holds least is served first, one task at a time. */
-static void serve_arrays(struct round *r, struct job **jobs, size_t n)
+static void serve_arrays(struct round *round, struct job **jobs, size_t n)
 {
 	uint32_t level = 0;
 	size_t open;
@@ -582,7 +589,7 @@
 				open++;
 				continue;
 			}
-			if (place_task(r, jobs[i], true)) {
+			if (place_task(round, jobs[i], true)) {
 				moved = true;
 				open++;
 			} else {
@@ -598,57 +605,58 @@
  * A replica on a machine that is about to go is stopped once there is room for it elsewhere, which
  * is held: it can't run in both places.
  */
-static void move_replica(struct round *r, struct binding *b)
+static void move_replica(struct round *round, struct binding *b)
 {
-	struct job *j = b->job;
+	struct job *job = b->job;
 	struct machine *target;
 
-	if (b->stopping || !b->seen || j->spec.kind != JOB_SERVICE || j->orphan || j->cancelled)
+	if (b->stopping || !b->seen || job->spec.kind != JOB_SERVICE || job->orphan ||
+	    job->cancelled)
 		return;
-	target = best_machine(r, j, false);
-	if (!target || (target->hold_job && target->hold_job != j))
+	target = best_machine(round, job, false);
+	if (!target || (target->hold_job && target->hold_job != job))
 		return;
-	target->hold_tasks = target->hold_job == j ? target->hold_tasks + 1 : 1;
-	target->hold_job = j;
-	j->hold_until = r->c->now + PREEMPT_HOLD_S;
-	round_take(r, target, &j->spec);
-	log_info("replica_moves", "job=%s task=%u machine=%s to=%s", j->spec.id, b->task,
+	target->hold_tasks = target->hold_job == job ? target->hold_tasks + 1 : 1;
+	target->hold_job = job;
+	job->hold_until = round->c->now + PREEMPT_HOLD_S;
+	round_take(round, target, &job->spec);
+	log_info("replica_moves", "job=%s task=%u machine=%s to=%s", job->spec.id, b->task,
 		 b->machine->id, target->id);
-	binding_stop(r->c, b, 0);
+	binding_stop(round->c, b, 0);
 }
 
-static void move_replicas(struct round *r)
+static void move_replicas(struct round *round)
 {
-	struct machine *m, *tmp;
-	struct binding *b;
+	struct machine *machine, *tmp;
+	struct binding *binding;
 
-	HASH_ITER (hh, r->c->machines, m, tmp) {
-		if (!machine_leaves(m) || !m->nreplicas)
+	HASH_ITER (hh, round->c->machines, machine, tmp) {
+		if (!machine_leaves(machine) || !machine->nreplicas)
 			continue;
-		DL_FOREACH2 (m->bindings, b, mnext)
-			move_replica(r, b);
+		DL_FOREACH2 (machine->bindings, binding, mnext)
+			move_replica(round, binding);
 	}
 }
 
-static size_t waiting_jobs(struct core *c, struct job ***out)
+static size_t waiting_jobs(struct core *core, struct job ***out)
 {
-	struct job *j, *tmp;
+	struct job *job, *tmp;
 	size_t n = 0;
 
-	*out = calloc(HASH_COUNT(c->jobs) + 1, sizeof(**out));
+	*out = calloc(HASH_COUNT(core->jobs) + 1, sizeof(**out));
 	if (!*out)
 		abort();
-	HASH_ITER (hh, c->jobs, j, tmp) {
-		if (!job_waiting(j) || c->now < j->not_before)
+	HASH_ITER (hh, core->jobs, job, tmp) {
+		if (!job_waiting(job) || core->now < job->not_before)
 			continue;
-		j->due = due(c, j);
-		(*out)[n++] = j;
+		job->due = due(core, job);
+		(*out)[n++] = job;
 	}
 	qsort(*out, n, sizeof(**out), by_order);
 	return n;
 }
 
-static void serve_priority(struct round *r, struct job **jobs, size_t n)
+static void serve_priority(struct round *round, struct job **jobs, size_t n)
 {
 	size_t narrays = 0;
 	struct job **arrays = calloc(n + 1, sizeof(*arrays));
@@ -658,51 +666,52 @@
 	for (size_t i = 0; i < n; i++) {
 		if (jobs[i]->spec.kind == JOB_ARRAY)
 			arrays[narrays++] = jobs[i];
-		else if (!(jobs[i]->spec.kind == JOB_GANG ? place_gang : place_service)(r, jobs[i]))
-			plan_room(r, jobs[i]);
+		else if (!(jobs[i]->spec.kind == JOB_GANG ? place_gang : place_service)(round,
+											jobs[i]))
+			plan_room(round, jobs[i]);
 	}
-	serve_grants(r, arrays, narrays);
-	serve_needs(r, arrays, narrays);
+	serve_grants(round, arrays, narrays);
+	serve_needs(round, arrays, narrays);
 	if (narrays)
-		serve_turns(r);
-	serve_arrays(r, arrays, narrays);
+		serve_turns(round);
+	serve_arrays(round, arrays, narrays);
 	free(arrays);
 }
 
-static void round_run(struct core *c, struct job **jobs, size_t n)
+static void round_run(struct core *core, struct job **jobs, size_t n)
 {
-	struct round r;
+	struct round round;
 	size_t first = 0;
 
-	round_begin(c, &r);
+	round_begin(core, &round);
 	while (first < n) {
 		size_t last = first;
 
 		while (last < n && jobs[last]->spec.priority == jobs[first]->spec.priority)
 			last++;
-		serve_priority(&r, jobs + first, last - first);
+		serve_priority(&round, jobs + first, last - first);
 		first = last;
 	}
-	if (c->replicas_leave)
-		move_replicas(&r);
-	round_end(&r);
+	if (core->replicas_leave)
+		move_replicas(&round);
+	round_end(&round);
 }
 
-void round_tick(struct core *c)
+void round_tick(struct core *core)
 {
 	struct job **jobs;
 	size_t n;
 
-	if (c->now >= c->round_again)
-		round_wanted(c); /* backoffs and freshness pass without an event */
-	if (!c->round_due || c->now < c->next_round)
+	if (core->now >= core->round_again)
+		round_wanted(core); /* backoffs and freshness pass without an event */
+	if (!core->round_due || core->now < core->next_round)
 		return;
-	c->round_due = false;
-	c->round_again = c->now + ROUND_AGAIN_S;
-	if (c->now - c->el.renewed > LEADER_TTL_MS / 1000.0 * 2)
+	core->round_due = false;
+	core->round_again = core->now + ROUND_AGAIN_S;
+	if (core->now - core->el.renewed > LEADER_TTL_MS / 1000.0 * 2)
 		return; /* without the state service nothing can be committed */
-	n = waiting_jobs(c, &jobs);
-	if (n || c->replicas_leave)
-		round_run(c, jobs, n);
+	n = waiting_jobs(core, &jobs);
+	if (n || core->replicas_leave)
+		round_run(core, jobs, n);
 	free(jobs);
 }
