--- a/src/core/plan.c
+++ b/src/core/plan.c
@@ -12,107 +12,110 @@
 #include "core/round.h"
 #include "util/log.h"
 
-void plan_release(struct core *c, struct job *j)
+void plan_release(struct core *core, struct job *j)
 {
-	struct machine *m, *tmp;
+	struct machine *machine, *tmp;
 
 	if (!j->hold_until)
 		return;
 	j->hold_until = 0;
 	j->gathering = false;
 	j->hold_zone[0] = 0;
-	HASH_ITER (hh, c->machines, m, tmp) {
-		if (m->hold_job != j)
+	HASH_ITER (hh, core->machines, machine, tmp) {
+		if (machine->hold_job != j)
 			continue;
-		m->hold_job = NULL;
-		m->hold_tasks = 0;
+		machine->hold_job = NULL;
+		machine->hold_tasks = 0;
 	}
 }
 
 /* Tasks that room is made for: all of a gang, the first of an array that holds none, and of a
  * service those that do not run. */
-static uint32_t plan_tasks(const struct job *j)
+static uint32_t plan_tasks(const struct job *job)
 {
-	if (j->spec.kind == JOB_SERVICE)
-		return job_waiting(j);
-	return j->spec.kind == JOB_ARRAY ? 1 : j->spec.ntasks;
+	if (job->spec.kind == JOB_SERVICE)
+		return job_waiting(job);
+	return job->spec.kind == JOB_ARRAY ? 1 : job->spec.ntasks;
 }
 
 /* --- what may be stopped --- */
 
 /* Without a task of this kind, the team would still hold all it is guaranteed of CPUs or GPUs. */
-static bool beyond_guarantee(const struct team *t, const struct job_spec *s)
+static bool beyond_guarantee(const struct team *team, const struct job_spec *spec)
 {
-	return t->cpus - s->cpus >= t->conf->cpus ||
-	       (s->gpus > 0 && t->conf->gpus > 0 && t->gpus - s->gpus >= t->conf->gpus);
+	return team->cpus - spec->cpus >= team->conf->cpus ||
+	       (spec->gpus > 0 && team->conf->gpus > 0 &&
+		team->gpus - spec->gpus >= team->conf->gpus);
 }
 
 /* What the team holds beyond its guarantee was borrowed, and is returned to a team within its own.
  */
-static bool borrowed(const struct core *c, const struct binding *b, const struct job *j)
+static bool borrowed(const struct core *core, const struct binding *binding, const struct job *job)
 {
-	const struct team *t = team_find((struct core *)c, b->job->spec.team);
-	const struct team *own = team_find((struct core *)c, j->spec.team);
-	double n = plan_tasks(j);
+	const struct team *team = team_find((struct core *)core, binding->job->spec.team);
+	const struct team *own = team_find((struct core *)core, job->spec.team);
+	double n = plan_tasks(job);
 
-	if (!t || !own || t == own || own->conf->cpus <= 0 || t->conf->cpus <= 0)
+	if (!team || !own || team == own || own->conf->cpus <= 0 || team->conf->cpus <= 0)
 		return false;
-	return own->cpus + n * j->spec.cpus <= own->conf->cpus &&
-	       (j->spec.gpus <= 0 || own->gpus + n * j->spec.gpus <= own->conf->gpus) &&
-	       beyond_guarantee(t, &b->job->spec);
+	return own->cpus + n * job->spec.cpus <= own->conf->cpus &&
+	       (job->spec.gpus <= 0 || own->gpus + n * job->spec.gpus <= own->conf->gpus) &&
+	       beyond_guarantee(team, &binding->job->spec);
 }
 
 /*
  * A task that would still be done by its job's deadline, but not if it began again: stopping it
  * trades one missed aim for another. Past the deadline there is nothing more to protect.
  */
-static bool needs_its_time(const struct core *c, const struct binding *b)
+static bool needs_its_time(const struct core *core, const struct binding *binding)
 {
-	const struct job_spec *s = &b->job->spec;
-	double left = b->job->submitted + s->deadline_s - c->wall;
-	double again = s->estimate_s * AGAIN_FACTOR + AGAIN_START_S;
+	const struct job_spec *spec = &binding->job->spec;
+	double left = binding->job->submitted + spec->deadline_s - core->wall;
+	double again = spec->estimate_s * AGAIN_FACTOR + AGAIN_START_S;
 
-	return s->deadline_s >= 0 && left > 0 && left < again;
+	return spec->deadline_s >= 0 && left > 0 && left < again;
 }
 
-static bool may_stop(const struct core *c, const struct job *j, const struct binding *b)
+static bool may_stop(const struct core *core, const struct job *job, const struct binding *binding)
 {
-	if (b->job->spec.kind != JOB_ARRAY || b->job->orphan || needs_its_time(c, b))
+	if (binding->job->spec.kind != JOB_ARRAY || binding->job->orphan ||
+	    needs_its_time(core, binding))
 		return false;
-	if (j->spec.kind == JOB_SERVICE && b->job->spec.priority > j->spec.priority)
+	if (job->spec.kind == JOB_SERVICE && binding->job->spec.priority > job->spec.priority)
 		return true;
 	/* A gang that has missed all aims for its wait gathers room instead. */
-	if (wait_aim(c, j) <= 0 && b->job->nbound <= array_need(c, b->job) && !borrowed(c, b, j))
+	if (wait_aim(core, job) <= 0 && binding->job->nbound <= array_need(core, binding->job) &&
+	    !borrowed(core, binding, job))
 		return false;
-	return b->job->spec.priority > j->spec.priority || borrowed(c, b, j);
+	return binding->job->spec.priority > job->spec.priority || borrowed(core, binding, job);
 }
 
 /* Work lost or delayed by stopping: what ran longest since placement is nearest its end. */
-static double stop_cost(const struct core *c, const struct binding *b)
+static double stop_cost(const struct core *core, const struct binding *binding)
 {
-	return 1 + (b->running_since > 0 ? c->now - b->running_since : 0);
+	return 1 + (binding->running_since > 0 ? core->now - binding->running_since : 0);
 }
 
-static double grace_of(const struct binding *b)
+static double grace_of(const struct binding *binding)
 {
 	/* Saving needs the full time; a margin for the way there. */
-	return b->job->spec.checkpoint_s > 0 ? b->job->spec.save_s + 1 : 0;
+	return binding->job->spec.checkpoint_s > 0 ? binding->job->spec.save_s + 1 : 0;
 }
 
 struct room {
 	double cpus, gpus, mem_gb;
 };
 
-static void room_grow(struct room *r, const struct binding *b)
+static void room_grow(struct room *r, const struct binding *binding)
 {
-	r->cpus += b->job->spec.cpus;
-	r->gpus += b->job->spec.gpus;
-	r->mem_gb += b->job->spec.mem_gb;
+	r->cpus += binding->job->spec.cpus;
+	r->gpus += binding->job->spec.gpus;
+	r->mem_gb += binding->job->spec.mem_gb;
 }
 
-static uint32_t slots_of(const struct room *r, const struct job *j)
+static uint32_t slots_of(const struct room *r, const struct job *job)
 {
-	return room_slots(r->cpus, r->gpus, r->mem_gb, &j->spec);
+	return room_slots(r->cpus, r->gpus, r->mem_gb, &job->spec);
 }
 
 /* At its limit, a team makes room among its own tasks only. */
@@ -123,28 +126,30 @@
 	uint32_t tasks;
 };
 
-static bool frees(const struct demand *d, const struct binding *b)
+static bool frees(const struct demand *demand, const struct binding *binding)
 {
-	if (b->stopping)
+	if (binding->stopping)
 		return true;
-	return may_stop(d->c, d->j, b) && (!d->own || !strcmp(b->job->spec.team, d->j->spec.team));
+	return may_stop(demand->c, demand->j, binding) &&
+	       (!demand->own || !strcmp(binding->job->spec.team, demand->j->spec.team));
 }
 
 /* The slots that the machine would have, and what they cost. */
-static uint32_t machine_offer(const struct demand *d, const struct machine *m, double *cost)
+static uint32_t machine_offer(const struct demand *demand, const struct machine *machine,
+			      double *cost)
 {
-	struct room r = {m->cpus, m->gpus, m->mem_gb};
-	uint32_t now = slots_of(&r, d->j), all;
-	const struct binding *b;
+	struct room r = {machine->cpus, machine->gpus, machine->mem_gb};
+	uint32_t now = slots_of(&r, demand->j), all;
+	const struct binding *binding;
 
 	*cost = 0;
-	DL_FOREACH2 (m->bindings, b, mnext) {
-		if (!frees(d, b))
+	DL_FOREACH2 (machine->bindings, binding, mnext) {
+		if (!frees(demand, binding))
 			continue;
-		room_grow(&r, b);
-		*cost += b->stopping ? 0 : stop_cost(d->c, b);
+		room_grow(&r, binding);
+		*cost += binding->stopping ? 0 : stop_cost(demand->c, binding);
 	}
-	all = slots_of(&r, d->j);
+	all = slots_of(&r, demand->j);
 	if (all > now)
 		return all;
 	*cost = 0;
@@ -168,65 +173,68 @@
 }
 
 /* Where the job's other tasks leave room for one more by its rules. */
-static bool zone_open(const struct job *j, const char *zone)
+static bool zone_open(const struct job *job, const char *zone)
 {
-	const char *held = job_held_zone(j);
+	const char *held = job_held_zone(job);
 
-	return (!held || !strcmp(held, zone)) && job_zone_rest(j, zone) > 0;
+	return (!held || !strcmp(held, zone)) && job_zone_rest(job, zone) > 0;
 }
 
-static void offers(struct round *r, const struct demand *d)
+static void offers(struct round *round, const struct demand *demand)
 {
-	round_allow(r, &d->j->spec);
-	r->ncands = 0;
-	for (size_t i = 0; i < r->nrooms; i++) {
-		struct spot_room *x = &r->rooms[i];
-		struct candidate *k = &r->cands[r->ncands];
-
-		if (!r->pools[x->pool].allowed || (x->m->hold_job && x->m->hold_job != d->j) ||
-		    !zone_open(d->j, x->m->zone))
+	round_allow(round, &demand->j->spec);
+	round->ncands = 0;
+	for (size_t i = 0; i < round->nrooms; i++) {
+		struct spot_room *room = &round->rooms[i];
+		struct candidate *candidate = &round->cands[round->ncands];
+
+		if (!round->pools[room->pool].allowed ||
+		    (room->m->hold_job && room->m->hold_job != demand->j) ||
+		    !zone_open(demand->j, room->m->zone))
 			continue;
-		k->room = x;
-		k->slots = machine_offer(d, x->m, &k->cost);
-		r->ncands += k->slots > 0;
+		candidate->room = room;
+		candidate->slots = machine_offer(demand, room->m, &candidate->cost);
+		round->ncands += candidate->slots > 0;
 	}
-	qsort(r->cands, r->ncands, sizeof(*r->cands), by_cost_per_slot);
+	qsort(round->cands, round->ncands, sizeof(*round->cands), by_cost_per_slot);
 }
 
 /* The cost of the gang's room in the zone, or anywhere; INFINITY if it can't be had. */
-static double zone_offer(const struct round *r, const struct demand *d, const char *zone)
+static double zone_offer(const struct round *round, const struct demand *demand, const char *zone)
 {
 	uint32_t n = 0;
 	double cost = 0;
 
-	for (size_t i = 0; i < r->ncands && n < d->tasks; i++) {
-		const struct candidate *k = &r->cands[i];
+	for (size_t i = 0; i < round->ncands && n < demand->tasks; i++) {
+		const struct candidate *candidate = &round->cands[i];
 
-		if (zone && strcmp(zone, k->room->m->zone))
+		if (zone && strcmp(zone, candidate->room->m->zone))
 			continue;
-		n += k->slots;
-		cost += k->cost;
+		n += candidate->slots;
+		cost += candidate->cost;
 	}
-	return n >= d->tasks ? cost : INFINITY;
+	return n >= demand->tasks ? cost : INFINITY;
 }
 
-static bool choose(struct round *r, const struct demand *d, struct choice *out)
+static bool choose(struct round *round, const struct demand *demand, struct choice *out)
 {
-	const struct job *j = d->j;
+	const struct job *job = demand->j;
 
-	offers(r, d);
+	offers(round, demand);
 	out->zone = NULL;
 	out->cost = INFINITY;
-	if (!j->spec.one_zone || d->tasks == 1) {
-		out->cost = zone_offer(r, d, NULL);
+	if (!job->spec.one_zone || demand->tasks == 1) {
+		out->cost = zone_offer(round, demand, NULL);
 		return isfinite(out->cost);
 	}
-	for (size_t p = 0; p < r->npools; p++) {
-		double cost = r->pools[p].allowed ? zone_offer(r, d, r->pools[p].zone) : INFINITY;
+	for (size_t p = 0; p < round->npools; p++) {
+		double cost = round->pools[p].allowed
+				  ? zone_offer(round, demand, round->pools[p].zone)
+				  : INFINITY;
 
 		if (cost < out->cost) {
 			out->cost = cost;
-			out->zone = r->pools[p].zone;
+			out->zone = round->pools[p].zone;
 		}
 	}
 	return isfinite(out->cost);
@@ -234,62 +242,63 @@
 
 /* --- carrying it out --- */
 
-static struct binding *cheapest(const struct demand *d, struct machine *m)
+static struct binding *cheapest(const struct demand *demand, struct machine *m)
 {
-	struct binding *b, *best = NULL;
+	struct binding *binding, *best = NULL;
 
-	DL_FOREACH2 (m->bindings, b, mnext)
-		if (!b->stopping && frees(d, b) &&
-		    (!best || stop_cost(d->c, b) < stop_cost(d->c, best)))
-			best = b;
+	DL_FOREACH2 (m->bindings, binding, mnext)
+		if (!binding->stopping && frees(demand, binding) &&
+		    (!best || stop_cost(demand->c, binding) < stop_cost(demand->c, best)))
+			best = binding;
 	return best;
 }
 
-static void stop_for(struct core *c, const struct demand *d, struct machine *m, uint32_t want)
+static void stop_for(struct core *core, const struct demand *demand, struct machine *m,
+		     uint32_t want)
 {
 	struct room r = {m->cpus, m->gpus, m->mem_gb};
-	struct binding *b;
-
-	DL_FOREACH2 (m->bindings, b, mnext)
-		if (b->stopping)
-			room_grow(&r, b);
-	while (slots_of(&r, d->j) < want && (b = cheapest(d, m))) {
-		log_info("preempt", "job=%s for=%s machine=%s", b->job->spec.id, d->j->spec.id,
-			 m->id);
-		room_grow(&r, b);
-		binding_stop(c, b, grace_of(b));
+	struct binding *binding;
+
+	DL_FOREACH2 (m->bindings, binding, mnext)
+		if (binding->stopping)
+			room_grow(&r, binding);
+	while (slots_of(&r, demand->j) < want && (binding = cheapest(demand, m))) {
+		log_info("preempt", "job=%s for=%s machine=%s", binding->job->spec.id,
+			 demand->j->spec.id, m->id);
+		room_grow(&r, binding);
+		binding_stop(core, binding, grace_of(binding));
 	}
 }
 
-static void carry_out(struct round *r, const struct demand *d, struct job *j,
+static void carry_out(struct round *round, const struct demand *demand, struct job *j,
 		      const struct choice *ch)
 {
-	uint32_t left = d->tasks;
+	uint32_t left = demand->tasks;
 
-	for (size_t i = 0; i < r->ncands && left; i++) {
-		struct candidate *k = &r->cands[i];
-		struct machine *m = k->room->m;
-		uint32_t n = k->slots < left ? k->slots : left;
+	for (size_t i = 0; i < round->ncands && left; i++) {
+		struct candidate *candidate = &round->cands[i];
+		struct machine *machine = candidate->room->m;
+		uint32_t n = candidate->slots < left ? candidate->slots : left;
 
-		if (ch->zone && strcmp(ch->zone, m->zone))
+		if (ch->zone && strcmp(ch->zone, machine->zone))
 			continue;
-		m->hold_job = j;
-		m->hold_tasks = n;
+		machine->hold_job = j;
+		machine->hold_tasks = n;
 		left -= n;
-		stop_for(r->c, d, m, n);
+		stop_for(round->c, demand, machine, n);
 	}
 }
 
-static bool stop_lower(struct round *r, struct job *j, struct demand *d)
+static bool stop_lower(struct round *round, struct job *j, struct demand *demand)
 {
 	struct choice ch;
 
-	if (!choose(r, d, &ch))
+	if (!choose(round, demand, &ch))
 		return false;
-	carry_out(r, d, j, &ch);
-	j->hold_until = r->c->now + PREEMPT_HOLD_S;
-	log_info("hold", "job=%s tasks=%u zone=%s cost=%.0f waited=%.1f", j->spec.id, d->tasks,
-		 ch.zone ? ch.zone : "", ch.cost, r->c->wall - j->submitted);
+	carry_out(round, demand, j, &ch);
+	j->hold_until = round->c->now + PREEMPT_HOLD_S;
+	log_info("hold", "job=%s tasks=%u zone=%s cost=%.0f waited=%.1f", j->spec.id, demand->tasks,
+		 ch.zone ? ch.zone : "", ch.cost, round->c->wall - j->submitted);
 	return true;
 }
 
@@ -299,50 +308,51 @@
  * Held room is idle room: a share of the fleet may be held so, at least that of a few gangs, of
  * more when some have waited long.
  */
-static bool may_gather(struct core *c, const struct job *next, double waited)
+static bool may_gather(struct core *core, const struct job *next, double waited)
 {
 	bool late = waited >= GATHER_LATE_S;
 	uint32_t most = late ? GATHER_MOST_LATE : GATHER_MOST, n = 0;
 	double held = next->spec.ntasks * next->spec.cpus, all = 0;
-	struct machine *m, *mtmp;
-	struct job *j, *tmp;
+	struct machine *machine, *mtmp;
+	struct job *job, *tmp;
 
-	HASH_ITER (hh, c->jobs, j, tmp) {
-		n += j->gathering;
-		held += j->gathering ? j->spec.ntasks * j->spec.cpus : 0;
+	HASH_ITER (hh, core->jobs, job, tmp) {
+		n += job->gathering;
+		held += job->gathering ? job->spec.ntasks * job->spec.cpus : 0;
 	}
-	HASH_ITER (hh, c->machines, m, mtmp)
-		all += m->type && machine_usable(c, m) ? m->type->cpus : 0;
+	HASH_ITER (hh, core->machines, machine, mtmp)
+		all += machine->type && machine_usable(core, machine) ? machine->type->cpus : 0;
 	return n < most || held <= (late ? GATHER_SHARE_LATE : GATHER_SHARE) * all;
 }
 
-static bool may_hold(const struct round *r, const struct spot_room *x, const struct job *j,
+static bool may_hold(const struct round *round, const struct spot_room *room, const struct job *job,
 		     const char *zone)
 {
-	const struct pool *p = &r->pools[x->pool];
+	const struct pool *pool = &round->pools[room->pool];
 
-	return p->allowed && (!*zone || !strcmp(zone, p->zone)) &&
-	       (!x->m->hold_job || x->m->hold_job == j);
+	return pool->allowed && (!*zone || !strcmp(zone, pool->zone)) &&
+	       (!room->m->hold_job || room->m->hold_job == job);
 }
 
 /* The zone with most room for it, free or in use: there it falls free soonest. */
-static const char *gather_zone(const struct round *r, const struct job *j)
+static const char *gather_zone(const struct round *round, const struct job *job)
 {
 	const char *best = NULL;
 	double most = 0;
 
-	for (size_t p = 0; p < r->npools; p++) {
-		const char *zone = r->pools[p].zone;
+	for (size_t p = 0; p < round->npools; p++) {
+		const char *zone = round->pools[p].zone;
 		double n = 0;
 
-		for (size_t i = 0; i < r->nrooms; i++) {
-			const struct spot_room *x = &r->rooms[i];
-			const struct machine_type *t = x->m->type;
+		for (size_t i = 0; i < round->nrooms; i++) {
+			const struct spot_room *room = &round->rooms[i];
+			const struct machine_type *type = room->m->type;
 
-			if (!may_hold(r, x, j, zone))
+			if (!may_hold(round, room, job, zone))
 				continue;
-			n += room_slots(x->cpus, x->gpus, x->mem_gb, &j->spec) +
-			     GATHER_USED_SHARE * room_slots(t->cpus, t->gpus, t->mem_gb, &j->spec);
+			n += room_slots(room->cpus, room->gpus, room->mem_gb, &job->spec) +
+			     GATHER_USED_SHARE *
+				 room_slots(type->cpus, type->gpus, type->mem_gb, &job->spec);
 		}
 		if (n > most) {
 			most = n;
@@ -353,53 +363,54 @@
 }
 
 /* Holds what is free now, anew in each round: what was lost or is not needed goes back. */
-static void gather(struct round *r, struct job *j)
+static void gather(struct round *round, struct job *j)
 {
 	uint32_t left = j->spec.ntasks;
 
-	round_allow(r, &j->spec);
-	for (size_t i = 0; i < r->nrooms; i++) {
-		struct spot_room *x = &r->rooms[i];
+	round_allow(round, &j->spec);
+	for (size_t i = 0; i < round->nrooms; i++) {
+		struct spot_room *room = &round->rooms[i];
 		uint32_t n;
 
-		if (!may_hold(r, x, j, j->hold_zone))
+		if (!may_hold(round, room, j, j->hold_zone))
 			continue;
-		n = room_slots(x->cpus, x->gpus, x->mem_gb, &j->spec);
-		x->m->hold_tasks = n < left ? n : left;
-		x->m->hold_job = x->m->hold_tasks ? j : NULL;
-		left -= x->m->hold_tasks;
+		n = room_slots(room->cpus, room->gpus, room->mem_gb, &j->spec);
+		room->m->hold_tasks = n < left ? n : left;
+		room->m->hold_job = room->m->hold_tasks ? j : NULL;
+		left -= room->m->hold_tasks;
 	}
-	j->hold_until = r->c->now + GATHER_HOLD_S;
+	j->hold_until = round->c->now + GATHER_HOLD_S;
 }
 
-static void gather_begin(struct round *r, struct job *j)
+static void gather_begin(struct round *round, struct job *j)
 {
 	const char *zone;
 
-	round_allow(r, &j->spec);
-	zone = gather_zone(r, j);
+	round_allow(round, &j->spec);
+	zone = gather_zone(round, j);
 	if (!zone)
 		return;
 	if (j->spec.one_zone)
 		snprintf(j->hold_zone, sizeof(j->hold_zone), "%s", zone);
 	j->gathering = true;
-	gather(r, j);
+	gather(round, j);
 	log_info("gather", "job=%s tasks=%u zone=%s waited=%.1f", j->spec.id, j->spec.ntasks,
-		 j->hold_zone, r->c->wall - j->submitted);
+		 j->hold_zone, round->c->wall - j->submitted);
 }
 
 /* Seconds of waiting before lower work is stopped: room may fall free while the aim is not at risk.
  */
-static double patience(const struct core *c, const struct job *j)
+static double patience(const struct core *core, const struct job *job)
 {
 	double within = 0;
 
-	for (size_t i = 0; i < c->conf->nobjectives; i++) {
-		const struct conf_objective *o = &c->conf->objectives[i];
+	for (size_t i = 0; i < core->conf->nobjectives; i++) {
+		const struct conf_objective *objective = &core->conf->objectives[i];
 
-		if (o->kind == OBJ_WAIT && !strcmp(o->class_name, j->spec.class_name) &&
-		    (within <= 0 || o->within_s < within))
-			within = o->within_s;
+		if (objective->kind == OBJ_WAIT &&
+		    !strcmp(objective->class_name, job->spec.class_name) &&
+		    (within <= 0 || objective->within_s < within))
+			within = objective->within_s;
 	}
 	return fmax(PREEMPT_AFTER_S, PREEMPT_SHARE * within);
 }
@@ -408,46 +419,47 @@
  * Seconds of waiting before room is held as it falls free. Held room idles, and a large gang's
  * would serve several small ones: one whose next aim is far can wait for it.
  */
-static double gather_after(const struct core *c, const struct job *j)
+static double gather_after(const struct core *core, const struct job *job)
 {
-	return fmin(LATE_FIRST_S, fmax(GATHER_AFTER_S, wait_aim(c, j) - GATHER_LEAD_S));
+	return fmin(LATE_FIRST_S, fmax(GATHER_AFTER_S, wait_aim(core, job) - GATHER_LEAD_S));
 }
 
 /* Tasks of a gang keep their places, and a scattered one's zones are not weighed against each
  * other. */
-static bool plan_possible(const struct job *j)
+static bool plan_possible(const struct job *job)
 {
-	return j->spec.kind == JOB_SERVICE || (!j->bindings && !j->spec.spread);
+	return job->spec.kind == JOB_SERVICE || (!job->bindings && !job->spec.spread);
 }
 
 /* Called in a round for each gang, service, and array that holds nothing, that found no room. */
-bool plan_room(struct round *r, struct job *j)
+bool plan_room(struct round *round, struct job *j)
 {
-	struct core *c = r->c;
-	double waited = c->now - j->waiting_since;
-	struct demand d = {c, j, false, plan_tasks(j)};
+	struct core *core = round->c;
+	double waited = core->now - j->waiting_since;
+	struct demand demand = {core, j, false, plan_tasks(j)};
 
 	if (j->gathering) {
-		gather(r, j);
+		gather(round, j);
 		return true;
 	}
-	if (j->hold_until && c->now > j->hold_until)
-		plan_release(c, j);
-	if (!plan_possible(j) || j->hold_until || waited < patience(c, j) || c->now < j->next_plan)
+	if (j->hold_until && core->now > j->hold_until)
+		plan_release(core, j);
+	if (!plan_possible(j) || j->hold_until || waited < patience(core, j) ||
+	    core->now < j->next_plan)
 		return false;
-	j->next_plan = c->now + PLAN_AGAIN_S;
-	d.own = !team_has_room(c, &j->spec, d.tasks);
-	if (stop_lower(r, j, &d))
+	j->next_plan = core->now + PLAN_AGAIN_S;
+	demand.own = !team_has_room(core, &j->spec, demand.tasks);
+	if (stop_lower(round, j, &demand))
 		return true;
 	if (j->spec.kind == JOB_SERVICE) {
 		/* Room for one replica is worth more than none for all. */
-		d.tasks = 1;
-		return stop_lower(r, j, &d);
+		demand.tasks = 1;
+		return stop_lower(round, j, &demand);
 	}
-	waited = c->wall - j->submitted;
-	if (d.own || j->spec.kind == JOB_ARRAY || waited < gather_after(c, j) ||
-	    !may_gather(c, j, waited))
+	waited = core->wall - j->submitted;
+	if (demand.own || j->spec.kind == JOB_ARRAY || waited < gather_after(core, j) ||
+	    !may_gather(core, j, waited))
 		return false;
-	gather_begin(r, j);
+	gather_begin(round, j);
 	return true;
 }
--- a/src/core/rent.c
+++ b/src/core/rent.c
@@ -15,29 +15,29 @@
 #include "wire/names.h"
 
 /* The cloud's rate is shared by lists, returns and rentals, whichever comes first in a look. */
-bool cloud_take(struct core *c)
+bool cloud_take(struct core *core)
 {
-	allowance_fill(c, &c->cloud, c->conf->cloud_rps * CLOUD_SHARE);
-	if (c->cloud.left < 1)
+	allowance_fill(core, &core->cloud, core->conf->cloud_rps * CLOUD_SHARE);
+	if (core->cloud.left < 1)
 		return false;
-	c->cloud.left -= 1;
+	core->cloud.left -= 1;
 	return true;
 }
 
-void cloud_trouble(struct core *c, int status)
+void cloud_trouble(struct core *core, int status)
 {
 	if (status != 200)
-		c->cloud_again = c->now + CLOUD_BACKOFF_S;
+		core->cloud_again = core->now + CLOUD_BACKOFF_S;
 }
 
 /*
  * A guarantee is a standing promise of room, so room is kept standing for it. Without one, or
  * with an aim in money, machines are rented for work and returned after it.
  */
-bool rent_thrifty(const struct core *c)
+bool rent_thrifty(const struct core *core)
 {
-	return !conf_has(c->conf, OBJ_GUARANTEE) || conf_has(c->conf, OBJ_PRICE) ||
-	       conf_has(c->conf, OBJ_USEFUL);
+	return !conf_has(core->conf, OBJ_GUARANTEE) || conf_has(core->conf, OBJ_PRICE) ||
+	       conf_has(core->conf, OBJ_USEFUL);
 }
 
 struct refusal_key {
@@ -52,22 +52,23 @@
 	return key;
 }
 
-static struct refusal *refusal_find(struct core *c, const char *type, const char *zone, bool spot)
+static struct refusal *refusal_find(struct core *core, const char *type, const char *zone,
+				    bool spot)
 {
 	struct refusal_key key = refusal_key(type, zone, spot);
-	struct refusal *r;
+	struct refusal *refusal;
 
-	HASH_FIND_STR(c->refusals, key.text, r);
-	return r;
+	HASH_FIND_STR(core->refusals, key.text, refusal);
+	return refusal;
 }
 
 /*
  * What is returned can be rented again at once. When many machines of a kind that was refused are
  * lost together, waiting for the refusal's end would leave their work without room meanwhile.
  */
-void refusal_lift(struct core *c, const struct machine *m)
+void refusal_lift(struct core *core, const struct machine *machine)
 {
-	struct refusal *r = refusal_find(c, m->type_name, m->zone, m->spot);
+	struct refusal *r = refusal_find(core, machine->type_name, machine->zone, machine->spot);
 
 	if (r)
 		r->until = r->wait = 0;
@@ -101,89 +102,91 @@
 	size_t nfrom;
 };
 
-static struct vroom *plan_add(struct plan *p, const struct machine_type *t, const char *zone,
+static struct vroom *plan_add(struct plan *plan, const struct machine_type *type, const char *zone,
 			      bool spot)
 {
-	struct vroom *v;
+	struct vroom *room;
 
-	if (p->n == p->cap) {
-		p->cap = p->cap ? p->cap * 2 : 64;
-		p->v = realloc(p->v, p->cap * sizeof(*p->v));
-		if (!p->v)
+	if (plan->n == plan->cap) {
+		plan->cap = plan->cap ? plan->cap * 2 : 64;
+		plan->v = realloc(plan->v, plan->cap * sizeof(*plan->v));
+		if (!plan->v)
 			abort();
 	}
-	v = &p->v[p->n++];
-	memset(v, 0, sizeof(*v));
-	v->type = t;
-	v->zone = zone;
-	v->spot = spot;
-	v->cpus = t->cpus;
-	v->gpus = t->gpus;
-	v->mem_gb = t->mem_gb;
-	return v;
+	room = &plan->v[plan->n++];
+	memset(room, 0, sizeof(*room));
+	room->type = type;
+	room->zone = zone;
+	room->spot = spot;
+	room->cpus = type->cpus;
+	room->gpus = type->gpus;
+	room->mem_gb = type->mem_gb;
+	return room;
 }
 
-static bool vroom_take(struct vroom *v, const struct job_spec *s)
+static bool vroom_take(struct vroom *room, const struct job_spec *spec)
 {
-	if (v->cpus + 1e-6 < s->cpus || v->gpus + 1e-6 < s->gpus || v->mem_gb + 1e-6 < s->mem_gb ||
-	    !machine_allowed(v->type, v->zone, v->spot, s))
+	if (room->cpus + 1e-6 < spec->cpus || room->gpus + 1e-6 < spec->gpus ||
+	    room->mem_gb + 1e-6 < spec->mem_gb ||
+	    !machine_allowed(room->type, room->zone, room->spot, spec))
 		return false;
-	v->cpus -= s->cpus;
-	v->gpus -= s->gpus;
-	v->mem_gb -= s->mem_gb;
+	room->cpus -= spec->cpus;
+	room->gpus -= spec->gpus;
+	room->mem_gb -= spec->mem_gb;
 	return true;
 }
 
 /* Where to begin to look, kept from one look to the next; NULL: none kept. */
-static struct fit_from *fit_from(struct plan *p, const struct job_spec *s, bool live,
+static struct fit_from *fit_from(struct plan *plan, const struct job_spec *spec, bool live,
 				 const char *zone)
 {
-	struct fit_from *f;
+	struct fit_from *start;
 
-	for (size_t i = 0; i < p->nfrom; i++) {
-		f = &p->from[i];
-		if (f->live == live && !f->zone == !zone && (!zone || !strcmp(f->zone, zone)) &&
-		    same_shape(f->spec, s))
-			return f;
+	for (size_t i = 0; i < plan->nfrom; i++) {
+		start = &plan->from[i];
+		if (start->live == live && !start->zone == !zone &&
+		    (!zone || !strcmp(start->zone, zone)) && same_shape(start->spec, spec))
+			return start;
 	}
-	if (p->nfrom == RENT_SHAPES_MAX)
+	if (plan->nfrom == RENT_SHAPES_MAX)
 		return NULL;
-	f = &p->from[p->nfrom++];
-	*f = (struct fit_from){.spec = s, .zone = zone, .live = live};
-	return f;
+	start = &plan->from[plan->nfrom++];
+	*start = (struct fit_from){.spec = spec, .zone = zone, .live = live};
+	return start;
 }
 
-static bool plan_fit(struct plan *p, const struct job_spec *s, bool live, const char *zone)
+static bool plan_fit(struct plan *plan, const struct job_spec *spec, bool live, const char *zone)
 {
-	struct fit_from *f = fit_from(p, s, live, zone);
+	struct fit_from *f = fit_from(plan, spec, live, zone);
 	size_t i = f ? f->at : 0;
 
-	for (; i < p->n; i++)
-		if ((live || !p->v[i].live) && (!zone || !strcmp(zone, p->v[i].zone)) &&
-		    vroom_take(&p->v[i], s))
+	for (; i < plan->n; i++)
+		if ((live || !plan->v[i].live) && (!zone || !strcmp(zone, plan->v[i].zone)) &&
+		    vroom_take(&plan->v[i], spec))
 			break;
 	if (f)
 		f->at = i;
-	return i < p->n;
+	return i < plan->n;
 }
 
-static bool refused(struct core *c, const char *type, const char *zone, bool spot)
+static bool refused(struct core *core, const char *type, const char *zone, bool spot)
 {
-	struct refusal *r = refusal_find(c, type, zone, spot);
+	struct refusal *refusal = refusal_find(core, type, zone, spot);
 
-	return r && c->now < r->until;
+	return refusal && core->now < refusal->until;
 }
 
-static void note_refusal(struct core *c, const struct rent_req *q, bool no)
+static void note_refusal(struct core *core, const struct rent_req *rental, bool no)
 {
-	struct refusal *r = refusal_find(c, q->type, q->zone, q->spot);
+	struct refusal *r = refusal_find(core, rental->type, rental->zone, rental->spot);
 
 	if (!r) {
 		r = calloc(1, sizeof(*r));
 		if (!r)
 			abort();
-		memcpy(r->key, refusal_key(q->type, q->zone, q->spot).text, sizeof(r->key));
-		HASH_ADD_STR(c->refusals, key, r);
+		memcpy(r->key, refusal_key(rental->type, rental->zone, rental->spot).text,
+		       sizeof(r->key));
+		HASH_ADD_STR(core->refusals, key, r);
 	}
 	if (!no) {
 		r->wait = 0;
@@ -193,67 +196,67 @@
 	r->wait = r->wait ? r->wait * 2 : RENT_REFUSED_S;
 	if (r->wait > RENT_REFUSED_MAX_S)
 		r->wait = RENT_REFUSED_MAX_S;
-	r->until = c->now + r->wait;
+	r->until = core->now + r->wait;
 }
 
-static uint32_t per_machine(const struct machine_type *t, const struct job_spec *s)
+static uint32_t per_machine(const struct machine_type *type, const struct job_spec *spec)
 {
 	double n = 1e9;
 
-	if (s->cpus > 0)
-		n = fmin(n, t->cpus / s->cpus);
-	if (s->gpus > 0)
-		n = fmin(n, t->gpus / s->gpus);
-	if (s->mem_gb > 0)
-		n = fmin(n, t->mem_gb / s->mem_gb);
+	if (spec->cpus > 0)
+		n = fmin(n, type->cpus / spec->cpus);
+	if (spec->gpus > 0)
+		n = fmin(n, type->gpus / spec->gpus);
+	if (spec->mem_gb > 0)
+		n = fmin(n, type->mem_gb / spec->mem_gb);
 	return (uint32_t)floor(n + 1e-9);
 }
 
 /* Lower is better: money per task where it counts, else time. */
-static double rent_cost(const struct core *c, const struct machine_type *t, bool spot,
-			const struct job_spec *s, uint32_t tasks)
+static double rent_cost(const struct core *core, const struct machine_type *type, bool spot,
+			const struct job_spec *spec, uint32_t tasks)
 {
-	uint32_t fit = per_machine(t, s);
+	uint32_t fit = per_machine(type, spec);
 
 	if (!fit)
 		return INFINITY;
-	if (rent_thrifty(c))
-		return (spot ? t->spot_price : t->price) / (tasks < fit ? tasks : fit);
-	return t->boot_s + (spot ? RENT_SPOT_S : 0) +
-	       (s->gpus <= 0 && t->gpus > 0 ? RENT_GPU_WASTE_S : 0);
+	if (rent_thrifty(core))
+		return (spot ? type->spot_price : type->price) / (tasks < fit ? tasks : fit);
+	return type->boot_s + (spot ? RENT_SPOT_S : 0) +
+	       (spec->gpus <= 0 && type->gpus > 0 ? RENT_GPU_WASTE_S : 0);
 }
 
 /*
  * In the zone `only`, or anywhere. More than can be asked for in a second need not be planned: a
  * job may have a hundred thousand tasks.
  */
-static bool plan_rent(struct core *c, struct plan *p, const struct job_spec *s, uint32_t tasks,
-		      bool only_spot, const char *only)
+static bool plan_rent(struct core *core, struct plan *p, const struct job_spec *spec,
+		      uint32_t tasks, bool only_spot, const char *only)
 {
 	const struct machine_type *best = NULL;
 	double best_cost = INFINITY;
 	const char *zone = NULL;
 	bool spot = false;
 
-	if (p->nwanted >= RENT_BATCH_MAX * c->conf->cloud_rps)
+	if (p->nwanted >= RENT_BATCH_MAX * core->conf->cloud_rps)
 		return false;
-	for (size_t i = 0; i < c->ntypes; i++) {
-		const struct machine_type *t = &c->types[i];
+	for (size_t i = 0; i < core->ntypes; i++) {
+		const struct machine_type *type = &core->types[i];
 
-		for (int z = 0; z < t->nzones; z++)
+		for (int z = 0; z < type->nzones; z++)
 			for (int k = 0; k < 2; k++) {
 				double cost;
 
-				if ((only_spot && !k) || (only && strcmp(only, t->zones[z])) ||
-				    !machine_allowed(t, t->zones[z], k, s) ||
-				    refused(c, t->name, t->zones[z], k))
+				if ((only_spot && !k) || (only && strcmp(only, type->zones[z])) ||
+				    !machine_allowed(type, type->zones[z], k, spec) ||
+				    refused(core, type->name, type->zones[z], k))
 					continue;
-				cost = rent_cost(c, t, k, s, tasks) *
-				       (1 + RENT_JITTER * core_random(c));
+				cost = rent_cost(core, type, k, spec, tasks) *
+				       (1 + RENT_JITTER * core_random(core));
 				if (cost < best_cost) {
 					best_cost = cost;
-					best = t;
-					zone = t->zones[z];
+					best = type;
+					zone = type->zones[z];
 					spot = k;
 				}
 			}
@@ -262,34 +265,36 @@
 		return false;
 	plan_add(p, best, zone, spot)->wanted = true;
 	p->nwanted++;
-	return plan_fit(p, s, false, only);
+	return plan_fit(p, spec, false, only);
 }
 
-static void plan_known(struct core *c, struct plan *p)
+static void plan_known(struct core *core, struct plan *p)
 {
-	struct machine *m, *tmp;
-	struct rent_req *q;
+	struct machine *machine, *tmp;
+	struct rent_req *rental;
 
-	HASH_ITER (hh, c->machines, m, tmp) {
-		struct vroom *v;
+	HASH_ITER (hh, core->machines, machine, tmp) {
+		struct vroom *room;
 
-		if (!m->type || m->deleting || m->draining || m->failed || m->notice_s >= 0)
+		if (!machine->type || machine->deleting || machine->draining || machine->failed ||
+		    machine->notice_s >= 0)
 			continue;
 		/* Neither one known only from a late copy nor one that does not hear us is room. */
-		if (m->last_word < 0 ? !m->expected : !m->hears)
+		if (machine->last_word < 0 ? !machine->expected : !machine->hears)
 			continue;
-		v = plan_add(p, m->type, m->zone, m->spot);
-		if (m->last_word < 0)
+		room = plan_add(p, machine->type, machine->zone, machine->spot);
+		if (machine->last_word < 0)
 			continue;
-		v->live = true;
-		v->cpus = m->cpus;
-		v->gpus = m->gpus;
-		v->mem_gb = m->mem_gb;
+		room->live = true;
+		room->cpus = machine->cpus;
+		room->gpus = machine->gpus;
+		room->mem_gb = machine->mem_gb;
 	}
-	DL_FOREACH (c->rents, q) {
-		for (size_t i = 0; i < c->ntypes; i++)
-			for (int k = 0; k < q->count && !strcmp(c->types[i].name, q->type); k++)
-				plan_add(p, &c->types[i], q->zone, q->spot);
+	DL_FOREACH (core->rents, rental) {
+		for (size_t i = 0; i < core->ntypes; i++)
+			for (int k = 0;
+			     k < rental->count && !strcmp(core->types[i].name, rental->type); k++)
+				plan_add(p, &core->types[i], rental->zone, rental->spot);
 	}
 }
 
@@ -297,27 +302,27 @@
  * Where money counts, a job that can still meet its deadline waits for room that falls free, or for
  * a cheap machine, before an ordinary one is rented for it.
  */
-static bool can_wait(const struct core *c, const struct job *j)
+static bool can_wait(const struct core *core, const struct job *job)
 {
-	double left = j->submitted + j->spec.deadline_s - c->wall;
+	double left = job->submitted + job->spec.deadline_s - core->wall;
 
-	return rent_thrifty(c) && j->spec.spot && j->spec.deadline_s >= 0 &&
-	       left > RENT_ESTIMATE_FACTOR * j->spec.estimate_s + RENT_LEAD_S;
+	return rent_thrifty(core) && job->spec.spot && job->spec.deadline_s >= 0 &&
+	       left > RENT_ESTIMATE_FACTOR * job->spec.estimate_s + RENT_LEAD_S;
 }
 
 /* Tasks of the job that the rooms of the zone that are to come would take, up to `most`. */
-static uint32_t zone_coming(struct plan *p, const struct job_spec *s, const char *zone,
+static uint32_t zone_coming(struct plan *plan, const struct job_spec *spec, const char *zone,
 			    uint32_t most)
 {
-	const struct fit_from *f = fit_from(p, s, false, zone);
+	const struct fit_from *f = fit_from(plan, spec, false, zone);
 	uint32_t n = 0;
 
-	for (size_t i = f ? f->at : 0; i < p->n && n < most; i++) {
-		const struct vroom *v = &p->v[i];
+	for (size_t i = f ? f->at : 0; i < plan->n && n < most; i++) {
+		const struct vroom *room = &plan->v[i];
 
-		if (!v->live && !strcmp(v->zone, zone) &&
-		    machine_allowed(v->type, v->zone, v->spot, s))
-			n += room_slots(v->cpus, v->gpus, v->mem_gb, s);
+		if (!room->live && !strcmp(room->zone, zone) &&
+		    machine_allowed(room->type, room->zone, room->spot, spec))
+			n += room_slots(room->cpus, room->gpus, room->mem_gb, spec);
 	}
 	return n < most ? n : most;
 }
@@ -326,57 +331,57 @@
  * A gang of one zone gains nothing from room spread over several: it is planned where most of it is
  * on its way already, else where it is cheapest.
  */
-static const char *plan_zone(struct core *c, struct plan *p, const struct job_spec *s)
+static const char *plan_zone(struct core *core, struct plan *p, const struct job_spec *spec)
 {
 	const char *best = NULL;
 	uint32_t most = 0, n;
 
-	if (!s->one_zone || s->ntasks == 1 || s->kind == JOB_ARRAY)
+	if (!spec->one_zone || spec->ntasks == 1 || spec->kind == JOB_ARRAY)
 		return NULL;
-	for (size_t i = 0; i < c->ntypes; i++) {
-		const struct machine_type *t = &c->types[i];
+	for (size_t i = 0; i < core->ntypes; i++) {
+		const struct machine_type *type = &core->types[i];
 
-		for (int z = 0; z < t->nzones; z++) {
-			if (best && !strcmp(best, t->zones[z]))
+		for (int z = 0; z < type->nzones; z++) {
+			if (best && !strcmp(best, type->zones[z]))
 				continue;
-			n = zone_coming(p, s, t->zones[z], s->ntasks);
+			n = zone_coming(p, spec, type->zones[z], spec->ntasks);
 			if (n > most) {
 				most = n;
-				best = t->zones[z];
+				best = type->zones[z];
 			}
 		}
 	}
 	return best;
 }
 
-static void plan_job(struct core *c, struct plan *p, const struct job *j)
+static void plan_job(struct core *core, struct plan *p, const struct job *job)
 {
-	const struct job_spec *s = &j->spec;
-	const char *zone = plan_zone(c, p, s);
-	uint32_t n = job_waiting(j);
+	const struct job_spec *spec = &job->spec;
+	const char *zone = plan_zone(core, p, spec);
+	uint32_t n = job_waiting(job);
 
-	for (uint32_t k = 0; k < n && team_has_room(c, s, k + 1); k++) {
-		if (plan_fit(p, s, false, zone))
+	for (uint32_t k = 0; k < n && team_has_room(core, spec, k + 1); k++) {
+		if (plan_fit(p, spec, false, zone))
 			continue;
-		if (!plan_rent(c, p, s, n - k, can_wait(c, j), zone) &&
-		    !(zone && plan_rent(c, p, s, n - k, can_wait(c, j), NULL)))
+		if (!plan_rent(core, p, spec, n - k, can_wait(core, job), zone) &&
+		    !(zone && plan_rent(core, p, spec, n - k, can_wait(core, job), NULL)))
 			break;
-		if (!zone && s->one_zone && s->kind != JOB_ARRAY)
+		if (!zone && spec->one_zone && spec->kind != JOB_ARRAY)
 			zone = p->v[p->n - 1].zone;
 	}
 }
 
 /* Waiting tasks that their team may run now; they fit on no live machine, or they would run. */
-static void plan_waiting(struct core *c, struct plan *p)
+static void plan_waiting(struct core *core, struct plan *p)
 {
-	struct job *j, *tmp;
+	struct job *job, *tmp;
 
-	HASH_ITER (hh, c->jobs, j, tmp) {
-		if (!job_waiting(j) || c->now < j->not_before ||
-		    (j->bindings && j->spec.kind == JOB_GANG) ||
-		    c->wall - j->submitted < RENT_AFTER_S)
+	HASH_ITER (hh, core->jobs, job, tmp) {
+		if (!job_waiting(job) || core->now < job->not_before ||
+		    (job->bindings && job->spec.kind == JOB_GANG) ||
+		    core->wall - job->submitted < RENT_AFTER_S)
 			continue;
-		plan_job(c, p, j);
+		plan_job(core, p, job);
 	}
 }
 
@@ -387,209 +392,212 @@
 
 #define CLASSES_MAX 16
 
-static size_t classes_in_use(struct core *c, struct class_use *use)
+static size_t classes_in_use(struct core *core, struct class_use *use)
 {
-	struct job *j, *tmp;
+	struct job *job, *tmp;
 	size_t n = 0;
 
-	HASH_ITER (hh, c->jobs, j, tmp) {
+	HASH_ITER (hh, core->jobs, job, tmp) {
 		size_t i = 0;
 
-		if (j->orphan)
+		if (job->orphan)
 			continue;
-		while (i < n && strcmp(use[i].spec->class_name, j->spec.class_name))
+		while (i < n && strcmp(use[i].spec->class_name, job->spec.class_name))
 			i++;
 		if (i == CLASSES_MAX)
 			continue;
 		if (i == n) {
-			use[n].spec = &j->spec;
+			use[n].spec = &job->spec;
 			use[n++].tasks = 0;
 		}
-		use[i].tasks += j->nbound;
+		use[i].tasks += job->nbound;
 	}
 	return n;
 }
 
 /* A replica that is lost finds room at once: a boot costs its users more than the room. */
-static void plan_replicas(struct core *c, struct plan *p)
+static void plan_replicas(struct core *core, struct plan *p)
 {
 	struct replica_classes classes;
 
-	replica_classes_find(c, &classes);
+	replica_classes_find(core, &classes);
 	for (size_t i = 0; i < classes.count; i++) {
 		const struct job_spec *spec = classes.list[i].spec;
 
 		for (uint32_t k = 0; k < REPLICA_SPARE; k++)
 			if (!plan_fit(p, spec, true, NULL) &&
-			    !plan_rent(c, p, spec, REPLICA_SPARE - k, false, NULL))
+			    !plan_rent(core, p, spec, REPLICA_SPARE - k, false, NULL))
 				break;
 	}
 }
 
 /* Where money is no aim, room is kept for what comes next. */
-static void plan_headroom(struct core *c, struct plan *p)
+static void plan_headroom(struct core *core, struct plan *p)
 {
-	double share = c->conf->headroom >= 0 ? c->conf->headroom : HEADROOM_LAVISH;
+	double share = core->conf->headroom >= 0 ? core->conf->headroom : HEADROOM_LAVISH;
 	struct class_use use[CLASSES_MAX];
 	size_t n;
 
-	if (rent_thrifty(c) && c->conf->headroom < 0)
+	if (rent_thrifty(core) && core->conf->headroom < 0)
 		return;
-	n = classes_in_use(c, use);
+	n = classes_in_use(core, use);
 	for (size_t i = 0; i < n; i++) {
 		uint32_t want = (uint32_t)(share * use[i].tasks) + HEADROOM_LAVISH_MIN;
 
 		for (uint32_t k = 0; k < want; k++)
 			if (!plan_fit(p, use[i].spec, true, NULL) &&
-			    !plan_rent(c, p, use[i].spec, want - k, false, NULL))
+			    !plan_rent(core, p, use[i].spec, want - k, false, NULL))
 				break;
 	}
 }
 
 /* --- renting --- */
 
-static void on_rent(struct core *c, struct call *call, int status, const char *body, size_t len)
+static void on_rent(struct core *core, struct call *call, int status, const char *body, size_t len)
 {
-	struct rent_req *q;
+	struct rent_req *rental;
 	char **ids;
 	size_t n;
 
-	if (election_stale(c, call))
+	if (election_stale(core, call))
 		return;
-	DL_FOREACH (c->rents, q)
-		if (!strcmp(q->name, call->key))
+	DL_FOREACH (core->rents, rental)
+		if (!strcmp(rental->name, call->key))
 			break;
-	if (!q)
+	if (!rental)
 		return;
-	q->out = false;
+	rental->out = false;
 	if (status == 200 && !wire_rented(body, len, &ids, &n)) {
-		log_info("rented", "request=%s type=%s zone=%s spot=%d asked=%d got=%zu", q->name,
-			 q->type, q->zone, q->spot, q->count, n);
+		log_info("rented", "request=%s type=%s zone=%s spot=%d asked=%d got=%zu",
+			 rental->name, rental->type, rental->zone, rental->spot, rental->count, n);
 		for (size_t i = 0; i < n; i++) {
-			if (!machine_has_tombstone(c, ids[i])) {
-				struct machine *m = machine_get(c, ids[i]);
+			if (!machine_has_tombstone(core, ids[i])) {
+				struct machine *machine = machine_get(core, ids[i]);
 
-				machine_describe(c, m, "", q->type, q->zone, q->spot);
-				m->expected = true;
+				machine_describe(core, machine, "", rental->type, rental->zone,
+						 rental->spot);
+				machine->expected = true;
 			}
 			free(ids[i]);
 		}
 		free(ids);
-		note_refusal(c, q, (int)n < q->count);
+		note_refusal(core, rental, (int)n < rental->count);
 	} else if (status == 503 && body && strstr(body, "capacity")) {
-		log_info("rent_refused", "type=%s zone=%s spot=%d", q->type, q->zone, q->spot);
-		note_refusal(c, q, true);
+		log_info("rent_refused", "type=%s zone=%s spot=%d", rental->type, rental->zone,
+			 rental->spot);
+		note_refusal(core, rental, true);
 	} else {
-		cloud_trouble(c, status);
-		if (status != 400 && c->now - q->since < RENT_GIVE_UP_S) {
-			q->again = c->now + CLOUD_BACKOFF_S; /* the same name: it rents once */
+		cloud_trouble(core, status);
+		if (status != 400 && core->now - rental->since < RENT_GIVE_UP_S) {
+			rental->again =
+			    core->now + CLOUD_BACKOFF_S; /* the same name: it rents once */
 			return;
 		}
 	}
-	DL_DELETE(c->rents, q);
-	free(q);
+	DL_DELETE(core->rents, rental);
+	free(rental);
 }
 
-static void rent_send(struct core *c, struct rent_req *q)
+static void rent_send(struct core *core, struct rent_req *q)
 {
 	struct call *call;
 
 	q->out = true;
-	call = core_call(c, c->conf->cloud, "POST", fmt_path(W_PATH_MACHINES),
+	call = core_call(core, core->conf->cloud, "POST", fmt_path(W_PATH_MACHINES),
 			 wire_rental(q->name, q->type, q->zone, q->spot, q->count), CALL_CLOUD_S,
 			 on_rent, NULL);
 	snprintf(call->key, sizeof(call->key), "%s", q->name);
 }
 
 /* One request for wanted machines of the first wanted type, zone and kind, as many as it takes. */
-static void rent_first(struct core *c, struct plan *p)
+static void rent_first(struct core *core, struct plan *p)
 {
 	struct vroom *first = NULL;
-	struct rent_req *q = calloc(1, sizeof(*q));
+	struct rent_req *rental = calloc(1, sizeof(*rental));
 
-	if (!q)
+	if (!rental)
 		abort();
-	for (size_t i = 0; i < p->n && q->count < RENT_BATCH_MAX; i++) {
-		struct vroom *v = &p->v[i];
+	for (size_t i = 0; i < p->n && rental->count < RENT_BATCH_MAX; i++) {
+		struct vroom *room = &p->v[i];
 
-		if (!v->wanted)
+		if (!room->wanted)
 			continue;
 		if (!first)
-			first = v;
-		if (v->type != first->type || strcmp(v->zone, first->zone) ||
-		    v->spot != first->spot)
+			first = room;
+		if (room->type != first->type || strcmp(room->zone, first->zone) ||
+		    room->spot != first->spot)
 			continue;
-		v->wanted = false;
+		room->wanted = false;
 		p->nwanted--;
-		q->count++;
+		rental->count++;
 	}
-	snprintf(q->name, sizeof(q->name), "r-%llu-%u", (unsigned long long)c->el.token,
-		 ++c->rent_counter);
-	snprintf(q->type, sizeof(q->type), "%s", first->type->name);
-	snprintf(q->zone, sizeof(q->zone), "%s", first->zone);
-	q->spot = first->spot;
-	q->since = c->now;
-	DL_APPEND(c->rents, q);
-	rent_send(c, q);
+	snprintf(rental->name, sizeof(rental->name), "r-%llu-%u",
+		 (unsigned long long)core->el.token, ++core->rent_counter);
+	snprintf(rental->type, sizeof(rental->type), "%s", first->type->name);
+	snprintf(rental->zone, sizeof(rental->zone), "%s", first->zone);
+	rental->spot = first->spot;
+	rental->since = core->now;
+	DL_APPEND(core->rents, rental);
+	rent_send(core, rental);
 }
 
-static void rent_look(struct core *c)
+static void rent_look(struct core *core)
 {
-	struct plan p = {0};
-
-	plan_known(c, &p);
-	plan_waiting(c, &p);
-	plan_replicas(c, &p);
-	plan_headroom(c, &p);
-	while (p.nwanted && cloud_take(c))
-		rent_first(c, &p);
-	free(p.v);
+	struct plan plan = {0};
+
+	plan_known(core, &plan);
+	plan_waiting(core, &plan);
+	plan_replicas(core, &plan);
+	plan_headroom(core, &plan);
+	while (plan.nwanted && cloud_take(core))
+		rent_first(core, &plan);
+	free(plan.v);
 }
 
-static void rent_again(struct core *c)
+static void rent_again(struct core *core)
 {
-	struct rent_req *q;
+	struct rent_req *rental;
 
-	DL_FOREACH (c->rents, q)
-		if (!q->out && c->now >= q->again && cloud_take(c))
-			rent_send(c, q);
+	DL_FOREACH (core->rents, rental)
+		if (!rental->out && core->now >= rental->again && cloud_take(core))
+			rent_send(core, rental);
 }
 
-void rent_tick(struct core *c)
+void rent_tick(struct core *core)
 {
-	if (c->now < c->next_rent)
+	if (core->now < core->next_rent)
 		return;
-	c->next_rent = c->now + RENT_EVERY_S;
-	returns_look(c);
-	if (c->now < c->cloud_again || !c->types)
+	core->next_rent = core->now + RENT_EVERY_S;
+	returns_look(core);
+	if (core->now < core->cloud_again || !core->types)
 		return;
-	list_tick(c);
-	returns_send(c);
-	rent_again(c);
-	if (c->now - c->lead_since > RENT_SETTLE_S)
-		rent_look(c);
+	list_tick(core);
+	returns_send(core);
+	rent_again(core);
+	if (core->now - core->lead_since > RENT_SETTLE_S)
+		rent_look(core);
 }
 
-void rent_clear(struct core *c)
+void rent_clear(struct core *core)
 {
-	struct rent_req *q, *tmp;
-	struct refusal *r, *rtmp;
-	struct tombstone *t, *ttmp;
+	struct rent_req *rental, *tmp;
+	struct refusal *refusal, *rtmp;
+	struct tombstone *tombstone, *ttmp;
 
-	DL_FOREACH_SAFE (c->rents, q, tmp) {
-		DL_DELETE(c->rents, q);
-		free(q);
+	DL_FOREACH_SAFE (core->rents, rental, tmp) {
+		DL_DELETE(core->rents, rental);
+		free(rental);
 	}
-	HASH_ITER (hh, c->refusals, r, rtmp) {
-		HASH_DEL(c->refusals, r);
-		free(r);
+	HASH_ITER (hh, core->refusals, refusal, rtmp) {
+		HASH_DEL(core->refusals, refusal);
+		free(refusal);
 	}
-	HASH_ITER (hh, c->tombstones, t, ttmp) {
-		HASH_DEL(c->tombstones, t);
-		free(t);
+	HASH_ITER (hh, core->tombstones, tombstone, ttmp) {
+		HASH_DEL(core->tombstones, tombstone);
+		free(tombstone);
 	}
-	c->list_out = false;
-	c->list_after[0] = 0;
-	c->next_list = c->next_rent = c->cloud_again = 0;
-	c->cloud = (struct allowance){.filled = c->now};
+	core->list_out = false;
+	core->list_after[0] = 0;
+	core->next_list = core->next_rent = core->cloud_again = 0;
+	core->cloud = (struct allowance){.filled = core->now};
 }
--- a/src/core/returns.c
+++ b/src/core/returns.c
@@ -10,41 +10,42 @@
 #include "util/log.h"
 #include "wire/names.h"
 
-static double patience(const struct core *core, const struct machine *m)
+static double patience(const struct core *core, const struct machine *machine)
 {
 	if (core->conf->idle_patience_s >= 0)
 		return core->conf->idle_patience_s;
 	if (!rent_thrifty(core))
 		return IDLE_LAVISH_S;
-	return m->type && m->type->gpus > 0 ? IDLE_DEAR_S : IDLE_THRIFTY_S;
+	return machine->type && machine->type->gpus > 0 ? IDLE_DEAR_S : IDLE_THRIFTY_S;
 }
 
 static void notice_look(struct core *core, struct machine *m)
 {
 	double left = m->notice_s - (core->now - m->notice_heard);
-	struct binding *b;
+	struct binding *binding;
 
-	DL_FOREACH2 (m->bindings, b, mnext) {
-		double save = b->job->spec.save_s;
+	DL_FOREACH2 (m->bindings, binding, mnext) {
+		double save = binding->job->spec.save_s;
 
-		if (b->stopping || b->job->spec.checkpoint_s <= 0 || left < save)
+		if (binding->stopping || binding->job->spec.checkpoint_s <= 0 || left < save)
 			continue;
 		if (left < save + NOTICE_MARGIN_S)
-			binding_stop(core, b, save + 1);
+			binding_stop(core, binding, save + 1);
 	}
 }
 
 /* Whether any open job could use the machine's type; with none open, any might come. */
-static bool type_of_use(const struct core *core, const struct machine *m)
+static bool type_of_use(const struct core *core, const struct machine *machine)
 {
-	const struct job *j, *tmp;
+	const struct job *job, *tmp;
 
-	if (!m->type || !core->jobs)
+	if (!machine->type || !core->jobs)
 		return true;
-	HASH_ITER (hh, core->jobs, j, tmp)
-		if (!j->orphan && j->spec.cpus <= m->type->cpus && j->spec.gpus <= m->type->gpus &&
-		    j->spec.mem_gb <= m->type->mem_gb &&
-		    machine_allowed(m->type, m->zone, m->spot, &j->spec))
+	HASH_ITER (hh, core->jobs, job, tmp)
+		if (!job->orphan && job->spec.cpus <= machine->type->cpus &&
+		    job->spec.gpus <= machine->type->gpus &&
+		    job->spec.mem_gb <= machine->type->mem_gb &&
+		    machine_allowed(machine->type, machine->zone, machine->spot, &job->spec))
 			return true;
 	return false;
 }
@@ -52,28 +53,29 @@
 void returns_look(struct core *core)
 {
 	struct replica_classes classes;
-	struct machine *m, *tmp;
+	struct machine *machine, *tmp;
 	double idle;
 
 	replica_classes_find(core, &classes);
 	replica_classes_count(core, &classes);
-	HASH_ITER (hh, core->machines, m, tmp) {
-		if (m->deleting)
+	HASH_ITER (hh, core->machines, machine, tmp) {
+		if (machine->deleting)
 			continue;
-		if (m->notice_s >= 0)
-			notice_look(core, m);
+		if (machine->notice_s >= 0)
+			notice_look(core, machine);
 		/* Room held for a gang is not idle, and a machine lost to it would undo the hold.
 		 */
-		if (m->bindings || m->last_word < 0 || m->hold_job)
+		if (machine->bindings || machine->last_word < 0 || machine->hold_job)
 			continue;
-		idle = core->now - m->idle_since;
+		idle = core->now - machine->idle_since;
 		/* Its reports cost the leader as much as those of a machine that works. */
-		if (m->draining || ((idle > patience(core, m) ||
-				     (idle > IDLE_USELESS_S && !type_of_use(core, m))) &&
-				    replica_classes_spare(&classes, m))) {
-			log_info("machine_return", "machine=%s type=%s idle=%.1f", m->id,
-				 m->type_name, core->now - m->idle_since);
-			m->deleting = true;
+		if (machine->draining ||
+		    ((idle > patience(core, machine) ||
+		      (idle > IDLE_USELESS_S && !type_of_use(core, machine))) &&
+		     replica_classes_spare(&classes, machine))) {
+			log_info("machine_return", "machine=%s type=%s idle=%.1f", machine->id,
+				 machine->type_name, core->now - machine->idle_since);
+			machine->deleting = true;
 		}
 	}
 }
@@ -86,14 +88,14 @@
 static void on_delete(struct core *core, struct call *call, int status, const char *body,
 		      size_t len)
 {
-	struct delete_req *d = call->arg;
+	struct delete_req *batch = call->arg;
 
 	(void)body;
 	(void)len;
 	if (!election_stale(core, call)) {
 		cloud_trouble(core, status);
-		for (size_t i = 0; i < d->n; i++) {
-			struct machine *m = machine_find(core, d->ids[i]);
+		for (size_t i = 0; i < batch->n; i++) {
+			struct machine *m = machine_find(core, batch->ids[i]);
 
 			if (!m)
 				continue;
@@ -105,42 +107,42 @@
 			machine_gone(core, m);
 		}
 	}
-	free(d);
+	free(batch);
 }
 
-static bool delete_due(const struct machine *m)
+static bool delete_due(const struct machine *machine)
 {
-	return m->deleting && !m->delete_out && !m->gone;
+	return machine->deleting && !machine->delete_out && !machine->gone;
 }
 
 static bool deletes_due(const struct core *core)
 {
-	const struct machine *m, *tmp;
+	const struct machine *machine, *tmp;
 
-	HASH_ITER (hh, core->machines, m, tmp)
-		if (delete_due(m))
+	HASH_ITER (hh, core->machines, machine, tmp)
+		if (delete_due(machine))
 			return true;
 	return false;
 }
 
 static void send_deletes(struct core *core)
 {
-	struct delete_req *d = calloc(1, sizeof(*d));
+	struct delete_req *batch = calloc(1, sizeof(*batch));
 	const char *ids[DELETE_BATCH_MAX];
-	struct machine *m, *tmp;
+	struct machine *machine, *tmp;
 
-	if (!d)
+	if (!batch)
 		abort();
-	HASH_ITER (hh, core->machines, m, tmp) {
-		if (!delete_due(m) || d->n == DELETE_BATCH_MAX)
+	HASH_ITER (hh, core->machines, machine, tmp) {
+		if (!delete_due(machine) || batch->n == DELETE_BATCH_MAX)
 			continue;
-		m->delete_out = true;
-		snprintf(d->ids[d->n], ID_MAX, "%s", m->id);
-		ids[d->n] = d->ids[d->n];
-		d->n++;
+		machine->delete_out = true;
+		snprintf(batch->ids[batch->n], ID_MAX, "%s", machine->id);
+		ids[batch->n] = batch->ids[batch->n];
+		batch->n++;
 	}
-	core_call(core, core->conf->cloud, "POST", fmt_path(W_PATH_DELETE), wire_delete(ids, d->n),
-		  CALL_CLOUD_S, on_delete, d)
+	core_call(core, core->conf->cloud, "POST", fmt_path(W_PATH_DELETE),
+		  wire_delete(ids, batch->n), CALL_CLOUD_S, on_delete, batch)
 	    ->drop = free;
 }
 
--- a/src/core/round.c
+++ b/src/core/round.c
@@ -4,98 +4,100 @@
 #include <stdlib.h>
 #include <string.h>
 
-static size_t pool_of(struct round *r, const struct machine *m)
+static size_t pool_of(struct round *round, const struct machine *machine)
 {
-	struct pool *p;
+	struct pool *pool;
 
-	for (size_t i = 0; i < r->npools; i++) {
-		p = &r->pools[i];
-		if (p->type == m->type && p->spot == m->spot && !strcmp(p->zone, m->zone))
+	for (size_t i = 0; i < round->npools; i++) {
+		pool = &round->pools[i];
+		if (pool->type == machine->type && pool->spot == machine->spot &&
+		    !strcmp(pool->zone, machine->zone))
 			return i;
 	}
-	p = &r->pools[r->npools];
-	memset(p, 0, sizeof(*p));
-	p->type = m->type;
-	p->zone = m->zone;
-	p->spot = m->spot;
-	return r->npools++;
+	pool = &round->pools[round->npools];
+	memset(pool, 0, sizeof(*pool));
+	pool->type = machine->type;
+	pool->zone = machine->zone;
+	pool->spot = machine->spot;
+	return round->npools++;
 }
 
-static void room_add(struct round *r, struct machine *m)
+static void room_add(struct round *round, struct machine *m)
 {
-	size_t pool = pool_of(r, m);
-	struct spot_room *x;
+	size_t pool = pool_of(round, m);
+	struct spot_room *room;
 
-	m->round_at = (uint32_t)r->nrooms;
-	x = &r->rooms[r->nrooms++];
-	x->m = m;
-	x->pool = (uint16_t)pool;
-	x->cpus = m->cpus;
-	x->gpus = m->gpus;
-	x->mem_gb = m->mem_gb;
+	m->round_at = (uint32_t)round->nrooms;
+	room = &round->rooms[round->nrooms++];
+	room->m = m;
+	room->pool = (uint16_t)pool;
+	room->cpus = m->cpus;
+	room->gpus = m->gpus;
+	room->mem_gb = m->mem_gb;
 }
 
-void round_begin(struct core *c, struct round *r)
+void round_begin(struct core *core, struct round *r)
 {
-	size_t n = HASH_COUNT(c->machines) + 1;
-	struct machine *m, *tmp;
-	struct job *j, *jtmp;
+	size_t n = HASH_COUNT(core->machines) + 1;
+	struct machine *machine, *tmp;
+	struct job *job, *jtmp;
 
 	memset(r, 0, sizeof(*r));
-	r->c = c;
+	r->c = core;
 	r->rooms = malloc(n * sizeof(*r->rooms));
 	r->cands = malloc(n * sizeof(*r->cands));
 	r->pools = malloc(n * sizeof(*r->pools));
 	if (!r->rooms || !r->cands || !r->pools)
 		abort();
-	HASH_ITER (hh, c->machines, m, tmp)
-		if (machine_usable(c, m))
-			room_add(r, m);
-	HASH_ITER (hh, c->jobs, j, jtmp)
-		r->ordinary_wanted |= !j->orphan && !j->spec.spot;
+	HASH_ITER (hh, core->machines, machine, tmp)
+		if (machine_usable(core, machine))
+			room_add(r, machine);
+	HASH_ITER (hh, core->jobs, job, jtmp)
+		r->ordinary_wanted |= !job->orphan && !job->spec.spot;
 }
 
-void round_end(struct round *r)
+void round_end(struct round *round)
 {
-	free(r->rooms);
-	free(r->cands);
-	free(r->pools);
+	free(round->rooms);
+	free(round->cands);
+	free(round->pools);
 }
 
-void round_take(struct round *r, const struct machine *m, const struct job_spec *s)
+void round_take(struct round *round, const struct machine *machine, const struct job_spec *spec)
 {
-	struct spot_room *x = &r->rooms[m->round_at];
+	struct spot_room *room = &round->rooms[machine->round_at];
 
-	x->cpus -= s->cpus;
-	x->gpus -= s->gpus;
-	x->mem_gb -= s->mem_gb;
+	room->cpus -= spec->cpus;
+	room->gpus -= spec->gpus;
+	room->mem_gb -= spec->mem_gb;
 }
 
-void round_allow(struct round *r, const struct job_spec *s)
+void round_allow(struct round *round, const struct job_spec *spec)
 {
-	for (size_t i = 0; i < r->npools; i++) {
-		struct pool *p = &r->pools[i];
-		const struct machine_type *t = p->type;
+	for (size_t i = 0; i < round->npools; i++) {
+		struct pool *pool = &round->pools[i];
+		const struct machine_type *type = pool->type;
 
-		p->allowed = machine_allowed(t, p->zone, p->spot, s) && t->cpus >= s->cpus &&
-			     t->gpus >= s->gpus && t->mem_gb >= s->mem_gb;
-		p->pool_cost = s->gpus <= 0 && t->gpus > 0 ? GPU_WASTE_S : 0;
+		pool->allowed = machine_allowed(type, pool->zone, pool->spot, spec) &&
+				type->cpus >= spec->cpus && type->gpus >= spec->gpus &&
+				type->mem_gb >= spec->mem_gb;
+		pool->pool_cost = spec->gpus <= 0 && type->gpus > 0 ? GPU_WASTE_S : 0;
 		/* What must be ordinary needs these machines more. */
-		if (r->ordinary_wanted && s->spot && !p->spot)
-			p->pool_cost += ORDINARY_S;
+		if (round->ordinary_wanted && spec->spot && !pool->spot)
+			pool->pool_cost += ORDINARY_S;
 	}
 }
 
-uint32_t room_slots(double cpus, double gpus, double mem_gb, const struct job_spec *s)
+uint32_t room_slots(double cpus, double gpus, double mem_gb, const struct job_spec *spec)
 {
 	double n = JOB_TASKS_MAX;
 
-	if (s->cpus > 0)
-		n = fmin(n, (cpus + ROOM_SLACK) / s->cpus);
-	if (s->gpus > 0)
-		n = fmin(n, (gpus + ROOM_SLACK) / s->gpus);
-	if (s->mem_gb > 0)
-		n = fmin(n, (mem_gb + ROOM_SLACK) / s->mem_gb);
+	if (spec->cpus > 0)
+		n = fmin(n, (cpus + ROOM_SLACK) / spec->cpus);
+	if (spec->gpus > 0)
+		n = fmin(n, (gpus + ROOM_SLACK) / spec->gpus);
+	if (spec->mem_gb > 0)
+		n = fmin(n, (mem_gb + ROOM_SLACK) / spec->mem_gb);
 	return n > 0 ? (uint32_t)n : 0;
 }
 
--- a/src/core/round.h
+++ b/src/core/round.h
@@ -53,28 +53,28 @@
 	bool ordinary_wanted; /* some job may not use spot machines */
 };
 
-void round_begin(struct core *c, struct round *r);
-void round_end(struct round *r);
-void round_take(struct round *r, const struct machine *m, const struct job_spec *s);
+void round_begin(struct core *core, struct round *r);
+void round_end(struct round *round);
+void round_take(struct round *round, const struct machine *machine, const struct job_spec *spec);
 /* Marks the pools that the job may use. */
-void round_allow(struct round *r, const struct job_spec *s);
+void round_allow(struct round *round, const struct job_spec *spec);
 /* Whether what suits one suits the other. */
 bool same_shape(const struct job_spec *a, const struct job_spec *b);
-uint32_t room_slots(double cpus, double gpus, double mem_gb, const struct job_spec *s);
+uint32_t room_slots(double cpus, double gpus, double mem_gb, const struct job_spec *spec);
 /* Seconds that placing here costs, as far as can be told. */
-double place_cost(const struct machine *m, const struct job *j);
-const char *job_held_zone(const struct job *j);
+double place_cost(const struct machine *machine, const struct job *job);
+const char *job_held_zone(const struct job *job);
 /* How many more tasks of the job the zone may hold. */
-uint32_t job_zone_rest(const struct job *j, const char *zone);
+uint32_t job_zone_rest(const struct job *job, const char *zone);
 
 /* Seconds within which a job's tasks should start, by the first aim that it can still meet; 0:
  * none. */
-double wait_aim(const struct core *c, const struct job *j);
+double wait_aim(const struct core *core, const struct job *job);
 /* Slots that an array needs at once for the soonest of its deadlines that it can still meet. */
-uint32_t array_need(const struct core *c, struct job *j);
+uint32_t array_need(const struct core *core, struct job *j);
 
 /* plan.c: room for gangs that find none */
-bool plan_room(struct round *r, struct job *j);
-void plan_release(struct core *c, struct job *j);
+bool plan_room(struct round *round, struct job *j);
+void plan_release(struct core *core, struct job *j);
 
 #endif
--- a/src/core/state.h
+++ b/src/core/state.h
@@ -422,44 +422,45 @@
 };
 
 /* core.c */
-struct call *core_call(struct core *c, const char *addr, const char *method, char *path, char *body,
-		       double timeout_s, call_fn fn, void *arg);
+struct call *core_call(struct core *core, const char *addr, const char *method, char *path,
+		       char *body, double timeout_s, call_fn fn, void *arg);
 /* To and from other controllers: a packed message, which the action owns from then on. */
-struct call *core_call_packed(struct core *c, const char *addr, const char *path, uint8_t *buf,
+struct call *core_call_packed(struct core *core, const char *addr, const char *path, uint8_t *buf,
 			      size_t len, call_fn fn, void *arg);
-void core_reply_packed(struct core *c, uint64_t conn, uint8_t *buf, size_t len);
-void core_reply(struct core *c, uint64_t conn, int status, int retry_after, char *body);
-void core_reply_error(struct core *c, uint64_t conn, int status, int retry_after, const char *why);
-double core_random(struct core *c);
-void allowance_fill(const struct core *c, struct allowance *a, double rate);
+void core_reply_packed(struct core *core, uint64_t conn, uint8_t *buf, size_t len);
+void core_reply(struct core *core, uint64_t conn, int status, int retry_after, char *body);
+void core_reply_error(struct core *core, uint64_t conn, int status, int retry_after,
+		      const char *why);
+double core_random(struct core *core);
+void allowance_fill(const struct core *core, struct allowance *a, double rate);
 char *fmt_path(const char *fmt, ...) __attribute__((format(printf, 1, 2)));
 
 /* store.c: the state service */
-struct call *store_get(struct core *c, const char *key, call_fn fn, void *arg);
-struct call *store_range(struct core *c, const char *prefix, const char *after, call_fn fn,
+struct call *store_get(struct core *core, const char *key, call_fn fn, void *arg);
+struct call *store_range(struct core *core, const char *prefix, const char *after, call_fn fn,
 			 void *arg);
-struct call *store_commit(struct core *c, char *body, call_fn fn, void *arg);
-struct call *store_watch(struct core *c, const char *prefix, uint64_t from, int wait_ms, call_fn fn,
-			 void *arg);
-void store_heard(struct core *c, int status);
+struct call *store_commit(struct core *core, char *body, call_fn fn, void *arg);
+struct call *store_watch(struct core *core, const char *prefix, uint64_t from, int wait_ms,
+			 call_fn fn, void *arg);
+void store_heard(struct core *core, int status);
 
 /* election.c */
-void election_tick(struct core *c);
-void election_step_down(struct core *c, const char *why);
-void election_yield(struct core *c, const char *why);
-void election_deposed(struct core *c, const char *leader);
+void election_tick(struct core *core);
+void election_step_down(struct core *core, const char *why);
+void election_yield(struct core *core, const char *why);
+void election_deposed(struct core *core, const char *leader);
 /* True while it may answer workers: a cancellation elsewhere is still carried out in time. */
-bool election_may_serve(const struct core *c);
-void election_look(struct core *c);
-void election_reread(struct core *c);
-bool election_stale(const struct core *c, const struct call *call);
-json_t *election_value(const struct core *c);
+bool election_may_serve(const struct core *core);
+void election_look(struct core *core);
+void election_reread(struct core *core);
+bool election_stale(const struct core *core, const struct call *call);
+json_t *election_value(const struct core *core);
 /* The key whose holder leads in the given format of the records. */
 const char *election_key(int format);
 /* What LEADER_KEY holds for ever once the format is raised: no controller has this name. */
 json_t *election_gate_value(int format);
 /* Ours is the first term in the new format. */
-void election_raised(struct core *c, int format, uint64_t revision);
+void election_raised(struct core *core, int format, uint64_t revision);
 #define LEADER_KEY "leader"
 
 /* format.c */
@@ -475,93 +476,93 @@
 #define JOBS_OVER "u/f/"
 
 /* load.c */
-void load_start(struct core *c);
-void load_tick(struct core *c);
-void load_job_record(struct core *c, const char *id, json_t *value, uint64_t version);
-void leader_clear(struct core *c);
+void load_start(struct core *core);
+void load_tick(struct core *core);
+void load_job_record(struct core *core, const char *id, json_t *value, uint64_t version);
+void leader_clear(struct core *core);
 
 /* users.c */
-void users_request(struct core *c, const struct core_request *r);
-void users_tick(struct core *c);
+void users_request(struct core *core, const struct core_request *request);
+void users_tick(struct core *core);
 json_t *users_record(const struct job_spec *spec, double submitted, bool cancelled);
-void users_note_final(struct core *c, const char *id, enum job_state s, uint32_t ntasks);
-void users_clear(struct core *c);
+void users_note_final(struct core *core, const char *id, enum job_state s, uint32_t ntasks);
+void users_clear(struct core *core);
 
 /* jobs.c */
-struct job *job_find(struct core *c, const char *id);
-struct job *job_add(struct core *c, const struct job_spec *spec);
-void job_cancel(struct core *c, struct job *j);
+struct job *job_find(struct core *core, const char *id);
+struct job *job_add(struct core *core, const struct job_spec *spec);
+void job_cancel(struct core *core, struct job *j);
 /* A cancellation is on record, with this version of the job's key: the leader stops its tasks. */
-void job_cancel_told(struct core *c, const char *id, uint64_t version);
-void job_task_done(struct core *c, struct job *j, uint32_t task);
-void job_done_unbound(struct core *c, const char *id, uint32_t task);
+void job_cancel_told(struct core *core, const char *id, uint64_t version);
+void job_task_done(struct core *core, struct job *j, uint32_t task);
+void job_done_unbound(struct core *core, const char *id, uint32_t task);
 bool job_bit(const uint8_t *bits, uint32_t task);
-uint32_t job_chunks(const struct job *j);
-uint32_t job_chunk_of(const struct job *j, uint32_t task);
+uint32_t job_chunks(const struct job *job);
+uint32_t job_chunk_of(const struct job *job, uint32_t task);
 /* Makes room for so many tasks of a job whose description is not known. */
-void job_grow(struct job *j, uint32_t ntasks);
-uint32_t job_waiting(const struct job *j);
-uint32_t job_next_waiting(struct job *j);
-void job_settle(struct core *c, struct job *j);
-void job_tick(struct core *c);
-void job_free(struct core *c, struct job *j);
+void job_grow(struct job *job, uint32_t ntasks);
+uint32_t job_waiting(const struct job *job);
+uint32_t job_next_waiting(struct job *job);
+void job_settle(struct core *core, struct job *j);
+void job_tick(struct core *core);
+void job_free(struct core *core, struct job *j);
 /* Frees a job that is over once nothing of it is bound or being written. */
-void job_release(struct core *c, struct job *j);
-bool job_chunk_full(const struct core *c, const struct job *j, uint32_t task);
-void job_failed_on(struct core *c, struct job *j, struct machine *m);
+void job_release(struct core *core, struct job *j);
+bool job_chunk_full(const struct core *core, const struct job *job, uint32_t task);
+void job_failed_on(struct core *core, struct job *j, struct machine *machine);
 
 /* teams.c */
-struct team *team_find(struct core *c, const char *name);
-bool team_has_room(struct core *c, const struct job_spec *s, uint32_t tasks);
-bool team_ever_fits(const struct conf *conf, const struct job_spec *s);
-void team_charge(struct core *c, const struct job_spec *s, double sign);
+struct team *team_find(struct core *core, const char *name);
+bool team_has_room(struct core *core, const struct job_spec *spec, uint32_t tasks);
+bool team_ever_fits(const struct conf *conf, const struct job_spec *spec);
+void team_charge(struct core *core, const struct job_spec *spec, double sign);
 
 /* machines.c */
-struct machine *machine_find(struct core *c, const char *id);
-struct machine *machine_get(struct core *c, const char *id);
-void machine_free(struct core *c, struct machine *m);
-void machine_describe(struct core *c, struct machine *m, const char *addr, const char *type,
+struct machine *machine_find(struct core *core, const char *id);
+struct machine *machine_get(struct core *core, const char *id);
+void machine_free(struct core *core, struct machine *m);
+void machine_describe(struct core *core, struct machine *m, const char *addr, const char *type,
 		      const char *zone, bool spot);
-bool machine_has_tombstone(struct core *c, const char *id);
-void machine_gone(struct core *c, struct machine *m);
-void machine_tick(struct core *c);
-void machine_show(struct core *c, struct machine *m);
-bool machine_fresh(const struct core *c, const struct machine *m);
+bool machine_has_tombstone(struct core *core, const char *id);
+void machine_gone(struct core *core, struct machine *m);
+void machine_tick(struct core *core);
+void machine_show(struct core *core, struct machine *m);
+bool machine_fresh(const struct core *core, const struct machine *machine);
 /* It has a notice, or is to be returned: nothing new goes there. */
-bool machine_leaves(const struct machine *m);
-bool machine_usable(const struct core *c, const struct machine *m);
-bool machine_allowed(const struct machine_type *t, const char *zone, bool spot,
-		     const struct job_spec *s);
-bool machine_has_image(const struct machine *m, const char *image);
-void machine_note_image(struct machine *m, const char *image);
-void machines_relink(struct core *c);
-struct binding *binding_add(struct core *c, struct machine *m, struct job *j, uint32_t task,
+bool machine_leaves(const struct machine *machine);
+bool machine_usable(const struct core *core, const struct machine *machine);
+bool machine_allowed(const struct machine_type *type, const char *zone, bool spot,
+		     const struct job_spec *spec);
+bool machine_has_image(const struct machine *machine, const char *image);
+void machine_note_image(struct machine *machine, const char *image);
+void machines_relink(struct core *core);
+struct binding *binding_add(struct core *core, struct machine *m, struct job *job, uint32_t task,
 			    uint64_t attempt);
-void binding_end(struct core *c, struct binding *b, enum task_why why);
-void binding_drop(struct core *c, struct binding *b);
-void binding_stop(struct core *c, struct binding *b, double grace_s);
-bool binding_unsent(const struct binding *b);
+void binding_end(struct core *core, struct binding *b, enum task_why why);
+void binding_drop(struct core *core, struct binding *b);
+void binding_stop(struct core *core, struct binding *b, double grace_s);
+bool binding_unsent(const struct binding *binding);
 
 /* workers.c */
-void workers_beat(struct core *c, const struct core_request *r);
-void workers_kick(struct core *c, struct machine *m);
-void workers_unkick(struct core *c, struct machine *m);
-bool workers_ask(struct core *c, struct machine *m);
-void workers_tick(struct core *c);
-void workers_fenced(struct core *c);
+void workers_beat(struct core *core, const struct core_request *request);
+void workers_kick(struct core *core, struct machine *m);
+void workers_unkick(struct core *core, struct machine *m);
+bool workers_ask(struct core *core, struct machine *m);
+void workers_tick(struct core *core);
+void workers_fenced(struct core *core);
 
 /* commit.c */
-void commit_chunk(struct core *c, struct job *j, uint32_t task, double delay_s);
+void commit_chunk(struct core *core, struct job *j, uint32_t task, double delay_s);
 /* The chunk is written when there is room: so far a record of an older format holds it. */
-void commit_migrate(struct core *c, struct job *j, uint32_t chunk);
-void commit_drop(struct core *c, const char *key, uint64_t version);
+void commit_migrate(struct core *core, struct job *j, uint32_t chunk);
+void commit_drop(struct core *core, const char *key, uint64_t version);
 /* No chunk waits to be written any more: the caller knows which are to be queued anew. */
-void commit_forget_chunks(struct core *c);
-void commit_final(struct core *c, struct job *j);
-void commit_tick(struct core *c);
-void commit_clear(struct core *c);
+void commit_forget_chunks(struct core *core);
+void commit_final(struct core *core, struct job *j);
+void commit_tick(struct core *core);
+void commit_clear(struct core *core);
 /* True once nothing about the task's chunk or its job's end waits to be written. */
-bool commit_settled(const struct job *j, uint32_t task);
+bool commit_settled(const struct job *job, uint32_t task);
 
 /* task_records.c: the records of what is done and bound of a job's tasks */
 #define JOBS_BOUND "b/"	 /* of CHUNK_TASKS tasks */
@@ -581,49 +582,49 @@
 void task_records_migrate(struct core *core, struct job *job);
 
 /* place.c */
-void round_wanted(struct core *c);
-void round_tick(struct core *c);
+void round_wanted(struct core *core);
+void round_tick(struct core *core);
 
 /* pair.c */
 #define PAIR_PATH "/pair"
 double pair_rho(double m_a, double m_b);
-void pair_request(struct core *c, const struct core_request *r);
+void pair_request(struct core *core, const struct core_request *request);
 /* `peer`: whose answer it is; npeers: our own. */
-void pair_take_switches(struct core *c, size_t peer, const uint8_t *data, size_t len);
-void pair_tick(struct core *c);
+void pair_take_switches(struct core *core, size_t peer, const uint8_t *data, size_t len);
+void pair_tick(struct core *core);
 
 /* peers.c: what controllers ask each other */
 #define COUNTS_PATH "/counts"
 #define FORWARD_PATH "/forward"
 #define CANCELLED_PATH "/cancelled"
 #define HEARD_PATH "/heard"
-void peers_request(struct core *c, const struct core_request *r);
+void peers_request(struct core *core, const struct core_request *request);
 /* The message as bytes of their own. */
 struct ProtobufCMessage;
 uint8_t *peers_pack(const struct ProtobufCMessage *m, size_t *len);
-bool forward_user(struct core *c, struct user_req *u);
+bool forward_user(struct core *core, struct user_req *u);
 /* Tells the others of a committed cancellation: whoever leads may not read of it for a while. */
-void peers_cancelled(struct core *c, const char *id, uint64_t version);
-void peers_tick(struct core *c);
+void peers_cancelled(struct core *core, const char *id, uint64_t version);
+void peers_tick(struct core *core);
 /* Wraps the answer if the request was handed on by another controller. */
-bool peers_wrap(struct core *c, uint64_t conn, int *status, int retry_after, char **body,
+bool peers_wrap(struct core *core, uint64_t conn, int *status, int retry_after, char **body,
 		size_t *len);
 /* A user is told that the job is cancelled. */
-void peers_note_told(struct core *c, const char *id, uint64_t version);
+void peers_note_told(struct core *core, const char *id, uint64_t version);
 /* An answer of the peer came: which process it is. */
-void peers_note_incarnation(struct core *c, size_t peer, uint64_t incarnation);
+void peers_note_incarnation(struct core *core, size_t peer, uint64_t incarnation);
 /* The moment up to which all that the others told users of cancellations is known here; < 0: none.
  */
-double peers_heard(const struct core *c);
-bool peers_ready(const struct core *c);
-void peers_clear(struct core *c);
+double peers_heard(const struct core *core);
+bool peers_ready(const struct core *core);
+void peers_clear(struct core *core);
 
 /* rent.c */
-void rent_tick(struct core *c);
-void rent_clear(struct core *c);
+void rent_tick(struct core *core);
+void rent_clear(struct core *core);
 /* True if money is among the aims. */
-bool rent_thrifty(const struct core *c);
-void catalog_tick(struct core *c);
+bool rent_thrifty(const struct core *core);
+void catalog_tick(struct core *core);
 
 /* done bits as text */
 char *bits_encode(const uint8_t *bits, uint32_t nbits);
--- a/src/core/store.c
+++ b/src/core/store.c
@@ -5,23 +5,24 @@
 #include "wire/names.h"
 
 /* Notes whether the state service serves us; a 503 may concern this controller alone. */
-void store_heard(struct core *c, int status)
+void store_heard(struct core *core, int status)
 {
-	c->state_down = status <= 0 || status == 503;
-	if (!c->state_down)
-		c->state_heard = c->now;
+	core->state_down = status <= 0 || status == 503;
+	if (!core->state_down)
+		core->state_heard = core->now;
 }
 
-struct call *store_get(struct core *c, const char *key, call_fn fn, void *arg)
+struct call *store_get(struct core *core, const char *key, call_fn fn, void *arg)
 {
-	struct call *call = core_call(c, c->conf->state, "GET", fmt_path(W_PATH_KEYS "/%s", key),
-				      NULL, CALL_STATE_S, fn, arg);
+	struct call *call =
+	    core_call(core, core->conf->state, "GET", fmt_path(W_PATH_KEYS "/%s", key), NULL,
+		      CALL_STATE_S, fn, arg);
 
 	snprintf(call->key, sizeof(call->key), "%s", key);
 	return call;
 }
 
-struct call *store_range(struct core *c, const char *prefix, const char *after, call_fn fn,
+struct call *store_range(struct core *core, const char *prefix, const char *after, call_fn fn,
 			 void *arg)
 {
 	char *path;
@@ -31,21 +32,21 @@
 				prefix, after, RANGE_LIMIT);
 	else
 		path = fmt_path(W_PATH_KEYS "?" W_PREFIX "=%s&" W_LIMIT "=%d", prefix, RANGE_LIMIT);
-	return core_call(c, c->conf->state, "GET", path, NULL, CALL_STATE_S, fn, arg);
+	return core_call(core, core->conf->state, "GET", path, NULL, CALL_STATE_S, fn, arg);
 }
 
-struct call *store_commit(struct core *c, char *body, call_fn fn, void *arg)
+struct call *store_commit(struct core *core, char *body, call_fn fn, void *arg)
 {
-	return core_call(c, c->conf->state, "POST", fmt_path(W_PATH_TXN), body, CALL_STATE_S, fn,
-			 arg);
+	return core_call(core, core->conf->state, "POST", fmt_path(W_PATH_TXN), body, CALL_STATE_S,
+			 fn, arg);
 }
 
-struct call *store_watch(struct core *c, const char *prefix, uint64_t from, int wait_ms, call_fn fn,
-			 void *arg)
+struct call *store_watch(struct core *core, const char *prefix, uint64_t from, int wait_ms,
+			 call_fn fn, void *arg)
 {
 	char *path = fmt_path(W_PATH_WATCH "?" W_PREFIX "=%s&" W_AFTER "=%llu&" W_WAIT "=%d",
 			      prefix, (unsigned long long)from, wait_ms);
 
-	return core_call(c, c->conf->state, "GET", path, NULL,
+	return core_call(core, core->conf->state, "GET", path, NULL,
 			 wait_ms / 1000.0 + LEADER_WATCH_SLACK_S, fn, arg);
 }
--- a/src/core/teams.c
+++ b/src/core/teams.c
@@ -5,11 +5,11 @@
 
 #define TEAM_SLACK 1e-6 /* CPUs: sums of decimal amounts */
 
-struct team *team_find(struct core *c, const char *name)
+struct team *team_find(struct core *core, const char *name)
 {
-	for (size_t i = 0; i < c->conf->nteams; i++)
-		if (!strcmp(c->teams[i].conf->name, name))
-			return &c->teams[i];
+	for (size_t i = 0; i < core->conf->nteams; i++)
+		if (!strcmp(core->teams[i].conf->name, name))
+			return &core->teams[i];
 	return NULL;
 }
 
@@ -18,34 +18,34 @@
 	return most <= 0 || more <= 0 || used + more <= most + TEAM_SLACK;
 }
 
-bool team_has_room(struct core *c, const struct job_spec *s, uint32_t tasks)
+bool team_has_room(struct core *core, const struct job_spec *spec, uint32_t tasks)
 {
-	struct team *t = team_find(c, s->team);
+	struct team *t = team_find(core, spec->team);
 
-	return t && within(t->cpus, s->cpus * tasks, t->conf->cpus_max) &&
-	       within(t->gpus, s->gpus * tasks, t->conf->gpus_max);
+	return t && within(t->cpus, spec->cpus * tasks, t->conf->cpus_max) &&
+	       within(t->gpus, spec->gpus * tasks, t->conf->gpus_max);
 }
 
-bool team_ever_fits(const struct conf *conf, const struct job_spec *s)
+bool team_ever_fits(const struct conf *conf, const struct job_spec *spec)
 {
-	uint32_t n = s->kind == JOB_ARRAY ? 1 : s->ntasks;
+	uint32_t n = spec->kind == JOB_ARRAY ? 1 : spec->ntasks;
 
 	for (size_t i = 0; i < conf->nteams; i++) {
-		const struct conf_team *t = &conf->teams[i];
+		const struct conf_team *team = &conf->teams[i];
 
-		if (!strcmp(t->name, s->team))
-			return within(0, s->cpus * n, t->cpus_max) &&
-			       within(0, s->gpus * n, t->gpus_max);
+		if (!strcmp(team->name, spec->team))
+			return within(0, spec->cpus * n, team->cpus_max) &&
+			       within(0, spec->gpus * n, team->gpus_max);
 	}
 	return false;
 }
 
-void team_charge(struct core *c, const struct job_spec *s, double sign)
+void team_charge(struct core *core, const struct job_spec *spec, double sign)
 {
-	struct team *t = team_find(c, s->team);
+	struct team *t = team_find(core, spec->team);
 
 	if (!t)
 		return;
-	t->cpus += sign * s->cpus;
-	t->gpus += sign * s->gpus;
+	t->cpus += sign * spec->cpus;
+	t->gpus += sign * spec->gpus;
 }
--- a/src/core/users.c
+++ b/src/core/users.c
@@ -19,9 +19,9 @@
 #define RECORD_TOO_LARGE "description too long to be kept"
 
 /* What a job's record takes at most: a cancellation is noted in it. */
-static size_t record_bytes(const struct user_req *u)
+static size_t record_bytes(const struct user_req *request)
 {
-	json_t *record = users_record(u->spec, u->wall, true);
+	json_t *record = users_record(request->spec, request->wall, true);
 	size_t bytes = wire_value_bytes(record);
 
 	json_decref(record);
@@ -30,255 +30,255 @@
 
 static void user_free(void *arg)
 {
-	struct user_req *u = arg;
+	struct user_req *request = arg;
 
-	free(u->spec);
-	free(u->body);
-	free(u);
+	free(request->spec);
+	free(request->body);
+	free(request);
 }
 
-static void user_fail(struct core *c, struct user_req *u, int status, int retry, const char *why)
+static void user_fail(struct core *core, struct user_req *u, int status, int retry, const char *why)
 {
-	core_reply_error(c, u->conn, status, retry, why);
+	core_reply_error(core, u->conn, status, retry, why);
 	user_free(u);
 }
 
 /* The state service does not serve us: another controller may be served, else the user is told. */
-static void user_unserved(struct core *c, struct user_req *u, int status)
+static void user_unserved(struct core *core, struct user_req *u, int status)
 {
-	if (status != 429 && forward_user(c, u))
+	if (status != 429 && forward_user(core, u))
 		user_free(u);
 	else
-		user_fail(c, u, status == 429 ? 429 : 503, RETRY_AFTER_S, "state");
+		user_fail(core, u, status == 429 ? 429 : 503, RETRY_AFTER_S, "state");
 }
 
-static void user_state(struct core *c, struct user_req *u, int status, enum job_state s,
+static void user_state(struct core *core, struct user_req *u, int status, enum job_state s,
 		       uint32_t done, uint32_t running)
 {
 	if (s == JS_CANCELLED)
-		peers_note_told(c, u->id, 0);
-	core_reply(c, u->conn, status, 0, wire_job_answer(u->id, s, done, running));
+		peers_note_told(core, u->id, 0);
+	core_reply(core, u->conn, status, 0, wire_job_answer(u->id, s, done, running));
 	user_free(u);
 }
 
 /* --- what is known of jobs: all that are open, and the final states of the latest --- */
 
-static struct known *known_find(struct core *c, const char *id)
+static struct known *known_find(struct core *core, const char *id)
 {
-	struct known *k;
+	struct known *known;
 
-	HASH_FIND_STR(c->known, id, k);
-	return k;
+	HASH_FIND_STR(core->known, id, known);
+	return known;
 }
 
-static struct known *known_get(struct core *c, const char *id)
+static struct known *known_get(struct core *core, const char *id)
 {
-	struct known *k = known_find(c, id);
+	struct known *known = known_find(core, id);
 
-	if (k || strlen(id) >= ID_MAX)
-		return k;
-	k = calloc(1, sizeof(*k));
-	if (!k)
+	if (known || strlen(id) >= ID_MAX)
+		return known;
+	known = calloc(1, sizeof(*known));
+	if (!known)
 		abort();
-	snprintf(k->id, sizeof(k->id), "%s", id);
-	HASH_ADD_STR(c->known, id, k);
-	return k;
+	snprintf(known->id, sizeof(known->id), "%s", id);
+	HASH_ADD_STR(core->known, id, known);
+	return known;
 }
 
-static void known_drop(struct core *c, struct known *k)
+static void known_drop(struct core *core, struct known *k)
 {
-	c->nfinals -= k->final;
-	HASH_DEL(c->known, k);
+	core->nfinals -= k->final;
+	HASH_DEL(core->known, k);
 	free(k);
 }
 
 /* The oldest final states go first; they can be read again. */
-static void known_trim(struct core *c)
+static void known_trim(struct core *core)
 {
-	struct known *k, *tmp;
+	struct known *known, *tmp;
 
-	HASH_ITER (hh, c->known, k, tmp) {
-		if (c->nfinals <= FINAL_CACHE_MAX)
+	HASH_ITER (hh, core->known, known, tmp) {
+		if (core->nfinals <= FINAL_CACHE_MAX)
 			return;
-		if (k->final)
-			known_drop(c, k);
+		if (known->final)
+			known_drop(core, known);
 	}
 }
 
-void users_note_final(struct core *c, const char *id, enum job_state s, uint32_t ntasks)
+void users_note_final(struct core *core, const char *id, enum job_state s, uint32_t ntasks)
 {
-	struct known *k = known_get(c, id);
+	struct known *known = known_get(core, id);
 
-	if (!k || k->final)
+	if (!known || known->final)
 		return;
-	k->final = true;
-	k->state = s;
-	k->done = s == JS_DONE ? ntasks : 0;
-	k->running = 0;
-	c->nfinals++;
-	known_trim(c);
+	known->final = true;
+	known->state = s;
+	known->done = s == JS_DONE ? ntasks : 0;
+	known->running = 0;
+	core->nfinals++;
+	known_trim(core);
 }
 
-static void known_open(struct core *c, const char *id, json_t *value)
+static void known_open(struct core *core, const char *id, json_t *value)
 {
-	struct known *k = known_get(c, id);
+	struct known *known = known_get(core, id);
 
-	if (!k || k->final)
+	if (!known || known->final)
 		return;
-	k->state = json_is_true(json_object_get(value, "cancelled")) ? JS_CANCELLED : JS_QUEUED;
+	known->state = json_is_true(json_object_get(value, "cancelled")) ? JS_CANCELLED : JS_QUEUED;
 }
 
-static bool answer_final(struct core *c, struct user_req *u)
+static bool answer_final(struct core *core, struct user_req *u)
 {
-	struct known *k = known_find(c, u->id);
+	struct known *k = known_find(core, u->id);
 
 	if (!k || !k->final)
 		return false;
-	user_state(c, u, 200, k->state, k->done, 0);
+	user_state(core, u, 200, k->state, k->done, 0);
 	return true;
 }
 
 /* --- reading a job's records: first the open one, then the final one --- */
 
-static void user_lookup(struct core *c, struct user_req *u);
+static void user_lookup(struct core *core, struct user_req *u);
 
-static void on_cancelled(struct core *c, struct call *call, int status, const char *body,
+static void on_cancelled(struct core *core, struct call *call, int status, const char *body,
 			 size_t len)
 {
-	struct user_req *u = call->arg;
+	struct user_req *request = call->arg;
 	json_t *o;
 
-	store_heard(c, status);
+	store_heard(core, status);
 	if (status == 200) {
 		o = wire_parse(body, len);
-		log_info("cancel", "job=%s", u->id);
-		job_cancel_told(c, u->id, wire_revision(o));
-		peers_cancelled(c, u->id, wire_revision(o));
-		peers_note_told(c, u->id, wire_revision(o));
+		log_info("cancel", "job=%s", request->id);
+		job_cancel_told(core, request->id, wire_revision(o));
+		peers_cancelled(core, request->id, wire_revision(o));
+		peers_note_told(core, request->id, wire_revision(o));
 		json_decref(o);
-		user_state(c, u, 200, JS_CANCELLED, 0, 0);
+		user_state(core, request, 200, JS_CANCELLED, 0, 0);
 	} else if (status == 409) {
-		user_lookup(c, u);
+		user_lookup(core, request);
 	} else if (status == 0) {
-		u->settled = true;
-		user_lookup(c, u);
+		request->settled = true;
+		user_lookup(core, request);
 	} else {
-		user_unserved(c, u, status);
+		user_unserved(core, request, status);
 	}
 }
 
-static void user_cancel(struct core *c, struct user_req *u, const struct kv_item *it)
+static void user_cancel(struct core *core, struct user_req *u, const struct kv_item *it)
 {
 	json_t *v = json_copy(it->value);
-	struct txn t;
+	struct txn txn;
 
 	json_object_set_new(v, "cancelled", json_true());
 	/* A record from before a lower limit: where the job might have run is of no use any more.
 	 */
-	if (wire_value_bytes(v) > limits_value_bytes(c))
+	if (wire_value_bytes(v) > limits_value_bytes(core))
 		json_object_del(json_object_get(v, "spec"), W_TYPES);
-	txn_begin(&t);
-	txn_guard(&t, it->key, it->version);
-	txn_put(&t, it->key, v, 0);
-	store_commit(c, txn_finish(&t), on_cancelled, u)->drop = user_free;
+	txn_begin(&txn);
+	txn_guard(&txn, it->key, it->version);
+	txn_put(&txn, it->key, v, 0);
+	store_commit(core, txn_finish(&txn), on_cancelled, u)->drop = user_free;
 }
 
 /* The leader knows how its tasks stand; another controller, what the leader told it of late. */
-static void answer_live(struct core *c, struct user_req *u, const struct known *k)
+static void answer_live(struct core *core, struct user_req *u, const struct known *known)
 {
-	struct job *j = c->el.role == ROLE_LEAD ? job_find(c, u->id) : NULL;
-	bool fresh = c->now - c->counts_at < COUNTS_KEEP_S;
-	uint32_t done = j ? j->ndone : fresh && k ? k->done : 0;
-	uint32_t running = j ? j->nrunning : fresh && k ? k->running : 0;
+	struct job *j = core->el.role == ROLE_LEAD ? job_find(core, u->id) : NULL;
+	bool fresh = core->now - core->counts_at < COUNTS_KEEP_S;
+	uint32_t done = j ? j->ndone : fresh && known ? known->done : 0;
+	uint32_t running = j ? j->nrunning : fresh && known ? known->running : 0;
 
-	c->counts_wanted = c->now;
-	user_state(c, u, 200, running ? JS_RUNNING : JS_QUEUED, done, running);
+	core->counts_wanted = core->now;
+	user_state(core, u, 200, running ? JS_RUNNING : JS_QUEUED, done, running);
 }
 
-static void answer_open(struct core *c, struct user_req *u, const struct kv_item *it)
+static void answer_open(struct core *core, struct user_req *u, const struct kv_item *it)
 {
 	if (json_is_true(json_object_get(it->value, "cancelled")))
-		user_state(c, u, 200, JS_CANCELLED, 0, 0);
+		user_state(core, u, 200, JS_CANCELLED, 0, 0);
 	else if (u->kind != USER_CANCEL)
-		answer_live(c, u, known_find(c, u->id));
-	else if (u->settled || c->now - u->since > USER_WAIT_S)
-		user_fail(c, u, 503, RETRY_AFTER_S, "unknown outcome");
+		answer_live(core, u, known_find(core, u->id));
+	else if (u->settled || core->now - u->since > USER_WAIT_S)
+		user_fail(core, u, 503, RETRY_AFTER_S, "unknown outcome");
 	else
-		user_cancel(c, u, it);
+		user_cancel(core, u, it);
 }
 
-static void answer_absent(struct core *c, struct user_req *u)
+static void answer_absent(struct core *core, struct user_req *u)
 {
 	if (u->kind != USER_SUBMIT)
-		user_fail(c, u, 404, 0, "no such job");
+		user_fail(core, u, 404, 0, "no such job");
 	else if (u->verdict == 503)
-		user_fail(c, u, 503, RETRY_AFTER_S, u->why);
+		user_fail(core, u, 503, RETRY_AFTER_S, u->why);
 	else if (u->verdict)
-		user_fail(c, u, u->verdict, 0, u->why);
+		user_fail(core, u, u->verdict, 0, u->why);
 	else
-		user_fail(c, u, 503, RETRY_AFTER_S, "unknown outcome");
+		user_fail(core, u, 503, RETRY_AFTER_S, "unknown outcome");
 }
 
-static void note_final_value(struct core *c, const char *id, json_t *value)
+static void note_final_value(struct core *core, const char *id, json_t *value)
 {
 	const char *s = json_string_value(json_object_get(value, "state"));
 
-	users_note_final(c, id, s && !strcmp(s, W_ST_DONE) ? JS_DONE : JS_CANCELLED,
+	users_note_final(core, id, s && !strcmp(s, W_ST_DONE) ? JS_DONE : JS_CANCELLED,
 			 (uint32_t)json_integer_value(json_object_get(value, "tasks")));
 }
 
-static void on_final_read(struct core *c, struct call *call, int status, const char *body,
+static void on_final_read(struct core *core, struct call *call, int status, const char *body,
 			  size_t len)
 {
-	struct user_req *u = call->arg;
+	struct user_req *request = call->arg;
 	struct kv_item it;
 	json_t *o;
 
-	c->nreads--;
-	store_heard(c, status);
+	core->nreads--;
+	store_heard(core, status);
 	if (status == 404) {
-		answer_absent(c, u);
+		answer_absent(core, request);
 		return;
 	}
 	o = status == 200 ? wire_parse(body, len) : NULL;
 	if (!o || wire_kv(o, &it)) {
 		json_decref(o);
-		user_unserved(c, u, status);
+		user_unserved(core, request, status);
 		return;
 	}
-	note_final_value(c, u->id, it.value);
+	note_final_value(core, request->id, it.value);
 	json_decref(o);
-	if (!answer_final(c, u))
-		user_fail(c, u, 503, RETRY_AFTER_S, "state");
+	if (!answer_final(core, request))
+		user_fail(core, request, 503, RETRY_AFTER_S, "state");
 }
 
-static void user_read(struct core *c, struct user_req *u, const char *prefix, call_fn fn)
+static void user_read(struct core *core, struct user_req *u, const char *prefix, call_fn fn)
 {
 	char key[ID_MAX + 8];
 
 	snprintf(key, sizeof(key), "%s%s", prefix, u->id);
-	c->nreads++;
-	store_get(c, key, fn, u)->drop = user_free;
+	core->nreads++;
+	store_get(core, key, fn, u)->drop = user_free;
 }
 
-static void on_open_read(struct core *c, struct call *call, int status, const char *body,
+static void on_open_read(struct core *core, struct call *call, int status, const char *body,
 			 size_t len)
 {
-	struct user_req *u = call->arg;
+	struct user_req *request = call->arg;
 	struct kv_item it;
 	json_t *o;
 
-	c->nreads--;
-	store_heard(c, status);
+	core->nreads--;
+	store_heard(core, status);
 	if (status == 404) {
-		user_read(c, u, JOBS_OVER, on_final_read);
+		user_read(core, request, JOBS_OVER, on_final_read);
 		return;
 	}
 	o = status == 200 ? wire_parse(body, len) : NULL;
 	if (!o || wire_kv(o, &it))
-		user_unserved(c, u, status);
+		user_unserved(core, request, status);
 	else
-		answer_open(c, u, &it);
+		answer_open(core, request, &it);
 	json_decref(o);
 }
 
@@ -286,193 +286,196 @@
  * A cancellation needs the record itself. All others wait for one read of changes that leaves after
  * they came: it tells of all of them at once, and is as new as their questions.
  */
-static void user_lookup(struct core *c, struct user_req *u)
+static void user_lookup(struct core *core, struct user_req *u)
 {
-	if (answer_final(c, u))
+	if (answer_final(core, u))
 		return;
-	if (c->nreads >= USER_READS_SHARE * c->conf->max_connections) {
-		user_fail(c, u, 429, RETRY_AFTER_BUSY_S, "busy");
+	if (core->nreads >= USER_READS_SHARE * core->conf->max_connections) {
+		user_fail(core, u, 429, RETRY_AFTER_BUSY_S, "busy");
 		return;
 	}
 	if (u->kind == USER_CANCEL) {
-		user_read(c, u, JOBS_OPEN, on_open_read);
+		user_read(core, u, JOBS_OPEN, on_open_read);
 		return;
 	}
-	DL_APPEND(c->asking, u);
-	c->nreads++;
+	DL_APPEND(core->asking, u);
+	core->nreads++;
 }
 
 /* --- the index: one read of changes answers all who ask --- */
 
 static void index_item(void *ctx, const struct kv_item *it)
 {
-	struct core *c = ctx;
-	struct known *k;
+	struct core *core = ctx;
+	struct known *known;
 
 	if (!strncmp(it->key, JOBS_OVER, strlen(JOBS_OVER)) && it->value) {
-		note_final_value(c, it->key + strlen(JOBS_OVER), it->value);
+		note_final_value(core, it->key + strlen(JOBS_OVER), it->value);
 	} else if (!strncmp(it->key, JOBS_OPEN, strlen(JOBS_OPEN)) && it->value) {
-		known_open(c, it->key + strlen(JOBS_OPEN), it->value);
+		known_open(core, it->key + strlen(JOBS_OPEN), it->value);
 	} else if (!strncmp(it->key, JOBS_OPEN, strlen(JOBS_OPEN))) {
 		/* Its final record comes with the same transaction; without one, nothing is known.
 		 */
-		k = known_find(c, it->key + strlen(JOBS_OPEN));
-		if (k && !k->final)
-			known_drop(c, k);
+		known = known_find(core, it->key + strlen(JOBS_OPEN));
+		if (known && !known->final)
+			known_drop(core, known);
 	}
 }
 
-static void answer_asked(struct core *c, struct user_req *u)
+static void answer_asked(struct core *core, struct user_req *u)
 {
-	struct known *k = known_find(c, u->id);
+	struct known *k = known_find(core, u->id);
 
-	c->nreads--;
+	core->nreads--;
 	if (!k)
-		user_read(c, u, JOBS_OVER, on_final_read);
+		user_read(core, u, JOBS_OVER, on_final_read);
 	else if (k->final || k->state == JS_CANCELLED)
-		user_state(c, u, 200, k->state, k->final ? k->done : 0, 0);
+		user_state(core, u, 200, k->state, k->final ? k->done : 0, 0);
 	else
-		answer_live(c, u, k);
+		answer_live(core, u, k);
 }
 
-static void asked_failed(struct core *c, struct user_req **list, int status)
+static void asked_failed(struct core *core, struct user_req **list, int status)
 {
-	struct user_req *u, *tmp;
+	struct user_req *request, *tmp;
 
-	DL_FOREACH_SAFE (*list, u, tmp) {
-		DL_DELETE(*list, u);
-		c->nreads--;
-		user_unserved(c, u, status);
+	DL_FOREACH_SAFE (*list, request, tmp) {
+		DL_DELETE(*list, request);
+		core->nreads--;
+		user_unserved(core, request, status);
 	}
 }
 
 /* Too much has happened since: an open job may be over by now, so none is known to be open. */
-static void index_forget(struct core *c)
+static void index_forget(struct core *core)
 {
-	struct known *k, *tmp;
+	struct known *known, *tmp;
 
-	c->index_known = false;
-	HASH_ITER (hh, c->known, k, tmp)
-		if (!k->final)
-			known_drop(c, k);
+	core->index_known = false;
+	HASH_ITER (hh, core->known, known, tmp)
+		if (!known->final)
+			known_drop(core, known);
 }
 
-static void on_changes(struct core *c, struct call *call, int status, const char *body, size_t len)
+static void on_changes(struct core *core, struct call *call, int status, const char *body,
+		       size_t len)
 {
-	struct user_req *u, *tmp, *list = c->asked;
+	struct user_req *request, *tmp, *list = core->asked;
 	json_t *o;
 
 	(void)call;
-	c->asked = NULL;
-	c->index_out = false;
-	store_heard(c, status);
+	core->asked = NULL;
+	core->index_out = false;
+	store_heard(core, status);
 	if (status != 200) {
 		if (status == 410)
-			index_forget(c);
+			index_forget(core);
 		/* The limit of requests, or too old: the next read may tell. */
-		if (status == 410 || (status == 429 && list && c->now - list->since < ASK_WAIT_S)) {
-			DL_CONCAT(list, c->asking);
-			c->asking = list;
-			c->index_next = c->now + ASK_AGAIN_S;
+		if (status == 410 ||
+		    (status == 429 && list && core->now - list->since < ASK_WAIT_S)) {
+			DL_CONCAT(list, core->asking);
+			core->asking = list;
+			core->index_next = core->now + ASK_AGAIN_S;
 		} else {
-			asked_failed(c, &list, status);
+			asked_failed(core, &list, status);
 		}
 		return;
 	}
 	o = wire_parse(body, len);
-	wire_items(o, index_item, c);
-	if (wire_revision(o) > c->index_revision)
-		c->index_revision = wire_revision(o);
+	wire_items(o, index_item, core);
+	if (wire_revision(o) > core->index_revision)
+		core->index_revision = wire_revision(o);
 	json_decref(o);
-	DL_FOREACH_SAFE (list, u, tmp) {
-		DL_DELETE(list, u);
-		answer_asked(c, u);
+	DL_FOREACH_SAFE (list, request, tmp) {
+		DL_DELETE(list, request);
+		answer_asked(core, request);
 	}
 }
 
-static void on_index_page(struct core *c, struct call *call, int status, const char *body,
+static void on_index_page(struct core *core, struct call *call, int status, const char *body,
 			  size_t len)
 {
-	bool first = !*c->index_last;
+	bool first = !*core->index_last;
 	json_t *o, *last;
 	size_t n;
 
 	(void)call;
-	c->index_out = false;
-	store_heard(c, status);
-	c->index_next = c->now + ASK_AGAIN_S;
+	core->index_out = false;
+	store_heard(core, status);
+	core->index_next = core->now + ASK_AGAIN_S;
 	if (status != 200) {
-		asked_failed(c, &c->asking, status);
+		asked_failed(core, &core->asking, status);
 		return;
 	}
 	o = wire_parse(body, len);
 	if (first)
-		c->index_revision = wire_revision(o);
-	wire_items(o, index_item, c);
+		core->index_revision = wire_revision(o);
+	wire_items(o, index_item, core);
 	n = json_array_size(json_object_get(o, W_ITEMS));
 	last = json_object_get(json_array_get(json_object_get(o, W_ITEMS), n ? n - 1 : 0), W_KEY);
-	snprintf(c->index_last, sizeof(c->index_last), "%s", last ? json_string_value(last) : "");
+	snprintf(core->index_last, sizeof(core->index_last), "%s",
+		 last ? json_string_value(last) : "");
 	if (!wire_more(o)) {
-		c->index_known = true;
-		c->index_last[0] = 0;
+		core->index_known = true;
+		core->index_last[0] = 0;
 	}
-	c->index_next = c->now;
+	core->index_next = core->now;
 	json_decref(o);
 }
 
-static void index_tick(struct core *c)
+static void index_tick(struct core *core)
 {
-	if (c->index_out || !c->asking || c->now < c->index_next)
+	if (core->index_out || !core->asking || core->now < core->index_next)
 		return;
-	c->index_out = true;
-	if (!c->index_known) {
-		store_range(c, JOBS_OPEN, c->index_last, on_index_page, NULL);
+	core->index_out = true;
+	if (!core->index_known) {
+		store_range(core, JOBS_OPEN, core->index_last, on_index_page, NULL);
 		return;
 	}
-	c->index_next = c->now + ASK_GATHER_S;
-	c->asked = c->asking;
-	c->asking = NULL;
-	store_watch(c, JOBS_ALL, c->index_revision, 0, on_changes, NULL);
+	core->index_next = core->now + ASK_GATHER_S;
+	core->asked = core->asking;
+	core->asking = NULL;
+	store_watch(core, JOBS_ALL, core->index_revision, 0, on_changes, NULL);
 }
 
 /* --- submissions, committed in batches --- */
 
-static struct user_req *take_flying(struct core *c)
+static struct user_req *take_flying(struct core *core)
 {
-	struct user_req *list = c->submit_flying;
+	struct user_req *list = core->submit_flying;
 
-	c->submit_flying = NULL;
+	core->submit_flying = NULL;
 	return list;
 }
 
-static void submit_accepted(struct core *c, struct user_req *list)
+static void submit_accepted(struct core *core, struct user_req *list)
 {
-	struct user_req *u, *tmp;
+	struct user_req *request, *tmp;
 
-	DL_FOREACH_SAFE (list, u, tmp) {
-		DL_DELETE(list, u);
-		log_info("accepted", "job=%s class=%s team=%s tasks=%u", u->id, u->spec->class_name,
-			 u->spec->team, u->spec->ntasks);
-		user_state(c, u, 201, JS_QUEUED, 0, 0);
+	DL_FOREACH_SAFE (list, request, tmp) {
+		DL_DELETE(list, request);
+		log_info("accepted", "job=%s class=%s team=%s tasks=%u", request->id,
+			 request->spec->class_name, request->spec->team, request->spec->ntasks);
+		user_state(core, request, 201, JS_QUEUED, 0, 0);
 	}
 }
 
-static void submit_conflict(struct core *c, struct user_req *list, const char *body, size_t len)
+static void submit_conflict(struct core *core, struct user_req *list, const char *body, size_t len)
 {
 	json_t *o = wire_parse(body, len);
-	struct user_req *u, *tmp;
+	struct user_req *request, *tmp;
 
-	DL_FOREACH_SAFE (list, u, tmp) {
+	DL_FOREACH_SAFE (list, request, tmp) {
 		char j[ID_MAX + 8], f[ID_MAX + 8];
 
-		DL_DELETE(list, u);
-		snprintf(j, sizeof(j), JOBS_OPEN "%s", u->id);
-		snprintf(f, sizeof(f), JOBS_OVER "%s", u->id);
+		DL_DELETE(list, request);
+		snprintf(j, sizeof(j), JOBS_OPEN "%s", request->id);
+		snprintf(f, sizeof(f), JOBS_OVER "%s", request->id);
 		if (wire_failed_has(o, j) || wire_failed_has(o, f)) {
-			user_lookup(c, u);
+			user_lookup(core, request);
 		} else {
-			DL_PREPEND(c->submits, u);
-			c->nsubmits++;
+			DL_PREPEND(core->submits, request);
+			core->nsubmits++;
 		}
 	}
 	json_decref(o);
@@ -482,199 +485,202 @@
  * A 400 is definite: too many jobs for one transaction, which are sent in smaller ones, or a record
  * that is too large.
  */
-static void submit_too_large(struct core *c, struct user_req *list)
+static void submit_too_large(struct core *core, struct user_req *list)
 {
-	struct user_req *u, *tmp;
+	struct user_req *request, *tmp;
 	int count;
 
-	DL_COUNT(list, u, count);
-	limits_refused(c, count, c->submit_largest);
-	DL_FOREACH_SAFE (list, u, tmp) {
-		DL_DELETE(list, u);
-		if (count <= LIMITS_TXN_OPS_MIN && record_bytes(u) > limits_value_bytes(c)) {
-			user_fail(c, u, 422, 0, RECORD_TOO_LARGE);
+	DL_COUNT(list, request, count);
+	limits_refused(core, count, core->submit_largest);
+	DL_FOREACH_SAFE (list, request, tmp) {
+		DL_DELETE(list, request);
+		if (count <= LIMITS_TXN_OPS_MIN &&
+		    record_bytes(request) > limits_value_bytes(core)) {
+			user_fail(core, request, 422, 0, RECORD_TOO_LARGE);
 		} else if (count == 1) {
-			user_fail(c, u, 503, RETRY_AFTER_S, "state");
+			user_fail(core, request, 503, RETRY_AFTER_S, "state");
 		} else {
-			DL_PREPEND(c->submits, u);
-			c->nsubmits++;
+			DL_PREPEND(core->submits, request);
+			core->nsubmits++;
 		}
 	}
 }
 
-static void submit_refused(struct core *c, struct user_req *list, int status)
+static void submit_refused(struct core *core, struct user_req *list, int status)
 {
-	struct user_req *u, *tmp;
+	struct user_req *request, *tmp;
 
 	if (status == 400) {
-		submit_too_large(c, list);
+		submit_too_large(core, list);
 		return;
 	}
-	DL_FOREACH_SAFE (list, u, tmp) {
-		DL_DELETE(list, u);
+	DL_FOREACH_SAFE (list, request, tmp) {
+		DL_DELETE(list, request);
 		if (status == 0) {
 			/* It may have been committed, or may yet be: look before saying anything.
 			 */
-			u->settled = true;
-			user_lookup(c, u);
+			request->settled = true;
+			user_lookup(core, request);
 		} else {
-			user_unserved(c, u, status);
+			user_unserved(core, request, status);
 		}
 	}
 }
 
-static void on_submit(struct core *c, struct call *call, int status, const char *body, size_t len)
+static void on_submit(struct core *core, struct call *call, int status, const char *body,
+		      size_t len)
 {
-	struct user_req *list = take_flying(c);
+	struct user_req *list = take_flying(core);
 
 	(void)call;
-	store_heard(c, status);
+	store_heard(core, status);
 	if (status == 200)
-		submit_accepted(c, list);
+		submit_accepted(core, list);
 	else if (status == 409)
-		submit_conflict(c, list, body, len);
+		submit_conflict(core, list, body, len);
 	else
-		submit_refused(c, list, status);
+		submit_refused(core, list, status);
 }
 
-static void add_submit(struct txn *t, const struct user_req *u)
+static void add_submit(struct txn *txn, const struct user_req *request)
 {
 	char key[ID_MAX + 8];
 
-	snprintf(key, sizeof(key), JOBS_OVER "%s", u->id);
-	txn_guard(t, key, 0);
-	snprintf(key, sizeof(key), JOBS_OPEN "%s", u->id);
-	txn_guard(t, key, 0);
-	txn_put(t, key, users_record(u->spec, u->wall, false), 0);
+	snprintf(key, sizeof(key), JOBS_OVER "%s", request->id);
+	txn_guard(txn, key, 0);
+	snprintf(key, sizeof(key), JOBS_OPEN "%s", request->id);
+	txn_guard(txn, key, 0);
+	txn_put(txn, key, users_record(request->spec, request->wall, false), 0);
 }
 
-static bool in_flight(const struct core *c, const struct user_req *u)
+static bool in_flight(const struct core *core, const struct user_req *u)
 {
 	const struct user_req *o;
 
-	DL_FOREACH (c->submit_flying, o)
+	DL_FOREACH (core->submit_flying, o)
 		if (!strcmp(o->id, u->id))
 			return true;
 	return false;
 }
 
-static void submit_tick(struct core *c)
+static void submit_tick(struct core *core)
 {
-	struct user_req *u, *tmp;
+	struct user_req *request, *tmp;
 	struct txn_mark mark;
-	struct txn t;
+	struct txn txn;
 
-	if (c->submit_flying || !c->submits)
+	if (core->submit_flying || !core->submits)
 		return;
-	txn_begin(&t);
-	DL_FOREACH_SAFE (c->submits, u, tmp) {
-		if (t.nops >= limits_txn_ops(c))
+	txn_begin(&txn);
+	DL_FOREACH_SAFE (core->submits, request, tmp) {
+		if (txn.nops >= limits_txn_ops(core))
 			break;
-		if (in_flight(c, u))
+		if (in_flight(core, request))
 			continue; /* the same job twice in one batch would fight itself */
-		mark = txn_mark(&t);
-		add_submit(&t, u);
-		if (mark.nops && txn_bytes(&t) > SUBMIT_BATCH_BYTES) {
-			txn_rollback(&t, &mark);
+		mark = txn_mark(&txn);
+		add_submit(&txn, request);
+		if (mark.nops && txn_bytes(&txn) > SUBMIT_BATCH_BYTES) {
+			txn_rollback(&txn, &mark);
 			break;
 		}
-		DL_DELETE(c->submits, u);
-		c->nsubmits--;
-		DL_APPEND(c->submit_flying, u);
+		DL_DELETE(core->submits, request);
+		core->nsubmits--;
+		DL_APPEND(core->submit_flying, request);
 	}
-	c->submit_largest = t.largest;
-	store_commit(c, txn_finish(&t), on_submit, NULL);
+	core->submit_largest = txn.largest;
+	store_commit(core, txn_finish(&txn), on_submit, NULL);
 }
 
-void users_tick(struct core *c)
+void users_tick(struct core *core)
 {
-	submit_tick(c);
-	index_tick(c);
+	submit_tick(core);
+	index_tick(core);
 }
 
 /* --- validation --- */
 
-static bool zone_fits(const struct machine_type *t, const struct job_spec *s)
+static bool zone_fits(const struct machine_type *type, const struct job_spec *spec)
 {
-	for (int i = 0; i < t->nzones; i++)
-		if (!*s->zone || !strcmp(t->zones[i], s->zone))
+	for (int i = 0; i < type->nzones; i++)
+		if (!*spec->zone || !strcmp(type->zones[i], spec->zone))
 			return true;
 	return false;
 }
 
-static bool type_fits(const struct machine_type *t, const struct job_spec *s)
+static bool type_fits(const struct machine_type *type, const struct job_spec *spec)
 {
-	return zone_fits(t, s) && machine_allowed(t, s->zone, false, s) && s->cpus <= t->cpus &&
-	       s->gpus <= t->gpus && s->mem_gb <= t->mem_gb;
+	return zone_fits(type, spec) && machine_allowed(type, spec->zone, false, spec) &&
+	       spec->cpus <= type->cpus && spec->gpus <= type->gpus && spec->mem_gb <= type->mem_gb;
 }
 
-static bool fits_some_type(const struct core *c, const struct job_spec *s)
+static bool fits_some_type(const struct core *core, const struct job_spec *spec)
 {
-	for (size_t i = 0; i < c->ntypes; i++)
-		if (type_fits(&c->types[i], s))
+	for (size_t i = 0; i < core->ntypes; i++)
+		if (type_fits(&core->types[i], spec))
 			return true;
 	return false;
 }
 
 /* At most half of a scattered gang runs in one zone, so there must be two that it may use. */
-static bool zones_suffice(const struct core *c, const struct job_spec *s)
+static bool zones_suffice(const struct core *core, const struct job_spec *spec)
 {
 	const char *first = NULL;
 
-	if (!s->spread || s->kind == JOB_ARRAY || s->ntasks < 2)
+	if (!spec->spread || spec->kind == JOB_ARRAY || spec->ntasks < 2)
 		return true;
-	if (s->one_zone || *s->zone)
+	if (spec->one_zone || *spec->zone)
 		return false;
-	for (size_t i = 0; i < c->ntypes; i++) {
-		const struct machine_type *t = &c->types[i];
+	for (size_t i = 0; i < core->ntypes; i++) {
+		const struct machine_type *type = &core->types[i];
 
-		for (int k = 0; k < t->nzones && type_fits(t, s); k++) {
-			if (first && strcmp(first, t->zones[k]))
+		for (int k = 0; k < type->nzones && type_fits(type, spec); k++) {
+			if (first && strcmp(first, type->zones[k]))
 				return true;
-			first = t->zones[k];
+			first = type->zones[k];
 		}
 	}
 	return false;
 }
 
-static void judge(struct core *c, struct user_req *u)
+static void judge(struct core *core, struct user_req *u)
 {
-	if (!team_find(c, u->spec->team)) {
+	if (!team_find(core, u->spec->team)) {
 		u->verdict = 422;
 		u->why = "unknown team";
-	} else if (!team_ever_fits(c->conf, u->spec)) {
+	} else if (!team_ever_fits(core->conf, u->spec)) {
 		u->verdict = 422;
 		u->why = "beyond the team's limit";
-	} else if (!c->types) {
+	} else if (!core->types) {
 		u->verdict = 503;
 		u->why = "machine types not known yet";
-	} else if (!fits_some_type(c, u->spec)) {
+	} else if (!fits_some_type(core, u->spec)) {
 		u->verdict = 422;
 		u->why = "fits no allowed machine";
-	} else if (!zones_suffice(c, u->spec)) {
+	} else if (!zones_suffice(core, u->spec)) {
 		u->verdict = 422;
 		u->why = "scattered, and no two zones allowed";
-	} else if (record_bytes(u) > limits_job_record_bytes(c)) {
+	} else if (record_bytes(u) > limits_job_record_bytes(core)) {
 		u->verdict = 422;
 		u->why = RECORD_TOO_LARGE;
 	}
 }
 
-static struct user_req *user_new(struct core *c, uint64_t conn, enum user_kind kind, const char *id)
+static struct user_req *user_new(struct core *core, uint64_t conn, enum user_kind kind,
+				 const char *id)
 {
-	struct user_req *u = calloc(1, sizeof(*u));
+	struct user_req *request = calloc(1, sizeof(*request));
 
-	if (!u)
+	if (!request)
 		abort();
-	u->conn = conn;
-	u->kind = kind;
-	u->since = c->now;
-	u->wall = c->wall;
-	memcpy(u->id, id, strnlen(id, sizeof(u->id) - 1));
-	return u;
+	request->conn = conn;
+	request->kind = kind;
+	request->since = core->now;
+	request->wall = core->wall;
+	memcpy(request->id, id, strnlen(id, sizeof(request->id) - 1));
+	return request;
 }
 
-static void submit(struct core *c, const struct core_request *r)
+static void submit(struct core *core, const struct core_request *r)
 {
 	json_t *o = wire_parse(r->body, r->len);
 	const char *id = json_string_value(json_object_get(o, W_ID)), *why;
@@ -682,12 +688,12 @@
 
 	/* Without a valid id it can't be a job that was accepted. */
 	if (!id || !wire_job_id_ok(id)) {
-		core_reply_error(c, r->conn, 400, 0, o ? W_ID : "not JSON");
+		core_reply_error(core, r->conn, 400, 0, o ? W_ID : "not JSON");
 		json_decref(o);
 		return;
 	}
 	log_debug("submission", "body=%.600s", r->body);
-	u = user_new(c, r->conn, USER_SUBMIT, id);
+	u = user_new(core, r->conn, USER_SUBMIT, id);
 	u->spec = calloc(1, sizeof(*u->spec));
 	u->body = strndup(r->body, r->len);
 	if (!u->spec || !u->body)
@@ -696,20 +702,20 @@
 		u->verdict = 400;
 		u->why = why;
 	} else {
-		judge(c, u);
+		judge(core, u);
 	}
 	json_decref(o);
 	if (u->verdict) {
-		user_lookup(c, u);
-	} else if (c->nsubmits >= USER_QUEUE_MAX) {
-		user_fail(c, u, 429, RETRY_AFTER_BUSY_S, "busy");
-	} else if (!answer_final(c, u)) {
-		DL_APPEND(c->submits, u);
-		c->nsubmits++;
+		user_lookup(core, u);
+	} else if (core->nsubmits >= USER_QUEUE_MAX) {
+		user_fail(core, u, 429, RETRY_AFTER_BUSY_S, "busy");
+	} else if (!answer_final(core, u)) {
+		DL_APPEND(core->submits, u);
+		core->nsubmits++;
 	}
 }
 
-static void job_route(struct core *c, const struct core_request *r, const char *rest)
+static void job_route(struct core *core, const struct core_request *request, const char *rest)
 {
 	char id[ID_MAX + 1];
 	const char *slash = strchr(rest, '/');
@@ -720,51 +726,53 @@
 	memcpy(id, rest, n);
 	id[n] = 0;
 	if (slash && strcmp(slash, W_PATH_CANCEL))
-		core_reply_error(c, r->conn, 404, 0, "no such path");
-	else if (strcmp(r->method, slash ? "POST" : "GET"))
-		core_reply_error(c, r->conn, 405, 0, "method");
+		core_reply_error(core, request->conn, 404, 0, "no such path");
+	else if (strcmp(request->method, slash ? "POST" : "GET"))
+		core_reply_error(core, request->conn, 405, 0, "method");
 	else if (!wire_job_id_ok(id))
-		core_reply_error(c, r->conn, 404, 0, "no such job");
+		core_reply_error(core, request->conn, 404, 0, "no such job");
 	else
-		user_lookup(c, user_new(c, r->conn, slash ? USER_CANCEL : USER_POLL, id));
+		user_lookup(core,
+			    user_new(core, request->conn, slash ? USER_CANCEL : USER_POLL, id));
 }
 
-void users_request(struct core *c, const struct core_request *r)
+void users_request(struct core *core, const struct core_request *request)
 {
 	size_t n = strlen(W_PATH_JOBS);
 
-	if (!strcmp(r->path, W_PATH_READY)) {
-		if (strcmp(r->method, "GET"))
-			core_reply_error(c, r->conn, 405, 0, "method");
+	if (!strcmp(request->path, W_PATH_READY)) {
+		if (strcmp(request->method, "GET"))
+			core_reply_error(core, request->conn, 405, 0, "method");
 		else
-			core_reply(c, r->conn, peers_ready(c) ? 200 : 503, 0, strdup("{}"));
-	} else if (!strcmp(r->path, W_PATH_JOBS)) {
-		if (strcmp(r->method, "POST"))
-			core_reply_error(c, r->conn, 405, 0, "method");
+			core_reply(core, request->conn, peers_ready(core) ? 200 : 503, 0,
+				   strdup("{}"));
+	} else if (!strcmp(request->path, W_PATH_JOBS)) {
+		if (strcmp(request->method, "POST"))
+			core_reply_error(core, request->conn, 405, 0, "method");
 		else
-			submit(c, r);
-	} else if (!strncmp(r->path, W_PATH_JOBS "/", n + 1)) {
-		job_route(c, r, r->path + n + 1);
+			submit(core, request);
+	} else if (!strncmp(request->path, W_PATH_JOBS "/", n + 1)) {
+		job_route(core, request, request->path + n + 1);
 	} else {
-		core_reply_error(c, r->conn, 404, 0, "no such path");
+		core_reply_error(core, request->conn, 404, 0, "no such path");
 	}
 }
 
-void users_clear(struct core *c)
+void users_clear(struct core *core)
 {
-	struct user_req *u, *tmp;
-	struct known *k, *ktmp;
+	struct user_req *request, *tmp;
+	struct known *known, *ktmp;
 
-	DL_FOREACH_SAFE (c->submits, u, tmp)
-		user_free(u);
-	DL_FOREACH_SAFE (c->submit_flying, u, tmp)
-		user_free(u);
-	DL_FOREACH_SAFE (c->asking, u, tmp)
-		user_free(u);
-	DL_FOREACH_SAFE (c->asked, u, tmp)
-		user_free(u);
-	HASH_ITER (hh, c->known, k, ktmp) {
-		HASH_DEL(c->known, k);
-		free(k);
+	DL_FOREACH_SAFE (core->submits, request, tmp)
+		user_free(request);
+	DL_FOREACH_SAFE (core->submit_flying, request, tmp)
+		user_free(request);
+	DL_FOREACH_SAFE (core->asking, request, tmp)
+		user_free(request);
+	DL_FOREACH_SAFE (core->asked, request, tmp)
+		user_free(request);
+	HASH_ITER (hh, core->known, known, ktmp) {
+		HASH_DEL(core->known, known);
+		free(known);
 	}
 }
--- a/src/core/workers.c
+++ b/src/core/workers.c
@@ -16,114 +16,114 @@
 #include "util/log.h"
 #include "wire/names.h"
 
-static struct binding *binding_find(struct machine *m, const struct report_task *t)
+static struct binding *binding_find(struct machine *machine, const struct report_task *listed)
 {
-	struct binding *b;
+	struct binding *binding;
 
-	DL_FOREACH2 (m->bindings, b, mnext)
-		if (b->task == t->task && b->attempt == t->attempt &&
-		    !strcmp(b->job->spec.id, t->job))
-			return b;
+	DL_FOREACH2 (machine->bindings, binding, mnext)
+		if (binding->task == listed->task && binding->attempt == listed->attempt &&
+		    !strcmp(binding->job->spec.id, listed->job))
+			return binding;
 	return NULL;
 }
 
 /* No start of an earlier moment can still take effect on this machine. */
-static bool fenced(const struct machine *m)
+static bool fenced(const struct machine *machine)
 {
-	return !m->do_out && m->token > m->loose_token;
+	return !machine->do_out && machine->token > machine->loose_token;
 }
 
 /* --- reading a report --- */
 
-static void note_running(struct core *c, struct binding *b, enum task_state st)
+static void note_running(struct core *core, struct binding *b, enum task_state st)
 {
 	bool running = st == TS_RUNNING || st == TS_SAVING;
 
 	if (st != TS_FETCHING)
 		machine_note_image(b->machine, b->job->spec.image);
 	if (running && b->running_since <= 0) {
-		b->running_since = c->now;
+		b->running_since = core->now;
 		b->job->nrunning++;
 		log_info("task_running", "job=%s task=%u attempt=%llu machine=%s after=%.2f",
 			 b->job->spec.id, b->task, (unsigned long long)b->attempt, b->machine->id,
-			 c->wall - b->job->submitted);
+			 core->wall - b->job->submitted);
 	}
 	b->state = st;
 }
 
-static void add_leftover(struct machine *m, const struct report_task *t)
+static void add_leftover(struct machine *machine, const struct report_task *listed)
 {
-	struct leftover *l;
+	struct leftover *leftover;
 
-	m->left = realloc(m->left, (m->nleft + 1) * sizeof(*m->left));
-	if (!m->left)
+	machine->left = realloc(machine->left, (machine->nleft + 1) * sizeof(*machine->left));
+	if (!machine->left)
 		abort();
-	l = &m->left[m->nleft++];
-	snprintf(l->job, sizeof(l->job), "%s", t->job);
-	l->task = t->task;
-	l->attempt = t->attempt;
-	l->ended = t->state == TS_EXITED;
+	leftover = &machine->left[machine->nleft++];
+	snprintf(leftover->job, sizeof(leftover->job), "%s", listed->job);
+	leftover->task = listed->task;
+	leftover->attempt = listed->attempt;
+	leftover->ended = listed->state == TS_EXITED;
 }
 
-static void take_task(struct core *c, struct machine *m, const struct report_task *t)
+static void take_task(struct core *core, struct machine *m, const struct report_task *listed)
 {
-	struct binding *b = binding_find(m, t);
+	struct binding *b = binding_find(m, listed);
 
-	if (b && t->state != TS_EXITED) {
+	if (b && listed->state != TS_EXITED) {
 		b->seen = true;
 		b->listed_at = m->seq;
-		note_running(c, b, t->state);
+		note_running(core, b, listed->state);
 		return;
 	}
-	add_leftover(m, t);
+	add_leftover(m, listed);
 	if (b) {
-		if (t->why == WHY_DONE)
+		if (listed->why == WHY_DONE)
 			machine_note_image(m, b->job->spec.image);
-		binding_end(c, b, t->why);
-	} else if (t->state == TS_EXITED && t->why == WHY_DONE) {
-		job_done_unbound(c, t->job, t->task);
+		binding_end(core, b, listed->why);
+	} else if (listed->state == TS_EXITED && listed->why == WHY_DONE) {
+		job_done_unbound(core, listed->job, listed->task);
 	}
 }
 
 /* A bound task that this report does not list. */
-static void take_absent(struct core *c, struct machine *m, struct binding *b, bool beat)
+static void take_absent(struct core *core, struct machine *m, struct binding *binding, bool beat)
 {
-	if (!b->committed || binding_unsent(b))
+	if (!binding->committed || binding_unsent(binding))
 		return;
 	/* The session that was told to start it is over. */
-	if (b->sent_session && m->session > b->sent_session) {
-		binding_end(c, b, WHY_NONE);
+	if (binding->sent_session && m->session > binding->sent_session) {
+		binding_end(core, binding, WHY_NONE);
 		return;
 	}
-	if (!beat || m->token < b->floor_token || !fenced(m) || m->seq <= b->beat_seq) {
-		if (beat && !fenced(m) && !m->do_out && (b->stopping || b->loaded))
-			c->fence_wanted = true;
+	if (!beat || m->token < binding->floor_token || !fenced(m) || m->seq <= binding->beat_seq) {
+		if (beat && !fenced(m) && !m->do_out && (binding->stopping || binding->loaded))
+			core->fence_wanted = true;
 		return;
 	}
-	if (b->loaded || b->seen || b->stopping)
-		binding_end(c, b, WHY_NONE);
+	if (binding->loaded || binding->seen || binding->stopping)
+		binding_end(core, binding, WHY_NONE);
 	/* else its start was lost on the way: it is sent again */
 }
 
-static void take_list(struct core *c, struct machine *m, const struct report *r, bool beat)
+static void take_list(struct core *core, struct machine *m, const struct report *report, bool beat)
 {
-	struct binding *b;
+	struct binding *binding;
 	bool again;
 
 	free(m->left);
 	m->left = NULL;
 	m->nleft = 0;
-	for (size_t i = 0; i < r->ntasks; i++)
-		take_task(c, m, &r->tasks[i]);
+	for (size_t i = 0; i < report->ntasks; i++)
+		take_task(core, m, &report->tasks[i]);
 	/* Ending a binding may end others of its gang, so the walk starts anew after each. */
 	do {
 		again = false;
-		DL_FOREACH2 (m->bindings, b, mnext) {
+		DL_FOREACH2 (m->bindings, binding, mnext) {
 			int before = m->nbindings;
 
-			if (b->listed_at == m->seq)
+			if (binding->listed_at == m->seq)
 				continue;
-			take_absent(c, m, b, beat);
+			take_absent(core, m, binding, beat);
 			if (m->nbindings != before) {
 				again = true;
 				break;
@@ -138,15 +138,17 @@
  * term (session, sequence) orders what a machine says. A worker that has not seen it yet is
  * answered, so that it will, and its words count from then on.
  */
-static bool report_counts(const struct core *c, const struct machine *m, const struct report *r)
+static bool report_counts(const struct core *core, const struct machine *machine,
+			  const struct report *report)
 {
-	return r->token >= c->el.first_token && r->token >= m->inc_token && !m->restarted;
+	return report->token >= core->el.first_token && report->token >= machine->inc_token &&
+	       !machine->restarted;
 }
 
 /* True unless the report is newer than the message that (session, seq) names. */
-static bool report_older(const struct report *r, uint64_t session, uint64_t seq)
+static bool report_older(const struct report *report, uint64_t session, uint64_t seq)
 {
-	return r->session < session || (r->session == session && r->seq <= seq);
+	return report->session < session || (report->session == session && report->seq <= seq);
 }
 
 /*
@@ -154,78 +156,79 @@
  * rises while we answered all along, and starts are ignored. It gets no work until the answer to
  * a question shows that it hears us.
  */
-static void note_deaf(struct core *c, struct machine *m, const char *why)
+static void note_deaf(struct core *core, struct machine *m, const char *why)
 {
 	if (m->hears) {
 		log_info("machine_deaf", "machine=%s why=%s", m->id, why);
-		m->deaf_since = c->now;
+		m->deaf_since = core->now;
 	}
 	m->hears = false;
 	m->unheeded = 0;
 }
 
-static void note_hears(struct core *c, struct machine *m)
+static void note_hears(struct core *core, struct machine *m)
 {
 	if (!m->hears)
-		round_wanted(c);
+		round_wanted(core);
 	m->hears = true;
 	m->unheeded = m->unproven = 0;
 }
 
 /* A start that went with the answer to an earlier report is not on this one. */
-static void look_heeded(struct core *c, struct machine *m)
+static void look_heeded(struct core *core, struct machine *m)
 {
-	const struct binding *b;
+	const struct binding *binding;
 	bool ignored = false;
 
-	DL_FOREACH2 (m->bindings, b, mnext)
-		ignored |= b->beat_seq && !b->seen && b->listed_at != m->seq;
+	DL_FOREACH2 (m->bindings, binding, mnext)
+		ignored |= binding->beat_seq && !binding->seen && binding->listed_at != m->seq;
 	if (!ignored)
 		m->unheeded = 0;
 	else if (++m->unheeded >= MACHINE_UNHEEDED)
-		note_deaf(c, m, "starts_ignored");
+		note_deaf(core, m, "starts_ignored");
 }
 
 /* False if older than what is known: it says nothing new. */
-static bool take_report(struct core *c, struct machine *m, const struct report *r, bool beat)
+static bool take_report(struct core *core, struct machine *m, const struct report *report,
+			bool beat)
 {
 	bool first = m->last_word < 0;
 
-	if (report_older(r, m->session, m->seq))
+	if (report_older(report, m->session, m->seq))
 		return false;
-	if (beat && m->session && r->session > m->session)
-		note_deaf(c, m, "lease_ran_out");
+	if (beat && m->session && report->session > m->session)
+		note_deaf(core, m, "lease_ran_out");
 	else if (!beat || first)
-		note_hears(c, m);
-	m->session = r->session;
-	m->seq = r->seq;
-	if (r->token > m->token)
-		m->token = r->token;
-	m->last_word = c->now;
+		note_hears(core, m);
+	m->session = report->session;
+	m->seq = report->seq;
+	if (report->token > m->token)
+		m->token = report->token;
+	m->last_word = core->now;
 	if (beat)
-		m->last_beat = c->now;
+		m->last_beat = core->now;
 	if (first) {
-		m->idle_since = m->up_at = c->now;
+		m->idle_since = m->up_at = core->now;
 		log_info("machine_up", "machine=%s type=%s zone=%s spot=%d after=%.1f", m->id,
-			 m->type_name, m->zone, m->spot, c->now - m->rented_at);
-		round_wanted(c);
+			 m->type_name, m->zone, m->spot, core->now - m->rented_at);
+		round_wanted(core);
 	}
-	if (r->notice_s >= 0 && m->notice_s < 0) {
-		log_info("machine_notice", "machine=%s seconds=%.1f", m->id, r->notice_s);
-		c->replicas_leave |= m->nreplicas > 0;
-		round_wanted(c);
+	if (report->notice_s >= 0 && m->notice_s < 0) {
+		log_info("machine_notice", "machine=%s seconds=%.1f", m->id, report->notice_s);
+		core->replicas_leave |= m->nreplicas > 0;
+		round_wanted(core);
 	}
-	if (!beat && m->last_beat < 0 && r->token < c->el.token) {
+	if (!beat && m->last_beat < 0 && report->token < core->el.token) {
 		m->call = true;
-		workers_kick(c, m);
+		workers_kick(core, m);
 	}
-	m->notice_s = r->notice_s;
-	m->notice_heard = c->now;
-	take_list(c, m, r, beat);
+	m->notice_s = report->notice_s;
+	m->notice_heard = core->now;
+	take_list(core, m, report, beat);
 	if (beat)
-		look_heeded(c, m);
+		look_heeded(core, m);
 	if (!m->hears)
-		workers_ask(c, m);
+		workers_ask(core, m);
 	return true;
 }
 
@@ -236,7 +239,7 @@
  * gone; but a start from before may still be under way, so a new token is taken, and nothing the
  * machine or a copy says under an older one counts.
  */
-static void machine_restarted(struct core *c, struct machine *m)
+static void machine_restarted(struct core *core, struct machine *m)
 {
 	if (m->restarted)
 		return;
@@ -244,38 +247,38 @@
 		 (unsigned long long)m->session, (unsigned long long)m->seq, m->nbindings);
 	m->restarted = true;
 	m->hears = false;
-	m->deaf_since = c->now;
-	c->fence_wanted = true;
+	m->deaf_since = core->now;
+	core->fence_wanted = true;
 }
 
-static void machine_anew(struct core *c, struct machine *m)
+static void machine_anew(struct core *core, struct machine *m)
 {
-	struct binding *b;
+	struct binding *binding;
 
 	m->restarted = false;
-	m->inc_token = c->el.token;
+	m->inc_token = core->el.token;
 	m->session = m->seq = m->token = 0;
 	m->last_word = m->last_beat = m->reported = -1;
-	m->rented_at = m->up_at = c->now;
+	m->rented_at = m->up_at = core->now;
 	free(m->left);
 	m->left = NULL;
 	m->nleft = 0;
 	/* Their ends are proved by a report under the new token that lacks them. */
-	DL_FOREACH2 (m->bindings, b, mnext) {
-		b->loaded = true;
-		b->seen = false;
-		b->sent_session = b->beat_seq = b->listed_at = 0;
-		b->floor_token = c->el.token;
+	DL_FOREACH2 (m->bindings, binding, mnext) {
+		binding->loaded = true;
+		binding->seen = false;
+		binding->sent_session = binding->beat_seq = binding->listed_at = 0;
+		binding->floor_token = core->el.token;
 	}
 }
 
-void workers_fenced(struct core *c)
+void workers_fenced(struct core *core)
 {
-	struct machine *m, *tmp;
+	struct machine *machine, *tmp;
 
-	HASH_ITER (hh, c->machines, m, tmp)
-		if (m->restarted)
-			machine_anew(c, m);
+	HASH_ITER (hh, core->machines, machine, tmp)
+		if (machine->restarted)
+			machine_anew(core, machine);
 }
 
 /* --- commands --- */
@@ -286,362 +289,372 @@
 	bool starts;
 };
 
-static void add_command(struct command_list *l, enum command_op op, const char *job, uint32_t task,
-			uint64_t attempt, double grace_s)
+static void add_command(struct command_list *list, enum command_op op, const char *job,
+			uint32_t task, uint64_t attempt, double grace_s)
 {
 	struct command *cmd;
 
-	if (l->n == COMMANDS_MAX)
+	if (list->n == COMMANDS_MAX)
 		return;
-	cmd = &l->items[l->n++];
+	cmd = &list->items[list->n++];
 	cmd->op = op;
 	snprintf(cmd->job, sizeof(cmd->job), "%s", job);
 	cmd->task = task;
 	cmd->attempt = attempt;
 	cmd->grace_s = grace_s;
-	l->starts |= op == OP_START;
+	list->starts |= op == OP_START;
 }
 
 /* A gang starts only when the whole attempt is committed: a part alone would wait in vain. */
-static bool may_start(const struct binding *b)
+static bool may_start(const struct binding *binding)
 {
-	const struct job *j = b->job;
+	const struct job *job = binding->job;
 
-	if (!b->committed || b->seen || b->stopping || j->cancelled || j->orphan ||
-	    j->gang_stopping || b->loaded)
+	if (!binding->committed || binding->seen || binding->stopping || job->cancelled ||
+	    job->orphan || job->gang_stopping || binding->loaded)
 		return false;
-	return j->spec.kind != JOB_GANG || !j->uncommitted;
+	return job->spec.kind != JOB_GANG || !job->uncommitted;
 }
 
-static void command_binding(struct core *c, struct machine *m, struct binding *b,
+static void command_binding(struct core *core, struct machine *m, struct binding *binding,
 			    struct command_list *l, bool beat)
 {
 	/* Sent by /do and answered, but not yet on a report: not sent again at once. */
-	if (may_start(b) && (beat || b->sent_at <= 0 || c->now - b->sent_at > START_RESEND_S)) {
-		add_command(l, OP_START, b->job->spec.id, b->task, b->attempt, 0);
-		b->sent_at = c->now;
-		b->sent_session = m->session;
+	if (may_start(binding) &&
+	    (beat || binding->sent_at <= 0 || core->now - binding->sent_at > START_RESEND_S)) {
+		add_command(l, OP_START, binding->job->spec.id, binding->task, binding->attempt, 0);
+		binding->sent_at = core->now;
+		binding->sent_session = m->session;
 		if (beat)
-			b->beat_seq = m->seq;
-	} else if (b->stopping && b->state != TS_EXITED &&
-		   (beat || b->stop_at <= 0 || c->now - b->stop_at > START_RESEND_S)) {
+			binding->beat_seq = m->seq;
+	} else if (binding->stopping && binding->state != TS_EXITED &&
+		   (beat || binding->stop_at <= 0 ||
+		    core->now - binding->stop_at > START_RESEND_S)) {
 		/* A second stop with less grace would end a save: it is repeated unchanged. */
-		add_command(l, OP_STOP, b->job->spec.id, b->task, b->attempt, b->grace_s);
-		b->stop_at = c->now;
+		add_command(l, OP_STOP, binding->job->spec.id, binding->task, binding->attempt,
+			    binding->grace_s);
+		binding->stop_at = core->now;
 	}
 }
 
-static bool may_forget(struct core *c, const struct machine *m, const struct leftover *l)
+static bool may_forget(struct core *core, const struct machine *machine,
+		       const struct leftover *leftover)
 {
-	struct job *j = job_find(c, l->job);
+	struct job *j = job_find(core, leftover->job);
 
 	/* Its end must be on record first: until then this list is the only proof. */
-	if (!fenced(m) || m->token < c->el.token)
+	if (!fenced(machine) || machine->token < core->el.token)
 		return false;
-	return !j || l->task >= j->spec.ntasks || commit_settled(j, l->task);
+	return !j || leftover->task >= j->spec.ntasks || commit_settled(j, leftover->task);
 }
 
-static void gather(struct core *c, struct machine *m, struct command_list *l, bool beat)
+static void gather(struct core *core, struct machine *m, struct command_list *list, bool beat)
 {
-	struct binding *b;
+	struct binding *binding;
 
-	l->n = 0;
-	l->starts = false;
+	list->n = 0;
+	list->starts = false;
 	for (size_t i = 0; i < m->nleft; i++) {
-		const struct leftover *x = &m->left[i];
-
-		if (!x->ended)
-			add_command(l, OP_STOP, x->job, x->task, x->attempt, 0);
-		else if (may_forget(c, m, x))
-			add_command(l, OP_FORGET, x->job, x->task, x->attempt, 0);
+		const struct leftover *leftover = &m->left[i];
+
+		if (!leftover->ended)
+			add_command(list, OP_STOP, leftover->job, leftover->task, leftover->attempt,
+				    0);
+		else if (may_forget(core, m, leftover))
+			add_command(list, OP_FORGET, leftover->job, leftover->task,
+				    leftover->attempt, 0);
 		else if (!fenced(m) && !m->do_out)
-			c->fence_wanted = true;
+			core->fence_wanted = true;
 	}
 	if (m->deleting)
 		return;
-	DL_FOREACH2 (m->bindings, b, mnext)
-		command_binding(c, m, b, l, beat);
+	DL_FOREACH2 (m->bindings, binding, mnext)
+		command_binding(core, m, binding, list, beat);
 }
 
-static void misdirect(struct core *c, uint64_t conn)
+static void misdirect(struct core *core, uint64_t conn)
 {
-	const char *leader = strcmp(c->el.leader, c->conf->name) ? c->el.leader : "";
+	const char *leader = strcmp(core->el.leader, core->conf->name) ? core->el.leader : "";
 
-	core_reply(c, conn, 421, 0, wire_misdirected(leader));
+	core_reply(core, conn, 421, 0, wire_misdirected(leader));
 }
 
 /*
  * A copy of an old report says nothing as long as newer ones come; a machine that began anew sends
  * none. With a fleet's copies a question to each would cost more than the reports themselves.
  */
-static bool news_overdue(const struct core *c, const struct machine *m)
+static bool news_overdue(const struct core *core, const struct machine *machine)
 {
-	return c->now - m->last_beat > MACHINE_NEWS_REPORTS * c->conf->report_s &&
-	       c->now - m->asked_at > MACHINE_ASK_S;
+	return core->now - machine->last_beat > MACHINE_NEWS_REPORTS * core->conf->report_s &&
+	       core->now - machine->asked_at > MACHINE_ASK_S;
 }
 
 /* True if the report is news of its machine, which then may get commands with the answer. */
-static bool beat_counts(struct core *c, const struct report *r)
+static bool beat_counts(struct core *core, const struct report *report)
 {
-	struct machine *m = machine_find(c, r->machine);
+	struct machine *m = machine_find(core, report->machine);
 
 	/* Deleted in this term: a copy must not bring it back to life. */
-	if (!m && machine_has_tombstone(c, r->machine))
+	if (!m && machine_has_tombstone(core, report->machine))
 		return false;
 	if (!m)
-		m = machine_get(c, r->machine);
-	machine_describe(c, m, r->addr, r->type, r->zone, r->spot);
-	m->reported = c->now;
-	if (!report_counts(c, m, r)) {
+		m = machine_get(core, report->machine);
+	machine_describe(core, m, report->addr, report->type, report->zone, report->spot);
+	m->reported = core->now;
+	if (!report_counts(core, m, report)) {
 		/* A new machine, or one that began anew, has seen no token and is asked at once;
 		 * others show theirs by their next report. */
-		if ((!r->token && c->now - m->asked_at > MACHINE_ASK_S) ||
-		    (m->unproven++ && news_overdue(c, m)))
-			workers_ask(c, m);
+		if ((!report->token && core->now - m->asked_at > MACHINE_ASK_S) ||
+		    (m->unproven++ && news_overdue(core, m)))
+			workers_ask(core, m);
 		return false;
 	}
-	if (!report_older(r, m->session, m->seq))
-		return take_report(c, m, r, true);
-	if (news_overdue(c, m))
-		workers_ask(c, m);
+	if (!report_older(report, m->session, m->seq))
+		return take_report(core, m, report, true);
+	if (news_overdue(core, m))
+		workers_ask(core, m);
 	return false;
 }
 
 /* A report that counts, answered with the commands for its machine. */
-static void answer_beat(struct core *c, uint64_t conn, const struct report *report)
+static void answer_beat(struct core *core, uint64_t conn, const struct report *report)
 {
 	struct command_list commands;
 
-	if (!beat_counts(c, report)) {
-		core_reply(c, conn, 200, 0, wire_beat_answer(c->el.token, NULL, 0));
+	if (!beat_counts(core, report)) {
+		core_reply(core, conn, 200, 0, wire_beat_answer(core->el.token, NULL, 0));
 		return;
 	}
-	gather(c, machine_find(c, report->machine), &commands, true);
-	core_reply(c, conn, 200, 0, wire_beat_answer(c->el.token, commands.items, commands.n));
+	gather(core, machine_find(core, report->machine), &commands, true);
+	core_reply(core, conn, 200, 0,
+		   wire_beat_answer(core->el.token, commands.items, commands.n));
 }
 
 /* False, with an answer sent, if the report shows that another controller leads. */
-static bool token_allows(struct core *c, uint64_t conn, const struct report *report)
+static bool token_allows(struct core *core, uint64_t conn, const struct report *report)
 {
-	if (report->token <= c->el.token)
+	if (report->token <= core->el.token)
 		return true;
 	/* A higher token than ours: another leads, and a 200 would hold the worker here in vain. */
-	if (!(c->flying && c->flight.fence))
-		election_step_down(c, "worker_saw_higher_token");
-	core_reply_error(c, conn, 503, 0, "not leading");
+	if (!(core->flying && core->flight.fence))
+		election_step_down(core, "worker_saw_higher_token");
+	core_reply_error(core, conn, 503, 0, "not leading");
 	return false;
 }
 
-void workers_beat(struct core *c, const struct core_request *r)
+void workers_beat(struct core *core, const struct core_request *request)
 {
 	const struct report *known;
-	struct machine *m;
+	struct machine *machine;
 	struct report rep;
 
-	election_look(c);
-	if (c->el.role == ROLE_FOLLOW) {
-		misdirect(c, r->conn);
+	election_look(core);
+	if (core->el.role == ROLE_FOLLOW) {
+		misdirect(core, request->conn);
 		return;
 	}
-	if (c->el.role == ROLE_LOADING) {
-		core_reply_error(c, r->conn, 503, 0, "taking over");
+	if (core->el.role == ROLE_LOADING) {
+		core_reply_error(core, request->conn, 503, 0, "taking over");
 		return;
 	}
-	known = report_cache_find(&c->reports, r->body, r->len);
+	known = report_cache_find(&core->reports, request->body, request->len);
 	if (known) {
-		if (token_allows(c, r->conn, known))
-			answer_beat(c, r->conn, known);
+		if (token_allows(core, request->conn, known))
+			answer_beat(core, request->conn, known);
 		return;
 	}
-	if (wire_report_decode(r->body, r->len, &rep)) {
-		core_reply_error(c, r->conn, 400, 0, "report");
+	if (wire_report_decode(request->body, request->len, &rep)) {
+		core_reply_error(core, request->conn, 400, 0, "report");
 		return;
 	}
-	if (token_allows(c, r->conn, &rep)) {
-		answer_beat(c, r->conn, &rep);
-		m = machine_find(c, rep.machine);
-		if (m)
-			report_cache_store(&c->reports, &m->last_report, r->body, r->len, &rep);
+	if (token_allows(core, request->conn, &rep)) {
+		answer_beat(core, request->conn, &rep);
+		machine = machine_find(core, rep.machine);
+		if (machine)
+			report_cache_store(&core->reports, &machine->last_report, request->body,
+					   request->len, &rep);
 	}
 	wire_report_free(&rep);
 }
 
 /* --- direct commands --- */
 
-static void take_answer(struct core *c, const struct call *call, const char *body, size_t len)
+static void take_answer(struct core *core, const struct call *call, const char *body, size_t len)
 {
 	struct report rep;
-	struct machine *m;
+	struct machine *machine;
 	bool same;
 
 	if (wire_report_decode(body, len, &rep))
 		return;
-	m = machine_find(c, rep.machine);
-	same = m && !strcmp(m->id, call->key);
-	if (same && !m->restarted && m->inc_token <= call->token) {
-		machine_describe(c, m, rep.addr, rep.type, rep.zone, rep.spot);
+	machine = machine_find(core, rep.machine);
+	same = machine && !strcmp(machine->id, call->key);
+	if (same && !machine->restarted && machine->inc_token <= call->token) {
+		machine_describe(core, machine, rep.addr, rep.type, rep.zone, rep.spot);
 		if (report_older(&rep, call->session, call->seq))
-			machine_restarted(c, m);
+			machine_restarted(core, machine);
 		else
-			take_report(c, m, &rep, false);
+			take_report(core, machine, &rep, false);
 	}
 	wire_report_free(&rep);
 }
 
-static void kick_queue(struct core *c, struct machine *m)
+static void kick_queue(struct core *core, struct machine *m)
 {
 	if (m->queued)
 		return;
 	m->queued = true;
-	DL_APPEND2(c->kicked, m, kprev, knext);
+	DL_APPEND2(core->kicked, m, kprev, knext);
 }
 
-static void kick_unqueue(struct core *c, struct machine *m)
+static void kick_unqueue(struct core *core, struct machine *m)
 {
 	if (!m->queued)
 		return;
 	m->queued = false;
-	DL_DELETE2(c->kicked, m, kprev, knext);
+	DL_DELETE2(core->kicked, m, kprev, knext);
 }
 
-static void on_do(struct core *c, struct call *call, int status, const char *body, size_t len)
+static void on_do(struct core *core, struct call *call, int status, const char *body, size_t len)
 {
-	struct machine *m;
+	struct machine *machine;
 
-	c->directs--;
-	if (election_stale(c, call))
+	core->directs--;
+	if (election_stale(core, call))
 		return;
-	m = machine_find(c, call->key);
-	if (!m)
+	machine = machine_find(core, call->key);
+	if (!machine)
 		return;
-	if (m->do_out)
-		m->do_out--;
-	if (m->kick)
-		kick_queue(c, m); /* what has gathered meanwhile */
-	if (status == 0 && call->starts && call->token > m->loose_token) {
-		m->loose_token = call->token;
-		log_debug("do_unanswered", "machine=%s", m->id);
+	if (machine->do_out)
+		machine->do_out--;
+	if (machine->kick)
+		kick_queue(core, machine); /* what has gathered meanwhile */
+	if (status == 0 && call->starts && call->token > machine->loose_token) {
+		machine->loose_token = call->token;
+		log_debug("do_unanswered", "machine=%s", machine->id);
 	}
 	if (status == 200 || status == 409)
-		take_answer(c, call, body, len);
+		take_answer(core, call, body, len);
 }
 
-static void on_show(struct core *c, struct call *call, int status, const char *body, size_t len)
+static void on_show(struct core *core, struct call *call, int status, const char *body, size_t len)
 {
-	struct machine *m;
+	struct machine *machine;
 
-	c->directs--;
-	if (election_stale(c, call))
+	core->directs--;
+	if (election_stale(core, call))
 		return;
-	m = machine_find(c, call->key);
-	if (m && status <= 0)
-		m->unanswered_at = call->sent;
+	machine = machine_find(core, call->key);
+	if (machine && status <= 0)
+		machine->unanswered_at = call->sent;
 	if (status == 200)
-		take_answer(c, call, body, len);
+		take_answer(core, call, body, len);
 }
 
 /*
  * Machines that are gone keep a socket for each command or question until it is given up. When many
  * go at once, the sockets that callers need must not all wait for them.
  */
-static bool directs_full(const struct core *c)
+static bool directs_full(const struct core *core)
 {
-	return c->directs >= c->conf->max_connections * DIRECT_SHARE;
+	return core->directs >= core->conf->max_connections * DIRECT_SHARE;
 }
 
 /*
  * Questions a second: enough to ask all machines well within a lease, however many there are. While
  * they find a new leader by themselves, a few are enough.
  */
-static double asks_per_s(const struct core *c)
+static double asks_per_s(const struct core *core)
 {
-	if (c->now - c->lead_since < MACHINE_SHOW_REPORTS * c->conf->report_s)
+	if (core->now - core->lead_since < MACHINE_SHOW_REPORTS * core->conf->report_s)
 		return ASKS_PER_S;
-	return fmax(ASKS_PER_S, HASH_COUNT(c->machines) / (ASK_ALL_LEASES * c->conf->lease_s));
+	return fmax(ASKS_PER_S,
+		    HASH_COUNT(core->machines) / (ASK_ALL_LEASES * core->conf->lease_s));
 }
 
 /* What is known when a question leaves: the answer must be newer. */
-static void call_mark(struct core *c, struct call *call, const struct machine *m)
+static void call_mark(struct core *core, struct call *call, const struct machine *machine)
 {
-	snprintf(call->key, sizeof(call->key), "%s", m->id);
-	call->token = c->el.token;
-	call->session = m->session;
-	call->seq = m->seq;
+	snprintf(call->key, sizeof(call->key), "%s", machine->id);
+	call->token = core->el.token;
+	call->session = machine->session;
+	call->seq = machine->seq;
 }
 
 /* Asks the worker for its report; false if too many were asked of late. */
-bool workers_ask(struct core *c, struct machine *m)
+bool workers_ask(struct core *core, struct machine *m)
 {
-	allowance_fill(c, &c->asks, asks_per_s(c));
-	if (!*m->addr || c->asks.left < 1 || c->now - m->asked_at < MACHINE_ASK_S ||
-	    directs_full(c))
+	allowance_fill(core, &core->asks, asks_per_s(core));
+	if (!*m->addr || core->asks.left < 1 || core->now - m->asked_at < MACHINE_ASK_S ||
+	    directs_full(core))
 		return false;
-	c->asks.left -= 1;
-	c->directs++;
-	m->asked_at = c->now;
-	call_mark(c,
-		  core_call(c, m->addr, "GET", fmt_path(W_PATH_STATUS), NULL, CALL_WORKER_S,
+	core->asks.left -= 1;
+	core->directs++;
+	m->asked_at = core->now;
+	call_mark(core,
+		  core_call(core, m->addr, "GET", fmt_path(W_PATH_STATUS), NULL, CALL_WORKER_S,
 			    on_show, NULL),
 		  m);
 	return true;
 }
 
-void workers_kick(struct core *c, struct machine *m)
+void workers_kick(struct core *core, struct machine *m)
 {
 	m->kick = true;
 	if (!m->do_out) /* one at a time: what has gathered goes with the next */
-		kick_queue(c, m);
+		kick_queue(core, m);
 }
 
-void workers_unkick(struct core *c, struct machine *m)
+void workers_unkick(struct core *core, struct machine *m)
 {
 	m->kick = false;
-	kick_unqueue(c, m);
+	kick_unqueue(core, m);
 }
 
 /*
  * Stopped before its start left: no worker will ever name it, so no proof of its end would come,
  * and it would hold its room and its task for the rest of the term.
  */
-static void drop_unsent(struct core *c, struct machine *m)
+static void drop_unsent(struct core *core, struct machine *m)
 {
-	struct binding *b = m->bindings;
+	struct binding *binding = m->bindings;
 
-	while (b) {
-		bool ends = b->stopping && binding_unsent(b);
+	while (binding) {
+		bool ends = binding->stopping && binding_unsent(binding);
 
 		if (ends)
-			binding_end(c, b, WHY_STOPPED);
-		b = ends ? m->bindings : b->mnext; /* its end may have ended others */
+			binding_end(core, binding, WHY_STOPPED);
+		binding = ends ? m->bindings : binding->mnext; /* its end may have ended others */
 	}
 }
 
-static void send_direct(struct core *c, struct machine *m)
+static void send_direct(struct core *core, struct machine *m)
 {
-	struct command_list l;
+	struct command_list list;
 	struct call *call;
 
-	gather(c, m, &l, false);
-	if (!l.n && !m->call)
+	gather(core, m, &list, false);
+	if (!list.n && !m->call)
 		return;
 	m->call = false;
 	m->do_out++;
-	c->directs++;
-	call = core_call(c, m->addr, "POST", fmt_path(W_PATH_COMMANDS),
-			 wire_direct_commands(c->el.token, m->session, l.items, l.n), CALL_WORKER_S,
-			 on_do, NULL);
-	call_mark(c, call, m);
-	call->starts = l.starts;
+	core->directs++;
+	call = core_call(core, m->addr, "POST", fmt_path(W_PATH_COMMANDS),
+			 wire_direct_commands(core->el.token, m->session, list.items, list.n),
+			 CALL_WORKER_S, on_do, NULL);
+	call_mark(core, call, m);
+	call->starts = list.starts;
 }
 
-void workers_tick(struct core *c)
+void workers_tick(struct core *core)
 {
-	struct machine *m;
+	struct machine *machine;
 
-	while ((m = c->kicked) && !directs_full(c)) {
-		workers_unkick(c, m);
-		drop_unsent(c, m);
-		if (m->session && *m->addr && !m->gone && machine_fresh(c, m))
-			send_direct(c, m);
+	while ((machine = core->kicked) && !directs_full(core)) {
+		workers_unkick(core, machine);
+		drop_unsent(core, machine);
+		if (machine->session && *machine->addr && !machine->gone &&
+		    machine_fresh(core, machine))
+			send_direct(core, machine);
 	}
 }
