--- a/src/constants.h
+++ b/src/constants.h
@@ -74,8 +74,8 @@
 /* seconds between questions to others while the state service is silent */
 #define PEER_PING_S 1.0
 /* times cancel_s that what users were told is kept: a leader asks sooner */
-#define TOLD_KEEP_CANCELS 2.0
-#define TOLD_MAX 4096	     /* cancellations kept so: some 0.5 MB */
+#define CONFIRMED_KEEP_CANCELS 2.0
+#define CONFIRMED_MAX 4096	     /* cancellations kept so: some 0.5 MB */
 #define PEER_ALONE_S 4.0     /* seconds without state service and peers before /ready says so */
 #define PEER_BACKOFF_S 2.0   /* seconds nothing is handed to a peer that could not serve either */
 #define RETRY_AFTER_S 1	     /* seconds: the least a user waits anyway */
--- a/src/core/catalog.c
+++ b/src/core/catalog.c
@@ -117,7 +117,7 @@
 void catalog_tick(struct core *core)
 {
 	if (core->catalog_out || core->now < core->next_catalog ||
-	    (core->types && core->el.role != ROLE_LEAD))
+	    (core->types && core->election.role != ROLE_LEAD))
 		return;
 	core->catalog_out = true;
 	core_call(core, core->conf->cloud, "GET", fmt_path(W_PATH_TYPES), NULL, CALL_CLOUD_S,
--- a/src/core/commit.c
+++ b/src/core/commit.c
@@ -46,18 +46,19 @@
 }
 
 /* The chunk that holds the task is to be written, at the latest after `delay_s`. */
-void commit_chunk(struct core *core, struct job *j, uint32_t task, double delay_s)
+void commit_chunk(struct core *core, struct job *job, uint32_t task, double delay_s)
 {
-	uint32_t k = job_chunk_of(j, task);
+	uint32_t k = job_chunk_of(job, task);
 	struct write *item;
 
-	if (k >= job_chunks(j) || (j->final_queued && !j->chunks[k].nbound && !j->final_done))
+	if (k >= job_chunks(job) ||
+	    (job->final_queued && !job->chunks[k].nbound && !job->final_done))
 		return;
-	item = j->chunks[k].queued;
+	item = job->chunks[k].queued;
 	if (!item) {
-		item = write_add(&core->writes, WR_CHUNK, j, k);
+		item = write_add(&core->writes, WR_CHUNK, job, k);
 		item->due = core->now + delay_s;
-		j->chunks[k].queued = item;
+		job->chunks[k].queued = item;
 	} else if (item->list == &core->migrations) {
 		write_move(item, &core->writes);
 		item->due = core->now + delay_s;
@@ -66,10 +67,10 @@
 		item->due = core->now + delay_s;
 }
 
-void commit_migrate(struct core *core, struct job *j, uint32_t chunk)
+void commit_migrate(struct core *core, struct job *job, uint32_t chunk)
 {
-	if (!j->chunks[chunk].queued)
-		j->chunks[chunk].queued = write_add(&core->migrations, WR_CHUNK, j, chunk);
+	if (!job->chunks[chunk].queued)
+		job->chunks[chunk].queued = write_add(&core->migrations, WR_CHUNK, job, chunk);
 }
 
 void commit_drop(struct core *core, const char *key, uint64_t version)
@@ -80,11 +81,11 @@
 	w->version = version;
 }
 
-static void unqueue_chunks(struct core *core, struct job *j)
+static void unqueue_chunks(struct core *core, struct job *job)
 {
 	(void)core;
-	for (uint32_t k = 0; k < job_chunks(j); k++) {
-		struct write *item = j->chunks[k].queued;
+	for (uint32_t k = 0; k < job_chunks(job); k++) {
+		struct write *item = job->chunks[k].queued;
 
 		if (!item)
 			continue;
@@ -93,14 +94,14 @@
 	}
 }
 
-void commit_final(struct core *core, struct job *j)
+void commit_final(struct core *core, struct job *job)
 {
-	if (j->final_queued)
+	if (job->final_queued)
 		return;
-	j->final_queued = true;
+	job->final_queued = true;
 	/* The final record stands for the chunks that were still to be written. */
-	unqueue_chunks(core, j);
-	write_add(&core->finals_due, WR_FINAL, j, 0);
+	unqueue_chunks(core, job);
+	write_add(&core->finals_due, WR_FINAL, job, 0);
 }
 
 static void drop_list(struct write **list)
@@ -113,12 +114,12 @@
 	}
 }
 
-static void commit_clear_flight(struct core *core)
+static void commit_clear_transaction(struct core *core)
 {
-	drop_list(&core->flight.items);
-	free(core->flight.body);
-	memset(&core->flight, 0, sizeof(core->flight));
-	core->flying = false;
+	drop_list(&core->transaction.items);
+	free(core->transaction.body);
+	memset(&core->transaction, 0, sizeof(core->transaction));
+	core->in_flight = false;
 }
 
 void commit_clear(struct core *core)
@@ -127,7 +128,7 @@
 	drop_list(&core->migrations);
 	drop_list(&core->finals_due);
 	drop_list(&core->drops);
-	commit_clear_flight(core);
+	commit_clear_transaction(core);
 }
 
 void commit_forget_chunks(struct core *core)
@@ -142,7 +143,7 @@
 
 	if (job->final_queued)
 		return job->final_done;
-	return !chunk->queued && !chunk->flying;
+	return !chunk->queued && !chunk->in_flight;
 }
 
 static void key_job(char *key, const struct job *job)
@@ -155,7 +156,7 @@
 /* On record, and nothing is bound in it or about to be written of it. */
 static bool chunk_idle(const struct chunk *chunk)
 {
-	return chunk->version && !chunk->nbound && !chunk->queued && !chunk->flying;
+	return chunk->version && !chunk->nbound && !chunk->queued && !chunk->in_flight;
 }
 
 static int write_ops(const struct write *item, int most)
@@ -226,14 +227,14 @@
 }
 
 /* Its bindings are on their way to the record as they are now. */
-static void chunk_flies(struct job *job, uint32_t chunk)
+static void chunk_sent(struct job *job, uint32_t chunk)
 {
 	struct binding *binding;
 
-	job->chunks[chunk].flying = true;
+	job->chunks[chunk].in_flight = true;
 	DL_FOREACH2 (job->bindings, binding, jnext)
 		if (job_chunk_of(job, binding->task) == chunk)
-			binding->flying = true;
+			binding->in_flight = true;
 }
 
 /* The bytes of its largest value, as far as that can grow. */
@@ -265,83 +266,83 @@
 	b->committed = true;
 	job->uncommitted--;
 	if (job->spec.kind != JOB_GANG) {
-		workers_kick(core, b->machine);
+		commands_wanted(core, b->machine);
 		return;
 	}
 	/* A gang starts when all of it is on record. */
 	if (!job->uncommitted)
 		DL_FOREACH2 (job->bindings, binding, jnext)
-			workers_kick(core, binding->machine);
+			commands_wanted(core, binding->machine);
 }
 
-static void chunk_committed(struct core *core, struct write *w, uint64_t revision)
+static void chunk_committed(struct core *core, struct write *item, uint64_t revision)
 {
-	struct job *job = w->job;
-	struct chunk *chunk = &job->chunks[w->chunk];
-	bool dropped = chunk_ends(w);
+	struct job *job = item->job;
+	struct chunk *chunk = &job->chunks[item->chunk];
+	bool dropped = chunk_ends(item);
 	struct binding *binding;
 
-	chunk->flying = false;
+	chunk->in_flight = false;
 	chunk->version = dropped ? 0 : revision;
 	DL_FOREACH2 (job->bindings, binding, jnext) {
-		if (job_chunk_of(job, binding->task) != w->chunk)
+		if (job_chunk_of(job, binding->task) != item->chunk)
 			continue;
-		if (binding->flying && !binding->committed)
+		if (binding->in_flight && !binding->committed)
 			binding_committed(core, binding);
-		binding->flying = false;
+		binding->in_flight = false;
 	}
-	task_record_superseded(core, job, w->chunk);
+	task_record_superseded(core, job, item->chunk);
 	job_release(core, job);
 }
 
-static void final_committed(struct core *core, struct job *j)
+static void final_committed(struct core *core, struct job *job)
 {
-	enum job_state s = final_state(j);
+	enum job_state s = final_state(job);
 	char key[KEY_MAX];
 
-	log_info("job_final", "job=%s state=%s", j->spec.id, wire_job_state(s));
-	users_note_final(core, j->spec.id, s, j->spec.ntasks);
-	j->final_done = true;
-	j->orphan = true;
-	for (uint32_t k = 0; k < job_chunks(j); k++) {
-		struct chunk *chunk = &j->chunks[k];
+	log_info("job_final", "job=%s state=%s", job->spec.id, wire_job_state(s));
+	users_note_final(core, job->spec.id, s, job->spec.ntasks);
+	job->final_done = true;
+	job->orphan = true;
+	for (uint32_t k = 0; k < job_chunks(job); k++) {
+		struct chunk *chunk = &job->chunks[k];
 
 		if (!chunk->ending && chunk_idle(chunk)) {
-			task_record_key(key, j, k);
+			task_record_key(key, job, k);
 			commit_drop(core, key, chunk->version);
 		}
 		if (chunk->ending)
 			chunk->version = 0;
 		chunk->ending = false;
-		if (!chunk->nbound && !chunk->queued && !chunk->flying)
-			task_record_superseded(core, j, k);
+		if (!chunk->nbound && !chunk->queued && !chunk->in_flight)
+			task_record_superseded(core, job, k);
 	}
-	job_release(core, j);
+	job_release(core, job);
 }
 
-static void write_committed(struct core *core, struct write *w, uint64_t revision)
+static void write_committed(struct core *core, struct write *item, uint64_t revision)
 {
-	if (w->kind == WR_CHUNK)
-		chunk_committed(core, w, revision);
-	else if (w->kind == WR_FINAL)
-		final_committed(core, w->job);
+	if (item->kind == WR_CHUNK)
+		chunk_committed(core, item, revision);
+	else if (item->kind == WR_FINAL)
+		final_committed(core, item->job);
 }
 
 static void committed(struct core *core, uint64_t revision)
 {
 	struct write *item, *tmp;
 
-	DL_FOREACH_SAFE (core->flight.items, item, tmp) {
-		DL_DELETE(core->flight.items, item);
+	DL_FOREACH_SAFE (core->transaction.items, item, tmp) {
+		DL_DELETE(core->transaction.items, item);
 		write_committed(core, item, revision);
 		free(item);
 	}
-	if (core->flight.fence) {
-		log_info("fence", "old=%llu new=%llu", (unsigned long long)core->el.token,
+	if (core->transaction.fence) {
+		log_info("fence", "old=%llu new=%llu", (unsigned long long)core->election.token,
 			 (unsigned long long)revision);
-		core->el.token = core->el.revision = revision;
+		core->election.token = core->election.revision = revision;
 		core->attempts = 0;
-		if (core->flight.raises) {
+		if (core->transaction.raises) {
 			election_raised(core, FORMAT_NEWEST, revision);
 			task_records_raise(core);
 			log_info("format", "raised=%d", FORMAT_NEWEST);
@@ -349,26 +350,26 @@
 		log_token(revision);
 		workers_fenced(core);
 	}
-	commit_clear_flight(core);
+	commit_clear_transaction(core);
 }
 
-static void requeue_chunk(struct core *core, struct write *w)
+static void requeue_chunk(struct core *core, struct write *item)
 {
-	struct job *job = w->job;
+	struct job *job = item->job;
 	struct binding *binding;
 
-	job->chunks[w->chunk].flying = false;
+	job->chunks[item->chunk].in_flight = false;
 	DL_FOREACH2 (job->bindings, binding, jnext)
-		if (job_chunk_of(job, binding->task) == w->chunk)
-			binding->flying = false;
-	if (job->chunks[w->chunk].queued) {
-		free(w);
+		if (job_chunk_of(job, binding->task) == item->chunk)
+			binding->in_flight = false;
+	if (job->chunks[item->chunk].queued) {
+		free(item);
 		return;
 	}
-	job->chunks[w->chunk].queued = w;
-	w->due = core->now;
-	w->list = &core->writes;
-	DL_PREPEND(core->writes, w);
+	job->chunks[item->chunk].queued = item;
+	item->due = core->now;
+	item->list = &core->writes;
+	DL_PREPEND(core->writes, item);
 }
 
 /* All that flew is to be written again, before what came after it. */
@@ -376,8 +377,8 @@
 {
 	struct write *item, *tmp;
 
-	DL_FOREACH_SAFE (core->flight.items, item, tmp) {
-		DL_DELETE(core->flight.items, item);
+	DL_FOREACH_SAFE (core->transaction.items, item, tmp) {
+		DL_DELETE(core->transaction.items, item);
 		if (item->kind == WR_CHUNK) {
 			requeue_chunk(core, item);
 		} else if (item->kind == WR_FINAL) {
@@ -388,7 +389,7 @@
 			free(item); /* read again at the next take-over */
 		}
 	}
-	commit_clear_flight(core);
+	commit_clear_transaction(core);
 }
 
 /* What a key holds now; a final record that is there already was our own write. */
@@ -397,7 +398,7 @@
 	struct write *item;
 	char k[KEY_MAX];
 
-	DL_FOREACH (core->flight.items, item) {
+	DL_FOREACH (core->transaction.items, item) {
 		struct job *job = item->job;
 
 		if (item->kind == WR_CHUNK) {
@@ -422,10 +423,10 @@
 {
 	struct write *item, *tmp;
 
-	DL_FOREACH_SAFE (core->flight.items, item, tmp) {
+	DL_FOREACH_SAFE (core->transaction.items, item, tmp) {
 		if (item->kind != WR_FINAL || !item->job->final_done)
 			continue;
-		DL_DELETE(core->flight.items, item);
+		DL_DELETE(core->transaction.items, item);
 		final_committed(core, item->job);
 		free(item);
 	}
@@ -451,7 +452,7 @@
 	}
 	adopt(core, call->key, it.value, it.version);
 	json_decref(o);
-	if (--core->flight.reads_out == 0)
+	if (--core->transaction.reads_out == 0)
 		reread_done(core);
 }
 
@@ -461,18 +462,18 @@
 	struct write *item;
 	char key[KEY_MAX];
 
-	core->flight.reads_out = 0;
-	DL_FOREACH (core->flight.items, item) {
+	core->transaction.reads_out = 0;
+	DL_FOREACH (core->transaction.items, item) {
 		if (item->kind == WR_DROP)
 			continue;
 		if (item->kind == WR_CHUNK)
 			task_record_key(key, item->job, item->chunk);
 		else
 			key_job(key, item->job);
-		core->flight.reads_out++;
+		core->transaction.reads_out++;
 		store_get(core, key, on_reread, NULL);
 	}
-	if (!core->flight.reads_out)
+	if (!core->transaction.reads_out)
 		requeue(core);
 }
 
@@ -483,7 +484,7 @@
 /* The leader's key once the transaction under way is done. */
 static const char *fence_key(const struct core *core)
 {
-	return election_key(core->flight.raises ? FORMAT_NEWEST : core->el.format);
+	return election_key(core->transaction.raises ? FORMAT_NEWEST : core->election.format);
 }
 
 static void on_fence_read(struct core *core, struct call *call, int status, const char *body,
@@ -493,7 +494,7 @@
 	struct kv_item it = {0};
 	json_t *o;
 
-	if (election_stale(core, call) || !core->flying)
+	if (election_stale(core, call) || !core->in_flight)
 		return;
 	store_heard(core, status);
 	if (status != 200 && status != 404) {
@@ -503,7 +504,7 @@
 	o = status == 200 ? wire_parse(body, len) : NULL;
 	wire_kv(o, &it);
 	name = json_string_value(json_object_get(it.value, "name"));
-	if (name && !strcmp(name, core->conf->name) && it.version > core->el.token)
+	if (name && !strcmp(name, core->conf->name) && it.version > core->election.token)
 		committed(core, it.version);
 	else
 		election_step_down(core, "guard_failed");
@@ -516,16 +517,16 @@
  */
 static void refused(struct core *core, const char *body, size_t len)
 {
-	bool small =
-	    core->flight.nops <= LIMITS_TXN_OPS_MIN && core->flight.largest <= LIMITS_VALUE_FLOOR;
+	bool small = core->transaction.nops <= LIMITS_TXN_OPS_MIN &&
+		     core->transaction.largest <= LIMITS_VALUE_FLOOR;
 
-	log_error("commit_refused", "nops=%d largest=%zu body=%.*s", core->flight.nops,
-		  core->flight.largest, (int)(len < 200 ? len : 200), body);
-	if (core->flight.fence) {
+	log_error("commit_refused", "nops=%d largest=%zu body=%.*s", core->transaction.nops,
+		  core->transaction.largest, (int)(len < 200 ? len : 200), body);
+	if (core->transaction.fence) {
 		election_step_down(core, "lease_refused");
 		return;
 	}
-	limits_refused(core, core->flight.nops, core->flight.largest);
+	limits_refused(core, core->transaction.nops, core->transaction.largest);
 	requeue(core);
 	core->commit_again = core->now + (small ? LIMITS_REFUSED_S : COMMIT_RETRY_S);
 }
@@ -536,7 +537,7 @@
 	json_t *o;
 
 	store_heard(core, status);
-	if (election_stale(core, call) || !core->flying)
+	if (election_stale(core, call) || !core->in_flight)
 		return;
 	if (status == 200) {
 		o = wire_parse(body, len);
@@ -547,9 +548,9 @@
 	if (status == 409) {
 		o = wire_parse(body, len);
 		log_info("commit_conflict", "body=%.*s", (int)(len < 200 ? len : 200), body);
-		if (core->flight.fence)
+		if (core->transaction.fence)
 			store_get(core, fence_key(core), on_fence_read, NULL);
-		else if (wire_failed_has(o, election_key(core->el.format)))
+		else if (wire_failed_has(o, election_key(core->election.format)))
 			election_step_down(core, "guard_failed");
 		else
 			reread(core);
@@ -565,7 +566,7 @@
 	 * it, since an unknown one may still be applied at any time until then.
 	 */
 	core->commit_again = core->now + COMMIT_RETRY_S;
-	core->flight.waiting = true;
+	core->transaction.waiting = true;
 }
 
 /* --- sending --- */
@@ -575,41 +576,41 @@
 	allowance_fill(core, &core->puts, limits_write_rps(core) * WRITE_SHARE_LEADER);
 }
 
-static void fly(struct core *core)
+static void send_transaction(struct core *core)
 {
-	core->flight.waiting = false;
+	core->transaction.waiting = false;
 	refill(core);
-	core->puts.left -= core->flight.nops;
-	store_commit(core, strdup(core->flight.body), on_commit, NULL);
+	core->puts.left -= core->transaction.nops;
+	store_commit(core, strdup(core->transaction.body), on_commit, NULL);
 }
 
-static void fly_txn(struct core *core, struct txn *t)
+static void send_txn(struct core *core, struct txn *txn)
 {
-	core->flying = true;
-	core->flight.nops = t->nops;
-	core->flight.largest = t->largest;
-	core->flight.body = txn_finish(t);
-	fly(core);
+	core->in_flight = true;
+	core->transaction.nops = txn->nops;
+	core->transaction.largest = txn->largest;
+	core->transaction.body = txn_finish(txn);
+	send_transaction(core);
 }
 
 /* The leader's key is written again, for a new token; with it, the format is raised if it can be.
  */
-static void fly_fence(struct core *core)
+static void send_fence(struct core *core)
 {
 	bool raises = format_wanted(core);
 	struct txn txn;
 
 	txn_begin(&txn);
-	txn_guard(&txn, election_key(core->el.format), core->el.token);
+	txn_guard(&txn, election_key(core->election.format), core->election.token);
 	if (raises)
 		txn_put(&txn, LEADER_KEY, election_gate_value(FORMAT_NEWEST), 0);
-	txn_put(&txn, election_key(raises ? FORMAT_NEWEST : core->el.format), election_value(core),
-		core->el.lease);
-	core->flight.fence = true;
-	core->flight.raises = raises;
+	txn_put(&txn, election_key(raises ? FORMAT_NEWEST : core->election.format),
+		election_value(core), core->election.lease);
+	core->transaction.fence = true;
+	core->transaction.raises = raises;
 	core->fence_wanted = false;
 	core->fence_at = core->now;
-	fly_txn(core, &txn);
+	send_txn(core, &txn);
 }
 
 /* A binding that the chunk's last record does not hold and no transaction carries. */
@@ -628,17 +629,17 @@
  * The chunk's value is over the limit, as when that was lowered: bindings that were never on record
  * are taken back. Without any, it waits until tasks have ended.
  */
-static void chunk_too_large(struct core *core, struct write *w)
+static void chunk_too_large(struct core *core, struct write *item)
 {
-	struct job *job = w->job;
-	uint32_t chunk = w->chunk;
+	struct job *job = item->job;
+	uint32_t chunk = item->chunk;
 	struct binding *binding;
 
 	log_info("record_too_large", "job=%s chunk=%u bound=%u limit=%zu", job->spec.id, chunk,
 		 job->chunks[chunk].nbound, limits_value_bytes(core));
 	job->not_before = core->now + LIMITS_WAIT_S;
 	if (!unrecorded(job, chunk))
-		w->held_until = core->now + LIMITS_WAIT_S;
+		item->held_until = core->now + LIMITS_WAIT_S;
 	while ((binding = unrecorded(job, chunk)))
 		binding_end(core, binding, WHY_STOPPED);
 }
@@ -649,32 +650,32 @@
 	BATCH_FULL
 };
 
-static enum batch_result batch_add(struct core *core, struct txn *t, struct write *item)
+static enum batch_result batch_add(struct core *core, struct txn *txn, struct write *item)
 {
 	int most = limits_txn_ops(core), n = write_ops(item, most);
-	struct txn_mark mark = txn_mark(t);
+	struct txn_mark mark = txn_mark(txn);
 	size_t bytes;
 
 	if (core->now < item->held_until)
 		return BATCH_SKIPPED;
-	if (t->nops && (t->nops + n > most || t->nops + n > core->puts.left))
+	if (txn->nops && (txn->nops + n > most || txn->nops + n > core->puts.left))
 		return BATCH_FULL;
-	bytes = add_write(t, item, most);
-	if (mark.nops && txn_bytes(t) > COMMIT_BYTES) {
-		txn_rollback(t, &mark);
+	bytes = add_write(txn, item, most);
+	if (mark.nops && txn_bytes(txn) > COMMIT_BYTES) {
+		txn_rollback(txn, &mark);
 		if (item->kind == WR_FINAL)
 			final_unsent(item->job);
 		return BATCH_FULL;
 	}
 	if (bytes > limits_value_bytes(core)) {
-		txn_rollback(t, &mark);
+		txn_rollback(txn, &mark);
 		chunk_too_large(core, item);
 		return BATCH_FULL; /* other writes may have left the queue with it */
 	}
 	write_unlist(item);
-	DL_APPEND(core->flight.items, item);
+	DL_APPEND(core->transaction.items, item);
 	if (item->kind == WR_CHUNK)
-		chunk_flies(item->job, item->chunk);
+		chunk_sent(item->job, item->chunk);
 	return BATCH_ADDED;
 }
 
@@ -684,36 +685,36 @@
 	return chunk_ends(item) && !item->job->chunks[item->chunk].version;
 }
 
-static void chunk_forget(struct core *core, struct write *w)
+static void chunk_forget(struct core *core, struct write *item)
 {
-	struct job *job = w->job;
+	struct job *job = item->job;
 
-	write_unlist(w);
-	task_record_superseded(core, job, w->chunk);
+	write_unlist(item);
+	task_record_superseded(core, job, item->chunk);
 	job_release(core, job);
-	free(w);
+	free(item);
 }
 
 /* Chunks of the list that are due, or those that could wait; false if there is no room for all. */
-static bool batch_chunks(struct core *core, struct txn *t, struct write **list, bool due)
+static bool batch_chunks(struct core *core, struct txn *txn, struct write **list, bool due)
 {
 	struct write *item, *tmp;
 
 	DL_FOREACH_SAFE (*list, item, tmp) {
-		if ((item->due <= core->now) != due || item->job->chunks[item->chunk].flying)
+		if ((item->due <= core->now) != due || item->job->chunks[item->chunk].in_flight)
 			continue;
 		if (chunk_needless(item))
 			chunk_forget(core, item);
-		else if (batch_add(core, t, item) == BATCH_FULL)
+		else if (batch_add(core, txn, item) == BATCH_FULL)
 			return false;
 	}
 	return true;
 }
 
-static bool batch_all(struct core *core, struct txn *t, struct write **list)
+static bool batch_all(struct core *core, struct txn *txn, struct write **list)
 {
 	while (*list)
-		if (batch_add(core, t, *list) == BATCH_FULL)
+		if (batch_add(core, txn, *list) == BATCH_FULL)
 			return false;
 	return true;
 }
@@ -724,12 +725,12 @@
 	return core->puts.left > limits_write_rps(core) / 2;
 }
 
-static void fly_writes(struct core *core)
+static void send_writes(struct core *core)
 {
 	struct txn txn;
 
 	txn_begin(&txn);
-	txn_guard(&txn, election_key(core->el.format), core->el.token);
+	txn_guard(&txn, election_key(core->election.format), core->election.token);
 	/* Ends of jobs first: they are few, and their users wait for the word. */
 	if (batch_all(core, &txn, &core->finals_due) &&
 	    batch_chunks(core, &txn, &core->writes, true) && txn.nops)
@@ -739,13 +740,14 @@
 	if (!txn.nops)
 		batch_all(core, &txn, &core->drops);
 	log_debug("commit", "nops=%d largest=%zu tokens=%.1f kind=%d", txn.nops, txn.largest,
-		  core->puts.left, core->flight.items ? (int)core->flight.items->kind : -1);
+		  core->puts.left,
+		  core->transaction.items ? (int)core->transaction.items->kind : -1);
 	if (txn.nops) {
-		fly_txn(core, &txn);
+		send_txn(core, &txn);
 		return;
 	}
 	txn_abandon(&txn);
-	commit_clear_flight(core);
+	commit_clear_transaction(core);
 }
 
 static bool anything_due(const struct core *core)
@@ -762,9 +764,9 @@
 
 void commit_tick(struct core *core)
 {
-	if (core->flying) {
-		if (core->flight.waiting && core->now >= core->commit_again)
-			fly(core);
+	if (core->in_flight) {
+		if (core->transaction.waiting && core->now >= core->commit_again)
+			send_transaction(core);
 		return;
 	}
 	if (core->now < core->commit_again)
@@ -774,7 +776,7 @@
 		return;
 	if ((core->fence_wanted && core->now - core->fence_at >= FENCE_EVERY_S) ||
 	    format_wanted(core))
-		fly_fence(core);
+		send_fence(core);
 	else if (anything_due(core))
-		fly_writes(core);
+		send_writes(core);
 }
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -20,7 +20,7 @@
 	core->now = now.steady;
 	core->wall = now.wall;
 	core->next_call = 1;
-	core->el.format = FORMAT_CHUNKS;
+	core->election.format = FORMAT_CHUNKS;
 	core->incarnation = seed;
 	core->rand48[0] = (unsigned short)seed;
 	core->rand48[1] = (unsigned short)(seed >> 16);
@@ -32,7 +32,7 @@
 	if (!core->peers)
 		abort();
 	for (size_t i = 0; i < conf->npeers; i++)
-		core->peers[i].heard = -1;
+		core->peers[i].confirmed_until = -1;
 	core->state_heard = core->now;
 	core->counts_at = core->counts_wanted = core->now - COUNTS_ASKED_S;
 	core->peer_live = calloc(conf->npeers + 1, sizeof(*core->peer_live));
@@ -90,7 +90,7 @@
 	call->id = core->next_call++;
 	call->fn = fn;
 	call->arg = arg;
-	call->term = core->el.term;
+	call->term = core->election.term;
 	call->sent = core->now;
 	HASH_ADD(hh, core->calls, id, sizeof(call->id), call);
 	action = action_add(core, ACT_SEND, call->id);
@@ -191,7 +191,7 @@
 	catalog_tick(core);
 	users_tick(core);
 	peers_tick(core);
-	if (core->el.role != ROLE_LEAD)
+	if (core->election.role != ROLE_LEAD)
 		return;
 	load_tick(core);
 	machine_tick(core);
@@ -209,7 +209,7 @@
 {
 	double next = core->now + TICK_S;
 
-	if (core->el.role == ROLE_LEAD && core->round_due && core->next_round < next)
+	if (core->election.role == ROLE_LEAD && core->round_due && core->next_round < next)
 		next = core->next_round;
 	return next;
 }
--- a/src/core/election.c
+++ b/src/core/election.c
@@ -31,26 +31,26 @@
 
 bool election_stale(const struct core *core, const struct call *call)
 {
-	return call->term != core->el.term || core->el.role == ROLE_FOLLOW;
+	return call->term != core->election.term || core->election.role == ROLE_FOLLOW;
 }
 
 void election_reread(struct core *core)
 {
-	core->el.known = false;
-	if (core->el.next_try < core->now)
-		core->el.next_try = core->now;
+	core->election.known = false;
+	if (core->election.next_try < core->now)
+		core->election.next_try = core->now;
 }
 
 void election_step_down(struct core *core, const char *why)
 {
-	if (core->el.role == ROLE_FOLLOW)
+	if (core->election.role == ROLE_FOLLOW)
 		return;
 	log_info("step_down", "reason=%s", why);
-	core->el.role = ROLE_FOLLOW;
-	core->el.term++;
-	core->el.lease = 0;
-	core->el.token = 0;
-	core->el.renew_out = false;
+	core->election.role = ROLE_FOLLOW;
+	core->election.term++;
+	core->election.lease = 0;
+	core->election.token = 0;
+	core->election.renew_out = false;
 	log_token(0);
 	leader_clear(core);
 	election_reread(core);
@@ -58,8 +58,8 @@
 
 void election_raised(struct core *core, int format, uint64_t revision)
 {
-	core->el.format = format;
-	core->el.gate_revision = revision;
+	core->election.format = format;
+	core->election.gate_revision = revision;
 }
 
 static void on_nothing(struct core *core, struct call *call, int status, const char *body,
@@ -74,31 +74,31 @@
 
 static void lease_return(struct core *core)
 {
-	if (core->el.lease)
+	if (core->election.lease)
 		core_call(core, core->conf->state, "DELETE",
-			  fmt_path(W_PATH_LEASES "/%llu", (unsigned long long)core->el.lease), NULL,
-			  CALL_STATE_S, on_nothing, NULL);
-	core->el.lease = 0;
+			  fmt_path(W_PATH_LEASES "/%llu", (unsigned long long)core->election.lease),
+			  NULL, CALL_STATE_S, on_nothing, NULL);
+	core->election.lease = 0;
 }
 
 /* Another controller leads, by its own word. Workers are sent there, though the key can't be read.
  */
 void election_deposed(struct core *core, const char *leader)
 {
-	if (core->el.role == ROLE_FOLLOW)
+	if (core->election.role == ROLE_FOLLOW)
 		return;
 	election_step_down(core, "peer_leads");
-	snprintf(core->el.leader, sizeof(core->el.leader), "%s", leader);
+	snprintf(core->election.leader, sizeof(core->election.leader), "%s", leader);
 }
 
 /* Gives the lease back, so that another controller need not wait for its end. */
 void election_yield(struct core *core, const char *why)
 {
-	uint64_t lease = core->el.lease;
+	uint64_t lease = core->election.lease;
 
-	core->el.stand_back = core->now + LEADER_YIELD_S;
+	core->election.stand_back = core->now + LEADER_YIELD_S;
 	election_step_down(core, why);
-	core->el.lease = lease;
+	core->election.lease = lease;
 	lease_return(core);
 }
 
@@ -117,43 +117,45 @@
 	 * used. */
 	double span = fmax(rest - CANCEL_MARGIN_S, LEADER_TTL_MS / 1000.0);
 
-	double known = fmax(fmin(core->el.renewed, core->jobs_read), peers_heard(core));
+	double known =
+	    fmax(fmin(core->election.renewed, core->jobs_read), peers_confirmed_until(core));
 
-	return core->el.role == ROLE_LEAD && core->now - known < span;
+	return core->election.role == ROLE_LEAD && core->now - known < span;
 }
 
 /* Looked at before anything is answered: a process that was frozen wakes with questions waiting. */
 void election_look(struct core *core)
 {
-	if (core->el.role == ROLE_LEAD && !election_may_serve(core))
+	if (core->election.role == ROLE_LEAD && !election_may_serve(core))
 		election_step_down(core, "state_unreachable");
 }
 
 /* A term's own new token is on its way: what the key tells meanwhile is for its answer to judge. */
 static bool token_changes(const struct core *core)
 {
-	return core->el.role != ROLE_FOLLOW && core->flying && core->flight.fence;
+	return core->election.role != ROLE_FOLLOW && core->in_flight && core->transaction.fence;
 }
 
 /* An answer from before the term's own write: versions of a key only grow. */
 static bool older_than_term(const struct core *core, const struct kv_item *it)
 {
-	return core->el.role != ROLE_FOLLOW && it->version && it->version < core->el.token;
+	return core->election.role != ROLE_FOLLOW && it->version &&
+	       it->version < core->election.token;
 }
 
 static void heard_leader(struct core *core, const struct kv_item *it)
 {
 	const char *name = it->value ? json_string_value(json_object_get(it->value, "name")) : NULL;
 
-	core->el.revision = it->value ? it->version : 0;
-	snprintf(core->el.leader, sizeof(core->el.leader), "%s", name ? name : "");
+	core->election.revision = it->value ? it->version : 0;
+	snprintf(core->election.leader, sizeof(core->election.leader), "%s", name ? name : "");
 	/* Our own name while we do not lead: a process that is no more, or a term given up. */
-	if (core->el.role == ROLE_FOLLOW && !core->el.claiming &&
-	    !strcmp(core->el.leader, core->conf->name))
-		core->el.leader[0] = 0;
-	log_debug("leader", "name=%s revision=%llu", core->el.leader,
-		  (unsigned long long)core->el.revision);
-	if (core->el.role != ROLE_FOLLOW && core->el.revision != core->el.token)
+	if (core->election.role == ROLE_FOLLOW && !core->election.claiming &&
+	    !strcmp(core->election.leader, core->conf->name))
+		core->election.leader[0] = 0;
+	log_debug("leader", "name=%s revision=%llu", core->election.leader,
+		  (unsigned long long)core->election.revision);
+	if (core->election.role != ROLE_FOLLOW && core->election.revision != core->election.token)
 		election_step_down(core, "key_taken");
 }
 
@@ -166,15 +168,15 @@
 	json_t *format = it->value ? json_object_get(it->value, "format") : NULL;
 	int known = format ? (int)json_integer_value(format) : FORMAT_CHUNKS;
 
-	if (known == core->el.format)
+	if (known == core->election.format)
 		return;
-	log_info("format", "old=%d new=%d", core->el.format, known);
-	core->el.format = known;
-	core->el.gate_revision = it->value ? it->version : 0;
+	log_info("format", "old=%d new=%d", core->election.format, known);
+	core->election.format = known;
+	core->election.gate_revision = it->value ? it->version : 0;
 	/* The key of the new format may be free, or be told of next. */
-	core->el.leader[0] = 0;
-	core->el.revision = 0;
-	if (core->el.role != ROLE_FOLLOW)
+	core->election.leader[0] = 0;
+	core->election.revision = 0;
+	if (core->election.role != ROLE_FOLLOW)
 		election_step_down(core, "format_raised");
 }
 
@@ -196,7 +198,7 @@
 {
 	struct leader_keys *keys = ctx;
 
-	if (strcmp(it->key, election_key(keys->c->el.format)))
+	if (strcmp(it->key, election_key(keys->c->election.format)))
 		return;
 	keys->found = true;
 	if (!older_than_term(keys->c, it))
@@ -210,14 +212,14 @@
 	json_t *o;
 
 	(void)call;
-	core->el.reading = false;
+	core->election.reading = false;
 	store_heard(core, status);
-	core->el.next_try = core->now + LEADER_REREAD_S;
+	core->election.next_try = core->now + LEADER_REREAD_S;
 	if (status != 200 || token_changes(core))
 		return;
 	o = wire_parse(body, len);
-	core->el.watched = wire_revision(o);
-	core->el.known = true;
+	core->election.watched = wire_revision(o);
+	core->election.known = true;
 	wire_items(o, read_format, &keys);
 	wire_items(o, read_leader, &keys);
 	if (!keys.found)
@@ -229,7 +231,7 @@
 static bool leader_news(const struct core *core, const struct kv_item *it)
 {
 	return !token_changes(core) &&
-	       (core->el.role == ROLE_FOLLOW || it->version > core->el.token);
+	       (core->election.role == ROLE_FOLLOW || it->version > core->election.token);
 }
 
 static void watch_format(void *ctx, const struct kv_item *it)
@@ -254,18 +256,18 @@
 	json_t *o;
 
 	(void)call;
-	core->el.watching = false;
+	core->election.watching = false;
 	if (status != 200) {
 		if (status != 410)
 			store_heard(core, status);
-		core->el.known = false;
-		core->el.next_try = core->now + LEADER_REREAD_S;
+		core->election.known = false;
+		core->election.next_try = core->now + LEADER_REREAD_S;
 		return;
 	}
 	store_heard(core, status);
 	o = wire_parse(body, len);
-	if (wire_revision(o) > core->el.watched)
-		core->el.watched = wire_revision(o);
+	if (wire_revision(o) > core->election.watched)
+		core->election.watched = wire_revision(o);
 	wire_items(o, watch_format, &keys);
 	wire_items(o, watch_leader, &keys);
 	json_decref(o);
@@ -275,23 +277,23 @@
 {
 	json_t *o;
 
-	core->el.claiming = false;
+	core->election.claiming = false;
 	store_heard(core, status);
-	if (status != 200 || call->term != core->el.term) {
+	if (status != 200 || call->term != core->election.term) {
 		log_debug("claim_failed", "status=%d", status);
-		core->el.lease = 0;
-		core->el.known = false;
-		core->el.next_try = core->now + LEADER_REREAD_S;
+		core->election.lease = 0;
+		core->election.known = false;
+		core->election.next_try = core->now + LEADER_REREAD_S;
 		return;
 	}
 	o = wire_parse(body, len);
-	core->el.token = wire_revision(o);
+	core->election.token = wire_revision(o);
 	json_decref(o);
-	core->el.revision = core->el.first_token = core->el.token;
-	snprintf(core->el.leader, sizeof(core->el.leader), "%s", core->conf->name);
-	core->el.role = ROLE_LOADING;
-	core->el.term++;
-	log_token(core->el.token);
+	core->election.revision = core->election.first_token = core->election.token;
+	snprintf(core->election.leader, sizeof(core->election.leader), "%s", core->conf->name);
+	core->election.role = ROLE_LOADING;
+	core->election.term++;
+	log_token(core->election.token);
 	log_info("lead", "state=loading");
 	load_start(core);
 }
@@ -302,27 +304,28 @@
 	json_t *o;
 
 	store_heard(core, status);
-	if (status != 200 || call->term != core->el.term) {
-		core->el.claiming = false;
-		core->el.next_try = core->now + LEADER_REREAD_S;
+	if (status != 200 || call->term != core->election.term) {
+		core->election.claiming = false;
+		core->election.next_try = core->now + LEADER_REREAD_S;
 		return;
 	}
 	o = wire_parse(body, len);
-	core->el.lease = wire_lease(o);
+	core->election.lease = wire_lease(o);
 	json_decref(o);
 	/* Another took the key while the lease was asked for: it must not be put down again. */
-	if (*core->el.leader) {
-		core->el.claiming = false;
+	if (*core->election.leader) {
+		core->election.claiming = false;
 		lease_return(core);
 		return;
 	}
-	core->el.renewed = call->sent;
-	core->el.next_renew = call->sent + LEADER_RENEW_S;
+	core->election.renewed = call->sent;
+	core->election.next_renew = call->sent + LEADER_RENEW_S;
 	txn_begin(&txn);
-	txn_guard(&txn, election_key(core->el.format), core->el.revision);
-	if (core->el.format >= FORMAT_PIECES)
-		txn_guard(&txn, LEADER_KEY, core->el.gate_revision);
-	txn_put(&txn, election_key(core->el.format), election_value(core), core->el.lease);
+	txn_guard(&txn, election_key(core->election.format), core->election.revision);
+	if (core->election.format >= FORMAT_PIECES)
+		txn_guard(&txn, LEADER_KEY, core->election.gate_revision);
+	txn_put(&txn, election_key(core->election.format), election_value(core),
+		core->election.lease);
 	store_commit(core, txn_finish(&txn), on_claim, NULL);
 }
 
@@ -330,40 +333,42 @@
 {
 	(void)body;
 	(void)len;
-	if (call->term != core->el.term)
+	if (call->term != core->election.term)
 		return;
-	core->el.renew_out = false;
+	core->election.renew_out = false;
 	store_heard(core, status);
 	if (status == 200) {
-		core->el.renewed = call->sent;
-		core->el.next_renew = call->sent + LEADER_RENEW_S;
+		core->election.renewed = call->sent;
+		core->election.next_renew = call->sent + LEADER_RENEW_S;
 	} else if (status == 404) {
 		election_step_down(core, "lease_ended");
 	} else {
-		core->el.next_renew = core->now + LEADER_RETRY_S;
+		core->election.next_renew = core->now + LEADER_RETRY_S;
 	}
 }
 
 static void renew(struct core *core)
 {
-	if (core->el.renew_out || core->now < core->el.next_renew || !core->el.lease)
+	if (core->election.renew_out || core->now < core->election.next_renew ||
+	    !core->election.lease)
 		return;
-	core->el.renew_out = true;
-	core_call(core, core->conf->state, "POST",
-		  fmt_path(W_PATH_LEASES "/%llu" W_PATH_RENEW, (unsigned long long)core->el.lease),
-		  strdup("{}"), CALL_STATE_S, on_renew, NULL);
+	core->election.renew_out = true;
+	core_call(
+	    core, core->conf->state, "POST",
+	    fmt_path(W_PATH_LEASES "/%llu" W_PATH_RENEW, (unsigned long long)core->election.lease),
+	    strdup("{}"), CALL_STATE_S, on_renew, NULL);
 }
 
 static void claim(struct core *core)
 {
-	core->el.claiming = true;
+	core->election.claiming = true;
 	core_call(core, core->conf->state, "POST", fmt_path(W_PATH_LEASES),
 		  wire_lease_body(LEADER_TTL_MS), CALL_STATE_S, on_lease, NULL);
 }
 
 void election_tick(struct core *core)
 {
-	struct election *election = &core->el;
+	struct election *election = &core->election;
 
 	if (!election->known) {
 		if (!election->reading && core->now >= election->next_try) {
--- a/src/core/format.c
+++ b/src/core/format.c
@@ -87,7 +87,7 @@
 
 bool format_wanted(const struct core *core)
 {
-	return core->el.format < FORMAT_NEWEST && core->format.all_read_newest;
+	return core->election.format < FORMAT_NEWEST && core->format.all_read_newest;
 }
 
 void format_tick(struct core *core)
@@ -96,7 +96,7 @@
 
 	if (!format->registered && !format->registering && core->now >= format->register_at)
 		register_version(core);
-	if (core->el.role != ROLE_LEAD || core->el.format >= FORMAT_NEWEST ||
+	if (core->election.role != ROLE_LEAD || core->election.format >= FORMAT_NEWEST ||
 	    format->all_read_newest || format->looking || core->now < format->look_at)
 		return;
 	format->looking = true;
--- a/src/core/jobs.c
+++ b/src/core/jobs.c
@@ -47,7 +47,7 @@
 	job->spec = *spec;
 	job->done = calloc(1, bytes);
 	job->bound = calloc(1, bytes);
-	job->chunk_tasks = core->el.format >= FORMAT_PIECES ? PIECE_TASKS : CHUNK_TASKS;
+	job->chunk_tasks = core->election.format >= FORMAT_PIECES ? PIECE_TASKS : CHUNK_TASKS;
 	job->chunks = calloc(job_chunks(job), sizeof(*job->chunks));
 	if (!job->done || !job->bound || !job->chunks)
 		abort();
@@ -80,25 +80,25 @@
 	job->chunks = grown(job->chunks, chunks, job_chunks(job), sizeof(*job->chunks));
 }
 
-void job_free(struct core *core, struct job *j)
+void job_free(struct core *core, struct job *job)
 {
-	plan_release(core, j);
-	HASH_DEL(core->jobs, j);
-	free(j->done);
-	free(j->bound);
-	free(j->chunks);
-	free(j->old_chunks);
-	free(j);
+	plan_release(core, job);
+	HASH_DEL(core->jobs, job);
+	free(job->done);
+	free(job->bound);
+	free(job->chunks);
+	free(job->old_chunks);
+	free(job);
 }
 
-void job_release(struct core *core, struct job *j)
+void job_release(struct core *core, struct job *job)
 {
-	if (!j->orphan || j->bindings)
+	if (!job->orphan || job->bindings)
 		return;
-	for (uint32_t k = 0; k < job_chunks(j); k++)
-		if (j->chunks[k].queued || j->chunks[k].flying)
+	for (uint32_t k = 0; k < job_chunks(job); k++)
+		if (job->chunks[k].queued || job->chunks[k].in_flight)
 			return;
-	job_free(core, j);
+	job_free(core, job);
 }
 
 /* Its record would grow beyond what one value may hold. */
@@ -128,38 +128,38 @@
 	return t;
 }
 
-void job_task_done(struct core *core, struct job *j, uint32_t task)
+void job_task_done(struct core *core, struct job *job, uint32_t task)
 {
-	if (j->orphan || task >= j->spec.ntasks || job_bit(j->done, task) ||
-	    j->spec.kind == JOB_SERVICE)
+	if (job->orphan || task >= job->spec.ntasks || job_bit(job->done, task) ||
+	    job->spec.kind == JOB_SERVICE)
 		return;
-	bit_set(j->done, task, true);
-	j->ndone++;
-	log_debug("task_done", "job=%s task=%u done=%u of=%u", j->spec.id, task, j->ndone,
-		  j->spec.ntasks);
-	if (j->ndone < j->spec.ntasks)
-		commit_chunk(core, j, task, END_DELAY_S);
+	bit_set(job->done, task, true);
+	job->ndone++;
+	log_debug("task_done", "job=%s task=%u done=%u of=%u", job->spec.id, task, job->ndone,
+		  job->spec.ntasks);
+	if (job->ndone < job->spec.ntasks)
+		commit_chunk(core, job, task, END_DELAY_S);
 }
 
 /* Looks whether the job is over; call after anything that ends a task or a binding. */
-void job_settle(struct core *core, struct job *j)
+void job_settle(struct core *core, struct job *job)
 {
-	if (!j->bindings && j->gang_stopping)
-		j->gang_stopping = false;
-	if (j->final_queued || j->orphan)
+	if (!job->bindings && job->gang_stopping)
+		job->gang_stopping = false;
+	if (job->final_queued || job->orphan)
 		return;
-	if (j->cancelled) {
-		if (!j->bindings)
-			commit_final(core, j);
+	if (job->cancelled) {
+		if (!job->bindings)
+			commit_final(core, job);
 		return;
 	}
-	if (j->ndone < j->spec.ntasks)
+	if (job->ndone < job->spec.ntasks)
 		return;
 	/* The last tasks of a gang are heard of within moments: one transaction for all. */
-	if (j->done_at <= 0)
-		j->done_at = core->now;
-	if (!j->bindings || core->now - j->done_at >= FINAL_WAIT_S)
-		commit_final(core, j);
+	if (job->done_at <= 0)
+		job->done_at = core->now;
+	if (!job->bindings || core->now - job->done_at >= FINAL_WAIT_S)
+		commit_final(core, job);
 }
 
 void job_tick(struct core *core)
@@ -174,27 +174,27 @@
 			job_settle(core, job);
 }
 
-void job_cancel(struct core *core, struct job *j)
+void job_cancel(struct core *core, struct job *job)
 {
 	struct binding *binding, *tmp;
 
-	if (j->cancelled || j->orphan)
+	if (job->cancelled || job->orphan)
 		return;
-	j->cancelled = true;
-	log_info("job_cancelled", "job=%s bound=%u", j->spec.id, j->nbound);
-	DL_FOREACH_SAFE2 (j->bindings, binding, tmp, jnext) {
+	job->cancelled = true;
+	log_info("job_cancelled", "job=%s bound=%u", job->spec.id, job->nbound);
+	DL_FOREACH_SAFE2 (job->bindings, binding, tmp, jnext) {
 		/* A start that never left needs no proof of its end. */
 		if (binding_unsent(binding))
 			binding_end(core, binding, WHY_STOPPED);
 		else
 			binding_stop(core, binding, 0);
 	}
-	job_settle(core, j);
+	job_settle(core, job);
 }
 
-void job_cancel_told(struct core *core, const char *id, uint64_t version)
+void job_cancel_committed(struct core *core, const char *id, uint64_t version)
 {
-	struct job *job = core->el.role == ROLE_LEAD ? job_find(core, id) : NULL;
+	struct job *job = core->election.role == ROLE_LEAD ? job_find(core, id) : NULL;
 
 	if (!job || job->orphan)
 		return;
@@ -203,19 +203,19 @@
 	job_cancel(core, job);
 }
 
-void job_failed_on(struct core *core, struct job *j, struct machine *machine)
+void job_failed_on(struct core *core, struct job *job, struct machine *machine)
 {
 	double wait = ERROR_BACKOFF_S;
 
-	for (int i = 0; i < j->errors && wait < ERROR_BACKOFF_MAX_S; i++)
+	for (int i = 0; i < job->errors && wait < ERROR_BACKOFF_MAX_S; i++)
 		wait *= 2;
 	if (wait > ERROR_BACKOFF_MAX_S)
 		wait = ERROR_BACKOFF_MAX_S;
 	/* The first failure is mostly the machine's: try elsewhere at once. */
-	j->not_before = core->now + (j->errors ? wait : 0);
-	j->errors++;
-	snprintf(j->bad[j->nbad % ERROR_JOB_MACHINES], ID_MAX, "%s", machine->id);
-	j->nbad++;
+	job->not_before = core->now + (job->errors ? wait : 0);
+	job->errors++;
+	snprintf(job->bad[job->nbad % ERROR_JOB_MACHINES], ID_MAX, "%s", machine->id);
+	job->nbad++;
 }
 
 static void binding_bit(struct binding *b, bool on)
@@ -237,33 +237,33 @@
 
 static void chunk_count(struct binding *binding, int sign)
 {
-	struct chunk *k = &binding->job->chunks[job_chunk_of(binding->job, binding->task)];
+	struct chunk *chunk = &binding->job->chunks[job_chunk_of(binding->job, binding->task)];
 
 	if (sign > 0)
 		binding->record_bytes = task_record_bytes(binding);
-	k->nbound += (uint32_t)sign;
-	k->bytes += (uint32_t)sign * binding->record_bytes;
+	chunk->nbound += (uint32_t)sign;
+	chunk->bytes += (uint32_t)sign * binding->record_bytes;
 }
 
-struct binding *binding_add(struct core *core, struct machine *m, struct job *job, uint32_t task,
-			    uint64_t attempt)
+struct binding *binding_add(struct core *core, struct machine *machine, struct job *job,
+			    uint32_t task, uint64_t attempt)
 {
 	struct binding *binding = calloc(1, sizeof(*binding));
 
 	if (!binding)
 		abort();
-	binding->machine = m;
+	binding->machine = machine;
 	binding->job = job;
 	binding->task = task;
 	binding->attempt = attempt;
-	binding->floor_token = core->el.token;
-	DL_APPEND2(m->bindings, binding, mprev, mnext);
+	binding->floor_token = core->election.token;
+	DL_APPEND2(machine->bindings, binding, mprev, mnext);
 	DL_APPEND2(job->bindings, binding, jprev, jnext);
-	m->nbindings++;
-	m->nreplicas += job->spec.kind == JOB_SERVICE;
-	m->cpus -= job->spec.cpus;
-	m->gpus -= job->spec.gpus;
-	m->mem_gb -= job->spec.mem_gb;
+	machine->nbindings++;
+	machine->nreplicas += job->spec.kind == JOB_SERVICE;
+	machine->cpus -= job->spec.cpus;
+	machine->gpus -= job->spec.gpus;
+	machine->mem_gb -= job->spec.mem_gb;
 	binding_bit(binding, true);
 	chunk_count(binding, 1);
 	job->uncommitted++;
@@ -277,25 +277,25 @@
 	return !binding->loaded && !binding->sent_session && !binding->beat_seq;
 }
 
-void binding_stop(struct core *core, struct binding *b, double grace_s)
+void binding_stop(struct core *core, struct binding *binding, double grace_s)
 {
-	if (b->stopping && grace_s >= b->grace_s)
+	if (binding->stopping && grace_s >= binding->grace_s)
 		return;
-	b->stopping = true;
-	b->grace_s = grace_s;
-	b->stop_at = 0;
-	workers_kick(core, b->machine);
+	binding->stopping = true;
+	binding->grace_s = grace_s;
+	binding->stop_at = 0;
+	commands_wanted(core, binding->machine);
 }
 
 /* A gang that lost a task stops as a whole; its other tasks would notice by themselves, later. */
-static void gang_lost(struct core *core, struct job *j, enum task_why why)
+static void gang_lost(struct core *core, struct job *job, enum task_why why)
 {
 	struct binding *binding;
 
-	if (j->ndone)
+	if (job->ndone)
 		return;
-	j->gang_stopping = true;
-	DL_FOREACH2 (j->bindings, binding, jnext) {
+	job->gang_stopping = true;
+	DL_FOREACH2 (job->bindings, binding, jnext) {
 		/* An orderly stop under way must not be cut short: the others are saving. */
 		if (why != WHY_STOPPED || !binding->stopping)
 			binding_stop(core, binding, 0);
@@ -324,56 +324,57 @@
  * whatever it says, is tried again after a time that grows, so that it does not take all starts;
  * one that has run begins again at once.
  */
-static void replica_ended(struct core *core, struct binding *b, enum task_why why)
+static void replica_ended(struct core *core, struct binding *binding, enum task_why why)
 {
-	struct job *job = b->job;
-	bool ran = b->running_since > 0 && core->now - b->running_since >= REPLICA_STEADY_S;
+	struct job *job = binding->job;
+	bool ran =
+	    binding->running_since > 0 && core->now - binding->running_since >= REPLICA_STEADY_S;
 
 	if (ran)
 		job->errors = 0;
-	job_failed_on(core, job, b->machine);
+	job_failed_on(core, job, binding->machine);
 	if (why == WHY_ERROR)
-		machine_blamed(b->machine, job);
+		machine_blamed(binding->machine, job);
 }
 
-static void binding_account(struct core *core, struct binding *b, enum task_why why)
+static void binding_account(struct core *core, struct binding *binding, enum task_why why)
 {
-	struct job *job = b->job;
+	struct job *job = binding->job;
 
 	if (job->spec.kind == JOB_SERVICE && (why == WHY_DONE || why == WHY_ERROR)) {
-		replica_ended(core, b, why);
+		replica_ended(core, binding, why);
 	} else if (why == WHY_DONE) {
-		b->machine->nfailed_jobs = 0;
+		binding->machine->nfailed_jobs = 0;
 		job->errors = 0;
 		if (job->spec.kind == JOB_GANG)
 			for (uint32_t t = 0; t < job->spec.ntasks; t++)
 				job_task_done(core, job, t);
 		else
-			job_task_done(core, job, b->task);
+			job_task_done(core, job, binding->task);
 	} else if (why == WHY_ERROR) {
-		job_failed_on(core, job, b->machine);
-		machine_blamed(b->machine, job);
+		job_failed_on(core, job, binding->machine);
+		machine_blamed(binding->machine, job);
 	} else if (why == WHY_NO_ROOM || why == WHY_BUSY || why == WHY_UNKNOWN) {
 		job->not_before = core->now + REFUSED_BACKOFF_S;
 		if (why != WHY_UNKNOWN)
-			b->machine->no_place_until = core->now + REFUSED_BACKOFF_S;
+			binding->machine->no_place_until = core->now + REFUSED_BACKOFF_S;
 	}
 }
 
 /* Takes the binding out of the books, whatever the reason. */
-void binding_drop(struct core *core, struct binding *b)
+void binding_drop(struct core *core, struct binding *binding)
 {
-	struct machine *machine = b->machine;
-	struct job *job = b->job;
+	struct machine *machine = binding->machine;
+	struct job *job = binding->job;
 
-	if (b->running_since > 0)
+	if (binding->running_since > 0)
 		job->nrunning--;
-	binding_bit(b, false);
-	chunk_count(b, -1);
-	job->uncommitted -= !b->committed;
+	binding_bit(binding, false);
+	chunk_count(binding, -1);
+	job->uncommitted -= !binding->committed;
 	team_charge(core, &job->spec, -1);
-	DL_DELETE2(machine->bindings, b, mprev, mnext);
-	DL_DELETE2(job->bindings, b, jprev, jnext);
+	DL_DELETE2(machine->bindings, binding, mprev, mnext);
+	DL_DELETE2(job->bindings, binding, jprev, jnext);
 	machine->nbindings--;
 	machine->nreplicas -= job->spec.kind == JOB_SERVICE;
 	machine->cpus += job->spec.cpus;
@@ -384,23 +385,23 @@
 	/* The slot stays with its job, unless pairing switched it to another. */
 	if (job->spec.kind == JOB_ARRAY && !job->orphan) {
 		snprintf(machine->turn, sizeof(machine->turn), "%s",
-			 *b->switched_to ? b->switched_to : job->spec.id);
+			 *binding->switched_to ? binding->switched_to : job->spec.id);
 		machine->turn_until = core->now + TURN_S;
 	}
-	commit_chunk(core, job, b->task, END_DELAY_S);
-	free(b);
+	commit_chunk(core, job, binding->task, END_DELAY_S);
+	free(binding);
 }
 
 /* The end of a binding, proved. The record follows in the next transaction. */
-void binding_end(struct core *core, struct binding *b, enum task_why why)
+void binding_end(struct core *core, struct binding *binding, enum task_why why)
 {
-	struct machine *machine = b->machine;
-	struct job *job = b->job;
+	struct machine *machine = binding->machine;
+	struct job *job = binding->job;
 
-	log_info("task_end", "job=%s task=%u attempt=%llu machine=%s why=%d", job->spec.id, b->task,
-		 (unsigned long long)b->attempt, machine->id, why);
-	binding_account(core, b, why);
-	binding_drop(core, b);
+	log_info("task_end", "job=%s task=%u attempt=%llu machine=%s why=%d", job->spec.id,
+		 binding->task, (unsigned long long)binding->attempt, machine->id, why);
+	binding_account(core, binding, why);
+	binding_drop(core, binding);
 	if (job->spec.kind == JOB_GANG && why != WHY_DONE && !job->cancelled)
 		gang_lost(core, job, why);
 	job->waiting_since = core->now;
--- a/src/core/limits.c
+++ b/src/core/limits.c
@@ -27,8 +27,9 @@
 
 size_t limits_value_bytes(const struct core *core)
 {
-	return core->el.format >= FORMAT_PIECES ? limits_job_record_bytes(core)
-						: with_learned(core, core->conf->limits.value_kb);
+	return core->election.format >= FORMAT_PIECES
+		   ? limits_job_record_bytes(core)
+		   : with_learned(core, core->conf->limits.value_kb);
 }
 
 size_t limits_job_record_bytes(const struct core *core)
--- a/src/core/load.c
+++ b/src/core/load.c
@@ -13,7 +13,7 @@
 
 static const char *load_prefix(const struct core *core, size_t at)
 {
-	return (core->el.format >= FORMAT_PIECES ? prefixes_pieces : prefixes_chunks)[at];
+	return (core->election.format >= FORMAT_PIECES ? prefixes_pieces : prefixes_chunks)[at];
 }
 
 struct load {
@@ -42,7 +42,7 @@
 	 * would be closed at once, and its tasks run on with nobody to stop them.
 	 */
 	if (json_is_true(json_object_get(value, "cancelled"))) {
-		if (core->el.role == ROLE_LOADING)
+		if (core->election.role == ROLE_LOADING)
 			job->cancelled = true;
 		else
 			job_cancel(core, job);
@@ -92,7 +92,7 @@
 		job_settle(core, job);
 		job_release(core, job);
 	}
-	core->el.role = ROLE_LEAD;
+	core->election.role = ROLE_LEAD;
 	core->lead_since = core->now;
 	core->puts.filled = core->now;
 	core->puts.left = limits_write_rps(core) * WRITE_SHARE_LEADER;
@@ -103,9 +103,9 @@
 
 static void on_page(struct core *core, struct call *call, int status, const char *body, size_t len);
 
-static void ask_page(struct core *core, struct load *l)
+static void ask_page(struct core *core, struct load *load)
 {
-	store_range(core, load_prefix(core, l->at), l->last, on_page, l)->drop = free;
+	store_range(core, load_prefix(core, load->at), load->last, on_page, load)->drop = free;
 }
 
 static void on_page(struct core *core, struct call *call, int status, const char *body, size_t len)
@@ -208,7 +208,7 @@
 	commit_clear(core);
 	rent_clear(core);
 	format_clear(core);
-	core->kicked = NULL;
+	core->command_queue = NULL;
 	HASH_ITER (hh, core->machines, machine, mtmp) {
 		struct binding *binding, *tmp;
 
--- a/src/core/machine_list.c
+++ b/src/core/machine_list.c
@@ -39,25 +39,25 @@
 
 static void take_listed(struct core *core, const struct listed_machine *listed)
 {
-	struct machine *m = machine_find(core, listed->id);
+	struct machine *machine = machine_find(core, listed->id);
 
 	/* A lagging list still names what was deleted: it must not come back to life. */
-	if (!m && (machine_has_tombstone(core, listed->id) || listed->state == LS_FAILED))
+	if (!machine && (machine_has_tombstone(core, listed->id) || listed->state == LS_FAILED))
 		return;
-	if (!m) {
-		m = machine_get(core, listed->id);
-		m->rented_at = core->now - listed->age_s;
+	if (!machine) {
+		machine = machine_get(core, listed->id);
+		machine->rented_at = core->now - listed->age_s;
 		log_info("machine_listed", "machine=%s type=%s state=%d age=%.1f", listed->id,
 			 listed->type, listed->state, listed->age_s);
 	}
-	machine_describe(core, m, listed->addr, listed->type, listed->zone, listed->spot);
-	m->listed = m->expected = true;
-	m->missing = 0;
-	m->list_round = core->list_round;
+	machine_describe(core, machine, listed->addr, listed->type, listed->zone, listed->spot);
+	machine->listed = machine->expected = true;
+	machine->missing = 0;
+	machine->list_round = core->list_round;
 	if (listed->state == LS_FAILED)
-		m->failed = true;
+		machine->failed = true;
 	if (listed->state == LS_RUNNING)
-		machine_show(core, m);
+		machine_show(core, machine);
 }
 
 static void list_ended(struct core *core)
--- a/src/core/machines.c
+++ b/src/core/machines.c
@@ -34,12 +34,12 @@
 	return machine;
 }
 
-void machine_free(struct core *core, struct machine *m)
+void machine_free(struct core *core, struct machine *machine)
 {
-	HASH_DEL(core->machines, m);
-	report_cache_remove(&core->reports, &m->last_report);
-	free(m->left);
-	free(m);
+	HASH_DEL(core->machines, machine);
+	report_cache_remove(&core->reports, &machine->last_report);
+	free(machine->left);
+	free(machine);
 }
 
 static const struct machine_type *type_find(const struct core *core, const char *name)
@@ -51,18 +51,18 @@
 }
 
 /* Free room is what the type offers less what is bound; an unknown type offers nothing. */
-static void machine_link(struct core *core, struct machine *m)
+static void machine_link(struct core *core, struct machine *machine)
 {
 	const struct binding *binding;
 
-	m->type = type_find(core, m->type_name);
-	m->cpus = m->type ? m->type->cpus : 0;
-	m->gpus = m->type ? m->type->gpus : 0;
-	m->mem_gb = m->type ? m->type->mem_gb : 0;
-	DL_FOREACH2 (m->bindings, binding, mnext) {
-		m->cpus -= binding->job->spec.cpus;
-		m->gpus -= binding->job->spec.gpus;
-		m->mem_gb -= binding->job->spec.mem_gb;
+	machine->type = type_find(core, machine->type_name);
+	machine->cpus = machine->type ? machine->type->cpus : 0;
+	machine->gpus = machine->type ? machine->type->gpus : 0;
+	machine->mem_gb = machine->type ? machine->type->mem_gb : 0;
+	DL_FOREACH2 (machine->bindings, binding, mnext) {
+		machine->cpus -= binding->job->spec.cpus;
+		machine->gpus -= binding->job->spec.gpus;
+		machine->mem_gb -= binding->job->spec.mem_gb;
 	}
 }
 
@@ -74,17 +74,17 @@
 		machine_link(core, machine);
 }
 
-void machine_describe(struct core *core, struct machine *m, const char *addr, const char *type,
-		      const char *zone, bool spot)
+void machine_describe(struct core *core, struct machine *machine, const char *addr,
+		      const char *type, const char *zone, bool spot)
 {
-	if (*addr && strcmp(m->addr, addr))
-		snprintf(m->addr, sizeof(m->addr), "%s", addr);
-	if (m->type && !strcmp(m->type_name, type))
+	if (*addr && strcmp(machine->addr, addr))
+		snprintf(machine->addr, sizeof(machine->addr), "%s", addr);
+	if (machine->type && !strcmp(machine->type_name, type))
 		return;
-	snprintf(m->type_name, sizeof(m->type_name), "%s", type);
-	snprintf(m->zone, sizeof(m->zone), "%s", zone);
-	m->spot = spot;
-	machine_link(core, m);
+	snprintf(machine->type_name, sizeof(machine->type_name), "%s", type);
+	snprintf(machine->zone, sizeof(machine->zone), "%s", zone);
+	machine->spot = spot;
+	machine_link(core, machine);
 }
 
 bool machine_fresh(const struct core *core, const struct machine *machine)
@@ -151,12 +151,12 @@
 }
 
 /* The cloud answered 200 to its delete: it and everything on it is gone. */
-void machine_gone(struct core *core, struct machine *m)
+void machine_gone(struct core *core, struct machine *machine)
 {
-	log_info("machine_gone", "machine=%s bound=%d", m->id, m->nbindings);
-	m->gone = m->deleting = true;
-	while (m->bindings)
-		binding_end(core, m->bindings, WHY_NONE);
+	log_info("machine_gone", "machine=%s bound=%d", machine->id, machine->nbindings);
+	machine->gone = machine->deleting = true;
+	while (machine->bindings)
+		binding_end(core, machine->bindings, WHY_NONE);
 }
 
 static bool boot_overdue(const struct core *core, const struct machine *machine)
@@ -182,11 +182,11 @@
  * Asks a machine that has not been heard of in this term. All report to a new leader by themselves
  * within two intervals; a question to each before that would cost it as much again.
  */
-void machine_show(struct core *core, struct machine *m)
+void machine_show(struct core *core, struct machine *machine)
 {
-	if (m->last_word < 0 && core->now - m->asked_at > MACHINE_SHOW_S &&
+	if (machine->last_word < 0 && core->now - machine->asked_at > MACHINE_SHOW_S &&
 	    core->now - core->lead_since > MACHINE_SHOW_REPORTS * core->conf->report_s)
-		workers_ask(core, m);
+		workers_ask(core, machine);
 }
 
 /* No report for longer than one may be late; not heard of in this term though all others were. */
@@ -205,39 +205,42 @@
  * its lease. That is allowed only while few machines are silent: else it may be this controller
  * that is cut off.
  */
-static bool replicas_unreachable(struct core *core, struct machine *m)
+static bool replicas_unreachable(struct core *core, struct machine *machine)
 {
-	if (!m->nreplicas || !overdue(core, m))
+	if (!machine->nreplicas || !overdue(core, machine))
 		return false;
-	if (m->unanswered_at > fmax(m->last_word, core->lead_since))
+	if (machine->unanswered_at > fmax(machine->last_word, core->lead_since))
 		return core->few_silent;
-	workers_ask(core, m);
+	workers_ask(core, machine);
 	return false;
 }
 
-static void machine_look(struct core *core, struct machine *m)
+static void machine_look(struct core *core, struct machine *machine)
 {
-	bool vanished = m->missing >= MACHINE_GONE_LISTS && !machine_fresh(core, m);
+	bool vanished = machine->missing >= MACHINE_GONE_LISTS && !machine_fresh(core, machine);
 
 	/* Held room that can't be used any more. */
-	if (m->hold_job && !machine_usable(core, m))
-		m->hold_job = NULL;
-	if (m->deleting)
+	if (machine->hold_job && !machine_usable(core, machine))
+		machine->hold_job = NULL;
+	if (machine->deleting)
 		return;
-	if (m->failed || vanished || silent_too_long(core, m) || replicas_unreachable(core, m)) {
+	if (machine->failed || vanished || silent_too_long(core, machine) ||
+	    replicas_unreachable(core, machine)) {
 		log_info("machine_lost", "machine=%s failed=%d missing=%d last_word=%.1f bound=%d",
-			 m->id, m->failed, m->missing,
-			 m->last_word < 0 ? -1.0 : core->now - m->last_word, m->nbindings);
-		m->deleting = true;
+			 machine->id, machine->failed, machine->missing,
+			 machine->last_word < 0 ? -1.0 : core->now - machine->last_word,
+			 machine->nbindings);
+		machine->deleting = true;
 		return;
 	}
 	/* Known from a record or the list, but not heard of under this leader. */
-	if (m->nbindings)
-		machine_show(core, m);
+	if (machine->nbindings)
+		machine_show(core, machine);
 	/* Deaf since long, while the lease must have taken its tasks: it is replaced. */
-	if (!m->hears && !m->nbindings && core->now - m->deaf_since > MACHINE_DEAF_S) {
-		log_info("machine_deaf_returned", "machine=%s", m->id);
-		m->deleting = true;
+	if (!machine->hears && !machine->nbindings &&
+	    core->now - machine->deaf_since > MACHINE_DEAF_S) {
+		log_info("machine_deaf_returned", "machine=%s", machine->id);
+		machine->deleting = true;
 	}
 }
 
@@ -278,7 +281,7 @@
 	HASH_ITER (hh, core->machines, machine, tmp) {
 		machine_look(core, machine);
 		if (machine->gone && !machine->bindings) {
-			workers_unkick(core, machine);
+			commands_unwanted(core, machine);
 			machine_free(core, machine);
 		}
 	}
--- a/src/core/pair.c
+++ b/src/core/pair.c
@@ -75,12 +75,12 @@
 }
 
 /* A partner other than the slot's own job, drawn in proportion to its count. */
-static struct pair_count *draw(struct core *core, struct pair_work *w, double total)
+static struct pair_count *draw(struct core *core, struct pair_work *work, double total)
 {
 	double at = core_random(core) * total;
 	struct pair_count *count, *tmp;
 
-	HASH_ITER (hh, w->counts, count, tmp) {
+	HASH_ITER (hh, work->counts, count, tmp) {
 		at -= count->slots;
 		if (at < 0)
 			return count;
@@ -88,22 +88,22 @@
 	return NULL;
 }
 
-static void switches_send(struct core *core, struct pair_work *w, Peer__Switches *out)
+static void switches_send(struct core *core, struct pair_work *work, Peer__Switches *out)
 {
 	size_t n;
 	uint8_t *buf = peers_pack(&out->base, &n);
 
-	if (w->conn) {
-		core_reply_packed(core, w->conn, buf, n);
+	if (work->conn) {
+		core_reply_packed(core, work->conn, buf, n);
 		return;
 	}
 	pair_take_switches(core, core->conf->npeers, buf, n);
 	free(buf);
 }
 
-static void pair_decide(struct core *core, struct pair_work *w)
+static void pair_decide(struct core *core, struct pair_work *work)
 {
-	size_t n = w->part->n_slots;
+	size_t n = work->part->n_slots;
 	Peer__Switch *all = calloc(n + 1, sizeof(*all)), **list = calloc(n + 1, sizeof(*list));
 	Peer__Switches out = PEER__SWITCHES__INIT;
 	struct pair_count *count, *tmp;
@@ -111,11 +111,12 @@
 
 	if (!all || !list)
 		abort();
-	HASH_ITER (hh, w->counts, count, tmp)
+	HASH_ITER (hh, work->counts, count, tmp)
 		total += count->slots;
 	for (size_t i = 0; i < n; i++) {
-		Peer__Slot *s = w->part->slots[i];
-		struct pair_count *b = count_get(&w->counts, s->job), *a = draw(core, w, total);
+		Peer__Slot *s = work->part->slots[i];
+		struct pair_count *b = count_get(&work->counts, s->job),
+				  *a = draw(core, work, total);
 
 		if (!a || a == b || !a->open || core_random(core) >= pair_rho(a->slots, b->slots))
 			continue;
@@ -124,10 +125,10 @@
 		all[i].to = a->id;
 		list[out.n_switches++] = &all[i];
 	}
-	out.token = w->part->token;
+	out.token = work->part->token;
 	out.incarnation = core->incarnation;
 	out.switches = list;
-	switches_send(core, w, &out);
+	switches_send(core, work, &out);
 	free(all);
 	free(list);
 }
@@ -204,7 +205,7 @@
 #define COUNTS_FRAME_BYTES 64 /* of a value beside its entries: names, token, quantum */
 #define COUNT_FRAME_BYTES 16  /* of an entry beside the job's id */
 
-static void add_counts_value(const struct core *core, struct txn *t, uint64_t token, int index,
+static void add_counts_value(const struct core *core, struct txn *txn, uint64_t token, int index,
 			     json_t *counts)
 {
 	char key[CONF_NAME_MAX + 16];
@@ -213,7 +214,7 @@
 		snprintf(key, sizeof(key), "p/%s/%d", core->conf->name, index);
 	else
 		snprintf(key, sizeof(key), "p/%s", core->conf->name);
-	txn_put(t, key,
+	txn_put(txn, key,
 		json_pack("{s:I,s:I,s:o}", "token", (json_int_t)token, "quantum",
 			  (json_int_t)core->pair_quantum, "counts", counts),
 		0);
@@ -223,7 +224,7 @@
  * Our counts as one value, as several where one would be too large. Jobs that fit in none are not
  * drawn in this quantum.
  */
-static void add_counts(struct core *core, struct txn *t, uint64_t token, struct pair_count *own)
+static void add_counts(struct core *core, struct txn *txn, uint64_t token, struct pair_count *own)
 {
 	size_t most = limits_job_record_bytes(core), bytes = COUNTS_FRAME_BYTES;
 	json_t *counts = json_object();
@@ -233,17 +234,17 @@
 	HASH_ITER (hh, own, count, tmp) {
 		size_t more = strlen(count->id) + COUNT_FRAME_BYTES;
 
-		if (bytes + more > most && t->nops + 1 >= limits_txn_ops(core))
+		if (bytes + more > most && txn->nops + 1 >= limits_txn_ops(core))
 			break;
 		if (bytes + more > most) {
-			add_counts_value(core, t, token, t->nops, counts);
+			add_counts_value(core, txn, token, txn->nops, counts);
 			counts = json_object();
 			bytes = COUNTS_FRAME_BYTES;
 		}
 		json_object_set_new(counts, count->id, json_integer((json_int_t)count->slots));
 		bytes += more;
 	}
-	add_counts_value(core, t, token, t->nops, counts);
+	add_counts_value(core, txn, token, txn->nops, counts);
 }
 
 /* Starts on a part: the own counts are written. */
@@ -288,7 +289,7 @@
 		return;
 	if (peer < core->conf->npeers)
 		peers_note_incarnation(core, peer, in->incarnation);
-	for (size_t i = 0; i < in->n_switches && in->token == core->el.token; i++) {
+	for (size_t i = 0; i < in->n_switches && in->token == core->election.token; i++) {
 		Peer__Slot *s = in->switches[i]->slot;
 		struct machine *m = s ? machine_find(core, s->machine) : NULL;
 		struct job *to = job_find(core, in->switches[i]->to);
@@ -378,23 +379,23 @@
 	}
 }
 
-static void build_open(struct core *core, struct part_build *p)
+static void build_open(struct core *core, struct part_build *build)
 {
 	struct job *job, *tmp;
 
-	p->open = calloc(HASH_COUNT(core->jobs) + 1, sizeof(*p->open));
-	p->open_list = calloc(HASH_COUNT(core->jobs) + 1, sizeof(*p->open_list));
-	if (!p->open || !p->open_list)
+	build->open = calloc(HASH_COUNT(core->jobs) + 1, sizeof(*build->open));
+	build->open_list = calloc(HASH_COUNT(core->jobs) + 1, sizeof(*build->open_list));
+	if (!build->open || !build->open_list)
 		abort();
 	HASH_ITER (hh, core->jobs, job, tmp) {
 		/* A job whose team is at its limit, or with nothing waiting, is not drawn. */
 		if (job->spec.kind != JOB_ARRAY || !job_waiting(job) ||
 		    !team_has_room(core, &job->spec, 1))
 			continue;
-		peer__open__init(&p->open[p->nopen]);
-		p->open[p->nopen].job = job->spec.id;
-		p->open_list[p->nopen] = &p->open[p->nopen];
-		p->nopen++;
+		peer__open__init(&build->open[build->nopen]);
+		build->open[build->nopen].job = job->spec.id;
+		build->open_list[build->nopen] = &build->open[build->nopen];
+		build->nopen++;
 	}
 }
 
@@ -407,7 +408,7 @@
 
 	build_slots(core, owner, &build);
 	build_open(core, &build);
-	part.token = core->el.token;
+	part.token = core->election.token;
 	part.slots = build.slot_list;
 	part.n_slots = build.nslots;
 	part.open = build.open_list;
--- a/src/core/peers.c
+++ b/src/core/peers.c
@@ -55,7 +55,7 @@
 		x->running = job->nrunning;
 		list[out.n_counts++] = x;
 	}
-	out.token = core->el.token;
+	out.token = core->election.token;
 	out.counts = list;
 	buf = peers_pack(&out.base, &len);
 	core_reply_packed(core, conn, buf, len);
@@ -107,11 +107,11 @@
 
 static void counts_tick(struct core *core)
 {
-	if (core->el.role == ROLE_LEAD || core->counts_out || core->now < core->counts_next ||
+	if (core->election.role == ROLE_LEAD || core->counts_out || core->now < core->counts_next ||
 	    core->now - core->counts_wanted > COUNTS_ASKED_S)
 		return;
 	for (size_t i = 0; i < core->conf->npeers; i++) {
-		if (strcmp(core->conf->peers[i].name, core->el.leader))
+		if (strcmp(core->conf->peers[i].name, core->election.leader))
 			continue;
 		core->counts_out = true;
 		core->counts_next = core->now + COUNTS_EVERY_S;
@@ -187,12 +187,12 @@
 }
 
 /* Hands the request to a controller that the state service may serve; false if there is none. */
-bool forward_user(struct core *core, struct user_req *u)
+bool forward_user(struct core *core, struct user_req *request)
 {
 	size_t best = core->conf->npeers;
 	struct wrapped *wrapped;
 
-	HASH_FIND(hh, core->wrapped, &u->conn, sizeof(u->conn), wrapped);
+	HASH_FIND(hh, core->wrapped, &request->conn, sizeof(request->conn), wrapped);
 	if (wrapped)
 		return false; /* handed on once already */
 	for (size_t i = 0; i < core->conf->npeers; i++)
@@ -202,7 +202,7 @@
 			best = i;
 	if (best == core->conf->npeers)
 		return false;
-	forward_to(core, best, u);
+	forward_to(core, best, request);
 	return true;
 }
 
@@ -257,7 +257,8 @@
 
 /* --- cancellations --- */
 
-static void on_told(struct core *core, struct call *call, int status, const char *body, size_t len)
+static void on_cancelled_answer(struct core *core, struct call *call, int status, const char *body,
+				size_t len)
 {
 	(void)body;
 	(void)len;
@@ -278,8 +279,8 @@
 		out.job = (char *)id;
 		out.version = version;
 		buf = peers_pack(&out.base, &len);
-		core_call_packed(core, core->conf->peers[i].addr, CANCELLED_PATH, buf, len, on_told,
-				 (void *)(uintptr_t)i);
+		core_call_packed(core, core->conf->peers[i].addr, CANCELLED_PATH, buf, len,
+				 on_cancelled_answer, (void *)(uintptr_t)i);
 	}
 }
 
@@ -292,28 +293,28 @@
 		core_reply_error(core, request->conn, 400, 0, "cancelled");
 		return;
 	}
-	job_cancel_told(core, in->job, in->version);
+	job_cancel_committed(core, in->job, in->version);
 	peer__cancelled__free_unpacked(in, NULL);
 	core_reply(core, request->conn, 200, 0, strdup("{}"));
 }
 
 /* --- what users were told of cancellations, while the state service is silent --- */
 
-void peers_note_told(struct core *core, const char *id, uint64_t version)
+void peers_note_confirmed(struct core *core, const char *id, uint64_t version)
 {
-	struct told *told, *tmp;
+	struct confirmed_cancel *told, *tmp;
 
-	HASH_ITER (hh, core->told, told, tmp) {
-		bool old = core->now - told->at > TOLD_KEEP_CANCELS * core->conf->cancel_s;
+	HASH_ITER (hh, core->confirmed, told, tmp) {
+		bool old = core->now - told->at > CONFIRMED_KEEP_CANCELS * core->conf->cancel_s;
 
-		if (!old && HASH_COUNT(core->told) < TOLD_MAX)
+		if (!old && HASH_COUNT(core->confirmed) < CONFIRMED_MAX)
 			break; /* oldest first */
 		/* What is forgotten before its time must not pass for never told. */
 		core->incarnation += !old;
-		HASH_DEL(core->told, told);
+		HASH_DEL(core->confirmed, told);
 		free(told);
 	}
-	HASH_FIND_STR(core->told, id, told);
+	HASH_FIND_STR(core->confirmed, id, told);
 	if (told)
 		return;
 	told = calloc(1, sizeof(*told));
@@ -322,20 +323,20 @@
 	snprintf(told->id, sizeof(told->id), "%s", id);
 	told->version = version;
 	told->at = core->now;
-	HASH_ADD_STR(core->told, id, told);
+	HASH_ADD_STR(core->confirmed, id, told);
 }
 
-static void heard_reply(struct core *core, uint64_t conn)
+static void confirmed_reply(struct core *core, uint64_t conn)
 {
-	size_t n = HASH_COUNT(core->told), len;
+	size_t n = HASH_COUNT(core->confirmed), len;
 	Peer__Cancelled *all = calloc(n + 1, sizeof(*all)), **list = calloc(n + 1, sizeof(*list));
-	Peer__Heard out = PEER__HEARD__INIT;
-	struct told *told, *tmp;
+	Peer__Confirmed out = PEER__CONFIRMED__INIT;
+	struct confirmed_cancel *told, *tmp;
 	uint8_t *buf;
 
 	if (!all || !list)
 		abort();
-	HASH_ITER (hh, core->told, told, tmp) {
+	HASH_ITER (hh, core->confirmed, told, tmp) {
 		Peer__Cancelled *x = &all[out.n_cancelled];
 
 		peer__cancelled__init(x);
@@ -344,7 +345,7 @@
 		list[out.n_cancelled++] = x;
 	}
 	out.incarnation = core->incarnation;
-	out.token = core->el.role == ROLE_LEAD ? core->el.token : 0;
+	out.token = core->election.role == ROLE_LEAD ? core->election.token : 0;
 	out.cancelled = list;
 	buf = peers_pack(&out.base, &len);
 	core_reply_packed(core, conn, buf, len);
@@ -367,38 +368,39 @@
  * process before this one, that is before we first heard of this one. If the jobs' changes were
  * read after that, we know of those too; if not, the answer proves nothing.
  */
-static void heard_take(struct core *core, size_t i, double asked, const Peer__Heard *in)
+static void confirmed_take(struct core *core, size_t i, double asked, const Peer__Confirmed *in)
 {
 	struct peer_view *peer = &core->peers[i];
 
 	peers_note_incarnation(core, i, in->incarnation);
-	if (in->token > core->el.token)
+	if (in->token > core->election.token)
 		election_deposed(core, core->conf->peers[i].name);
 	for (size_t k = 0; k < in->n_cancelled; k++)
-		job_cancel_told(core, in->cancelled[k]->job, in->cancelled[k]->version);
-	if (core->el.role == ROLE_LEAD && peer->since <= core->jobs_read)
-		peer->heard = asked;
+		job_cancel_committed(core, in->cancelled[k]->job, in->cancelled[k]->version);
+	if (core->election.role == ROLE_LEAD && peer->since <= core->jobs_read)
+		peer->confirmed_until = asked;
 }
 
-static void on_heard(struct core *core, struct call *call, int status, const char *body, size_t len)
+static void on_confirmed(struct core *core, struct call *call, int status, const char *body,
+			 size_t len)
 {
 	size_t i = (size_t)(uintptr_t)call->arg;
-	Peer__Heard *in =
-	    status == 200 ? peer__heard__unpack(NULL, len, (const uint8_t *)body) : NULL;
+	Peer__Confirmed *in =
+	    status == 200 ? peer__confirmed__unpack(NULL, len, (const uint8_t *)body) : NULL;
 
 	peer_answered(core, i, status);
 	if (!in)
 		return;
-	heard_take(core, i, call->sent, in);
-	peer__heard__free_unpacked(in, NULL);
+	confirmed_take(core, i, call->sent, in);
+	peer__confirmed__free_unpacked(in, NULL);
 }
 
-double peers_heard(const struct core *core)
+double peers_confirmed_until(const struct core *core)
 {
 	double least = core->now;
 
 	for (size_t i = 0; i < core->conf->npeers; i++)
-		least = fmin(least, core->peers[i].heard);
+		least = fmin(least, core->peers[i].confirmed_until);
 	return core->conf->npeers ? least : -1;
 }
 
@@ -412,11 +414,11 @@
 		forward_take(core, request);
 	else if (!strcmp(request->path, CANCELLED_PATH))
 		cancelled_take(core, request);
-	else if (!strcmp(request->path, HEARD_PATH))
-		heard_reply(core, request->conn);
+	else if (!strcmp(request->path, CONFIRMED_PATH))
+		confirmed_reply(core, request->conn);
 	else if (strcmp(request->path, COUNTS_PATH))
 		core_reply_error(core, request->conn, 404, 0, "no such path");
-	else if (core->el.role == ROLE_LEAD)
+	else if (core->election.role == ROLE_LEAD)
 		counts_reply(core, request->conn);
 	else
 		core_reply_error(core, request->conn, 421, 0, "not leading");
@@ -430,8 +432,8 @@
 		return;
 	core->ping_next = core->now + PEER_PING_S;
 	for (size_t i = 0; i < core->conf->npeers; i++)
-		core_call(core, core->conf->peers[i].addr, "POST", fmt_path(HEARD_PATH), strdup(""),
-			  CALL_PEER_S, on_heard, (void *)(uintptr_t)i);
+		core_call(core, core->conf->peers[i].addr, "POST", fmt_path(CONFIRMED_PATH),
+			  strdup(""), CALL_PEER_S, on_confirmed, (void *)(uintptr_t)i);
 }
 
 void peers_tick(struct core *core)
@@ -458,14 +460,14 @@
 void peers_clear(struct core *core)
 {
 	struct wrapped *wrapped, *tmp;
-	struct told *told, *ttmp;
+	struct confirmed_cancel *told, *ttmp;
 
 	HASH_ITER (hh, core->wrapped, wrapped, tmp) {
 		HASH_DEL(core->wrapped, wrapped);
 		free(wrapped);
 	}
-	HASH_ITER (hh, core->told, told, ttmp) {
-		HASH_DEL(core->told, told);
+	HASH_ITER (hh, core->confirmed, told, ttmp) {
+		HASH_DEL(core->confirmed, told);
 		free(told);
 	}
 }
--- a/src/core/place.c
+++ b/src/core/place.c
@@ -47,9 +47,9 @@
 
 static uint32_t slots_for(const struct spot_room *room, const struct job *j)
 {
-	const struct job *h = room->m->hold_job;
+	const struct job *h = room->machine->hold_job;
 	const struct job_spec *spec = &j->spec;
-	double n = room->m->hold_tasks;
+	double n = room->machine->hold_tasks;
 
 	if (room->cpus + ROOM_SLACK < spec->cpus || room->gpus + ROOM_SLACK < spec->gpus ||
 	    room->mem_gb + ROOM_SLACK < spec->mem_gb)
@@ -139,7 +139,7 @@
 
 static uint64_t new_attempt(struct core *core)
 {
-	return (core->el.token << ATTEMPT_SHIFT) + ++core->attempts;
+	return (core->election.token << ATTEMPT_SHIFT) + ++core->attempts;
 }
 
 /*
@@ -149,38 +149,38 @@
 static uint64_t round_attempt(struct round *round)
 {
 	if (!round->attempt)
-		round->attempt = new_attempt(round->c);
+		round->attempt = new_attempt(round->core);
 	return round->attempt;
 }
 
-static void place(struct round *round, struct job *j, struct machine *machine, uint32_t task,
+static void place(struct round *round, struct job *job, struct machine *machine, uint32_t task,
 		  uint64_t attempt)
 {
-	struct core *core = round->c;
+	struct core *core = round->core;
 
-	if (j->spec.kind != JOB_SERVICE)
-		plan_release(core, j); /* it has what room was held for */
-	else if (machine->hold_job == j && !--machine->hold_tasks)
+	if (job->spec.kind != JOB_SERVICE)
+		plan_release(core, job); /* it has what room was held for */
+	else if (machine->hold_job == job && !--machine->hold_tasks)
 		machine->hold_job = NULL;
-	binding_add(core, machine, j, task, attempt);
-	round_take(round, machine, &j->spec);
-	log_info("place", "job=%s task=%u attempt=%llu machine=%s waited=%.2f", j->spec.id, task,
-		 (unsigned long long)attempt, machine->id, core->wall - j->submitted);
-	commit_chunk(core, j, task, 0);
+	binding_add(core, machine, job, task, attempt);
+	round_take(round, machine, &job->spec);
+	log_info("place", "job=%s task=%u attempt=%llu machine=%s waited=%.2f", job->spec.id, task,
+		 (unsigned long long)attempt, machine->id, core->wall - job->submitted);
+	commit_chunk(core, job, task, 0);
 }
 
 /* --- gangs --- */
 
-static void find_candidates(struct round *round, struct job *j)
+static void find_candidates(struct round *round, struct job *job)
 {
-	round_allow(round, &j->spec);
+	round_allow(round, &job->spec);
 	round->ncands = 0;
 	for (size_t i = 0; i < round->nrooms; i++) {
 		struct spot_room *room = &round->rooms[i];
 		struct candidate *candidate;
 		uint32_t slots;
 
-		if (!round->pools[room->pool].allowed || !(slots = slots_for(room, j)))
+		if (!round->pools[room->pool].allowed || !(slots = slots_for(room, job)))
 			continue;
 		candidate = &round->cands[round->ncands++];
 		candidate->room = room;
@@ -202,7 +202,7 @@
 	uint32_t n = 0;
 
 	for (size_t i = 0; i < round->ncands && n < job->spec.ntasks; i++)
-		if (!zone || !strcmp(round->cands[i].room->m->zone, zone))
+		if (!zone || !strcmp(round->cands[i].room->machine->zone, zone))
 			n += round->cands[i].slots;
 	return n;
 }
@@ -214,26 +214,26 @@
 
 		if (!isfinite(round->cands[i].cost))
 			round->cands[i].cost =
-			    round->pools[room->pool].pool_cost + place_cost(room->m, job);
+			    round->pools[room->pool].pool_cost + place_cost(room->machine, job);
 	}
 	qsort(round->cands, round->ncands, sizeof(*round->cands), by_cost);
 }
 
-static bool bind_gang(struct round *round, struct job *j, const char *zone)
+static bool bind_gang(struct round *round, struct job *job, const char *zone)
 {
-	uint64_t attempt = new_attempt(round->c);
+	uint64_t attempt = new_attempt(round->core);
 	uint32_t t = 0;
 
-	for (size_t i = 0; i < round->ncands && t < j->spec.ntasks; i++) {
-		struct machine *machine = round->cands[i].room->m;
+	for (size_t i = 0; i < round->ncands && t < job->spec.ntasks; i++) {
+		struct machine *machine = round->cands[i].room->machine;
 
 		if (zone && strcmp(machine->zone, zone))
 			continue;
-		for (uint32_t k = 0; k < round->cands[i].slots && t < j->spec.ntasks; k++)
-			if (job_zone_rest(j, machine->zone))
-				place(round, j, machine, t++, attempt);
+		for (uint32_t k = 0; k < round->cands[i].slots && t < job->spec.ntasks; k++)
+			if (job_zone_rest(job, machine->zone))
+				place(round, job, machine, t++, attempt);
 	}
-	j->attempt = attempt;
+	job->attempt = attempt;
 	return true;
 }
 
@@ -268,7 +268,7 @@
 		if (!round->pools[p].allowed || zone_slots(round, job, zone) < job->spec.ntasks)
 			continue;
 		for (size_t i = 0; i < round->ncands && n < job->spec.ntasks; i++) {
-			if (strcmp(round->cands[i].room->m->zone, zone))
+			if (strcmp(round->cands[i].room->machine->zone, zone))
 				continue;
 			cost = fmax(cost, round->cands[i].cost);
 			n += round->cands[i].slots;
@@ -281,24 +281,24 @@
 	return best;
 }
 
-static bool place_gang(struct round *round, struct job *j)
+static bool place_gang(struct round *round, struct job *job)
 {
-	bool together = j->spec.one_zone && j->spec.ntasks > 1;
+	bool together = job->spec.one_zone && job->spec.ntasks > 1;
 	const char *zone = NULL;
 
 	/* Tasks of an old attempt keep their places and zones until they exit. */
-	if (j->bindings || !team_has_room(round->c, &j->spec, j->spec.ntasks))
+	if (job->bindings || !team_has_room(round->core, &job->spec, job->spec.ntasks))
 		return false;
-	if (no_room_for(round, j, j->spec.ntasks))
+	if (no_room_for(round, job, job->spec.ntasks))
 		return false;
-	find_candidates(round, j);
-	if (zone_slots(round, j, NULL) >= j->spec.ntasks && spread_fits(round, j)) {
-		cost_candidates(round, j);
-		if (!together || (zone = best_zone(round, j)))
-			return bind_gang(round, j, zone);
+	find_candidates(round, job);
+	if (zone_slots(round, job, NULL) >= job->spec.ntasks && spread_fits(round, job)) {
+		cost_candidates(round, job);
+		if (!together || (zone = best_zone(round, job)))
+			return bind_gang(round, job, zone);
 	}
-	note_no_room(round, j, j->spec.ntasks);
-	note_wanted(round, j);
+	note_no_room(round, job, job->spec.ntasks);
+	note_wanted(round, job);
 	return false;
 }
 
@@ -327,70 +327,71 @@
 }
 
 /* `spare`: only room that no waiting gang could use. */
-static struct machine *best_machine(struct round *round, struct job *j, bool spare)
+static struct machine *best_machine(struct round *round, struct job *job, bool spare)
 {
-	const char *held = job_held_zone(j);
+	const char *held = job_held_zone(job);
 	struct machine *best = NULL;
 	double best_cost = INFINITY;
 
-	round_allow(round, &j->spec);
+	round_allow(round, &job->spec);
 	for (size_t i = 0; i < round->nrooms; i++) {
 		struct spot_room *room = &round->rooms[i];
 		const struct pool *pool = &round->pools[room->pool];
 		double cost = pool->pool_cost;
 
-		if (!pool->allowed || cost >= best_cost || !slots_for(room, j) ||
+		if (!pool->allowed || cost >= best_cost || !slots_for(room, job) ||
 		    (held && strcmp(held, pool->zone)) ||
-		    (spare && takes_wanted(round, room, &j->spec)))
+		    (spare && takes_wanted(round, room, &job->spec)))
 			continue;
-		cost += place_cost(room->m, j) + replica_cost(j, room->m);
-		if (cost < best_cost && job_zone_rest(j, pool->zone)) {
+		cost += place_cost(room->machine, job) + replica_cost(job, room->machine);
+		if (cost < best_cost && job_zone_rest(job, pool->zone)) {
 			best_cost = cost;
-			best = room->m;
+			best = room->machine;
 		}
 	}
 	return best;
 }
 
 /* The next waiting task whose record has room for one more binding. */
-static uint32_t next_task(const struct core *core, struct job *j)
+static uint32_t next_task(const struct core *core, struct job *job)
 {
-	uint32_t t = job_next_waiting(j);
+	uint32_t t = job_next_waiting(job);
 
-	while (t < j->spec.ntasks &&
-	       (job_bit(j->done, t) || job_bit(j->bound, t) || job_chunk_full(core, j, t)))
-		t = job_chunk_full(core, j, t) ? (t / CHUNK_TASKS + 1) * CHUNK_TASKS : t + 1;
+	while (t < job->spec.ntasks &&
+	       (job_bit(job->done, t) || job_bit(job->bound, t) || job_chunk_full(core, job, t)))
+		t = job_chunk_full(core, job, t) ? (t / CHUNK_TASKS + 1) * CHUNK_TASKS : t + 1;
 	return t;
 }
 
-static bool place_task(struct round *round, struct job *j, bool spare)
+static bool place_task(struct round *round, struct job *job, bool spare)
 {
 	struct machine *machine;
 	uint32_t task;
 
-	if (!job_waiting(j) || !team_has_room(round->c, &j->spec, 1) || no_room_for(round, j, 1))
+	if (!job_waiting(job) || !team_has_room(round->core, &job->spec, 1) ||
+	    no_room_for(round, job, 1))
 		return false;
-	task = next_task(round->c, j);
-	if (task >= j->spec.ntasks)
+	task = next_task(round->core, job);
+	if (task >= job->spec.ntasks)
 		return false;
-	machine = best_machine(round, j, spare);
+	machine = best_machine(round, job, spare);
 	if (!machine) {
 		if (!spare)
-			note_no_room(round, j, 1);
+			note_no_room(round, job, 1);
 		return false;
 	}
-	place(round, j, machine, task, round_attempt(round));
+	place(round, job, machine, task, round_attempt(round));
 	return true;
 }
 
 /* Replicas are independent, and each that runs serves: they start one by one. */
-static bool place_service(struct round *round, struct job *j)
+static bool place_service(struct round *round, struct job *job)
 {
-	while (place_task(round, j, false))
+	while (place_task(round, job, false))
 		;
-	if (!job_waiting(j))
-		plan_release(round->c, j);
-	return job_waiting(j) == 0;
+	if (!job_waiting(job))
+		plan_release(round->core, job);
+	return job_waiting(job) == 0;
 }
 
 /* --- the round --- */
@@ -453,21 +454,22 @@
 }
 
 /* The job whose freed slot, kept for it or switched to it, this is; NULL if it can't use it. */
-static struct job *turn_of(struct round *round, struct machine *m)
+static struct job *turn_of(struct round *round, struct machine *machine)
 {
-	struct core *core = round->c;
-	struct job *j = *m->turn ? job_find(core, m->turn) : NULL;
-	struct spot_room *room = &round->rooms[m->round_at];
+	struct core *core = round->core;
+	struct job *j = *machine->turn ? job_find(core, machine->turn) : NULL;
+	struct spot_room *room = &round->rooms[machine->round_at];
 	const char *zone;
 
-	m->turn[0] = 0;
-	if (!j || core->now > m->turn_until || !job_waiting(j) || core->now < j->not_before ||
-	    j->spec.kind != JOB_ARRAY || job_bad_on(j, m) || !team_has_room(core, &j->spec, 1))
+	machine->turn[0] = 0;
+	if (!j || core->now > machine->turn_until || !job_waiting(j) || core->now < j->not_before ||
+	    j->spec.kind != JOB_ARRAY || job_bad_on(j, machine) ||
+	    !team_has_room(core, &j->spec, 1))
 		return NULL;
 	round_allow(round, &j->spec);
 	zone = job_held_zone(j);
 	if (!round->pools[room->pool].allowed || !slots_for(room, j) ||
-	    !job_zone_rest(j, m->zone) || (zone && strcmp(zone, m->zone)) ||
+	    !job_zone_rest(j, machine->zone) || (zone && strcmp(zone, machine->zone)) ||
 	    takes_wanted(round, room, &j->spec))
 		return NULL;
 	return j;
@@ -476,12 +478,12 @@
 static void serve_turns(struct round *round)
 {
 	for (size_t i = 0; i < round->nrooms; i++) {
-		struct machine *machine = round->rooms[i].m;
-		struct job *j = *machine->turn ? turn_of(round, machine) : NULL;
-		uint32_t task = j ? next_task(round->c, j) : 0;
+		struct machine *machine = round->rooms[i].machine;
+		struct job *job = *machine->turn ? turn_of(round, machine) : NULL;
+		uint32_t task = job ? next_task(round->core, job) : 0;
 
-		if (j && task < j->spec.ntasks)
-			place(round, j, machine, task, round_attempt(round));
+		if (job && task < job->spec.ntasks)
+			place(round, job, machine, task, round_attempt(round));
 	}
 }
 
@@ -503,20 +505,20 @@
 }
 
 /* The soonest of the times at which its class's deadline counts that it can still meet. */
-static void job_need(const struct core *core, struct job *j, struct need *out)
+static void job_need(const struct core *core, struct job *job, struct need *out)
 {
 	const struct conf_objective *objective = core->conf->objectives;
 	uint32_t n;
 
-	out->job = j;
-	out->slots = j->spec.deadline_s < 0 ? 0 : slots_needed(core, j, 1);
+	out->job = job;
+	out->slots = job->spec.deadline_s < 0 ? 0 : slots_needed(core, job, 1);
 	out->times = 1;
-	for (size_t i = 0; i < core->conf->nobjectives && j->spec.deadline_s >= 0; i++) {
+	for (size_t i = 0; i < core->conf->nobjectives && job->spec.deadline_s >= 0; i++) {
 		if (objective[i].kind != OBJ_DEADLINE ||
-		    strcmp(objective[i].class_name, j->spec.class_name) ||
+		    strcmp(objective[i].class_name, job->spec.class_name) ||
 		    objective[i].times <= 1 || (out->slots && objective[i].times >= out->times))
 			continue;
-		n = slots_needed(core, j, objective[i].times);
+		n = slots_needed(core, job, objective[i].times);
 		if (!n)
 			continue;
 		out->slots = n;
@@ -524,11 +526,11 @@
 	}
 }
 
-uint32_t array_need(const struct core *core, struct job *j)
+uint32_t array_need(const struct core *core, struct job *job)
 {
 	struct need need;
 
-	job_need(core, j, &need);
+	job_need(core, job, &need);
 	return need.slots;
 }
 
@@ -555,7 +557,7 @@
 	if (!all)
 		abort();
 	for (size_t i = 0; i < n; i++) {
-		job_need(round->c, jobs[i], &all[k]);
+		job_need(round->core, jobs[i], &all[k]);
 		k += all[k].slots > 0;
 	}
 	qsort(all, k, sizeof(*all), by_need);
@@ -605,12 +607,12 @@
  * A replica on a machine that is about to go is stopped once there is room for it elsewhere, which
  * is held: it can't run in both places.
  */
-static void move_replica(struct round *round, struct binding *b)
+static void move_replica(struct round *round, struct binding *binding)
 {
-	struct job *job = b->job;
+	struct job *job = binding->job;
 	struct machine *target;
 
-	if (b->stopping || !b->seen || job->spec.kind != JOB_SERVICE || job->orphan ||
+	if (binding->stopping || !binding->seen || job->spec.kind != JOB_SERVICE || job->orphan ||
 	    job->cancelled)
 		return;
 	target = best_machine(round, job, false);
@@ -618,11 +620,11 @@
 		return;
 	target->hold_tasks = target->hold_job == job ? target->hold_tasks + 1 : 1;
 	target->hold_job = job;
-	job->hold_until = round->c->now + PREEMPT_HOLD_S;
+	job->hold_until = round->core->now + PREEMPT_HOLD_S;
 	round_take(round, target, &job->spec);
-	log_info("replica_moves", "job=%s task=%u machine=%s to=%s", job->spec.id, b->task,
-		 b->machine->id, target->id);
-	binding_stop(round->c, b, 0);
+	log_info("replica_moves", "job=%s task=%u machine=%s to=%s", job->spec.id, binding->task,
+		 binding->machine->id, target->id);
+	binding_stop(round->core, binding, 0);
 }
 
 static void move_replicas(struct round *round)
@@ -630,7 +632,7 @@
 	struct machine *machine, *tmp;
 	struct binding *binding;
 
-	HASH_ITER (hh, round->c->machines, machine, tmp) {
+	HASH_ITER (hh, round->core->machines, machine, tmp) {
 		if (!machine_leaves(machine) || !machine->nreplicas)
 			continue;
 		DL_FOREACH2 (machine->bindings, binding, mnext)
@@ -708,7 +710,7 @@
 		return;
 	core->round_due = false;
 	core->round_again = core->now + ROUND_AGAIN_S;
-	if (core->now - core->el.renewed > LEADER_TTL_MS / 1000.0 * 2)
+	if (core->now - core->election.renewed > LEADER_TTL_MS / 1000.0 * 2)
 		return; /* without the state service nothing can be committed */
 	n = waiting_jobs(core, &jobs);
 	if (n || core->replicas_leave)
--- a/src/core/plan.c
+++ b/src/core/plan.c
@@ -12,17 +12,17 @@
 #include "core/round.h"
 #include "util/log.h"
 
-void plan_release(struct core *core, struct job *j)
+void plan_release(struct core *core, struct job *job)
 {
 	struct machine *machine, *tmp;
 
-	if (!j->hold_until)
+	if (!job->hold_until)
 		return;
-	j->hold_until = 0;
-	j->gathering = false;
-	j->hold_zone[0] = 0;
+	job->hold_until = 0;
+	job->gathering = false;
+	job->hold_zone[0] = 0;
 	HASH_ITER (hh, core->machines, machine, tmp) {
-		if (machine->hold_job != j)
+		if (machine->hold_job != job)
 			continue;
 		machine->hold_job = NULL;
 		machine->hold_tasks = 0;
@@ -189,11 +189,11 @@
 		struct candidate *candidate = &round->cands[round->ncands];
 
 		if (!round->pools[room->pool].allowed ||
-		    (room->m->hold_job && room->m->hold_job != demand->j) ||
-		    !zone_open(demand->j, room->m->zone))
+		    (room->machine->hold_job && room->machine->hold_job != demand->j) ||
+		    !zone_open(demand->j, room->machine->zone))
 			continue;
 		candidate->room = room;
-		candidate->slots = machine_offer(demand, room->m, &candidate->cost);
+		candidate->slots = machine_offer(demand, room->machine, &candidate->cost);
 		round->ncands += candidate->slots > 0;
 	}
 	qsort(round->cands, round->ncands, sizeof(*round->cands), by_cost_per_slot);
@@ -208,7 +208,7 @@
 	for (size_t i = 0; i < round->ncands && n < demand->tasks; i++) {
 		const struct candidate *candidate = &round->cands[i];
 
-		if (zone && strcmp(zone, candidate->room->m->zone))
+		if (zone && strcmp(zone, candidate->room->machine->zone))
 			continue;
 		n += candidate->slots;
 		cost += candidate->cost;
@@ -242,63 +242,64 @@
 
 /* --- carrying it out --- */
 
-static struct binding *cheapest(const struct demand *demand, struct machine *m)
+static struct binding *cheapest(const struct demand *demand, struct machine *machine)
 {
 	struct binding *binding, *best = NULL;
 
-	DL_FOREACH2 (m->bindings, binding, mnext)
+	DL_FOREACH2 (machine->bindings, binding, mnext)
 		if (!binding->stopping && frees(demand, binding) &&
 		    (!best || stop_cost(demand->c, binding) < stop_cost(demand->c, best)))
 			best = binding;
 	return best;
 }
 
-static void stop_for(struct core *core, const struct demand *demand, struct machine *m,
+static void stop_for(struct core *core, const struct demand *demand, struct machine *machine,
 		     uint32_t want)
 {
-	struct room r = {m->cpus, m->gpus, m->mem_gb};
+	struct room r = {machine->cpus, machine->gpus, machine->mem_gb};
 	struct binding *binding;
 
-	DL_FOREACH2 (m->bindings, binding, mnext)
+	DL_FOREACH2 (machine->bindings, binding, mnext)
 		if (binding->stopping)
 			room_grow(&r, binding);
-	while (slots_of(&r, demand->j) < want && (binding = cheapest(demand, m))) {
+	while (slots_of(&r, demand->j) < want && (binding = cheapest(demand, machine))) {
 		log_info("preempt", "job=%s for=%s machine=%s", binding->job->spec.id,
-			 demand->j->spec.id, m->id);
+			 demand->j->spec.id, machine->id);
 		room_grow(&r, binding);
 		binding_stop(core, binding, grace_of(binding));
 	}
 }
 
-static void carry_out(struct round *round, const struct demand *demand, struct job *j,
+static void carry_out(struct round *round, const struct demand *demand, struct job *job,
 		      const struct choice *ch)
 {
 	uint32_t left = demand->tasks;
 
 	for (size_t i = 0; i < round->ncands && left; i++) {
 		struct candidate *candidate = &round->cands[i];
-		struct machine *machine = candidate->room->m;
+		struct machine *machine = candidate->room->machine;
 		uint32_t n = candidate->slots < left ? candidate->slots : left;
 
 		if (ch->zone && strcmp(ch->zone, machine->zone))
 			continue;
-		machine->hold_job = j;
+		machine->hold_job = job;
 		machine->hold_tasks = n;
 		left -= n;
-		stop_for(round->c, demand, machine, n);
+		stop_for(round->core, demand, machine, n);
 	}
 }
 
-static bool stop_lower(struct round *round, struct job *j, struct demand *demand)
+static bool stop_lower(struct round *round, struct job *job, struct demand *demand)
 {
 	struct choice ch;
 
 	if (!choose(round, demand, &ch))
 		return false;
-	carry_out(round, demand, j, &ch);
-	j->hold_until = round->c->now + PREEMPT_HOLD_S;
-	log_info("hold", "job=%s tasks=%u zone=%s cost=%.0f waited=%.1f", j->spec.id, demand->tasks,
-		 ch.zone ? ch.zone : "", ch.cost, round->c->wall - j->submitted);
+	carry_out(round, demand, job, &ch);
+	job->hold_until = round->core->now + PREEMPT_HOLD_S;
+	log_info("hold", "job=%s tasks=%u zone=%s cost=%.0f waited=%.1f", job->spec.id,
+		 demand->tasks, ch.zone ? ch.zone : "", ch.cost,
+		 round->core->wall - job->submitted);
 	return true;
 }
 
@@ -331,7 +332,7 @@
 	const struct pool *pool = &round->pools[room->pool];
 
 	return pool->allowed && (!*zone || !strcmp(zone, pool->zone)) &&
-	       (!room->m->hold_job || room->m->hold_job == job);
+	       (!room->machine->hold_job || room->machine->hold_job == job);
 }
 
 /* The zone with most room for it, free or in use: there it falls free soonest. */
@@ -346,7 +347,7 @@
 
 		for (size_t i = 0; i < round->nrooms; i++) {
 			const struct spot_room *room = &round->rooms[i];
-			const struct machine_type *type = room->m->type;
+			const struct machine_type *type = room->machine->type;
 
 			if (!may_hold(round, room, job, zone))
 				continue;
@@ -363,39 +364,39 @@
 }
 
 /* Holds what is free now, anew in each round: what was lost or is not needed goes back. */
-static void gather(struct round *round, struct job *j)
+static void gather(struct round *round, struct job *job)
 {
-	uint32_t left = j->spec.ntasks;
+	uint32_t left = job->spec.ntasks;
 
-	round_allow(round, &j->spec);
+	round_allow(round, &job->spec);
 	for (size_t i = 0; i < round->nrooms; i++) {
 		struct spot_room *room = &round->rooms[i];
 		uint32_t n;
 
-		if (!may_hold(round, room, j, j->hold_zone))
+		if (!may_hold(round, room, job, job->hold_zone))
 			continue;
-		n = room_slots(room->cpus, room->gpus, room->mem_gb, &j->spec);
-		room->m->hold_tasks = n < left ? n : left;
-		room->m->hold_job = room->m->hold_tasks ? j : NULL;
-		left -= room->m->hold_tasks;
+		n = room_slots(room->cpus, room->gpus, room->mem_gb, &job->spec);
+		room->machine->hold_tasks = n < left ? n : left;
+		room->machine->hold_job = room->machine->hold_tasks ? job : NULL;
+		left -= room->machine->hold_tasks;
 	}
-	j->hold_until = round->c->now + GATHER_HOLD_S;
+	job->hold_until = round->core->now + GATHER_HOLD_S;
 }
 
-static void gather_begin(struct round *round, struct job *j)
+static void gather_begin(struct round *round, struct job *job)
 {
 	const char *zone;
 
-	round_allow(round, &j->spec);
-	zone = gather_zone(round, j);
+	round_allow(round, &job->spec);
+	zone = gather_zone(round, job);
 	if (!zone)
 		return;
-	if (j->spec.one_zone)
-		snprintf(j->hold_zone, sizeof(j->hold_zone), "%s", zone);
-	j->gathering = true;
-	gather(round, j);
-	log_info("gather", "job=%s tasks=%u zone=%s waited=%.1f", j->spec.id, j->spec.ntasks,
-		 j->hold_zone, round->c->wall - j->submitted);
+	if (job->spec.one_zone)
+		snprintf(job->hold_zone, sizeof(job->hold_zone), "%s", zone);
+	job->gathering = true;
+	gather(round, job);
+	log_info("gather", "job=%s tasks=%u zone=%s waited=%.1f", job->spec.id, job->spec.ntasks,
+		 job->hold_zone, round->core->wall - job->submitted);
 }
 
 /* Seconds of waiting before lower work is stopped: room may fall free while the aim is not at risk.
@@ -432,34 +433,34 @@
 }
 
 /* Called in a round for each gang, service, and array that holds nothing, that found no room. */
-bool plan_room(struct round *round, struct job *j)
+bool plan_room(struct round *round, struct job *job)
 {
-	struct core *core = round->c;
-	double waited = core->now - j->waiting_since;
-	struct demand demand = {core, j, false, plan_tasks(j)};
+	struct core *core = round->core;
+	double waited = core->now - job->waiting_since;
+	struct demand demand = {core, job, false, plan_tasks(job)};
 
-	if (j->gathering) {
-		gather(round, j);
+	if (job->gathering) {
+		gather(round, job);
 		return true;
 	}
-	if (j->hold_until && core->now > j->hold_until)
-		plan_release(core, j);
-	if (!plan_possible(j) || j->hold_until || waited < patience(core, j) ||
-	    core->now < j->next_plan)
+	if (job->hold_until && core->now > job->hold_until)
+		plan_release(core, job);
+	if (!plan_possible(job) || job->hold_until || waited < patience(core, job) ||
+	    core->now < job->next_plan)
 		return false;
-	j->next_plan = core->now + PLAN_AGAIN_S;
-	demand.own = !team_has_room(core, &j->spec, demand.tasks);
-	if (stop_lower(round, j, &demand))
+	job->next_plan = core->now + PLAN_AGAIN_S;
+	demand.own = !team_has_room(core, &job->spec, demand.tasks);
+	if (stop_lower(round, job, &demand))
 		return true;
-	if (j->spec.kind == JOB_SERVICE) {
+	if (job->spec.kind == JOB_SERVICE) {
 		/* Room for one replica is worth more than none for all. */
 		demand.tasks = 1;
-		return stop_lower(round, j, &demand);
+		return stop_lower(round, job, &demand);
 	}
-	waited = core->wall - j->submitted;
-	if (demand.own || j->spec.kind == JOB_ARRAY || waited < gather_after(core, j) ||
-	    !may_gather(core, j, waited))
+	waited = core->wall - job->submitted;
+	if (demand.own || job->spec.kind == JOB_ARRAY || waited < gather_after(core, job) ||
+	    !may_gather(core, job, waited))
 		return false;
-	gather_begin(round, j);
+	gather_begin(round, job);
 	return true;
 }
--- a/src/core/rent.c
+++ b/src/core/rent.c
@@ -68,10 +68,11 @@
  */
 void refusal_lift(struct core *core, const struct machine *machine)
 {
-	struct refusal *r = refusal_find(core, machine->type_name, machine->zone, machine->spot);
+	struct refusal *refusal =
+	    refusal_find(core, machine->type_name, machine->zone, machine->spot);
 
-	if (r)
-		r->until = r->wait = 0;
+	if (refusal)
+		refusal->until = refusal->wait = 0;
 }
 
 /* --- what is missing --- */
@@ -157,15 +158,15 @@
 
 static bool plan_fit(struct plan *plan, const struct job_spec *spec, bool live, const char *zone)
 {
-	struct fit_from *f = fit_from(plan, spec, live, zone);
-	size_t i = f ? f->at : 0;
+	struct fit_from *start = fit_from(plan, spec, live, zone);
+	size_t i = start ? start->at : 0;
 
 	for (; i < plan->n; i++)
 		if ((live || !plan->v[i].live) && (!zone || !strcmp(zone, plan->v[i].zone)) &&
 		    vroom_take(&plan->v[i], spec))
 			break;
-	if (f)
-		f->at = i;
+	if (start)
+		start->at = i;
 	return i < plan->n;
 }
 
@@ -178,25 +179,25 @@
 
 static void note_refusal(struct core *core, const struct rent_req *rental, bool no)
 {
-	struct refusal *r = refusal_find(core, rental->type, rental->zone, rental->spot);
+	struct refusal *refusal = refusal_find(core, rental->type, rental->zone, rental->spot);
 
-	if (!r) {
-		r = calloc(1, sizeof(*r));
-		if (!r)
+	if (!refusal) {
+		refusal = calloc(1, sizeof(*refusal));
+		if (!refusal)
 			abort();
-		memcpy(r->key, refusal_key(rental->type, rental->zone, rental->spot).text,
-		       sizeof(r->key));
-		HASH_ADD_STR(core->refusals, key, r);
+		memcpy(refusal->key, refusal_key(rental->type, rental->zone, rental->spot).text,
+		       sizeof(refusal->key));
+		HASH_ADD_STR(core->refusals, key, refusal);
 	}
 	if (!no) {
-		r->wait = 0;
-		r->until = 0;
+		refusal->wait = 0;
+		refusal->until = 0;
 		return;
 	}
-	r->wait = r->wait ? r->wait * 2 : RENT_REFUSED_S;
-	if (r->wait > RENT_REFUSED_MAX_S)
-		r->wait = RENT_REFUSED_MAX_S;
-	r->until = core->now + r->wait;
+	refusal->wait = refusal->wait ? refusal->wait * 2 : RENT_REFUSED_S;
+	if (refusal->wait > RENT_REFUSED_MAX_S)
+		refusal->wait = RENT_REFUSED_MAX_S;
+	refusal->until = core->now + refusal->wait;
 }
 
 static uint32_t per_machine(const struct machine_type *type, const struct job_spec *spec)
@@ -230,7 +231,7 @@
  * In the zone `only`, or anywhere. More than can be asked for in a second need not be planned: a
  * job may have a hundred thousand tasks.
  */
-static bool plan_rent(struct core *core, struct plan *p, const struct job_spec *spec,
+static bool plan_rent(struct core *core, struct plan *plan, const struct job_spec *spec,
 		      uint32_t tasks, bool only_spot, const char *only)
 {
 	const struct machine_type *best = NULL;
@@ -238,7 +239,7 @@
 	const char *zone = NULL;
 	bool spot = false;
 
-	if (p->nwanted >= RENT_BATCH_MAX * core->conf->cloud_rps)
+	if (plan->nwanted >= RENT_BATCH_MAX * core->conf->cloud_rps)
 		return false;
 	for (size_t i = 0; i < core->ntypes; i++) {
 		const struct machine_type *type = &core->types[i];
@@ -263,12 +264,12 @@
 	}
 	if (!best)
 		return false;
-	plan_add(p, best, zone, spot)->wanted = true;
-	p->nwanted++;
-	return plan_fit(p, spec, false, only);
+	plan_add(plan, best, zone, spot)->wanted = true;
+	plan->nwanted++;
+	return plan_fit(plan, spec, false, only);
 }
 
-static void plan_known(struct core *core, struct plan *p)
+static void plan_known(struct core *core, struct plan *plan)
 {
 	struct machine *machine, *tmp;
 	struct rent_req *rental;
@@ -282,7 +283,7 @@
 		/* Neither one known only from a late copy nor one that does not hear us is room. */
 		if (machine->last_word < 0 ? !machine->expected : !machine->hears)
 			continue;
-		room = plan_add(p, machine->type, machine->zone, machine->spot);
+		room = plan_add(plan, machine->type, machine->zone, machine->spot);
 		if (machine->last_word < 0)
 			continue;
 		room->live = true;
@@ -294,7 +295,7 @@
 		for (size_t i = 0; i < core->ntypes; i++)
 			for (int k = 0;
 			     k < rental->count && !strcmp(core->types[i].name, rental->type); k++)
-				plan_add(p, &core->types[i], rental->zone, rental->spot);
+				plan_add(plan, &core->types[i], rental->zone, rental->spot);
 	}
 }
 
@@ -314,10 +315,10 @@
 static uint32_t zone_coming(struct plan *plan, const struct job_spec *spec, const char *zone,
 			    uint32_t most)
 {
-	const struct fit_from *f = fit_from(plan, spec, false, zone);
+	const struct fit_from *start = fit_from(plan, spec, false, zone);
 	uint32_t n = 0;
 
-	for (size_t i = f ? f->at : 0; i < plan->n && n < most; i++) {
+	for (size_t i = start ? start->at : 0; i < plan->n && n < most; i++) {
 		const struct vroom *room = &plan->v[i];
 
 		if (!room->live && !strcmp(room->zone, zone) &&
@@ -331,7 +332,7 @@
  * A gang of one zone gains nothing from room spread over several: it is planned where most of it is
  * on its way already, else where it is cheapest.
  */
-static const char *plan_zone(struct core *core, struct plan *p, const struct job_spec *spec)
+static const char *plan_zone(struct core *core, struct plan *plan, const struct job_spec *spec)
 {
 	const char *best = NULL;
 	uint32_t most = 0, n;
@@ -344,7 +345,7 @@
 		for (int z = 0; z < type->nzones; z++) {
 			if (best && !strcmp(best, type->zones[z]))
 				continue;
-			n = zone_coming(p, spec, type->zones[z], spec->ntasks);
+			n = zone_coming(plan, spec, type->zones[z], spec->ntasks);
 			if (n > most) {
 				most = n;
 				best = type->zones[z];
@@ -354,25 +355,25 @@
 	return best;
 }
 
-static void plan_job(struct core *core, struct plan *p, const struct job *job)
+static void plan_job(struct core *core, struct plan *plan, const struct job *job)
 {
 	const struct job_spec *spec = &job->spec;
-	const char *zone = plan_zone(core, p, spec);
+	const char *zone = plan_zone(core, plan, spec);
 	uint32_t n = job_waiting(job);
 
 	for (uint32_t k = 0; k < n && team_has_room(core, spec, k + 1); k++) {
-		if (plan_fit(p, spec, false, zone))
+		if (plan_fit(plan, spec, false, zone))
 			continue;
-		if (!plan_rent(core, p, spec, n - k, can_wait(core, job), zone) &&
-		    !(zone && plan_rent(core, p, spec, n - k, can_wait(core, job), NULL)))
+		if (!plan_rent(core, plan, spec, n - k, can_wait(core, job), zone) &&
+		    !(zone && plan_rent(core, plan, spec, n - k, can_wait(core, job), NULL)))
 			break;
 		if (!zone && spec->one_zone && spec->kind != JOB_ARRAY)
-			zone = p->v[p->n - 1].zone;
+			zone = plan->v[plan->n - 1].zone;
 	}
 }
 
 /* Waiting tasks that their team may run now; they fit on no live machine, or they would run. */
-static void plan_waiting(struct core *core, struct plan *p)
+static void plan_waiting(struct core *core, struct plan *plan)
 {
 	struct job *job, *tmp;
 
@@ -381,7 +382,7 @@
 		    (job->bindings && job->spec.kind == JOB_GANG) ||
 		    core->wall - job->submitted < RENT_AFTER_S)
 			continue;
-		plan_job(core, p, job);
+		plan_job(core, plan, job);
 	}
 }
 
@@ -416,7 +417,7 @@
 }
 
 /* A replica that is lost finds room at once: a boot costs its users more than the room. */
-static void plan_replicas(struct core *core, struct plan *p)
+static void plan_replicas(struct core *core, struct plan *plan)
 {
 	struct replica_classes classes;
 
@@ -425,14 +426,14 @@
 		const struct job_spec *spec = classes.list[i].spec;
 
 		for (uint32_t k = 0; k < REPLICA_SPARE; k++)
-			if (!plan_fit(p, spec, true, NULL) &&
-			    !plan_rent(core, p, spec, REPLICA_SPARE - k, false, NULL))
+			if (!plan_fit(plan, spec, true, NULL) &&
+			    !plan_rent(core, plan, spec, REPLICA_SPARE - k, false, NULL))
 				break;
 	}
 }
 
 /* Where money is no aim, room is kept for what comes next. */
-static void plan_headroom(struct core *core, struct plan *p)
+static void plan_headroom(struct core *core, struct plan *plan)
 {
 	double share = core->conf->headroom >= 0 ? core->conf->headroom : HEADROOM_LAVISH;
 	struct class_use use[CLASSES_MAX];
@@ -445,8 +446,8 @@
 		uint32_t want = (uint32_t)(share * use[i].tasks) + HEADROOM_LAVISH_MIN;
 
 		for (uint32_t k = 0; k < want; k++)
-			if (!plan_fit(p, use[i].spec, true, NULL) &&
-			    !plan_rent(core, p, use[i].spec, want - k, false, NULL))
+			if (!plan_fit(plan, use[i].spec, true, NULL) &&
+			    !plan_rent(core, plan, use[i].spec, want - k, false, NULL))
 				break;
 	}
 }
@@ -498,27 +499,28 @@
 	free(rental);
 }
 
-static void rent_send(struct core *core, struct rent_req *q)
+static void rent_send(struct core *core, struct rent_req *rental)
 {
 	struct call *call;
 
-	q->out = true;
-	call = core_call(core, core->conf->cloud, "POST", fmt_path(W_PATH_MACHINES),
-			 wire_rental(q->name, q->type, q->zone, q->spot, q->count), CALL_CLOUD_S,
-			 on_rent, NULL);
-	snprintf(call->key, sizeof(call->key), "%s", q->name);
+	rental->out = true;
+	call = core_call(
+	    core, core->conf->cloud, "POST", fmt_path(W_PATH_MACHINES),
+	    wire_rental(rental->name, rental->type, rental->zone, rental->spot, rental->count),
+	    CALL_CLOUD_S, on_rent, NULL);
+	snprintf(call->key, sizeof(call->key), "%s", rental->name);
 }
 
 /* One request for wanted machines of the first wanted type, zone and kind, as many as it takes. */
-static void rent_first(struct core *core, struct plan *p)
+static void rent_first(struct core *core, struct plan *plan)
 {
 	struct vroom *first = NULL;
 	struct rent_req *rental = calloc(1, sizeof(*rental));
 
 	if (!rental)
 		abort();
-	for (size_t i = 0; i < p->n && rental->count < RENT_BATCH_MAX; i++) {
-		struct vroom *room = &p->v[i];
+	for (size_t i = 0; i < plan->n && rental->count < RENT_BATCH_MAX; i++) {
+		struct vroom *room = &plan->v[i];
 
 		if (!room->wanted)
 			continue;
@@ -528,11 +530,11 @@
 		    room->spot != first->spot)
 			continue;
 		room->wanted = false;
-		p->nwanted--;
+		plan->nwanted--;
 		rental->count++;
 	}
 	snprintf(rental->name, sizeof(rental->name), "r-%llu-%u",
-		 (unsigned long long)core->el.token, ++core->rent_counter);
+		 (unsigned long long)core->election.token, ++core->rent_counter);
 	snprintf(rental->type, sizeof(rental->type), "%s", first->type->name);
 	snprintf(rental->zone, sizeof(rental->zone), "%s", first->zone);
 	rental->spot = first->spot;
--- a/src/core/returns.c
+++ b/src/core/returns.c
@@ -19,12 +19,12 @@
 	return machine->type && machine->type->gpus > 0 ? IDLE_DEAR_S : IDLE_THRIFTY_S;
 }
 
-static void notice_look(struct core *core, struct machine *m)
+static void notice_look(struct core *core, struct machine *machine)
 {
-	double left = m->notice_s - (core->now - m->notice_heard);
+	double left = machine->notice_s - (core->now - machine->notice_heard);
 	struct binding *binding;
 
-	DL_FOREACH2 (m->bindings, binding, mnext) {
+	DL_FOREACH2 (machine->bindings, binding, mnext) {
 		double save = binding->job->spec.save_s;
 
 		if (binding->stopping || binding->job->spec.checkpoint_s <= 0 || left < save)
@@ -95,16 +95,16 @@
 	if (!election_stale(core, call)) {
 		cloud_trouble(core, status);
 		for (size_t i = 0; i < batch->n; i++) {
-			struct machine *m = machine_find(core, batch->ids[i]);
+			struct machine *machine = machine_find(core, batch->ids[i]);
 
-			if (!m)
+			if (!machine)
 				continue;
-			m->delete_out = false;
+			machine->delete_out = false;
 			if (status != 200)
 				continue;
-			tombstone_add(core, m->id);
-			refusal_lift(core, m);
-			machine_gone(core, m);
+			tombstone_add(core, machine->id);
+			refusal_lift(core, machine);
+			machine_gone(core, machine);
 		}
 	}
 	free(batch);
--- a/src/core/round.c
+++ b/src/core/round.c
@@ -22,38 +22,38 @@
 	return round->npools++;
 }
 
-static void room_add(struct round *round, struct machine *m)
+static void room_add(struct round *round, struct machine *machine)
 {
-	size_t pool = pool_of(round, m);
+	size_t pool = pool_of(round, machine);
 	struct spot_room *room;
 
-	m->round_at = (uint32_t)round->nrooms;
+	machine->round_at = (uint32_t)round->nrooms;
 	room = &round->rooms[round->nrooms++];
-	room->m = m;
+	room->machine = machine;
 	room->pool = (uint16_t)pool;
-	room->cpus = m->cpus;
-	room->gpus = m->gpus;
-	room->mem_gb = m->mem_gb;
+	room->cpus = machine->cpus;
+	room->gpus = machine->gpus;
+	room->mem_gb = machine->mem_gb;
 }
 
-void round_begin(struct core *core, struct round *r)
+void round_begin(struct core *core, struct round *round)
 {
 	size_t n = HASH_COUNT(core->machines) + 1;
 	struct machine *machine, *tmp;
 	struct job *job, *jtmp;
 
-	memset(r, 0, sizeof(*r));
-	r->c = core;
-	r->rooms = malloc(n * sizeof(*r->rooms));
-	r->cands = malloc(n * sizeof(*r->cands));
-	r->pools = malloc(n * sizeof(*r->pools));
-	if (!r->rooms || !r->cands || !r->pools)
+	memset(round, 0, sizeof(*round));
+	round->core = core;
+	round->rooms = malloc(n * sizeof(*round->rooms));
+	round->cands = malloc(n * sizeof(*round->cands));
+	round->pools = malloc(n * sizeof(*round->pools));
+	if (!round->rooms || !round->cands || !round->pools)
 		abort();
 	HASH_ITER (hh, core->machines, machine, tmp)
 		if (machine_usable(core, machine))
-			room_add(r, machine);
+			room_add(round, machine);
 	HASH_ITER (hh, core->jobs, job, jtmp)
-		r->ordinary_wanted |= !job->orphan && !job->spec.spot;
+		round->ordinary_wanted |= !job->orphan && !job->spec.spot;
 }
 
 void round_end(struct round *round)
--- a/src/core/round.h
+++ b/src/core/round.h
@@ -20,7 +20,7 @@
 
 struct spot_room {
 	double cpus, gpus, mem_gb;
-	struct machine *m;
+	struct machine *machine;
 	uint16_t pool;
 };
 
@@ -37,7 +37,7 @@
 };
 
 struct round {
-	struct core *c;
+	struct core *core;
 	uint64_t attempt; /* of the starts of this round, gangs aside; 0: none yet */
 	struct spot_room *rooms;
 	size_t nrooms;
@@ -53,7 +53,7 @@
 	bool ordinary_wanted; /* some job may not use spot machines */
 };
 
-void round_begin(struct core *core, struct round *r);
+void round_begin(struct core *core, struct round *round);
 void round_end(struct round *round);
 void round_take(struct round *round, const struct machine *machine, const struct job_spec *spec);
 /* Marks the pools that the job may use. */
@@ -71,10 +71,10 @@
  * none. */
 double wait_aim(const struct core *core, const struct job *job);
 /* Slots that an array needs at once for the soonest of its deadlines that it can still meet. */
-uint32_t array_need(const struct core *core, struct job *j);
+uint32_t array_need(const struct core *core, struct job *job);
 
 /* plan.c: room for gangs that find none */
-bool plan_room(struct round *round, struct job *j);
-void plan_release(struct core *core, struct job *j);
+bool plan_room(struct round *round, struct job *job);
+void plan_release(struct core *core, struct job *job);
 
 #endif
--- a/src/core/state.h
+++ b/src/core/state.h
@@ -56,7 +56,7 @@
 	double grace_s;
 	double running_since;  /* 0: not running */
 	uint32_t record_bytes; /* in its chunk's record, at most */
-	bool committed, flying;
+	bool committed, in_flight;
 	bool loaded; /* made by an earlier leader */
 	bool seen;   /* listed by its worker under this leader */
 	bool stopping;
@@ -106,12 +106,12 @@
 	struct report_cache_entry *last_report; /* in core->reports */
 	struct leftover *left;
 	size_t nleft;
-	uint64_t loose_token; /* newest token of an unanswered command to start */
-	int do_out;
-	bool call;   /* it may report to a leader of before: our token brings it here */
-	bool kick;   /* commands wait to be sent directly */
-	bool queued; /* in the list of those whose turn it is */
-	struct machine *kprev, *knext;
+	uint64_t unanswered_token; /* newest token of an unanswered command to start */
+	int commands_out;
+	bool announce_token;   /* it may report to a leader of before: our token brings it here */
+	bool commands_due;     /* commands wait to be sent directly */
+	bool in_command_queue; /* in the list of those whose turn it is */
+	struct machine *queue_prev, *queue_next;
 
 	/* the cloud */
 	bool listed;
@@ -145,7 +145,7 @@
 	uint32_t nbound;
 	uint32_t bytes;	      /* of its bindings in the record, at most */
 	struct write *queued; /* its write that waits; NULL: none */
-	bool flying;	      /* the transaction under way writes it */
+	bool in_flight;	      /* the transaction under way writes it */
 	bool ending;	      /* the transaction under way drops it with its job */
 	bool in_old;	      /* a record of the format before says what it holds */
 };
@@ -210,7 +210,7 @@
 	struct write *prev, *next;
 };
 
-struct flight {
+struct transaction {
 	struct write *items;
 	char *body;
 	int nops;
@@ -253,13 +253,13 @@
 	double answered;   /* steady; its last answer */
 	double no_forward; /* steady; nothing is handed to it before */
 	uint64_t incarnation;
-	double since; /* steady; when its first answer under this incarnation came */
-	double
-	    heard; /* steady; all that it had told users of cancellations by then is known here */
+	double since;		/* steady; when its first answer under this incarnation came */
+	double confirmed_until; /* steady; all that it had told users of cancellations by then is
+				   known here */
 };
 
 /* A cancellation that users were told of by this controller. */
-struct told {
+struct confirmed_cancel {
 	char id[ID_MAX];
 	uint64_t version; /* of the job's record; 0: not known */
 	double at;	  /* steady; when first */
@@ -340,7 +340,7 @@
 	struct call *calls;
 	uint64_t next_call;
 
-	struct election el;
+	struct election election;
 	struct format_watch format;
 	struct limits_learned limits;
 	bool state_down; /* the last answer was a refusal or none */
@@ -354,7 +354,7 @@
 	/* users */
 	struct user_req *submits; /* waiting for a transaction */
 	int nsubmits;
-	struct user_req *submit_flying;
+	struct user_req *submits_in_flight;
 	size_t submit_largest; /* bytes of the largest record in that transaction */
 	int nreads;
 	struct known *known;
@@ -371,8 +371,8 @@
 
 	/* other controllers */
 	struct peer_view *peers;
-	uint64_t incarnation; /* of this process */
-	struct told *told;    /* oldest first */
+	uint64_t incarnation;		    /* of this process */
+	struct confirmed_cancel *confirmed; /* oldest first */
 	struct wrapped *wrapped;
 	double state_heard; /* when the state service last served us */
 	double ping_next;
@@ -384,8 +384,8 @@
 	struct team *teams;
 	struct write *writes, *finals_due, *drops; /* in order of urgency */
 	struct write *migrations;		   /* chunks that only an older format holds */
-	struct flight flight;
-	bool flying;
+	struct transaction transaction;
+	bool in_flight;
 	double commit_again;
 	struct allowance puts;
 	bool fence_wanted;
@@ -396,8 +396,8 @@
 	bool jobs_watching;
 	double jobs_watch_again;
 	bool round_due;
-	struct machine *kicked; /* commands wait for them, longest waiting first */
-	bool *peer_live;	/* by its last answer */
+	struct machine *command_queue; /* commands wait for them, longest waiting first */
+	bool *peer_live;	       /* by its last answer */
 	double next_pair;
 	uint64_t pair_quantum; /* counts the values that we wrote */
 	uint64_t switches;     /* made since this process began */
@@ -491,10 +491,10 @@
 /* jobs.c */
 struct job *job_find(struct core *core, const char *id);
 struct job *job_add(struct core *core, const struct job_spec *spec);
-void job_cancel(struct core *core, struct job *j);
+void job_cancel(struct core *core, struct job *job);
 /* A cancellation is on record, with this version of the job's key: the leader stops its tasks. */
-void job_cancel_told(struct core *core, const char *id, uint64_t version);
-void job_task_done(struct core *core, struct job *j, uint32_t task);
+void job_cancel_committed(struct core *core, const char *id, uint64_t version);
+void job_task_done(struct core *core, struct job *job, uint32_t task);
 void job_done_unbound(struct core *core, const char *id, uint32_t task);
 bool job_bit(const uint8_t *bits, uint32_t task);
 uint32_t job_chunks(const struct job *job);
@@ -503,13 +503,13 @@
 void job_grow(struct job *job, uint32_t ntasks);
 uint32_t job_waiting(const struct job *job);
 uint32_t job_next_waiting(struct job *job);
-void job_settle(struct core *core, struct job *j);
+void job_settle(struct core *core, struct job *job);
 void job_tick(struct core *core);
-void job_free(struct core *core, struct job *j);
+void job_free(struct core *core, struct job *job);
 /* Frees a job that is over once nothing of it is bound or being written. */
-void job_release(struct core *core, struct job *j);
+void job_release(struct core *core, struct job *job);
 bool job_chunk_full(const struct core *core, const struct job *job, uint32_t task);
-void job_failed_on(struct core *core, struct job *j, struct machine *machine);
+void job_failed_on(struct core *core, struct job *job, struct machine *machine);
 
 /* teams.c */
 struct team *team_find(struct core *core, const char *name);
@@ -520,13 +520,13 @@
 /* machines.c */
 struct machine *machine_find(struct core *core, const char *id);
 struct machine *machine_get(struct core *core, const char *id);
-void machine_free(struct core *core, struct machine *m);
-void machine_describe(struct core *core, struct machine *m, const char *addr, const char *type,
-		      const char *zone, bool spot);
+void machine_free(struct core *core, struct machine *machine);
+void machine_describe(struct core *core, struct machine *machine, const char *addr,
+		      const char *type, const char *zone, bool spot);
 bool machine_has_tombstone(struct core *core, const char *id);
-void machine_gone(struct core *core, struct machine *m);
+void machine_gone(struct core *core, struct machine *machine);
 void machine_tick(struct core *core);
-void machine_show(struct core *core, struct machine *m);
+void machine_show(struct core *core, struct machine *machine);
 bool machine_fresh(const struct core *core, const struct machine *machine);
 /* It has a notice, or is to be returned: nothing new goes there. */
 bool machine_leaves(const struct machine *machine);
@@ -536,29 +536,29 @@
 bool machine_has_image(const struct machine *machine, const char *image);
 void machine_note_image(struct machine *machine, const char *image);
 void machines_relink(struct core *core);
-struct binding *binding_add(struct core *core, struct machine *m, struct job *job, uint32_t task,
-			    uint64_t attempt);
-void binding_end(struct core *core, struct binding *b, enum task_why why);
-void binding_drop(struct core *core, struct binding *b);
-void binding_stop(struct core *core, struct binding *b, double grace_s);
+struct binding *binding_add(struct core *core, struct machine *machine, struct job *job,
+			    uint32_t task, uint64_t attempt);
+void binding_end(struct core *core, struct binding *binding, enum task_why why);
+void binding_drop(struct core *core, struct binding *binding);
+void binding_stop(struct core *core, struct binding *binding, double grace_s);
 bool binding_unsent(const struct binding *binding);
 
 /* workers.c */
 void workers_beat(struct core *core, const struct core_request *request);
-void workers_kick(struct core *core, struct machine *m);
-void workers_unkick(struct core *core, struct machine *m);
-bool workers_ask(struct core *core, struct machine *m);
+void commands_wanted(struct core *core, struct machine *machine);
+void commands_unwanted(struct core *core, struct machine *machine);
+bool workers_ask(struct core *core, struct machine *machine);
 void workers_tick(struct core *core);
 void workers_fenced(struct core *core);
 
 /* commit.c */
-void commit_chunk(struct core *core, struct job *j, uint32_t task, double delay_s);
+void commit_chunk(struct core *core, struct job *job, uint32_t task, double delay_s);
 /* The chunk is written when there is room: so far a record of an older format holds it. */
-void commit_migrate(struct core *core, struct job *j, uint32_t chunk);
+void commit_migrate(struct core *core, struct job *job, uint32_t chunk);
 void commit_drop(struct core *core, const char *key, uint64_t version);
 /* No chunk waits to be written any more: the caller knows which are to be queued anew. */
 void commit_forget_chunks(struct core *core);
-void commit_final(struct core *core, struct job *j);
+void commit_final(struct core *core, struct job *job);
 void commit_tick(struct core *core);
 void commit_clear(struct core *core);
 /* True once nothing about the task's chunk or its job's end waits to be written. */
@@ -597,12 +597,12 @@
 #define COUNTS_PATH "/counts"
 #define FORWARD_PATH "/forward"
 #define CANCELLED_PATH "/cancelled"
-#define HEARD_PATH "/heard"
+#define CONFIRMED_PATH "/heard"
 void peers_request(struct core *core, const struct core_request *request);
 /* The message as bytes of their own. */
 struct ProtobufCMessage;
 uint8_t *peers_pack(const struct ProtobufCMessage *m, size_t *len);
-bool forward_user(struct core *core, struct user_req *u);
+bool forward_user(struct core *core, struct user_req *request);
 /* Tells the others of a committed cancellation: whoever leads may not read of it for a while. */
 void peers_cancelled(struct core *core, const char *id, uint64_t version);
 void peers_tick(struct core *core);
@@ -610,12 +610,12 @@
 bool peers_wrap(struct core *core, uint64_t conn, int *status, int retry_after, char **body,
 		size_t *len);
 /* A user is told that the job is cancelled. */
-void peers_note_told(struct core *core, const char *id, uint64_t version);
+void peers_note_confirmed(struct core *core, const char *id, uint64_t version);
 /* An answer of the peer came: which process it is. */
 void peers_note_incarnation(struct core *core, size_t peer, uint64_t incarnation);
 /* The moment up to which all that the others told users of cancellations is known here; < 0: none.
  */
-double peers_heard(const struct core *core);
+double peers_confirmed_until(const struct core *core);
 bool peers_ready(const struct core *core);
 void peers_clear(struct core *core);
 
--- a/src/core/teams.c
+++ b/src/core/teams.c
@@ -20,10 +20,10 @@
 
 bool team_has_room(struct core *core, const struct job_spec *spec, uint32_t tasks)
 {
-	struct team *t = team_find(core, spec->team);
+	struct team *team = team_find(core, spec->team);
 
-	return t && within(t->cpus, spec->cpus * tasks, t->conf->cpus_max) &&
-	       within(t->gpus, spec->gpus * tasks, t->conf->gpus_max);
+	return team && within(team->cpus, spec->cpus * tasks, team->conf->cpus_max) &&
+	       within(team->gpus, spec->gpus * tasks, team->conf->gpus_max);
 }
 
 bool team_ever_fits(const struct conf *conf, const struct job_spec *spec)
@@ -42,10 +42,10 @@
 
 void team_charge(struct core *core, const struct job_spec *spec, double sign)
 {
-	struct team *t = team_find(core, spec->team);
+	struct team *team = team_find(core, spec->team);
 
-	if (!t)
+	if (!team)
 		return;
-	t->cpus += sign * spec->cpus;
-	t->gpus += sign * spec->gpus;
+	team->cpus += sign * spec->cpus;
+	team->gpus += sign * spec->gpus;
 }
--- a/src/core/users.c
+++ b/src/core/users.c
@@ -37,28 +37,29 @@
 	free(request);
 }
 
-static void user_fail(struct core *core, struct user_req *u, int status, int retry, const char *why)
+static void user_fail(struct core *core, struct user_req *request, int status, int retry,
+		      const char *why)
 {
-	core_reply_error(core, u->conn, status, retry, why);
-	user_free(u);
+	core_reply_error(core, request->conn, status, retry, why);
+	user_free(request);
 }
 
 /* The state service does not serve us: another controller may be served, else the user is told. */
-static void user_unserved(struct core *core, struct user_req *u, int status)
+static void user_unserved(struct core *core, struct user_req *request, int status)
 {
-	if (status != 429 && forward_user(core, u))
-		user_free(u);
+	if (status != 429 && forward_user(core, request))
+		user_free(request);
 	else
-		user_fail(core, u, status == 429 ? 429 : 503, RETRY_AFTER_S, "state");
+		user_fail(core, request, status == 429 ? 429 : 503, RETRY_AFTER_S, "state");
 }
 
-static void user_state(struct core *core, struct user_req *u, int status, enum job_state s,
+static void user_state(struct core *core, struct user_req *request, int status, enum job_state s,
 		       uint32_t done, uint32_t running)
 {
 	if (s == JS_CANCELLED)
-		peers_note_told(core, u->id, 0);
-	core_reply(core, u->conn, status, 0, wire_job_answer(u->id, s, done, running));
-	user_free(u);
+		peers_note_confirmed(core, request->id, 0);
+	core_reply(core, request->conn, status, 0, wire_job_answer(request->id, s, done, running));
+	user_free(request);
 }
 
 /* --- what is known of jobs: all that are open, and the final states of the latest --- */
@@ -85,11 +86,11 @@
 	return known;
 }
 
-static void known_drop(struct core *core, struct known *k)
+static void known_drop(struct core *core, struct known *known)
 {
-	core->nfinals -= k->final;
-	HASH_DEL(core->known, k);
-	free(k);
+	core->nfinals -= known->final;
+	HASH_DEL(core->known, known);
+	free(known);
 }
 
 /* The oldest final states go first; they can be read again. */
@@ -128,19 +129,19 @@
 	known->state = json_is_true(json_object_get(value, "cancelled")) ? JS_CANCELLED : JS_QUEUED;
 }
 
-static bool answer_final(struct core *core, struct user_req *u)
+static bool answer_final(struct core *core, struct user_req *request)
 {
-	struct known *k = known_find(core, u->id);
+	struct known *k = known_find(core, request->id);
 
 	if (!k || !k->final)
 		return false;
-	user_state(core, u, 200, k->state, k->done, 0);
+	user_state(core, request, 200, k->state, k->done, 0);
 	return true;
 }
 
 /* --- reading a job's records: first the open one, then the final one --- */
 
-static void user_lookup(struct core *core, struct user_req *u);
+static void user_lookup(struct core *core, struct user_req *request);
 
 static void on_cancelled(struct core *core, struct call *call, int status, const char *body,
 			 size_t len)
@@ -152,9 +153,9 @@
 	if (status == 200) {
 		o = wire_parse(body, len);
 		log_info("cancel", "job=%s", request->id);
-		job_cancel_told(core, request->id, wire_revision(o));
+		job_cancel_committed(core, request->id, wire_revision(o));
 		peers_cancelled(core, request->id, wire_revision(o));
-		peers_note_told(core, request->id, wire_revision(o));
+		peers_note_confirmed(core, request->id, wire_revision(o));
 		json_decref(o);
 		user_state(core, request, 200, JS_CANCELLED, 0, 0);
 	} else if (status == 409) {
@@ -167,7 +168,7 @@
 	}
 }
 
-static void user_cancel(struct core *core, struct user_req *u, const struct kv_item *it)
+static void user_cancel(struct core *core, struct user_req *request, const struct kv_item *it)
 {
 	json_t *v = json_copy(it->value);
 	struct txn txn;
@@ -180,43 +181,43 @@
 	txn_begin(&txn);
 	txn_guard(&txn, it->key, it->version);
 	txn_put(&txn, it->key, v, 0);
-	store_commit(core, txn_finish(&txn), on_cancelled, u)->drop = user_free;
+	store_commit(core, txn_finish(&txn), on_cancelled, request)->drop = user_free;
 }
 
 /* The leader knows how its tasks stand; another controller, what the leader told it of late. */
-static void answer_live(struct core *core, struct user_req *u, const struct known *known)
+static void answer_live(struct core *core, struct user_req *request, const struct known *known)
 {
-	struct job *j = core->el.role == ROLE_LEAD ? job_find(core, u->id) : NULL;
+	struct job *j = core->election.role == ROLE_LEAD ? job_find(core, request->id) : NULL;
 	bool fresh = core->now - core->counts_at < COUNTS_KEEP_S;
 	uint32_t done = j ? j->ndone : fresh && known ? known->done : 0;
 	uint32_t running = j ? j->nrunning : fresh && known ? known->running : 0;
 
 	core->counts_wanted = core->now;
-	user_state(core, u, 200, running ? JS_RUNNING : JS_QUEUED, done, running);
+	user_state(core, request, 200, running ? JS_RUNNING : JS_QUEUED, done, running);
 }
 
-static void answer_open(struct core *core, struct user_req *u, const struct kv_item *it)
+static void answer_open(struct core *core, struct user_req *request, const struct kv_item *it)
 {
 	if (json_is_true(json_object_get(it->value, "cancelled")))
-		user_state(core, u, 200, JS_CANCELLED, 0, 0);
-	else if (u->kind != USER_CANCEL)
-		answer_live(core, u, known_find(core, u->id));
-	else if (u->settled || core->now - u->since > USER_WAIT_S)
-		user_fail(core, u, 503, RETRY_AFTER_S, "unknown outcome");
+		user_state(core, request, 200, JS_CANCELLED, 0, 0);
+	else if (request->kind != USER_CANCEL)
+		answer_live(core, request, known_find(core, request->id));
+	else if (request->settled || core->now - request->since > USER_WAIT_S)
+		user_fail(core, request, 503, RETRY_AFTER_S, "unknown outcome");
 	else
-		user_cancel(core, u, it);
+		user_cancel(core, request, it);
 }
 
-static void answer_absent(struct core *core, struct user_req *u)
+static void answer_absent(struct core *core, struct user_req *request)
 {
-	if (u->kind != USER_SUBMIT)
-		user_fail(core, u, 404, 0, "no such job");
-	else if (u->verdict == 503)
-		user_fail(core, u, 503, RETRY_AFTER_S, u->why);
-	else if (u->verdict)
-		user_fail(core, u, u->verdict, 0, u->why);
+	if (request->kind != USER_SUBMIT)
+		user_fail(core, request, 404, 0, "no such job");
+	else if (request->verdict == 503)
+		user_fail(core, request, 503, RETRY_AFTER_S, request->why);
+	else if (request->verdict)
+		user_fail(core, request, request->verdict, 0, request->why);
 	else
-		user_fail(core, u, 503, RETRY_AFTER_S, "unknown outcome");
+		user_fail(core, request, 503, RETRY_AFTER_S, "unknown outcome");
 }
 
 static void note_final_value(struct core *core, const char *id, json_t *value)
@@ -252,13 +253,13 @@
 		user_fail(core, request, 503, RETRY_AFTER_S, "state");
 }
 
-static void user_read(struct core *core, struct user_req *u, const char *prefix, call_fn fn)
+static void user_read(struct core *core, struct user_req *request, const char *prefix, call_fn fn)
 {
 	char key[ID_MAX + 8];
 
-	snprintf(key, sizeof(key), "%s%s", prefix, u->id);
+	snprintf(key, sizeof(key), "%s%s", prefix, request->id);
 	core->nreads++;
-	store_get(core, key, fn, u)->drop = user_free;
+	store_get(core, key, fn, request)->drop = user_free;
 }
 
 static void on_open_read(struct core *core, struct call *call, int status, const char *body,
@@ -286,19 +287,19 @@
  * A cancellation needs the record itself. All others wait for one read of changes that leaves after
  * they came: it tells of all of them at once, and is as new as their questions.
  */
-static void user_lookup(struct core *core, struct user_req *u)
+static void user_lookup(struct core *core, struct user_req *request)
 {
-	if (answer_final(core, u))
+	if (answer_final(core, request))
 		return;
 	if (core->nreads >= USER_READS_SHARE * core->conf->max_connections) {
-		user_fail(core, u, 429, RETRY_AFTER_BUSY_S, "busy");
+		user_fail(core, request, 429, RETRY_AFTER_BUSY_S, "busy");
 		return;
 	}
-	if (u->kind == USER_CANCEL) {
-		user_read(core, u, JOBS_OPEN, on_open_read);
+	if (request->kind == USER_CANCEL) {
+		user_read(core, request, JOBS_OPEN, on_open_read);
 		return;
 	}
-	DL_APPEND(core->asking, u);
+	DL_APPEND(core->asking, request);
 	core->nreads++;
 }
 
@@ -322,17 +323,17 @@
 	}
 }
 
-static void answer_asked(struct core *core, struct user_req *u)
+static void answer_asked(struct core *core, struct user_req *request)
 {
-	struct known *k = known_find(core, u->id);
+	struct known *k = known_find(core, request->id);
 
 	core->nreads--;
 	if (!k)
-		user_read(core, u, JOBS_OVER, on_final_read);
+		user_read(core, request, JOBS_OVER, on_final_read);
 	else if (k->final || k->state == JS_CANCELLED)
-		user_state(core, u, 200, k->state, k->final ? k->done : 0, 0);
+		user_state(core, request, 200, k->state, k->final ? k->done : 0, 0);
 	else
-		answer_live(core, u, k);
+		answer_live(core, request, k);
 }
 
 static void asked_failed(struct core *core, struct user_req **list, int status)
@@ -440,11 +441,11 @@
 
 /* --- submissions, committed in batches --- */
 
-static struct user_req *take_flying(struct core *core)
+static struct user_req *take_submitted(struct core *core)
 {
-	struct user_req *list = core->submit_flying;
+	struct user_req *list = core->submits_in_flight;
 
-	core->submit_flying = NULL;
+	core->submits_in_flight = NULL;
 	return list;
 }
 
@@ -530,7 +531,7 @@
 static void on_submit(struct core *core, struct call *call, int status, const char *body,
 		      size_t len)
 {
-	struct user_req *list = take_flying(core);
+	struct user_req *list = take_submitted(core);
 
 	(void)call;
 	store_heard(core, status);
@@ -557,7 +558,7 @@
 {
 	const struct user_req *o;
 
-	DL_FOREACH (core->submit_flying, o)
+	DL_FOREACH (core->submits_in_flight, o)
 		if (!strcmp(o->id, u->id))
 			return true;
 	return false;
@@ -569,7 +570,7 @@
 	struct txn_mark mark;
 	struct txn txn;
 
-	if (core->submit_flying || !core->submits)
+	if (core->submits_in_flight || !core->submits)
 		return;
 	txn_begin(&txn);
 	DL_FOREACH_SAFE (core->submits, request, tmp) {
@@ -585,7 +586,7 @@
 		}
 		DL_DELETE(core->submits, request);
 		core->nsubmits--;
-		DL_APPEND(core->submit_flying, request);
+		DL_APPEND(core->submits_in_flight, request);
 	}
 	core->submit_largest = txn.largest;
 	store_commit(core, txn_finish(&txn), on_submit, NULL);
@@ -642,26 +643,26 @@
 	return false;
 }
 
-static void judge(struct core *core, struct user_req *u)
+static void judge(struct core *core, struct user_req *request)
 {
-	if (!team_find(core, u->spec->team)) {
-		u->verdict = 422;
-		u->why = "unknown team";
-	} else if (!team_ever_fits(core->conf, u->spec)) {
-		u->verdict = 422;
-		u->why = "beyond the team's limit";
+	if (!team_find(core, request->spec->team)) {
+		request->verdict = 422;
+		request->why = "unknown team";
+	} else if (!team_ever_fits(core->conf, request->spec)) {
+		request->verdict = 422;
+		request->why = "beyond the team's limit";
 	} else if (!core->types) {
-		u->verdict = 503;
-		u->why = "machine types not known yet";
-	} else if (!fits_some_type(core, u->spec)) {
-		u->verdict = 422;
-		u->why = "fits no allowed machine";
-	} else if (!zones_suffice(core, u->spec)) {
-		u->verdict = 422;
-		u->why = "scattered, and no two zones allowed";
-	} else if (record_bytes(u) > limits_job_record_bytes(core)) {
-		u->verdict = 422;
-		u->why = RECORD_TOO_LARGE;
+		request->verdict = 503;
+		request->why = "machine types not known yet";
+	} else if (!fits_some_type(core, request->spec)) {
+		request->verdict = 422;
+		request->why = "fits no allowed machine";
+	} else if (!zones_suffice(core, request->spec)) {
+		request->verdict = 422;
+		request->why = "scattered, and no two zones allowed";
+	} else if (record_bytes(request) > limits_job_record_bytes(core)) {
+		request->verdict = 422;
+		request->why = RECORD_TOO_LARGE;
 	}
 }
 
@@ -765,7 +766,7 @@
 
 	DL_FOREACH_SAFE (core->submits, request, tmp)
 		user_free(request);
-	DL_FOREACH_SAFE (core->submit_flying, request, tmp)
+	DL_FOREACH_SAFE (core->submits_in_flight, request, tmp)
 		user_free(request);
 	DL_FOREACH_SAFE (core->asking, request, tmp)
 		user_free(request);
--- a/src/core/workers.c
+++ b/src/core/workers.c
@@ -30,25 +30,25 @@
 /* No start of an earlier moment can still take effect on this machine. */
 static bool fenced(const struct machine *machine)
 {
-	return !machine->do_out && machine->token > machine->loose_token;
+	return !machine->commands_out && machine->token > machine->unanswered_token;
 }
 
 /* --- reading a report --- */
 
-static void note_running(struct core *core, struct binding *b, enum task_state st)
+static void note_running(struct core *core, struct binding *binding, enum task_state st)
 {
 	bool running = st == TS_RUNNING || st == TS_SAVING;
 
 	if (st != TS_FETCHING)
-		machine_note_image(b->machine, b->job->spec.image);
-	if (running && b->running_since <= 0) {
-		b->running_since = core->now;
-		b->job->nrunning++;
+		machine_note_image(binding->machine, binding->job->spec.image);
+	if (running && binding->running_since <= 0) {
+		binding->running_since = core->now;
+		binding->job->nrunning++;
 		log_info("task_running", "job=%s task=%u attempt=%llu machine=%s after=%.2f",
-			 b->job->spec.id, b->task, (unsigned long long)b->attempt, b->machine->id,
-			 core->wall - b->job->submitted);
+			 binding->job->spec.id, binding->task, (unsigned long long)binding->attempt,
+			 binding->machine->id, core->wall - binding->job->submitted);
 	}
-	b->state = st;
+	binding->state = st;
 }
 
 static void add_leftover(struct machine *machine, const struct report_task *listed)
@@ -65,38 +65,41 @@
 	leftover->ended = listed->state == TS_EXITED;
 }
 
-static void take_task(struct core *core, struct machine *m, const struct report_task *listed)
+static void take_task(struct core *core, struct machine *machine, const struct report_task *listed)
 {
-	struct binding *b = binding_find(m, listed);
+	struct binding *binding = binding_find(machine, listed);
 
-	if (b && listed->state != TS_EXITED) {
-		b->seen = true;
-		b->listed_at = m->seq;
-		note_running(core, b, listed->state);
+	if (binding && listed->state != TS_EXITED) {
+		binding->seen = true;
+		binding->listed_at = machine->seq;
+		note_running(core, binding, listed->state);
 		return;
 	}
-	add_leftover(m, listed);
-	if (b) {
+	add_leftover(machine, listed);
+	if (binding) {
 		if (listed->why == WHY_DONE)
-			machine_note_image(m, b->job->spec.image);
-		binding_end(core, b, listed->why);
+			machine_note_image(machine, binding->job->spec.image);
+		binding_end(core, binding, listed->why);
 	} else if (listed->state == TS_EXITED && listed->why == WHY_DONE) {
 		job_done_unbound(core, listed->job, listed->task);
 	}
 }
 
 /* A bound task that this report does not list. */
-static void take_absent(struct core *core, struct machine *m, struct binding *binding, bool beat)
+static void take_absent(struct core *core, struct machine *machine, struct binding *binding,
+			bool beat)
 {
 	if (!binding->committed || binding_unsent(binding))
 		return;
 	/* The session that was told to start it is over. */
-	if (binding->sent_session && m->session > binding->sent_session) {
+	if (binding->sent_session && machine->session > binding->sent_session) {
 		binding_end(core, binding, WHY_NONE);
 		return;
 	}
-	if (!beat || m->token < binding->floor_token || !fenced(m) || m->seq <= binding->beat_seq) {
-		if (beat && !fenced(m) && !m->do_out && (binding->stopping || binding->loaded))
+	if (!beat || machine->token < binding->floor_token || !fenced(machine) ||
+	    machine->seq <= binding->beat_seq) {
+		if (beat && !fenced(machine) && !machine->commands_out &&
+		    (binding->stopping || binding->loaded))
 			core->fence_wanted = true;
 		return;
 	}
@@ -105,26 +108,27 @@
 	/* else its start was lost on the way: it is sent again */
 }
 
-static void take_list(struct core *core, struct machine *m, const struct report *report, bool beat)
+static void take_list(struct core *core, struct machine *machine, const struct report *report,
+		      bool beat)
 {
 	struct binding *binding;
 	bool again;
 
-	free(m->left);
-	m->left = NULL;
-	m->nleft = 0;
+	free(machine->left);
+	machine->left = NULL;
+	machine->nleft = 0;
 	for (size_t i = 0; i < report->ntasks; i++)
-		take_task(core, m, &report->tasks[i]);
+		take_task(core, machine, &report->tasks[i]);
 	/* Ending a binding may end others of its gang, so the walk starts anew after each. */
 	do {
 		again = false;
-		DL_FOREACH2 (m->bindings, binding, mnext) {
-			int before = m->nbindings;
+		DL_FOREACH2 (machine->bindings, binding, mnext) {
+			int before = machine->nbindings;
 
-			if (binding->listed_at == m->seq)
+			if (binding->listed_at == machine->seq)
 				continue;
-			take_absent(core, m, binding, beat);
-			if (m->nbindings != before) {
+			take_absent(core, machine, binding, beat);
+			if (machine->nbindings != before) {
 				again = true;
 				break;
 			}
@@ -141,7 +145,7 @@
 static bool report_counts(const struct core *core, const struct machine *machine,
 			  const struct report *report)
 {
-	return report->token >= core->el.first_token && report->token >= machine->inc_token &&
+	return report->token >= core->election.first_token && report->token >= machine->inc_token &&
 	       !machine->restarted;
 }
 
@@ -156,79 +160,82 @@
  * rises while we answered all along, and starts are ignored. It gets no work until the answer to
  * a question shows that it hears us.
  */
-static void note_deaf(struct core *core, struct machine *m, const char *why)
+static void note_deaf(struct core *core, struct machine *machine, const char *why)
 {
-	if (m->hears) {
-		log_info("machine_deaf", "machine=%s why=%s", m->id, why);
-		m->deaf_since = core->now;
+	if (machine->hears) {
+		log_info("machine_deaf", "machine=%s why=%s", machine->id, why);
+		machine->deaf_since = core->now;
 	}
-	m->hears = false;
-	m->unheeded = 0;
+	machine->hears = false;
+	machine->unheeded = 0;
 }
 
-static void note_hears(struct core *core, struct machine *m)
+static void note_hears(struct core *core, struct machine *machine)
 {
-	if (!m->hears)
+	if (!machine->hears)
 		round_wanted(core);
-	m->hears = true;
-	m->unheeded = m->unproven = 0;
+	machine->hears = true;
+	machine->unheeded = machine->unproven = 0;
 }
 
 /* A start that went with the answer to an earlier report is not on this one. */
-static void look_heeded(struct core *core, struct machine *m)
+static void look_heeded(struct core *core, struct machine *machine)
 {
 	const struct binding *binding;
 	bool ignored = false;
 
-	DL_FOREACH2 (m->bindings, binding, mnext)
-		ignored |= binding->beat_seq && !binding->seen && binding->listed_at != m->seq;
+	DL_FOREACH2 (machine->bindings, binding, mnext)
+		ignored |=
+		    binding->beat_seq && !binding->seen && binding->listed_at != machine->seq;
 	if (!ignored)
-		m->unheeded = 0;
-	else if (++m->unheeded >= MACHINE_UNHEEDED)
-		note_deaf(core, m, "starts_ignored");
+		machine->unheeded = 0;
+	else if (++machine->unheeded >= MACHINE_UNHEEDED)
+		note_deaf(core, machine, "starts_ignored");
 }
 
 /* False if older than what is known: it says nothing new. */
-static bool take_report(struct core *core, struct machine *m, const struct report *report,
+static bool take_report(struct core *core, struct machine *machine, const struct report *report,
 			bool beat)
 {
-	bool first = m->last_word < 0;
+	bool first = machine->last_word < 0;
 
-	if (report_older(report, m->session, m->seq))
+	if (report_older(report, machine->session, machine->seq))
 		return false;
-	if (beat && m->session && report->session > m->session)
-		note_deaf(core, m, "lease_ran_out");
+	if (beat && machine->session && report->session > machine->session)
+		note_deaf(core, machine, "lease_ran_out");
 	else if (!beat || first)
-		note_hears(core, m);
-	m->session = report->session;
-	m->seq = report->seq;
-	if (report->token > m->token)
-		m->token = report->token;
-	m->last_word = core->now;
+		note_hears(core, machine);
+	machine->session = report->session;
+	machine->seq = report->seq;
+	if (report->token > machine->token)
+		machine->token = report->token;
+	machine->last_word = core->now;
 	if (beat)
-		m->last_beat = core->now;
+		machine->last_beat = core->now;
 	if (first) {
-		m->idle_since = m->up_at = core->now;
-		log_info("machine_up", "machine=%s type=%s zone=%s spot=%d after=%.1f", m->id,
-			 m->type_name, m->zone, m->spot, core->now - m->rented_at);
+		machine->idle_since = machine->up_at = core->now;
+		log_info("machine_up", "machine=%s type=%s zone=%s spot=%d after=%.1f", machine->id,
+			 machine->type_name, machine->zone, machine->spot,
+			 core->now - machine->rented_at);
 		round_wanted(core);
 	}
-	if (report->notice_s >= 0 && m->notice_s < 0) {
-		log_info("machine_notice", "machine=%s seconds=%.1f", m->id, report->notice_s);
-		core->replicas_leave |= m->nreplicas > 0;
+	if (report->notice_s >= 0 && machine->notice_s < 0) {
+		log_info("machine_notice", "machine=%s seconds=%.1f", machine->id,
+			 report->notice_s);
+		core->replicas_leave |= machine->nreplicas > 0;
 		round_wanted(core);
 	}
-	if (!beat && m->last_beat < 0 && report->token < core->el.token) {
-		m->call = true;
-		workers_kick(core, m);
+	if (!beat && machine->last_beat < 0 && report->token < core->election.token) {
+		machine->announce_token = true;
+		commands_wanted(core, machine);
 	}
-	m->notice_s = report->notice_s;
-	m->notice_heard = core->now;
-	take_list(core, m, report, beat);
+	machine->notice_s = report->notice_s;
+	machine->notice_heard = core->now;
+	take_list(core, machine, report, beat);
 	if (beat)
-		look_heeded(core, m);
-	if (!m->hears)
-		workers_ask(core, m);
+		look_heeded(core, machine);
+	if (!machine->hears)
+		workers_ask(core, machine);
 	return true;
 }
 
@@ -239,36 +246,37 @@
  * gone; but a start from before may still be under way, so a new token is taken, and nothing the
  * machine or a copy says under an older one counts.
  */
-static void machine_restarted(struct core *core, struct machine *m)
+static void machine_restarted(struct core *core, struct machine *machine)
 {
-	if (m->restarted)
+	if (machine->restarted)
 		return;
-	log_info("machine_restarted", "machine=%s session=%llu seq=%llu bound=%d", m->id,
-		 (unsigned long long)m->session, (unsigned long long)m->seq, m->nbindings);
-	m->restarted = true;
-	m->hears = false;
-	m->deaf_since = core->now;
+	log_info("machine_restarted", "machine=%s session=%llu seq=%llu bound=%d", machine->id,
+		 (unsigned long long)machine->session, (unsigned long long)machine->seq,
+		 machine->nbindings);
+	machine->restarted = true;
+	machine->hears = false;
+	machine->deaf_since = core->now;
 	core->fence_wanted = true;
 }
 
-static void machine_anew(struct core *core, struct machine *m)
+static void machine_anew(struct core *core, struct machine *machine)
 {
 	struct binding *binding;
 
-	m->restarted = false;
-	m->inc_token = core->el.token;
-	m->session = m->seq = m->token = 0;
-	m->last_word = m->last_beat = m->reported = -1;
-	m->rented_at = m->up_at = core->now;
-	free(m->left);
-	m->left = NULL;
-	m->nleft = 0;
+	machine->restarted = false;
+	machine->inc_token = core->election.token;
+	machine->session = machine->seq = machine->token = 0;
+	machine->last_word = machine->last_beat = machine->reported = -1;
+	machine->rented_at = machine->up_at = core->now;
+	free(machine->left);
+	machine->left = NULL;
+	machine->nleft = 0;
 	/* Their ends are proved by a report under the new token that lacks them. */
-	DL_FOREACH2 (m->bindings, binding, mnext) {
+	DL_FOREACH2 (machine->bindings, binding, mnext) {
 		binding->loaded = true;
 		binding->seen = false;
 		binding->sent_session = binding->beat_seq = binding->listed_at = 0;
-		binding->floor_token = core->el.token;
+		binding->floor_token = core->election.token;
 	}
 }
 
@@ -316,22 +324,23 @@
 	return job->spec.kind != JOB_GANG || !job->uncommitted;
 }
 
-static void command_binding(struct core *core, struct machine *m, struct binding *binding,
-			    struct command_list *l, bool beat)
+static void command_binding(struct core *core, struct machine *machine, struct binding *binding,
+			    struct command_list *list, bool beat)
 {
 	/* Sent by /do and answered, but not yet on a report: not sent again at once. */
 	if (may_start(binding) &&
 	    (beat || binding->sent_at <= 0 || core->now - binding->sent_at > START_RESEND_S)) {
-		add_command(l, OP_START, binding->job->spec.id, binding->task, binding->attempt, 0);
+		add_command(list, OP_START, binding->job->spec.id, binding->task, binding->attempt,
+			    0);
 		binding->sent_at = core->now;
-		binding->sent_session = m->session;
+		binding->sent_session = machine->session;
 		if (beat)
-			binding->beat_seq = m->seq;
+			binding->beat_seq = machine->seq;
 	} else if (binding->stopping && binding->state != TS_EXITED &&
 		   (beat || binding->stop_at <= 0 ||
 		    core->now - binding->stop_at > START_RESEND_S)) {
 		/* A second stop with less grace would end a save: it is repeated unchanged. */
-		add_command(l, OP_STOP, binding->job->spec.id, binding->task, binding->attempt,
+		add_command(list, OP_STOP, binding->job->spec.id, binding->task, binding->attempt,
 			    binding->grace_s);
 		binding->stop_at = core->now;
 	}
@@ -340,41 +349,42 @@
 static bool may_forget(struct core *core, const struct machine *machine,
 		       const struct leftover *leftover)
 {
-	struct job *j = job_find(core, leftover->job);
+	struct job *job = job_find(core, leftover->job);
 
 	/* Its end must be on record first: until then this list is the only proof. */
-	if (!fenced(machine) || machine->token < core->el.token)
+	if (!fenced(machine) || machine->token < core->election.token)
 		return false;
-	return !j || leftover->task >= j->spec.ntasks || commit_settled(j, leftover->task);
+	return !job || leftover->task >= job->spec.ntasks || commit_settled(job, leftover->task);
 }
 
-static void gather(struct core *core, struct machine *m, struct command_list *list, bool beat)
+static void gather(struct core *core, struct machine *machine, struct command_list *list, bool beat)
 {
 	struct binding *binding;
 
 	list->n = 0;
 	list->starts = false;
-	for (size_t i = 0; i < m->nleft; i++) {
-		const struct leftover *leftover = &m->left[i];
+	for (size_t i = 0; i < machine->nleft; i++) {
+		const struct leftover *leftover = &machine->left[i];
 
 		if (!leftover->ended)
 			add_command(list, OP_STOP, leftover->job, leftover->task, leftover->attempt,
 				    0);
-		else if (may_forget(core, m, leftover))
+		else if (may_forget(core, machine, leftover))
 			add_command(list, OP_FORGET, leftover->job, leftover->task,
 				    leftover->attempt, 0);
-		else if (!fenced(m) && !m->do_out)
+		else if (!fenced(machine) && !machine->commands_out)
 			core->fence_wanted = true;
 	}
-	if (m->deleting)
+	if (machine->deleting)
 		return;
-	DL_FOREACH2 (m->bindings, binding, mnext)
-		command_binding(core, m, binding, list, beat);
+	DL_FOREACH2 (machine->bindings, binding, mnext)
+		command_binding(core, machine, binding, list, beat);
 }
 
 static void misdirect(struct core *core, uint64_t conn)
 {
-	const char *leader = strcmp(core->el.leader, core->conf->name) ? core->el.leader : "";
+	const char *leader =
+	    strcmp(core->election.leader, core->conf->name) ? core->election.leader : "";
 
 	core_reply(core, conn, 421, 0, wire_misdirected(leader));
 }
@@ -392,27 +402,27 @@
 /* True if the report is news of its machine, which then may get commands with the answer. */
 static bool beat_counts(struct core *core, const struct report *report)
 {
-	struct machine *m = machine_find(core, report->machine);
+	struct machine *machine = machine_find(core, report->machine);
 
 	/* Deleted in this term: a copy must not bring it back to life. */
-	if (!m && machine_has_tombstone(core, report->machine))
+	if (!machine && machine_has_tombstone(core, report->machine))
 		return false;
-	if (!m)
-		m = machine_get(core, report->machine);
-	machine_describe(core, m, report->addr, report->type, report->zone, report->spot);
-	m->reported = core->now;
-	if (!report_counts(core, m, report)) {
+	if (!machine)
+		machine = machine_get(core, report->machine);
+	machine_describe(core, machine, report->addr, report->type, report->zone, report->spot);
+	machine->reported = core->now;
+	if (!report_counts(core, machine, report)) {
 		/* A new machine, or one that began anew, has seen no token and is asked at once;
 		 * others show theirs by their next report. */
-		if ((!report->token && core->now - m->asked_at > MACHINE_ASK_S) ||
-		    (m->unproven++ && news_overdue(core, m)))
-			workers_ask(core, m);
+		if ((!report->token && core->now - machine->asked_at > MACHINE_ASK_S) ||
+		    (machine->unproven++ && news_overdue(core, machine)))
+			workers_ask(core, machine);
 		return false;
 	}
-	if (!report_older(report, m->session, m->seq))
-		return take_report(core, m, report, true);
-	if (news_overdue(core, m))
-		workers_ask(core, m);
+	if (!report_older(report, machine->session, machine->seq))
+		return take_report(core, machine, report, true);
+	if (news_overdue(core, machine))
+		workers_ask(core, machine);
 	return false;
 }
 
@@ -422,21 +432,21 @@
 	struct command_list commands;
 
 	if (!beat_counts(core, report)) {
-		core_reply(core, conn, 200, 0, wire_beat_answer(core->el.token, NULL, 0));
+		core_reply(core, conn, 200, 0, wire_beat_answer(core->election.token, NULL, 0));
 		return;
 	}
 	gather(core, machine_find(core, report->machine), &commands, true);
 	core_reply(core, conn, 200, 0,
-		   wire_beat_answer(core->el.token, commands.items, commands.n));
+		   wire_beat_answer(core->election.token, commands.items, commands.n));
 }
 
 /* False, with an answer sent, if the report shows that another controller leads. */
 static bool token_allows(struct core *core, uint64_t conn, const struct report *report)
 {
-	if (report->token <= core->el.token)
+	if (report->token <= core->election.token)
 		return true;
 	/* A higher token than ours: another leads, and a 200 would hold the worker here in vain. */
-	if (!(core->flying && core->flight.fence))
+	if (!(core->in_flight && core->transaction.fence))
 		election_step_down(core, "worker_saw_higher_token");
 	core_reply_error(core, conn, 503, 0, "not leading");
 	return false;
@@ -449,11 +459,11 @@
 	struct report rep;
 
 	election_look(core);
-	if (core->el.role == ROLE_FOLLOW) {
+	if (core->election.role == ROLE_FOLLOW) {
 		misdirect(core, request->conn);
 		return;
 	}
-	if (core->el.role == ROLE_LOADING) {
+	if (core->election.role == ROLE_LOADING) {
 		core_reply_error(core, request->conn, 503, 0, "taking over");
 		return;
 	}
@@ -499,20 +509,20 @@
 	wire_report_free(&rep);
 }
 
-static void kick_queue(struct core *core, struct machine *m)
+static void command_queue_add(struct core *core, struct machine *machine)
 {
-	if (m->queued)
+	if (machine->in_command_queue)
 		return;
-	m->queued = true;
-	DL_APPEND2(core->kicked, m, kprev, knext);
+	machine->in_command_queue = true;
+	DL_APPEND2(core->command_queue, machine, queue_prev, queue_next);
 }
 
-static void kick_unqueue(struct core *core, struct machine *m)
+static void command_queue_remove(struct core *core, struct machine *machine)
 {
-	if (!m->queued)
+	if (!machine->in_command_queue)
 		return;
-	m->queued = false;
-	DL_DELETE2(core->kicked, m, kprev, knext);
+	machine->in_command_queue = false;
+	DL_DELETE2(core->command_queue, machine, queue_prev, queue_next);
 }
 
 static void on_do(struct core *core, struct call *call, int status, const char *body, size_t len)
@@ -525,12 +535,12 @@
 	machine = machine_find(core, call->key);
 	if (!machine)
 		return;
-	if (machine->do_out)
-		machine->do_out--;
-	if (machine->kick)
-		kick_queue(core, machine); /* what has gathered meanwhile */
-	if (status == 0 && call->starts && call->token > machine->loose_token) {
-		machine->loose_token = call->token;
+	if (machine->commands_out)
+		machine->commands_out--;
+	if (machine->commands_due)
+		command_queue_add(core, machine); /* what has gathered meanwhile */
+	if (status == 0 && call->starts && call->token > machine->unanswered_token) {
+		machine->unanswered_token = call->token;
 		log_debug("do_unanswered", "machine=%s", machine->id);
 	}
 	if (status == 200 || status == 409)
@@ -576,73 +586,75 @@
 static void call_mark(struct core *core, struct call *call, const struct machine *machine)
 {
 	snprintf(call->key, sizeof(call->key), "%s", machine->id);
-	call->token = core->el.token;
+	call->token = core->election.token;
 	call->session = machine->session;
 	call->seq = machine->seq;
 }
 
 /* Asks the worker for its report; false if too many were asked of late. */
-bool workers_ask(struct core *core, struct machine *m)
+bool workers_ask(struct core *core, struct machine *machine)
 {
 	allowance_fill(core, &core->asks, asks_per_s(core));
-	if (!*m->addr || core->asks.left < 1 || core->now - m->asked_at < MACHINE_ASK_S ||
-	    directs_full(core))
+	if (!*machine->addr || core->asks.left < 1 ||
+	    core->now - machine->asked_at < MACHINE_ASK_S || directs_full(core))
 		return false;
 	core->asks.left -= 1;
 	core->directs++;
-	m->asked_at = core->now;
+	machine->asked_at = core->now;
 	call_mark(core,
-		  core_call(core, m->addr, "GET", fmt_path(W_PATH_STATUS), NULL, CALL_WORKER_S,
-			    on_show, NULL),
-		  m);
+		  core_call(core, machine->addr, "GET", fmt_path(W_PATH_STATUS), NULL,
+			    CALL_WORKER_S, on_show, NULL),
+		  machine);
 	return true;
 }
 
-void workers_kick(struct core *core, struct machine *m)
+void commands_wanted(struct core *core, struct machine *machine)
 {
-	m->kick = true;
-	if (!m->do_out) /* one at a time: what has gathered goes with the next */
-		kick_queue(core, m);
+	machine->commands_due = true;
+	if (!machine->commands_out) /* one at a time: what has gathered goes with the next */
+		command_queue_add(core, machine);
 }
 
-void workers_unkick(struct core *core, struct machine *m)
+void commands_unwanted(struct core *core, struct machine *machine)
 {
-	m->kick = false;
-	kick_unqueue(core, m);
+	machine->commands_due = false;
+	command_queue_remove(core, machine);
 }
 
 /*
  * Stopped before its start left: no worker will ever name it, so no proof of its end would come,
  * and it would hold its room and its task for the rest of the term.
  */
-static void drop_unsent(struct core *core, struct machine *m)
+static void drop_unsent(struct core *core, struct machine *machine)
 {
-	struct binding *binding = m->bindings;
+	struct binding *binding = machine->bindings;
 
 	while (binding) {
 		bool ends = binding->stopping && binding_unsent(binding);
 
 		if (ends)
 			binding_end(core, binding, WHY_STOPPED);
-		binding = ends ? m->bindings : binding->mnext; /* its end may have ended others */
+		binding =
+		    ends ? machine->bindings : binding->mnext; /* its end may have ended others */
 	}
 }
 
-static void send_direct(struct core *core, struct machine *m)
+static void send_direct(struct core *core, struct machine *machine)
 {
 	struct command_list list;
 	struct call *call;
 
-	gather(core, m, &list, false);
-	if (!list.n && !m->call)
+	gather(core, machine, &list, false);
+	if (!list.n && !machine->announce_token)
 		return;
-	m->call = false;
-	m->do_out++;
+	machine->announce_token = false;
+	machine->commands_out++;
 	core->directs++;
-	call = core_call(core, m->addr, "POST", fmt_path(W_PATH_COMMANDS),
-			 wire_direct_commands(core->el.token, m->session, list.items, list.n),
-			 CALL_WORKER_S, on_do, NULL);
-	call_mark(core, call, m);
+	call = core_call(
+	    core, machine->addr, "POST", fmt_path(W_PATH_COMMANDS),
+	    wire_direct_commands(core->election.token, machine->session, list.items, list.n),
+	    CALL_WORKER_S, on_do, NULL);
+	call_mark(core, call, machine);
 	call->starts = list.starts;
 }
 
@@ -650,8 +662,8 @@
 {
 	struct machine *machine;
 
-	while ((machine = core->kicked) && !directs_full(core)) {
-		workers_unkick(core, machine);
+	while ((machine = core->command_queue) && !directs_full(core)) {
+		commands_unwanted(core, machine);
 		drop_unsent(core, machine);
 		if (machine->session && *machine->addr && !machine->gone &&
 		    machine_fresh(core, machine))
--- a/tests/runner.c
+++ b/tests/runner.c
@@ -454,7 +454,7 @@
 /* A controller ends at a step of its election: its words so far are on the way, or were lost. */
 static void crash_at_step(struct world *w, int i)
 {
-	const struct election *e = w->nodes[i].up ? &w->nodes[i].core->el : NULL;
+	const struct election *e = w->nodes[i].up ? &w->nodes[i].core->election : NULL;
 
 	if (!e || w->crash_left <= 0)
 		return;
@@ -584,7 +584,7 @@
 static int leader_index(struct world *w)
 {
 	for (int i = 0; i < w->nnodes; i++)
-		if (w->nodes[i].up && w->nodes[i].core->el.role == ROLE_LEAD)
+		if (w->nodes[i].up && w->nodes[i].core->election.role == ROLE_LEAD)
 			return i;
 	return -1;
 }
@@ -1177,7 +1177,7 @@
 		return (double)w->si.starts_total;
 	if (!strcmp(what, "leaders")) {
 		for (int i = 0; i < w->nnodes; i++)
-			n += w->nodes[i].up && w->nodes[i].core->el.role == ROLE_LEAD;
+			n += w->nodes[i].up && w->nodes[i].core->election.role == ROLE_LEAD;
 		return n;
 	}
 	if (!strcmp(what, "machines")) {
