--- /dev/null
+++ b/src/core/call.h
@@ -0,0 +1,63 @@
+/*
+ * Calls that the core makes to other parties, answers to requests, and rate allowances.
+ */
+#ifndef PLOVERLOFT_CALL_H
+#define PLOVERLOFT_CALL_H
+
+#include <stdbool.h>
+#include <stdint.h>
+
+#include <uthash.h>
+
+#include "conf/conf.h"
+#include "core/core.h"
+#include "wire/wire.h"
+
+#define KEY_MAX 200 /* bytes of a key, from the protocol */
+
+struct call;
+
+/* The answer to a call: its HTTP status, 0 if none came, -1 if the call never left. */
+typedef void (*call_fn)(struct core *core, struct call *call, int status, const char *body,
+			size_t len);
+
+/* A call without an answer yet. */
+struct call {
+	uint64_t id;
+	call_fn fn;
+	void *arg;
+	void (*drop)(void *arg); /* frees arg if no answer is waited for any more */
+	uint64_t term; /* leadership under which it was made: answers of an older one are void */
+	double sent;
+	uint64_t session, seq; /* asked of a worker: what was known of it by then */
+	bool starts;	       /* direct commands: a start is among them */
+	uint64_t token;	       /* direct commands: sent under it */
+	char key[CONF_NAME_MAX + ID_MAX];
+	UT_hash_handle hh;
+};
+
+/* What may be done now of something that a rate allows: a second's worth gathers at most. */
+struct allowance {
+	double left, filled;
+};
+
+/* Makes a call; `path` and `body` are owned by it from then on. */
+struct call *core_call(struct core *core, const char *addr, const char *method, char *path,
+		       char *body, double timeout_s, call_fn fn, void *arg);
+/* To and from other controllers: a packed message, which the action owns from then on. */
+struct call *core_call_packed(struct core *core, const char *addr, const char *path, uint8_t *buf,
+			      size_t len, call_fn fn, void *arg);
+void core_reply_packed(struct core *core, uint64_t conn, uint8_t *buf, size_t len);
+/* Answers a request; `body` is owned by the answer from then on. retry_after: seconds, 0: none. */
+void core_reply(struct core *core, uint64_t conn, int status, int retry_after, char *body);
+/* Answers with {"error": why}. */
+void core_reply_error(struct core *core, uint64_t conn, int status, int retry_after,
+		      const char *why);
+/* A number from [0, 1). */
+double core_random(struct core *core);
+/* Adds what the rate has allowed since the last time. */
+void allowance_fill(const struct core *core, struct allowance *a, double rate);
+/* A formatted path that the caller owns. */
+char *fmt_path(const char *fmt, ...) __attribute__((format(printf, 1, 2)));
+
+#endif
--- a/src/core/catalog.c
+++ b/src/core/catalog.c
@@ -17,9 +17,9 @@
 
 	if (wire_types_decode(o, &types, &n))
 		return false;
-	free(core->types);
-	core->types = types;
-	core->ntypes = n;
+	free(core->catalog.types);
+	core->catalog.types = types;
+	core->catalog.ntypes = n;
 	machines_relink(core);
 	return true;
 }
@@ -46,19 +46,19 @@
 /* One value, or where that would be too large one for each type of machine. */
 static void store_catalog(struct core *core)
 {
-	json_t *all = wire_types_encode(core->types, core->ntypes);
+	json_t *all = wire_types_encode(core->catalog.types, core->catalog.ntypes);
 
-	core->catalog_stored = true;
+	core->catalog.stored = true;
 	if (wire_value_bytes(all) <= limits_job_record_bytes(core)) {
 		store_catalog_value(core, CATALOG_KEY, all);
 		return;
 	}
 	json_decref(all);
-	for (size_t i = 0; i < core->ntypes; i++) {
+	for (size_t i = 0; i < core->catalog.ntypes; i++) {
 		char key[KEY_MAX];
 
-		snprintf(key, sizeof(key), CATALOG_KEY "/%s", core->types[i].name);
-		store_catalog_value(core, key, wire_types_encode(&core->types[i], 1));
+		snprintf(key, sizeof(key), CATALOG_KEY "/%s", core->catalog.types[i].name);
+		store_catalog_value(core, key, wire_types_encode(&core->catalog.types[i], 1));
 	}
 }
 
@@ -75,15 +75,15 @@
 	json_t *answer, *types, *all;
 
 	(void)call;
-	if (status != 200 || core->types)
+	if (status != 200 || core->catalog.types)
 		return;
 	answer = wire_parse(body, len);
 	types = json_array();
 	wire_items(answer, merge_types, types);
 	all = json_pack("{s:o}", W_TYPES, types);
 	if (take_catalog(core, all)) {
-		core->catalog_stored = true;
-		log_info("catalog", "from=state types=%zu", core->ntypes);
+		core->catalog.stored = true;
+		log_info("catalog", "from=state types=%zu", core->catalog.ntypes);
 	}
 	json_decref(all);
 	json_decref(answer);
@@ -92,12 +92,12 @@
 static void on_catalog(struct core *core, struct call *call, int status, const char *body,
 		       size_t len)
 {
-	bool first = !core->types;
+	bool first = !core->catalog.types;
 	json_t *o;
 
 	(void)call;
-	core->catalog_out = false;
-	core->next_catalog = core->now + CLOUD_BACKOFF_S;
+	core->catalog.out = false;
+	core->catalog.next = core->now + CLOUD_BACKOFF_S;
 	if (status != 200) {
 		if (first)
 			store_range(core, CATALOG_KEY, "", on_stored_catalog, NULL);
@@ -105,10 +105,10 @@
 	}
 	o = wire_parse(body, len);
 	if (take_catalog(core, o)) {
-		core->next_catalog = core->now + CATALOG_EVERY_S;
+		core->catalog.next = core->now + CATALOG_EVERY_S;
 		if (first)
-			log_info("catalog", "from=cloud types=%zu", core->ntypes);
-		if (!core->catalog_stored)
+			log_info("catalog", "from=cloud types=%zu", core->catalog.ntypes);
+		if (!core->catalog.stored)
 			store_catalog(core);
 	}
 	json_decref(o);
@@ -116,10 +116,10 @@
 
 void catalog_tick(struct core *core)
 {
-	if (core->catalog_out || core->now < core->next_catalog ||
-	    (core->types && core->election.role != ROLE_LEAD))
+	if (core->catalog.out || core->now < core->catalog.next ||
+	    (core->catalog.types && core->election.role != ROLE_LEAD))
 		return;
-	core->catalog_out = true;
+	core->catalog.out = true;
 	core_call(core, core->conf->cloud, "GET", fmt_path(W_PATH_TYPES), NULL, CALL_CLOUD_S,
 		  on_catalog, NULL);
 }
--- a/src/core/commit.c
+++ b/src/core/commit.c
@@ -56,11 +56,11 @@
 		return;
 	item = job->chunks[k].queued;
 	if (!item) {
-		item = write_add(&core->writes, WR_CHUNK, job, k);
+		item = write_add(&core->commits.writes, WR_CHUNK, job, k);
 		item->due = core->now + delay_s;
 		job->chunks[k].queued = item;
-	} else if (item->list == &core->migrations) {
-		write_move(item, &core->writes);
+	} else if (item->list == &core->commits.migrations) {
+		write_move(item, &core->commits.writes);
 		item->due = core->now + delay_s;
 	}
 	if (item->due > core->now + delay_s)
@@ -70,12 +70,13 @@
 void commit_migrate(struct core *core, struct job *job, uint32_t chunk)
 {
 	if (!job->chunks[chunk].queued)
-		job->chunks[chunk].queued = write_add(&core->migrations, WR_CHUNK, job, chunk);
+		job->chunks[chunk].queued =
+		    write_add(&core->commits.migrations, WR_CHUNK, job, chunk);
 }
 
 void commit_drop(struct core *core, const char *key, uint64_t version)
 {
-	struct write *w = write_add(&core->drops, WR_DROP, NULL, 0);
+	struct write *w = write_add(&core->commits.drops, WR_DROP, NULL, 0);
 
 	snprintf(w->key, sizeof(w->key), "%s", key);
 	w->version = version;
@@ -101,7 +102,7 @@
 	job->final_queued = true;
 	/* The final record stands for the chunks that were still to be written. */
 	unqueue_chunks(core, job);
-	write_add(&core->finals_due, WR_FINAL, job, 0);
+	write_add(&core->commits.finals, WR_FINAL, job, 0);
 }
 
 static void drop_list(struct write **list)
@@ -116,25 +117,25 @@
 
 static void commit_clear_transaction(struct core *core)
 {
-	drop_list(&core->transaction.items);
-	free(core->transaction.body);
-	memset(&core->transaction, 0, sizeof(core->transaction));
-	core->in_flight = false;
+	drop_list(&core->commits.transaction.items);
+	free(core->commits.transaction.body);
+	memset(&core->commits.transaction, 0, sizeof(core->commits.transaction));
+	core->commits.in_flight = false;
 }
 
 void commit_clear(struct core *core)
 {
-	drop_list(&core->writes);
-	drop_list(&core->migrations);
-	drop_list(&core->finals_due);
-	drop_list(&core->drops);
+	drop_list(&core->commits.writes);
+	drop_list(&core->commits.migrations);
+	drop_list(&core->commits.finals);
+	drop_list(&core->commits.drops);
 	commit_clear_transaction(core);
 }
 
 void commit_forget_chunks(struct core *core)
 {
-	drop_list(&core->writes);
-	drop_list(&core->migrations);
+	drop_list(&core->commits.writes);
+	drop_list(&core->commits.migrations);
 }
 
 bool commit_settled(const struct job *job, uint32_t task)
@@ -332,17 +333,17 @@
 {
 	struct write *item, *tmp;
 
-	DL_FOREACH_SAFE (core->transaction.items, item, tmp) {
-		DL_DELETE(core->transaction.items, item);
+	DL_FOREACH_SAFE (core->commits.transaction.items, item, tmp) {
+		DL_DELETE(core->commits.transaction.items, item);
 		write_committed(core, item, revision);
 		free(item);
 	}
-	if (core->transaction.fence) {
+	if (core->commits.transaction.fence) {
 		log_info("fence", "old=%llu new=%llu", (unsigned long long)core->election.token,
 			 (unsigned long long)revision);
 		core->election.token = core->election.revision = revision;
-		core->attempts = 0;
-		if (core->transaction.raises) {
+		core->rounds.attempts = 0;
+		if (core->commits.transaction.raises) {
 			election_raised(core, FORMAT_NEWEST, revision);
 			task_records_raise(core);
 			log_info("format", "raised=%d", FORMAT_NEWEST);
@@ -368,8 +369,8 @@
 	}
 	job->chunks[item->chunk].queued = item;
 	item->due = core->now;
-	item->list = &core->writes;
-	DL_PREPEND(core->writes, item);
+	item->list = &core->commits.writes;
+	DL_PREPEND(core->commits.writes, item);
 }
 
 /* All that flew is to be written again, before what came after it. */
@@ -377,14 +378,14 @@
 {
 	struct write *item, *tmp;
 
-	DL_FOREACH_SAFE (core->transaction.items, item, tmp) {
-		DL_DELETE(core->transaction.items, item);
+	DL_FOREACH_SAFE (core->commits.transaction.items, item, tmp) {
+		DL_DELETE(core->commits.transaction.items, item);
 		if (item->kind == WR_CHUNK) {
 			requeue_chunk(core, item);
 		} else if (item->kind == WR_FINAL) {
 			final_unsent(item->job);
-			item->list = &core->finals_due;
-			DL_PREPEND(core->finals_due, item);
+			item->list = &core->commits.finals;
+			DL_PREPEND(core->commits.finals, item);
 		} else {
 			free(item); /* read again at the next take-over */
 		}
@@ -398,7 +399,7 @@
 	struct write *item;
 	char k[KEY_MAX];
 
-	DL_FOREACH (core->transaction.items, item) {
+	DL_FOREACH (core->commits.transaction.items, item) {
 		struct job *job = item->job;
 
 		if (item->kind == WR_CHUNK) {
@@ -423,10 +424,10 @@
 {
 	struct write *item, *tmp;
 
-	DL_FOREACH_SAFE (core->transaction.items, item, tmp) {
+	DL_FOREACH_SAFE (core->commits.transaction.items, item, tmp) {
 		if (item->kind != WR_FINAL || !item->job->final_done)
 			continue;
-		DL_DELETE(core->transaction.items, item);
+		DL_DELETE(core->commits.transaction.items, item);
 		final_committed(core, item->job);
 		free(item);
 	}
@@ -452,7 +453,7 @@
 	}
 	adopt(core, call->key, it.value, it.version);
 	json_decref(o);
-	if (--core->transaction.reads_out == 0)
+	if (--core->commits.transaction.reads_out == 0)
 		reread_done(core);
 }
 
@@ -462,18 +463,18 @@
 	struct write *item;
 	char key[KEY_MAX];
 
-	core->transaction.reads_out = 0;
-	DL_FOREACH (core->transaction.items, item) {
+	core->commits.transaction.reads_out = 0;
+	DL_FOREACH (core->commits.transaction.items, item) {
 		if (item->kind == WR_DROP)
 			continue;
 		if (item->kind == WR_CHUNK)
 			task_record_key(key, item->job, item->chunk);
 		else
 			key_job(key, item->job);
-		core->transaction.reads_out++;
+		core->commits.transaction.reads_out++;
 		store_get(core, key, on_reread, NULL);
 	}
-	if (!core->transaction.reads_out)
+	if (!core->commits.transaction.reads_out)
 		requeue(core);
 }
 
@@ -484,7 +485,8 @@
 /* The leader's key once the transaction under way is done. */
 static const char *fence_key(const struct core *core)
 {
-	return election_key(core->transaction.raises ? FORMAT_NEWEST : core->election.format);
+	return election_key(core->commits.transaction.raises ? FORMAT_NEWEST
+							     : core->election.format);
 }
 
 static void on_fence_read(struct core *core, struct call *call, int status, const char *body,
@@ -494,7 +496,7 @@
 	struct kv_item it = {0};
 	json_t *o;
 
-	if (election_stale(core, call) || !core->in_flight)
+	if (election_stale(core, call) || !core->commits.in_flight)
 		return;
 	store_heard(core, status);
 	if (status != 200 && status != 404) {
@@ -517,18 +519,18 @@
  */
 static void refused(struct core *core, const char *body, size_t len)
 {
-	bool small = core->transaction.nops <= LIMITS_TXN_OPS_MIN &&
-		     core->transaction.largest <= LIMITS_VALUE_FLOOR;
+	bool small = core->commits.transaction.nops <= LIMITS_TXN_OPS_MIN &&
+		     core->commits.transaction.largest <= LIMITS_VALUE_FLOOR;
 
-	log_error("commit_refused", "nops=%d largest=%zu body=%.*s", core->transaction.nops,
-		  core->transaction.largest, (int)(len < 200 ? len : 200), body);
-	if (core->transaction.fence) {
+	log_error("commit_refused", "nops=%d largest=%zu body=%.*s", core->commits.transaction.nops,
+		  core->commits.transaction.largest, (int)(len < 200 ? len : 200), body);
+	if (core->commits.transaction.fence) {
 		election_step_down(core, "lease_refused");
 		return;
 	}
-	limits_refused(core, core->transaction.nops, core->transaction.largest);
+	limits_refused(core, core->commits.transaction.nops, core->commits.transaction.largest);
 	requeue(core);
-	core->commit_again = core->now + (small ? LIMITS_REFUSED_S : COMMIT_RETRY_S);
+	core->commits.again = core->now + (small ? LIMITS_REFUSED_S : COMMIT_RETRY_S);
 }
 
 static void on_commit(struct core *core, struct call *call, int status, const char *body,
@@ -537,7 +539,7 @@
 	json_t *o;
 
 	store_heard(core, status);
-	if (election_stale(core, call) || !core->in_flight)
+	if (election_stale(core, call) || !core->commits.in_flight)
 		return;
 	if (status == 200) {
 		o = wire_parse(body, len);
@@ -548,7 +550,7 @@
 	if (status == 409) {
 		o = wire_parse(body, len);
 		log_info("commit_conflict", "body=%.*s", (int)(len < 200 ? len : 200), body);
-		if (core->transaction.fence)
+		if (core->commits.transaction.fence)
 			store_get(core, fence_key(core), on_fence_read, NULL);
 		else if (wire_failed_has(o, election_key(core->election.format)))
 			election_step_down(core, "guard_failed");
@@ -565,31 +567,31 @@
 	 * Refused, or unknown: the very same transaction goes again. Only a definite answer ends
 	 * it, since an unknown one may still be applied at any time until then.
 	 */
-	core->commit_again = core->now + COMMIT_RETRY_S;
-	core->transaction.waiting = true;
+	core->commits.again = core->now + COMMIT_RETRY_S;
+	core->commits.transaction.waiting = true;
 }
 
 /* --- sending --- */
 
 static void refill(struct core *core)
 {
-	allowance_fill(core, &core->puts, limits_write_rps(core) * WRITE_SHARE_LEADER);
+	allowance_fill(core, &core->commits.puts, limits_write_rps(core) * WRITE_SHARE_LEADER);
 }
 
 static void send_transaction(struct core *core)
 {
-	core->transaction.waiting = false;
+	core->commits.transaction.waiting = false;
 	refill(core);
-	core->puts.left -= core->transaction.nops;
-	store_commit(core, strdup(core->transaction.body), on_commit, NULL);
+	core->commits.puts.left -= core->commits.transaction.nops;
+	store_commit(core, strdup(core->commits.transaction.body), on_commit, NULL);
 }
 
 static void send_txn(struct core *core, struct txn *txn)
 {
-	core->in_flight = true;
-	core->transaction.nops = txn->nops;
-	core->transaction.largest = txn->largest;
-	core->transaction.body = txn_finish(txn);
+	core->commits.in_flight = true;
+	core->commits.transaction.nops = txn->nops;
+	core->commits.transaction.largest = txn->largest;
+	core->commits.transaction.body = txn_finish(txn);
 	send_transaction(core);
 }
 
@@ -606,10 +608,10 @@
 		txn_put(&txn, LEADER_KEY, election_gate_value(FORMAT_NEWEST), 0);
 	txn_put(&txn, election_key(raises ? FORMAT_NEWEST : core->election.format),
 		election_value(core), core->election.lease);
-	core->transaction.fence = true;
-	core->transaction.raises = raises;
-	core->fence_wanted = false;
-	core->fence_at = core->now;
+	core->commits.transaction.fence = true;
+	core->commits.transaction.raises = raises;
+	core->commits.fence_wanted = false;
+	core->commits.fence_at = core->now;
 	send_txn(core, &txn);
 }
 
@@ -658,7 +660,7 @@
 
 	if (core->now < item->held_until)
 		return BATCH_SKIPPED;
-	if (txn->nops && (txn->nops + n > most || txn->nops + n > core->puts.left))
+	if (txn->nops && (txn->nops + n > most || txn->nops + n > core->commits.puts.left))
 		return BATCH_FULL;
 	bytes = add_write(txn, item, most);
 	if (mark.nops && txn_bytes(txn) > COMMIT_BYTES) {
@@ -673,7 +675,7 @@
 		return BATCH_FULL; /* other writes may have left the queue with it */
 	}
 	write_unlist(item);
-	DL_APPEND(core->transaction.items, item);
+	DL_APPEND(core->commits.transaction.items, item);
 	if (item->kind == WR_CHUNK)
 		chunk_sent(item->job, item->chunk);
 	return BATCH_ADDED;
@@ -722,7 +724,7 @@
 /* Enough of the rate is left for what can wait for ever. */
 static bool puts_spare(const struct core *core)
 {
-	return core->puts.left > limits_write_rps(core) / 2;
+	return core->commits.puts.left > limits_write_rps(core) / 2;
 }
 
 static void send_writes(struct core *core)
@@ -732,16 +734,17 @@
 	txn_begin(&txn);
 	txn_guard(&txn, election_key(core->election.format), core->election.token);
 	/* Ends of jobs first: they are few, and their users wait for the word. */
-	if (batch_all(core, &txn, &core->finals_due) &&
-	    batch_chunks(core, &txn, &core->writes, true) && txn.nops)
-		batch_chunks(core, &txn, &core->writes, false);
+	if (batch_all(core, &txn, &core->commits.finals) &&
+	    batch_chunks(core, &txn, &core->commits.writes, true) && txn.nops)
+		batch_chunks(core, &txn, &core->commits.writes, false);
 	if (!txn.nops)
-		batch_chunks(core, &txn, &core->migrations, true);
+		batch_chunks(core, &txn, &core->commits.migrations, true);
 	if (!txn.nops)
-		batch_all(core, &txn, &core->drops);
+		batch_all(core, &txn, &core->commits.drops);
 	log_debug("commit", "nops=%d largest=%zu tokens=%.1f kind=%d", txn.nops, txn.largest,
-		  core->puts.left,
-		  core->transaction.items ? (int)core->transaction.items->kind : -1);
+		  core->commits.puts.left,
+		  core->commits.transaction.items ? (int)core->commits.transaction.items->kind
+						  : -1);
 	if (txn.nops) {
 		send_txn(core, &txn);
 		return;
@@ -754,9 +757,10 @@
 {
 	const struct write *item;
 
-	if (core->finals_due || ((core->drops || core->migrations) && puts_spare(core)))
+	if (core->commits.finals ||
+	    ((core->commits.drops || core->commits.migrations) && puts_spare(core)))
 		return true;
-	DL_FOREACH (core->writes, item)
+	DL_FOREACH (core->commits.writes, item)
 		if (item->due <= core->now && item->held_until <= core->now)
 			return true;
 	return false;
@@ -764,17 +768,17 @@
 
 void commit_tick(struct core *core)
 {
-	if (core->in_flight) {
-		if (core->transaction.waiting && core->now >= core->commit_again)
+	if (core->commits.in_flight) {
+		if (core->commits.transaction.waiting && core->now >= core->commits.again)
 			send_transaction(core);
 		return;
 	}
-	if (core->now < core->commit_again)
+	if (core->now < core->commits.again)
 		return;
 	refill(core);
-	if (core->puts.left < 1)
+	if (core->commits.puts.left < 1)
 		return;
-	if ((core->fence_wanted && core->now - core->fence_at >= FENCE_EVERY_S) ||
+	if ((core->commits.fence_wanted && core->now - core->commits.fence_at >= FENCE_EVERY_S) ||
 	    format_wanted(core))
 		send_fence(core);
 	else if (anything_due(core))
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -21,22 +21,22 @@
 	core->wall = now.wall;
 	core->next_call = 1;
 	core->election.format = FORMAT_CHUNKS;
-	core->incarnation = seed;
+	core->peers.incarnation = seed;
 	core->rand48[0] = (unsigned short)seed;
 	core->rand48[1] = (unsigned short)(seed >> 16);
 	core->rand48[2] = (unsigned short)(seed >> 32);
 	core->teams = calloc(conf->nteams + 1, sizeof(*core->teams));
 	if (!core->teams)
 		abort();
-	core->peers = calloc(conf->npeers + 1, sizeof(*core->peers));
-	if (!core->peers)
+	core->peers.list = calloc(conf->npeers + 1, sizeof(*core->peers.list));
+	if (!core->peers.list)
 		abort();
 	for (size_t i = 0; i < conf->npeers; i++)
-		core->peers[i].confirmed_until = -1;
+		core->peers.list[i].confirmed_until = -1;
 	core->state_heard = core->now;
-	core->counts_at = core->counts_wanted = core->now - COUNTS_ASKED_S;
-	core->peer_live = calloc(conf->npeers + 1, sizeof(*core->peer_live));
-	if (!core->peer_live)
+	core->users.counts_at = core->users.counts_wanted = core->now - COUNTS_ASKED_S;
+	core->pairing.peer_live = calloc(conf->npeers + 1, sizeof(*core->pairing.peer_live));
+	if (!core->pairing.peer_live)
 		abort();
 	for (size_t i = 0; i < conf->nteams; i++)
 		core->teams[i].conf = &conf->teams[i];
@@ -209,8 +209,8 @@
 {
 	double next = core->now + TICK_S;
 
-	if (core->election.role == ROLE_LEAD && core->round_due && core->next_round < next)
-		next = core->next_round;
+	if (core->election.role == ROLE_LEAD && core->rounds.due && core->rounds.next < next)
+		next = core->rounds.next;
 	return next;
 }
 
@@ -246,9 +246,9 @@
 			call->drop(call->arg);
 		free(call);
 	}
-	free(core->types);
+	free(core->catalog.types);
 	free(core->teams);
-	free(core->peer_live);
-	free(core->peers);
+	free(core->pairing.peer_live);
+	free(core->peers.list);
 	free(core);
 }
--- a/src/core/election.c
+++ b/src/core/election.c
@@ -117,8 +117,8 @@
 	 * used. */
 	double span = fmax(rest - CANCEL_MARGIN_S, LEADER_TTL_MS / 1000.0);
 
-	double known =
-	    fmax(fmin(core->election.renewed, core->jobs_read), peers_confirmed_until(core));
+	double known = fmax(fmin(core->election.renewed, core->jobs_watch.read_at),
+			    peers_confirmed_until(core));
 
 	return core->election.role == ROLE_LEAD && core->now - known < span;
 }
@@ -133,7 +133,8 @@
 /* A term's own new token is on its way: what the key tells meanwhile is for its answer to judge. */
 static bool token_changes(const struct core *core)
 {
-	return core->election.role != ROLE_FOLLOW && core->in_flight && core->transaction.fence;
+	return core->election.role != ROLE_FOLLOW && core->commits.in_flight &&
+	       core->commits.transaction.fence;
 }
 
 /* An answer from before the term's own write: versions of a key only grow. */
--- a/src/core/load.c
+++ b/src/core/load.c
@@ -94,10 +94,10 @@
 	}
 	core->election.role = ROLE_LEAD;
 	core->lead_since = core->now;
-	core->puts.filled = core->now;
-	core->puts.left = limits_write_rps(core) * WRITE_SHARE_LEADER;
+	core->commits.puts.filled = core->now;
+	core->commits.puts.left = limits_write_rps(core) * WRITE_SHARE_LEADER;
 	log_info("lead", "state=leading jobs=%u machines=%u", HASH_COUNT(core->jobs),
-		 HASH_COUNT(core->machines));
+		 HASH_COUNT(core->fleet.machines));
 	round_wanted(core);
 }
 
@@ -125,8 +125,8 @@
 	}
 	o = wire_parse(body, len);
 	if (load->first) {
-		core->jobs_revision = wire_revision(o);
-		core->jobs_read = call->sent;
+		core->jobs_watch.revision = wire_revision(o);
+		core->jobs_watch.read_at = call->sent;
 	}
 	load->first = false;
 	wire_items(o, load_item, &x);
@@ -174,29 +174,29 @@
 
 	if (election_stale(core, call))
 		return;
-	core->jobs_watching = false;
+	core->jobs_watch.watching = false;
 	if (status == 410) {
 		election_step_down(core, "watch_too_old");
 		return;
 	}
 	if (status != 200) {
-		core->jobs_watch_again = core->now + LEADER_REREAD_S;
+		core->jobs_watch.again = core->now + LEADER_REREAD_S;
 		return;
 	}
 	o = wire_parse(body, len);
 	wire_items(o, watch_item, core);
-	if (wire_revision(o) > core->jobs_revision)
-		core->jobs_revision = wire_revision(o);
-	core->jobs_read = call->sent;
+	if (wire_revision(o) > core->jobs_watch.revision)
+		core->jobs_watch.revision = wire_revision(o);
+	core->jobs_watch.read_at = call->sent;
 	json_decref(o);
 }
 
 void load_tick(struct core *core)
 {
-	if (core->jobs_watching || core->now < core->jobs_watch_again)
+	if (core->jobs_watch.watching || core->now < core->jobs_watch.again)
 		return;
-	core->jobs_watching = true;
-	store_watch(core, JOBS_OPEN, core->jobs_revision, JOBS_WATCH_MS, on_watch, NULL);
+	core->jobs_watch.watching = true;
+	store_watch(core, JOBS_OPEN, core->jobs_watch.revision, JOBS_WATCH_MS, on_watch, NULL);
 }
 
 /* All that only a leader knows; what the next one needs is in the records. */
@@ -208,8 +208,8 @@
 	commit_clear(core);
 	rent_clear(core);
 	format_clear(core);
-	core->command_queue = NULL;
-	HASH_ITER (hh, core->machines, machine, mtmp) {
+	core->fleet.command_queue = NULL;
+	HASH_ITER (hh, core->fleet.machines, machine, mtmp) {
 		struct binding *binding, *tmp;
 
 		DL_FOREACH_SAFE2 (machine->bindings, binding, tmp, mnext)
@@ -220,8 +220,8 @@
 		job_free(core, job);
 	for (size_t i = 0; i < core->conf->nteams; i++)
 		core->teams[i].cpus = core->teams[i].gpus = 0;
-	core->jobs_watching = false;
-	core->round_due = false;
-	core->fence_wanted = false;
-	core->attempts = 0;
+	core->jobs_watch.watching = false;
+	core->rounds.due = false;
+	core->commits.fence_wanted = false;
+	core->rounds.attempts = 0;
 }
--- a/src/core/machine_list.c
+++ b/src/core/machine_list.c
@@ -1,6 +1,6 @@
 /* The cloud's list of machines, and tombstones of those that are deleted though it still names
  * them. */
-#include "core/cloud.h"
+#include "core/state.h"
 
 #include <stdio.h>
 #include <stdlib.h>
@@ -13,7 +13,7 @@
 {
 	struct tombstone *tombstone;
 
-	HASH_FIND_STR(core->tombstones, id, tombstone);
+	HASH_FIND_STR(core->rentals.tombstones, id, tombstone);
 	return tombstone != NULL;
 }
 
@@ -21,10 +21,10 @@
 {
 	struct tombstone *tombstone, *tmp;
 
-	HASH_ITER (hh, core->tombstones, tombstone, tmp) {
-		if (HASH_COUNT(core->tombstones) < TOMBSTONES_MAX)
+	HASH_ITER (hh, core->rentals.tombstones, tombstone, tmp) {
+		if (HASH_COUNT(core->rentals.tombstones) < TOMBSTONES_MAX)
 			break; /* oldest first */
-		HASH_DEL(core->tombstones, tombstone);
+		HASH_DEL(core->rentals.tombstones, tombstone);
 		free(tombstone);
 	}
 	if (machine_has_tombstone(core, id))
@@ -34,7 +34,7 @@
 		abort();
 	snprintf(tombstone->id, sizeof(tombstone->id), "%s", id);
 	tombstone->at = core->now;
-	HASH_ADD_STR(core->tombstones, id, tombstone);
+	HASH_ADD_STR(core->rentals.tombstones, id, tombstone);
 }
 
 static void take_listed(struct core *core, const struct listed_machine *listed)
@@ -53,7 +53,7 @@
 	machine_describe(core, machine, listed->addr, listed->type, listed->zone, listed->spot);
 	machine->listed = machine->expected = true;
 	machine->missing = 0;
-	machine->list_round = core->list_round;
+	machine->list_round = core->rentals.list_round;
 	if (listed->state == LS_FAILED)
 		machine->failed = true;
 	if (listed->state == LS_RUNNING)
@@ -64,11 +64,11 @@
 {
 	struct machine *machine, *tmp;
 
-	HASH_ITER (hh, core->machines, machine, tmp)
-		if (machine->listed && machine->list_round != core->list_round)
+	HASH_ITER (hh, core->fleet.machines, machine, tmp)
+		if (machine->listed && machine->list_round != core->rentals.list_round)
 			machine->missing++;
-	core->list_after[0] = 0;
-	core->next_list = core->now + LISTED_EVERY_S;
+	core->rentals.list_after[0] = 0;
+	core->rentals.next_list = core->now + LISTED_EVERY_S;
 }
 
 static void ask_list(struct core *core);
@@ -81,14 +81,15 @@
 
 	if (election_stale(core, call))
 		return;
-	core->list_out = false;
+	core->rentals.list_out = false;
 	cloud_trouble(core, status);
 	if (status != 200 || wire_list_decode(body, len, &list, &n, &more))
 		return;
 	for (size_t i = 0; i < n; i++)
 		take_listed(core, &list[i]);
 	if (more && n) {
-		snprintf(core->list_after, sizeof(core->list_after), "%s", list[n - 1].id);
+		snprintf(core->rentals.list_after, sizeof(core->rentals.list_after), "%s",
+			 list[n - 1].id);
 		/* A fleet's list has several pages: they are one list only if read together. */
 		if (cloud_take(core))
 			ask_list(core);
@@ -102,12 +103,12 @@
 {
 	char *path;
 
-	core->list_out = true;
-	if (!*core->list_after)
-		core->list_round++;
-	if (*core->list_after)
-		path = fmt_path(W_PATH_MACHINES "?" W_AFTER "=%s&" W_LIMIT "=%d", core->list_after,
-				RANGE_LIMIT);
+	core->rentals.list_out = true;
+	if (!*core->rentals.list_after)
+		core->rentals.list_round++;
+	if (*core->rentals.list_after)
+		path = fmt_path(W_PATH_MACHINES "?" W_AFTER "=%s&" W_LIMIT "=%d",
+				core->rentals.list_after, RANGE_LIMIT);
 	else
 		path = fmt_path(W_PATH_MACHINES "?" W_LIMIT "=%d", RANGE_LIMIT);
 	core_call(core, core->conf->cloud, "GET", path, NULL, CALL_CLOUD_S, on_list, NULL);
@@ -115,6 +116,6 @@
 
 void list_tick(struct core *core)
 {
-	if (!core->list_out && core->now >= core->next_list && cloud_take(core))
+	if (!core->rentals.list_out && core->now >= core->rentals.next_list && cloud_take(core))
 		ask_list(core);
 }
--- a/src/core/machines.c
+++ b/src/core/machines.c
@@ -12,7 +12,7 @@
 {
 	struct machine *machine;
 
-	HASH_FIND_STR(core->machines, id, machine);
+	HASH_FIND_STR(core->fleet.machines, id, machine);
 	return machine;
 }
 
@@ -30,23 +30,23 @@
 	machine->asked_at = core->now - MACHINE_ASK_S;
 	machine->hears = true;
 	machine->rented_at = machine->idle_since = core->now;
-	HASH_ADD_STR(core->machines, id, machine);
+	HASH_ADD_STR(core->fleet.machines, id, machine);
 	return machine;
 }
 
 void machine_free(struct core *core, struct machine *machine)
 {
-	HASH_DEL(core->machines, machine);
-	report_cache_remove(&core->reports, &machine->last_report);
+	HASH_DEL(core->fleet.machines, machine);
+	report_cache_remove(&core->fleet.reports, &machine->last_report);
 	free(machine->left);
 	free(machine);
 }
 
 static const struct machine_type *type_find(const struct core *core, const char *name)
 {
-	for (size_t i = 0; i < core->ntypes; i++)
-		if (!strcmp(core->types[i].name, name))
-			return &core->types[i];
+	for (size_t i = 0; i < core->catalog.ntypes; i++)
+		if (!strcmp(core->catalog.types[i].name, name))
+			return &core->catalog.types[i];
 	return NULL;
 }
 
@@ -70,7 +70,7 @@
 {
 	struct machine *machine, *tmp;
 
-	HASH_ITER (hh, core->machines, machine, tmp)
+	HASH_ITER (hh, core->fleet.machines, machine, tmp)
 		machine_link(core, machine);
 }
 
@@ -210,7 +210,7 @@
 	if (!machine->nreplicas || !overdue(core, machine))
 		return false;
 	if (machine->unanswered_at > fmax(machine->last_word, core->lead_since))
-		return core->few_silent;
+		return core->fleet.few_silent;
 	workers_ask(core, machine);
 	return false;
 }
@@ -251,7 +251,7 @@
 	bool leave = false;
 	struct machine *machine, *tmp;
 
-	HASH_ITER (hh, core->machines, machine, tmp) {
+	HASH_ITER (hh, core->fleet.machines, machine, tmp) {
 		if (machine->deleting)
 			continue;
 		leave |= machine->nreplicas && machine_leaves(machine);
@@ -262,8 +262,8 @@
 		heard++;
 		silent += !machine_fresh(core, machine);
 	}
-	core->replicas_leave = leave;
-	core->few_silent = known >= CUT_MACHINES && late <= fmax(1, SILENT_SHARE * known);
+	core->fleet.replicas_leave = leave;
+	core->fleet.few_silent = known >= CUT_MACHINES && late <= fmax(1, SILENT_SHARE * known);
 	return heard >= CUT_MACHINES && silent > CUT_SHARE * heard;
 }
 
@@ -271,14 +271,14 @@
 {
 	struct machine *machine, *tmp;
 
-	if (core->now < core->next_machines)
+	if (core->now < core->fleet.next_look)
 		return;
-	core->next_machines = core->now + MACHINES_EVERY_S;
+	core->fleet.next_look = core->now + MACHINES_EVERY_S;
 	if (looks_cut(core)) {
 		election_yield(core, "no_worker_heard");
 		return;
 	}
-	HASH_ITER (hh, core->machines, machine, tmp) {
+	HASH_ITER (hh, core->fleet.machines, machine, tmp) {
 		machine_look(core, machine);
 		if (machine->gone && !machine->bindings) {
 			commands_unwanted(core, machine);
--- a/src/core/pair.c
+++ b/src/core/pair.c
@@ -126,7 +126,7 @@
 		list[out.n_switches++] = &all[i];
 	}
 	out.token = work->part->token;
-	out.incarnation = core->incarnation;
+	out.incarnation = core->peers.incarnation;
 	out.switches = list;
 	switches_send(core, work, &out);
 	free(all);
@@ -216,7 +216,7 @@
 		snprintf(key, sizeof(key), "p/%s", core->conf->name);
 	txn_put(txn, key,
 		json_pack("{s:I,s:I,s:o}", "token", (json_int_t)token, "quantum",
-			  (json_int_t)core->pair_quantum, "counts", counts),
+			  (json_int_t)core->pairing.quantum, "counts", counts),
 		0);
 }
 
@@ -230,7 +230,7 @@
 	json_t *counts = json_object();
 	struct pair_count *count, *tmp;
 
-	core->pair_quantum++;
+	core->pairing.quantum++;
 	HASH_ITER (hh, own, count, tmp) {
 		size_t more = strlen(count->id) + COUNT_FRAME_BYTES;
 
@@ -301,7 +301,7 @@
 			if (binding->task != s->task || strcmp(binding->job->spec.id, s->job) ||
 			    *binding->switched_to)
 				continue;
-			core->switches++;
+			core->pairing.switches++;
 			snprintf(binding->switched_to, sizeof(binding->switched_to), "%s",
 				 to->spec.id);
 			log_info("switch", "job=%s machine=%s task=%u to=%s", s->job, m->id,
@@ -318,7 +318,7 @@
 
 	if (election_stale(core, call))
 		return;
-	core->peer_live[i] = status == 200;
+	core->pairing.peer_live[i] = status == 200;
 	if (status == 200)
 		pair_take_switches(core, i, (const uint8_t *)body, len);
 }
@@ -335,7 +335,7 @@
 		XXH64_hash_t h =
 		    XXH3_64bits_withSeed(machine, strlen(machine), XXH3_64bits(name, strlen(name)));
 
-		if (core->peer_live[i] && h > top) {
+		if (core->pairing.peer_live[i] && h > top) {
 			top = h;
 			best = i;
 		}
@@ -355,13 +355,13 @@
 	struct binding *binding;
 	size_t cap = 0;
 
-	HASH_ITER (hh, core->machines, machine, tmp)
+	HASH_ITER (hh, core->fleet.machines, machine, tmp)
 		cap += (size_t)machine->nbindings;
 	build->slots = calloc(cap + 1, sizeof(*build->slots));
 	build->slot_list = calloc(cap + 1, sizeof(*build->slot_list));
 	if (!build->slots || !build->slot_list)
 		abort();
-	HASH_ITER (hh, core->machines, machine, tmp) {
+	HASH_ITER (hh, core->fleet.machines, machine, tmp) {
 		if (owner_of(core, machine->id) != owner)
 			continue;
 		DL_FOREACH2 (machine->bindings, binding, mnext) {
@@ -430,10 +430,10 @@
 /* Nothing is paired after a take-over until workers have had the time to report. */
 void pair_tick(struct core *core)
 {
-	if (core->now < core->next_pair || core->now - core->lead_since < RENT_SETTLE_S ||
+	if (core->now < core->pairing.next || core->now - core->lead_since < RENT_SETTLE_S ||
 	    core->state_down)
 		return;
-	core->next_pair =
+	core->pairing.next =
 	    core->now + PAIR_QUANTUM_S * (1 + PAIR_JITTER * (core_random(core) - 0.5));
 	for (size_t i = 0; i <= core->conf->npeers; i++)
 		send_part(core, i);
--- a/src/core/peers.c
+++ b/src/core/peers.c
@@ -29,7 +29,7 @@
 static void peer_answered(struct core *core, size_t i, int status)
 {
 	if (status > 0)
-		core->peers[i].answered = core->now;
+		core->peers.list[i].answered = core->now;
 }
 
 /* --- counts of tasks --- */
@@ -69,14 +69,14 @@
 	struct known *known, *tmp;
 
 	/* What a deposed leader still believes is no news. */
-	if (in && in->token >= core->counts_token) {
-		core->counts_token = in->token;
-		core->counts_at = core->now;
-		HASH_ITER (hh, core->known, known, tmp)
+	if (in && in->token >= core->users.counts_token) {
+		core->users.counts_token = in->token;
+		core->users.counts_at = core->now;
+		HASH_ITER (hh, core->users.known, known, tmp)
 			if (!known->final)
 				known->done = known->running = 0;
 		for (size_t i = 0; i < in->n_counts; i++) {
-			HASH_FIND_STR(core->known, in->counts[i]->job, known);
+			HASH_FIND_STR(core->users.known, in->counts[i]->job, known);
 			if (!known || known->final)
 				continue;
 			known->done = in->counts[i]->done;
@@ -92,7 +92,7 @@
 {
 	size_t i = (size_t)(uintptr_t)call->arg;
 
-	core->counts_out = false;
+	core->users.counts_out = false;
 	peer_answered(core, i, status);
 	if (status == 200)
 		counts_take(core, (const uint8_t *)body, len);
@@ -107,14 +107,15 @@
 
 static void counts_tick(struct core *core)
 {
-	if (core->election.role == ROLE_LEAD || core->counts_out || core->now < core->counts_next ||
-	    core->now - core->counts_wanted > COUNTS_ASKED_S)
+	if (core->election.role == ROLE_LEAD || core->users.counts_out ||
+	    core->now < core->users.counts_next ||
+	    core->now - core->users.counts_wanted > COUNTS_ASKED_S)
 		return;
 	for (size_t i = 0; i < core->conf->npeers; i++) {
 		if (strcmp(core->conf->peers[i].name, core->election.leader))
 			continue;
-		core->counts_out = true;
-		core->counts_next = core->now + COUNTS_EVERY_S;
+		core->users.counts_out = true;
+		core->users.counts_next = core->now + COUNTS_EVERY_S;
 		counts_ask(core, i);
 	}
 }
@@ -140,7 +141,7 @@
 			 size_t len)
 {
 	struct handed *handed = call->arg;
-	struct peer_view *peer = &core->peers[handed->peer];
+	struct peer_view *peer = &core->peers.list[handed->peer];
 	Peer__Forwarded *in =
 	    status == 200 ? peer__forwarded__unpack(NULL, len, (const uint8_t *)body) : NULL;
 
@@ -192,13 +193,13 @@
 	size_t best = core->conf->npeers;
 	struct wrapped *wrapped;
 
-	HASH_FIND(hh, core->wrapped, &request->conn, sizeof(request->conn), wrapped);
+	HASH_FIND(hh, core->peers.wrapped, &request->conn, sizeof(request->conn), wrapped);
 	if (wrapped)
 		return false; /* handed on once already */
 	for (size_t i = 0; i < core->conf->npeers; i++)
-		if (core->now >= core->peers[i].no_forward &&
+		if (core->now >= core->peers.list[i].no_forward &&
 		    (best == core->conf->npeers ||
-		     core->peers[i].answered > core->peers[best].answered))
+		     core->peers.list[i].answered > core->peers.list[best].answered))
 			best = i;
 	if (best == core->conf->npeers)
 		return false;
@@ -222,7 +223,7 @@
 	if (!wrapped)
 		abort();
 	wrapped->conn = r->conn;
-	HASH_ADD(hh, core->wrapped, conn, sizeof(wrapped->conn), wrapped);
+	HASH_ADD(hh, core->peers.wrapped, conn, sizeof(wrapped->conn), wrapped);
 	q.method = in->method;
 	q.path = in->path;
 	q.body = body;
@@ -239,10 +240,10 @@
 	struct wrapped *wrapped;
 	uint8_t *buf;
 
-	HASH_FIND(hh, core->wrapped, &conn, sizeof(conn), wrapped);
+	HASH_FIND(hh, core->peers.wrapped, &conn, sizeof(conn), wrapped);
 	if (!wrapped)
 		return false;
-	HASH_DEL(core->wrapped, wrapped);
+	HASH_DEL(core->peers.wrapped, wrapped);
 	free(wrapped);
 	out.status = (uint32_t)*status;
 	out.retry_after = (uint32_t)retry_after;
@@ -304,17 +305,17 @@
 {
 	struct confirmed_cancel *told, *tmp;
 
-	HASH_ITER (hh, core->confirmed, told, tmp) {
+	HASH_ITER (hh, core->peers.confirmed, told, tmp) {
 		bool old = core->now - told->at > CONFIRMED_KEEP_CANCELS * core->conf->cancel_s;
 
-		if (!old && HASH_COUNT(core->confirmed) < CONFIRMED_MAX)
+		if (!old && HASH_COUNT(core->peers.confirmed) < CONFIRMED_MAX)
 			break; /* oldest first */
 		/* What is forgotten before its time must not pass for never told. */
-		core->incarnation += !old;
-		HASH_DEL(core->confirmed, told);
+		core->peers.incarnation += !old;
+		HASH_DEL(core->peers.confirmed, told);
 		free(told);
 	}
-	HASH_FIND_STR(core->confirmed, id, told);
+	HASH_FIND_STR(core->peers.confirmed, id, told);
 	if (told)
 		return;
 	told = calloc(1, sizeof(*told));
@@ -323,12 +324,12 @@
 	snprintf(told->id, sizeof(told->id), "%s", id);
 	told->version = version;
 	told->at = core->now;
-	HASH_ADD_STR(core->confirmed, id, told);
+	HASH_ADD_STR(core->peers.confirmed, id, told);
 }
 
 static void confirmed_reply(struct core *core, uint64_t conn)
 {
-	size_t n = HASH_COUNT(core->confirmed), len;
+	size_t n = HASH_COUNT(core->peers.confirmed), len;
 	Peer__Cancelled *all = calloc(n + 1, sizeof(*all)), **list = calloc(n + 1, sizeof(*list));
 	Peer__Confirmed out = PEER__CONFIRMED__INIT;
 	struct confirmed_cancel *told, *tmp;
@@ -336,7 +337,7 @@
 
 	if (!all || !list)
 		abort();
-	HASH_ITER (hh, core->confirmed, told, tmp) {
+	HASH_ITER (hh, core->peers.confirmed, told, tmp) {
 		Peer__Cancelled *x = &all[out.n_cancelled];
 
 		peer__cancelled__init(x);
@@ -344,7 +345,7 @@
 		x->version = told->version;
 		list[out.n_cancelled++] = x;
 	}
-	out.incarnation = core->incarnation;
+	out.incarnation = core->peers.incarnation;
 	out.token = core->election.role == ROLE_LEAD ? core->election.token : 0;
 	out.cancelled = list;
 	buf = peers_pack(&out.base, &len);
@@ -355,7 +356,7 @@
 
 void peers_note_incarnation(struct core *core, size_t peer, uint64_t incarnation)
 {
-	struct peer_view *p = &core->peers[peer];
+	struct peer_view *p = &core->peers.list[peer];
 
 	if (p->incarnation == incarnation && p->since > 0)
 		return;
@@ -370,14 +371,14 @@
  */
 static void confirmed_take(struct core *core, size_t i, double asked, const Peer__Confirmed *in)
 {
-	struct peer_view *peer = &core->peers[i];
+	struct peer_view *peer = &core->peers.list[i];
 
 	peers_note_incarnation(core, i, in->incarnation);
 	if (in->token > core->election.token)
 		election_deposed(core, core->conf->peers[i].name);
 	for (size_t k = 0; k < in->n_cancelled; k++)
 		job_cancel_committed(core, in->cancelled[k]->job, in->cancelled[k]->version);
-	if (core->election.role == ROLE_LEAD && peer->since <= core->jobs_read)
+	if (core->election.role == ROLE_LEAD && peer->since <= core->jobs_watch.read_at)
 		peer->confirmed_until = asked;
 }
 
@@ -400,7 +401,7 @@
 	double least = core->now;
 
 	for (size_t i = 0; i < core->conf->npeers; i++)
-		least = fmin(least, core->peers[i].confirmed_until);
+		least = fmin(least, core->peers.list[i].confirmed_until);
 	return core->conf->npeers ? least : -1;
 }
 
@@ -428,9 +429,9 @@
  * life too. */
 static void ping_tick(struct core *core)
 {
-	if (!core->state_down || core->now < core->ping_next)
+	if (!core->state_down || core->now < core->peers.ping_next)
 		return;
-	core->ping_next = core->now + PEER_PING_S;
+	core->peers.ping_next = core->now + PEER_PING_S;
 	for (size_t i = 0; i < core->conf->npeers; i++)
 		core_call(core, core->conf->peers[i].addr, "POST", fmt_path(CONFIRMED_PATH),
 			  strdup(""), CALL_PEER_S, on_confirmed, (void *)(uintptr_t)i);
@@ -452,7 +453,7 @@
 	if (!core->conf->npeers || core->now - core->state_heard < PEER_ALONE_S)
 		return true;
 	for (size_t i = 0; i < core->conf->npeers; i++)
-		if (core->now - core->peers[i].answered < PEER_ALONE_S)
+		if (core->now - core->peers.list[i].answered < PEER_ALONE_S)
 			return true;
 	return false;
 }
@@ -462,12 +463,12 @@
 	struct wrapped *wrapped, *tmp;
 	struct confirmed_cancel *told, *ttmp;
 
-	HASH_ITER (hh, core->wrapped, wrapped, tmp) {
-		HASH_DEL(core->wrapped, wrapped);
+	HASH_ITER (hh, core->peers.wrapped, wrapped, tmp) {
+		HASH_DEL(core->peers.wrapped, wrapped);
 		free(wrapped);
 	}
-	HASH_ITER (hh, core->confirmed, told, ttmp) {
-		HASH_DEL(core->confirmed, told);
+	HASH_ITER (hh, core->peers.confirmed, told, ttmp) {
+		HASH_DEL(core->peers.confirmed, told);
 		free(told);
 	}
 }
--- a/src/core/place.c
+++ b/src/core/place.c
@@ -13,10 +13,10 @@
 
 void round_wanted(struct core *core)
 {
-	if (core->round_due)
+	if (core->rounds.due)
 		return;
-	core->round_due = true;
-	core->next_round = core->now + ROUND_MIN_S + ROUND_JOB_S * HASH_COUNT(core->jobs);
+	core->rounds.due = true;
+	core->rounds.next = core->now + ROUND_MIN_S + ROUND_JOB_S * HASH_COUNT(core->jobs);
 }
 
 static bool job_bad_on(const struct job *job, const struct machine *machine)
@@ -139,7 +139,7 @@
 
 static uint64_t new_attempt(struct core *core)
 {
-	return (core->election.token << ATTEMPT_SHIFT) + ++core->attempts;
+	return (core->election.token << ATTEMPT_SHIFT) + ++core->rounds.attempts;
 }
 
 /*
@@ -632,7 +632,7 @@
 	struct machine *machine, *tmp;
 	struct binding *binding;
 
-	HASH_ITER (hh, round->core->machines, machine, tmp) {
+	HASH_ITER (hh, round->core->fleet.machines, machine, tmp) {
 		if (!machine_leaves(machine) || !machine->nreplicas)
 			continue;
 		DL_FOREACH2 (machine->bindings, binding, mnext)
@@ -694,7 +694,7 @@
 		serve_priority(&round, jobs + first, last - first);
 		first = last;
 	}
-	if (core->replicas_leave)
+	if (core->fleet.replicas_leave)
 		move_replicas(&round);
 	round_end(&round);
 }
@@ -704,16 +704,16 @@
 	struct job **jobs;
 	size_t n;
 
-	if (core->now >= core->round_again)
+	if (core->now >= core->rounds.again)
 		round_wanted(core); /* backoffs and freshness pass without an event */
-	if (!core->round_due || core->now < core->next_round)
+	if (!core->rounds.due || core->now < core->rounds.next)
 		return;
-	core->round_due = false;
-	core->round_again = core->now + ROUND_AGAIN_S;
+	core->rounds.due = false;
+	core->rounds.again = core->now + ROUND_AGAIN_S;
 	if (core->now - core->election.renewed > LEADER_TTL_MS / 1000.0 * 2)
 		return; /* without the state service nothing can be committed */
 	n = waiting_jobs(core, &jobs);
-	if (n || core->replicas_leave)
+	if (n || core->fleet.replicas_leave)
 		round_run(core, jobs, n);
 	free(jobs);
 }
--- a/src/core/plan.c
+++ b/src/core/plan.c
@@ -21,7 +21,7 @@
 	job->hold_until = 0;
 	job->gathering = false;
 	job->hold_zone[0] = 0;
-	HASH_ITER (hh, core->machines, machine, tmp) {
+	HASH_ITER (hh, core->fleet.machines, machine, tmp) {
 		if (machine->hold_job != job)
 			continue;
 		machine->hold_job = NULL;
@@ -321,7 +321,7 @@
 		n += job->gathering;
 		held += job->gathering ? job->spec.ntasks * job->spec.cpus : 0;
 	}
-	HASH_ITER (hh, core->machines, machine, mtmp)
+	HASH_ITER (hh, core->fleet.machines, machine, mtmp)
 		all += machine->type && machine_usable(core, machine) ? machine->type->cpus : 0;
 	return n < most || held <= (late ? GATHER_SHARE_LATE : GATHER_SHARE) * all;
 }
--- a/src/core/rent.c
+++ b/src/core/rent.c
@@ -7,7 +7,6 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "core/cloud.h"
 #include "core/replicas.h"
 #include "core/round.h"
 #include "core/state.h"
@@ -17,17 +16,17 @@
 /* The cloud's rate is shared by lists, returns and rentals, whichever comes first in a look. */
 bool cloud_take(struct core *core)
 {
-	allowance_fill(core, &core->cloud, core->conf->cloud_rps * CLOUD_SHARE);
-	if (core->cloud.left < 1)
+	allowance_fill(core, &core->rentals.requests, core->conf->cloud_rps * CLOUD_SHARE);
+	if (core->rentals.requests.left < 1)
 		return false;
-	core->cloud.left -= 1;
+	core->rentals.requests.left -= 1;
 	return true;
 }
 
 void cloud_trouble(struct core *core, int status)
 {
 	if (status != 200)
-		core->cloud_again = core->now + CLOUD_BACKOFF_S;
+		core->rentals.again = core->now + CLOUD_BACKOFF_S;
 }
 
 /*
@@ -58,7 +57,7 @@
 	struct refusal_key key = refusal_key(type, zone, spot);
 	struct refusal *refusal;
 
-	HASH_FIND_STR(core->refusals, key.text, refusal);
+	HASH_FIND_STR(core->rentals.refusals, key.text, refusal);
 	return refusal;
 }
 
@@ -187,7 +186,7 @@
 			abort();
 		memcpy(refusal->key, refusal_key(rental->type, rental->zone, rental->spot).text,
 		       sizeof(refusal->key));
-		HASH_ADD_STR(core->refusals, key, refusal);
+		HASH_ADD_STR(core->rentals.refusals, key, refusal);
 	}
 	if (!no) {
 		refusal->wait = 0;
@@ -241,8 +240,8 @@
 
 	if (plan->nwanted >= RENT_BATCH_MAX * core->conf->cloud_rps)
 		return false;
-	for (size_t i = 0; i < core->ntypes; i++) {
-		const struct machine_type *type = &core->types[i];
+	for (size_t i = 0; i < core->catalog.ntypes; i++) {
+		const struct machine_type *type = &core->catalog.types[i];
 
 		for (int z = 0; z < type->nzones; z++)
 			for (int k = 0; k < 2; k++) {
@@ -274,7 +273,7 @@
 	struct machine *machine, *tmp;
 	struct rent_req *rental;
 
-	HASH_ITER (hh, core->machines, machine, tmp) {
+	HASH_ITER (hh, core->fleet.machines, machine, tmp) {
 		struct vroom *room;
 
 		if (!machine->type || machine->deleting || machine->draining || machine->failed ||
@@ -291,11 +290,12 @@
 		room->gpus = machine->gpus;
 		room->mem_gb = machine->mem_gb;
 	}
-	DL_FOREACH (core->rents, rental) {
-		for (size_t i = 0; i < core->ntypes; i++)
-			for (int k = 0;
-			     k < rental->count && !strcmp(core->types[i].name, rental->type); k++)
-				plan_add(plan, &core->types[i], rental->zone, rental->spot);
+	DL_FOREACH (core->rentals.requested, rental) {
+		for (size_t i = 0; i < core->catalog.ntypes; i++)
+			for (int k = 0; k < rental->count &&
+					!strcmp(core->catalog.types[i].name, rental->type);
+			     k++)
+				plan_add(plan, &core->catalog.types[i], rental->zone, rental->spot);
 	}
 }
 
@@ -339,8 +339,8 @@
 
 	if (!spec->one_zone || spec->ntasks == 1 || spec->kind == JOB_ARRAY)
 		return NULL;
-	for (size_t i = 0; i < core->ntypes; i++) {
-		const struct machine_type *type = &core->types[i];
+	for (size_t i = 0; i < core->catalog.ntypes; i++) {
+		const struct machine_type *type = &core->catalog.types[i];
 
 		for (int z = 0; z < type->nzones; z++) {
 			if (best && !strcmp(best, type->zones[z]))
@@ -462,7 +462,7 @@
 
 	if (election_stale(core, call))
 		return;
-	DL_FOREACH (core->rents, rental)
+	DL_FOREACH (core->rentals.requested, rental)
 		if (!strcmp(rental->name, call->key))
 			break;
 	if (!rental)
@@ -495,7 +495,7 @@
 			return;
 		}
 	}
-	DL_DELETE(core->rents, rental);
+	DL_DELETE(core->rentals.requested, rental);
 	free(rental);
 }
 
@@ -534,12 +534,12 @@
 		rental->count++;
 	}
 	snprintf(rental->name, sizeof(rental->name), "r-%llu-%u",
-		 (unsigned long long)core->election.token, ++core->rent_counter);
+		 (unsigned long long)core->election.token, ++core->rentals.counter);
 	snprintf(rental->type, sizeof(rental->type), "%s", first->type->name);
 	snprintf(rental->zone, sizeof(rental->zone), "%s", first->zone);
 	rental->spot = first->spot;
 	rental->since = core->now;
-	DL_APPEND(core->rents, rental);
+	DL_APPEND(core->rentals.requested, rental);
 	rent_send(core, rental);
 }
 
@@ -560,18 +560,18 @@
 {
 	struct rent_req *rental;
 
-	DL_FOREACH (core->rents, rental)
+	DL_FOREACH (core->rentals.requested, rental)
 		if (!rental->out && core->now >= rental->again && cloud_take(core))
 			rent_send(core, rental);
 }
 
 void rent_tick(struct core *core)
 {
-	if (core->now < core->next_rent)
+	if (core->now < core->rentals.next)
 		return;
-	core->next_rent = core->now + RENT_EVERY_S;
+	core->rentals.next = core->now + RENT_EVERY_S;
 	returns_look(core);
-	if (core->now < core->cloud_again || !core->types)
+	if (core->now < core->rentals.again || !core->catalog.types)
 		return;
 	list_tick(core);
 	returns_send(core);
@@ -586,20 +586,20 @@
 	struct refusal *refusal, *rtmp;
 	struct tombstone *tombstone, *ttmp;
 
-	DL_FOREACH_SAFE (core->rents, rental, tmp) {
-		DL_DELETE(core->rents, rental);
+	DL_FOREACH_SAFE (core->rentals.requested, rental, tmp) {
+		DL_DELETE(core->rentals.requested, rental);
 		free(rental);
 	}
-	HASH_ITER (hh, core->refusals, refusal, rtmp) {
-		HASH_DEL(core->refusals, refusal);
+	HASH_ITER (hh, core->rentals.refusals, refusal, rtmp) {
+		HASH_DEL(core->rentals.refusals, refusal);
 		free(refusal);
 	}
-	HASH_ITER (hh, core->tombstones, tombstone, ttmp) {
-		HASH_DEL(core->tombstones, tombstone);
+	HASH_ITER (hh, core->rentals.tombstones, tombstone, ttmp) {
+		HASH_DEL(core->rentals.tombstones, tombstone);
 		free(tombstone);
 	}
-	core->list_out = false;
-	core->list_after[0] = 0;
-	core->next_list = core->next_rent = core->cloud_again = 0;
-	core->cloud = (struct allowance){.filled = core->now};
+	core->rentals.list_out = false;
+	core->rentals.list_after[0] = 0;
+	core->rentals.next_list = core->rentals.next = core->rentals.again = 0;
+	core->rentals.requests = (struct allowance){.filled = core->now};
 }
--- a/src/core/replicas.c
+++ b/src/core/replicas.c
@@ -50,7 +50,7 @@
 
 	if (!classes->count)
 		return;
-	HASH_ITER (hh, core->machines, machine, next)
+	HASH_ITER (hh, core->fleet.machines, machine, next)
 		for (size_t i = 0; i < classes->count && machine_usable(core, machine); i++)
 			classes->list[i].free += free_on(machine, classes->list[i].spec);
 }
--- a/src/core/returns.c
+++ b/src/core/returns.c
@@ -1,5 +1,5 @@
 /* Machines that go back: idle, faulty or lost ones, and what is done on a notice. */
-#include "core/cloud.h"
+#include "core/state.h"
 
 #include <stdio.h>
 #include <stdlib.h>
@@ -58,7 +58,7 @@
 
 	replica_classes_find(core, &classes);
 	replica_classes_count(core, &classes);
-	HASH_ITER (hh, core->machines, machine, tmp) {
+	HASH_ITER (hh, core->fleet.machines, machine, tmp) {
 		if (machine->deleting)
 			continue;
 		if (machine->notice_s >= 0)
@@ -119,7 +119,7 @@
 {
 	const struct machine *machine, *tmp;
 
-	HASH_ITER (hh, core->machines, machine, tmp)
+	HASH_ITER (hh, core->fleet.machines, machine, tmp)
 		if (delete_due(machine))
 			return true;
 	return false;
@@ -133,7 +133,7 @@
 
 	if (!batch)
 		abort();
-	HASH_ITER (hh, core->machines, machine, tmp) {
+	HASH_ITER (hh, core->fleet.machines, machine, tmp) {
 		if (!delete_due(machine) || batch->n == DELETE_BATCH_MAX)
 			continue;
 		machine->delete_out = true;
--- a/src/core/round.c
+++ b/src/core/round.c
@@ -38,7 +38,7 @@
 
 void round_begin(struct core *core, struct round *round)
 {
-	size_t n = HASH_COUNT(core->machines) + 1;
+	size_t n = HASH_COUNT(core->fleet.machines) + 1;
 	struct machine *machine, *tmp;
 	struct job *job, *jtmp;
 
@@ -49,7 +49,7 @@
 	round->pools = malloc(n * sizeof(*round->pools));
 	if (!round->rooms || !round->cands || !round->pools)
 		abort();
-	HASH_ITER (hh, core->machines, machine, tmp)
+	HASH_ITER (hh, core->fleet.machines, machine, tmp)
 		if (machine_usable(core, machine))
 			room_add(round, machine);
 	HASH_ITER (hh, core->jobs, job, jtmp)
--- a/src/core/users.c
+++ b/src/core/users.c
@@ -68,7 +68,7 @@
 {
 	struct known *known;
 
-	HASH_FIND_STR(core->known, id, known);
+	HASH_FIND_STR(core->users.known, id, known);
 	return known;
 }
 
@@ -82,14 +82,14 @@
 	if (!known)
 		abort();
 	snprintf(known->id, sizeof(known->id), "%s", id);
-	HASH_ADD_STR(core->known, id, known);
+	HASH_ADD_STR(core->users.known, id, known);
 	return known;
 }
 
 static void known_drop(struct core *core, struct known *known)
 {
-	core->nfinals -= known->final;
-	HASH_DEL(core->known, known);
+	core->users.nfinals -= known->final;
+	HASH_DEL(core->users.known, known);
 	free(known);
 }
 
@@ -98,8 +98,8 @@
 {
 	struct known *known, *tmp;
 
-	HASH_ITER (hh, core->known, known, tmp) {
-		if (core->nfinals <= FINAL_CACHE_MAX)
+	HASH_ITER (hh, core->users.known, known, tmp) {
+		if (core->users.nfinals <= FINAL_CACHE_MAX)
 			return;
 		if (known->final)
 			known_drop(core, known);
@@ -116,7 +116,7 @@
 	known->state = s;
 	known->done = s == JS_DONE ? ntasks : 0;
 	known->running = 0;
-	core->nfinals++;
+	core->users.nfinals++;
 	known_trim(core);
 }
 
@@ -188,11 +188,11 @@
 static void answer_live(struct core *core, struct user_req *request, const struct known *known)
 {
 	struct job *j = core->election.role == ROLE_LEAD ? job_find(core, request->id) : NULL;
-	bool fresh = core->now - core->counts_at < COUNTS_KEEP_S;
+	bool fresh = core->now - core->users.counts_at < COUNTS_KEEP_S;
 	uint32_t done = j ? j->ndone : fresh && known ? known->done : 0;
 	uint32_t running = j ? j->nrunning : fresh && known ? known->running : 0;
 
-	core->counts_wanted = core->now;
+	core->users.counts_wanted = core->now;
 	user_state(core, request, 200, running ? JS_RUNNING : JS_QUEUED, done, running);
 }
 
@@ -235,7 +235,7 @@
 	struct kv_item it;
 	json_t *o;
 
-	core->nreads--;
+	core->users.nreads--;
 	store_heard(core, status);
 	if (status == 404) {
 		answer_absent(core, request);
@@ -258,7 +258,7 @@
 	char key[ID_MAX + 8];
 
 	snprintf(key, sizeof(key), "%s%s", prefix, request->id);
-	core->nreads++;
+	core->users.nreads++;
 	store_get(core, key, fn, request)->drop = user_free;
 }
 
@@ -269,7 +269,7 @@
 	struct kv_item it;
 	json_t *o;
 
-	core->nreads--;
+	core->users.nreads--;
 	store_heard(core, status);
 	if (status == 404) {
 		user_read(core, request, JOBS_OVER, on_final_read);
@@ -291,7 +291,7 @@
 {
 	if (answer_final(core, request))
 		return;
-	if (core->nreads >= USER_READS_SHARE * core->conf->max_connections) {
+	if (core->users.nreads >= USER_READS_SHARE * core->conf->max_connections) {
 		user_fail(core, request, 429, RETRY_AFTER_BUSY_S, "busy");
 		return;
 	}
@@ -299,8 +299,8 @@
 		user_read(core, request, JOBS_OPEN, on_open_read);
 		return;
 	}
-	DL_APPEND(core->asking, request);
-	core->nreads++;
+	DL_APPEND(core->users.asking, request);
+	core->users.nreads++;
 }
 
 /* --- the index: one read of changes answers all who ask --- */
@@ -327,7 +327,7 @@
 {
 	struct known *k = known_find(core, request->id);
 
-	core->nreads--;
+	core->users.nreads--;
 	if (!k)
 		user_read(core, request, JOBS_OVER, on_final_read);
 	else if (k->final || k->state == JS_CANCELLED)
@@ -342,7 +342,7 @@
 
 	DL_FOREACH_SAFE (*list, request, tmp) {
 		DL_DELETE(*list, request);
-		core->nreads--;
+		core->users.nreads--;
 		user_unserved(core, request, status);
 	}
 }
@@ -352,8 +352,8 @@
 {
 	struct known *known, *tmp;
 
-	core->index_known = false;
-	HASH_ITER (hh, core->known, known, tmp)
+	core->users.index_known = false;
+	HASH_ITER (hh, core->users.known, known, tmp)
 		if (!known->final)
 			known_drop(core, known);
 }
@@ -361,12 +361,12 @@
 static void on_changes(struct core *core, struct call *call, int status, const char *body,
 		       size_t len)
 {
-	struct user_req *request, *tmp, *list = core->asked;
+	struct user_req *request, *tmp, *list = core->users.asked;
 	json_t *o;
 
 	(void)call;
-	core->asked = NULL;
-	core->index_out = false;
+	core->users.asked = NULL;
+	core->users.index_out = false;
 	store_heard(core, status);
 	if (status != 200) {
 		if (status == 410)
@@ -374,9 +374,9 @@
 		/* The limit of requests, or too old: the next read may tell. */
 		if (status == 410 ||
 		    (status == 429 && list && core->now - list->since < ASK_WAIT_S)) {
-			DL_CONCAT(list, core->asking);
-			core->asking = list;
-			core->index_next = core->now + ASK_AGAIN_S;
+			DL_CONCAT(list, core->users.asking);
+			core->users.asking = list;
+			core->users.index_next = core->now + ASK_AGAIN_S;
 		} else {
 			asked_failed(core, &list, status);
 		}
@@ -384,8 +384,8 @@
 	}
 	o = wire_parse(body, len);
 	wire_items(o, index_item, core);
-	if (wire_revision(o) > core->index_revision)
-		core->index_revision = wire_revision(o);
+	if (wire_revision(o) > core->users.index_revision)
+		core->users.index_revision = wire_revision(o);
 	json_decref(o);
 	DL_FOREACH_SAFE (list, request, tmp) {
 		DL_DELETE(list, request);
@@ -396,56 +396,56 @@
 static void on_index_page(struct core *core, struct call *call, int status, const char *body,
 			  size_t len)
 {
-	bool first = !*core->index_last;
+	bool first = !*core->users.index_last;
 	json_t *o, *last;
 	size_t n;
 
 	(void)call;
-	core->index_out = false;
+	core->users.index_out = false;
 	store_heard(core, status);
-	core->index_next = core->now + ASK_AGAIN_S;
+	core->users.index_next = core->now + ASK_AGAIN_S;
 	if (status != 200) {
-		asked_failed(core, &core->asking, status);
+		asked_failed(core, &core->users.asking, status);
 		return;
 	}
 	o = wire_parse(body, len);
 	if (first)
-		core->index_revision = wire_revision(o);
+		core->users.index_revision = wire_revision(o);
 	wire_items(o, index_item, core);
 	n = json_array_size(json_object_get(o, W_ITEMS));
 	last = json_object_get(json_array_get(json_object_get(o, W_ITEMS), n ? n - 1 : 0), W_KEY);
-	snprintf(core->index_last, sizeof(core->index_last), "%s",
+	snprintf(core->users.index_last, sizeof(core->users.index_last), "%s",
 		 last ? json_string_value(last) : "");
 	if (!wire_more(o)) {
-		core->index_known = true;
-		core->index_last[0] = 0;
+		core->users.index_known = true;
+		core->users.index_last[0] = 0;
 	}
-	core->index_next = core->now;
+	core->users.index_next = core->now;
 	json_decref(o);
 }
 
 static void index_tick(struct core *core)
 {
-	if (core->index_out || !core->asking || core->now < core->index_next)
+	if (core->users.index_out || !core->users.asking || core->now < core->users.index_next)
 		return;
-	core->index_out = true;
-	if (!core->index_known) {
-		store_range(core, JOBS_OPEN, core->index_last, on_index_page, NULL);
+	core->users.index_out = true;
+	if (!core->users.index_known) {
+		store_range(core, JOBS_OPEN, core->users.index_last, on_index_page, NULL);
 		return;
 	}
-	core->index_next = core->now + ASK_GATHER_S;
-	core->asked = core->asking;
-	core->asking = NULL;
-	store_watch(core, JOBS_ALL, core->index_revision, 0, on_changes, NULL);
+	core->users.index_next = core->now + ASK_GATHER_S;
+	core->users.asked = core->users.asking;
+	core->users.asking = NULL;
+	store_watch(core, JOBS_ALL, core->users.index_revision, 0, on_changes, NULL);
 }
 
 /* --- submissions, committed in batches --- */
 
 static struct user_req *take_submitted(struct core *core)
 {
-	struct user_req *list = core->submits_in_flight;
+	struct user_req *list = core->users.submits_in_flight;
 
-	core->submits_in_flight = NULL;
+	core->users.submits_in_flight = NULL;
 	return list;
 }
 
@@ -475,8 +475,8 @@
 		if (wire_failed_has(o, j) || wire_failed_has(o, f)) {
 			user_lookup(core, request);
 		} else {
-			DL_PREPEND(core->submits, request);
-			core->nsubmits++;
+			DL_PREPEND(core->users.submits, request);
+			core->users.nsubmits++;
 		}
 	}
 	json_decref(o);
@@ -492,7 +492,7 @@
 	int count;
 
 	DL_COUNT(list, request, count);
-	limits_refused(core, count, core->submit_largest);
+	limits_refused(core, count, core->users.submit_largest);
 	DL_FOREACH_SAFE (list, request, tmp) {
 		DL_DELETE(list, request);
 		if (count <= LIMITS_TXN_OPS_MIN &&
@@ -501,8 +501,8 @@
 		} else if (count == 1) {
 			user_fail(core, request, 503, RETRY_AFTER_S, "state");
 		} else {
-			DL_PREPEND(core->submits, request);
-			core->nsubmits++;
+			DL_PREPEND(core->users.submits, request);
+			core->users.nsubmits++;
 		}
 	}
 }
@@ -558,7 +558,7 @@
 {
 	const struct user_req *o;
 
-	DL_FOREACH (core->submits_in_flight, o)
+	DL_FOREACH (core->users.submits_in_flight, o)
 		if (!strcmp(o->id, u->id))
 			return true;
 	return false;
@@ -570,10 +570,10 @@
 	struct txn_mark mark;
 	struct txn txn;
 
-	if (core->submits_in_flight || !core->submits)
+	if (core->users.submits_in_flight || !core->users.submits)
 		return;
 	txn_begin(&txn);
-	DL_FOREACH_SAFE (core->submits, request, tmp) {
+	DL_FOREACH_SAFE (core->users.submits, request, tmp) {
 		if (txn.nops >= limits_txn_ops(core))
 			break;
 		if (in_flight(core, request))
@@ -584,11 +584,11 @@
 			txn_rollback(&txn, &mark);
 			break;
 		}
-		DL_DELETE(core->submits, request);
-		core->nsubmits--;
-		DL_APPEND(core->submits_in_flight, request);
+		DL_DELETE(core->users.submits, request);
+		core->users.nsubmits--;
+		DL_APPEND(core->users.submits_in_flight, request);
 	}
-	core->submit_largest = txn.largest;
+	core->users.submit_largest = txn.largest;
 	store_commit(core, txn_finish(&txn), on_submit, NULL);
 }
 
@@ -616,8 +616,8 @@
 
 static bool fits_some_type(const struct core *core, const struct job_spec *spec)
 {
-	for (size_t i = 0; i < core->ntypes; i++)
-		if (type_fits(&core->types[i], spec))
+	for (size_t i = 0; i < core->catalog.ntypes; i++)
+		if (type_fits(&core->catalog.types[i], spec))
 			return true;
 	return false;
 }
@@ -631,8 +631,8 @@
 		return true;
 	if (spec->one_zone || *spec->zone)
 		return false;
-	for (size_t i = 0; i < core->ntypes; i++) {
-		const struct machine_type *type = &core->types[i];
+	for (size_t i = 0; i < core->catalog.ntypes; i++) {
+		const struct machine_type *type = &core->catalog.types[i];
 
 		for (int k = 0; k < type->nzones && type_fits(type, spec); k++) {
 			if (first && strcmp(first, type->zones[k]))
@@ -651,7 +651,7 @@
 	} else if (!team_ever_fits(core->conf, request->spec)) {
 		request->verdict = 422;
 		request->why = "beyond the team's limit";
-	} else if (!core->types) {
+	} else if (!core->catalog.types) {
 		request->verdict = 503;
 		request->why = "machine types not known yet";
 	} else if (!fits_some_type(core, request->spec)) {
@@ -708,11 +708,11 @@
 	json_decref(o);
 	if (u->verdict) {
 		user_lookup(core, u);
-	} else if (core->nsubmits >= USER_QUEUE_MAX) {
+	} else if (core->users.nsubmits >= USER_QUEUE_MAX) {
 		user_fail(core, u, 429, RETRY_AFTER_BUSY_S, "busy");
 	} else if (!answer_final(core, u)) {
-		DL_APPEND(core->submits, u);
-		core->nsubmits++;
+		DL_APPEND(core->users.submits, u);
+		core->users.nsubmits++;
 	}
 }
 
@@ -764,16 +764,16 @@
 	struct user_req *request, *tmp;
 	struct known *known, *ktmp;
 
-	DL_FOREACH_SAFE (core->submits, request, tmp)
+	DL_FOREACH_SAFE (core->users.submits, request, tmp)
 		user_free(request);
-	DL_FOREACH_SAFE (core->submits_in_flight, request, tmp)
+	DL_FOREACH_SAFE (core->users.submits_in_flight, request, tmp)
 		user_free(request);
-	DL_FOREACH_SAFE (core->asking, request, tmp)
+	DL_FOREACH_SAFE (core->users.asking, request, tmp)
 		user_free(request);
-	DL_FOREACH_SAFE (core->asked, request, tmp)
+	DL_FOREACH_SAFE (core->users.asked, request, tmp)
 		user_free(request);
-	HASH_ITER (hh, core->known, known, ktmp) {
-		HASH_DEL(core->known, known);
+	HASH_ITER (hh, core->users.known, known, ktmp) {
+		HASH_DEL(core->users.known, known);
 		free(known);
 	}
 }
--- a/src/core/workers.c
+++ b/src/core/workers.c
@@ -100,7 +100,7 @@
 	    machine->seq <= binding->beat_seq) {
 		if (beat && !fenced(machine) && !machine->commands_out &&
 		    (binding->stopping || binding->loaded))
-			core->fence_wanted = true;
+			core->commits.fence_wanted = true;
 		return;
 	}
 	if (binding->loaded || binding->seen || binding->stopping)
@@ -222,7 +222,7 @@
 	if (report->notice_s >= 0 && machine->notice_s < 0) {
 		log_info("machine_notice", "machine=%s seconds=%.1f", machine->id,
 			 report->notice_s);
-		core->replicas_leave |= machine->nreplicas > 0;
+		core->fleet.replicas_leave |= machine->nreplicas > 0;
 		round_wanted(core);
 	}
 	if (!beat && machine->last_beat < 0 && report->token < core->election.token) {
@@ -256,7 +256,7 @@
 	machine->restarted = true;
 	machine->hears = false;
 	machine->deaf_since = core->now;
-	core->fence_wanted = true;
+	core->commits.fence_wanted = true;
 }
 
 static void machine_anew(struct core *core, struct machine *machine)
@@ -284,7 +284,7 @@
 {
 	struct machine *machine, *tmp;
 
-	HASH_ITER (hh, core->machines, machine, tmp)
+	HASH_ITER (hh, core->fleet.machines, machine, tmp)
 		if (machine->restarted)
 			machine_anew(core, machine);
 }
@@ -373,7 +373,7 @@
 			add_command(list, OP_FORGET, leftover->job, leftover->task,
 				    leftover->attempt, 0);
 		else if (!fenced(machine) && !machine->commands_out)
-			core->fence_wanted = true;
+			core->commits.fence_wanted = true;
 	}
 	if (machine->deleting)
 		return;
@@ -446,7 +446,7 @@
 	if (report->token <= core->election.token)
 		return true;
 	/* A higher token than ours: another leads, and a 200 would hold the worker here in vain. */
-	if (!(core->in_flight && core->transaction.fence))
+	if (!(core->commits.in_flight && core->commits.transaction.fence))
 		election_step_down(core, "worker_saw_higher_token");
 	core_reply_error(core, conn, 503, 0, "not leading");
 	return false;
@@ -467,7 +467,7 @@
 		core_reply_error(core, request->conn, 503, 0, "taking over");
 		return;
 	}
-	known = report_cache_find(&core->reports, request->body, request->len);
+	known = report_cache_find(&core->fleet.reports, request->body, request->len);
 	if (known) {
 		if (token_allows(core, request->conn, known))
 			answer_beat(core, request->conn, known);
@@ -481,8 +481,8 @@
 		answer_beat(core, request->conn, &rep);
 		machine = machine_find(core, rep.machine);
 		if (machine)
-			report_cache_store(&core->reports, &machine->last_report, request->body,
-					   request->len, &rep);
+			report_cache_store(&core->fleet.reports, &machine->last_report,
+					   request->body, request->len, &rep);
 	}
 	wire_report_free(&rep);
 }
@@ -514,7 +514,7 @@
 	if (machine->in_command_queue)
 		return;
 	machine->in_command_queue = true;
-	DL_APPEND2(core->command_queue, machine, queue_prev, queue_next);
+	DL_APPEND2(core->fleet.command_queue, machine, queue_prev, queue_next);
 }
 
 static void command_queue_remove(struct core *core, struct machine *machine)
@@ -522,14 +522,14 @@
 	if (!machine->in_command_queue)
 		return;
 	machine->in_command_queue = false;
-	DL_DELETE2(core->command_queue, machine, queue_prev, queue_next);
+	DL_DELETE2(core->fleet.command_queue, machine, queue_prev, queue_next);
 }
 
 static void on_do(struct core *core, struct call *call, int status, const char *body, size_t len)
 {
 	struct machine *machine;
 
-	core->directs--;
+	core->fleet.directs--;
 	if (election_stale(core, call))
 		return;
 	machine = machine_find(core, call->key);
@@ -551,7 +551,7 @@
 {
 	struct machine *machine;
 
-	core->directs--;
+	core->fleet.directs--;
 	if (election_stale(core, call))
 		return;
 	machine = machine_find(core, call->key);
@@ -567,7 +567,7 @@
  */
 static bool directs_full(const struct core *core)
 {
-	return core->directs >= core->conf->max_connections * DIRECT_SHARE;
+	return core->fleet.directs >= core->conf->max_connections * DIRECT_SHARE;
 }
 
 /*
@@ -579,7 +579,7 @@
 	if (core->now - core->lead_since < MACHINE_SHOW_REPORTS * core->conf->report_s)
 		return ASKS_PER_S;
 	return fmax(ASKS_PER_S,
-		    HASH_COUNT(core->machines) / (ASK_ALL_LEASES * core->conf->lease_s));
+		    HASH_COUNT(core->fleet.machines) / (ASK_ALL_LEASES * core->conf->lease_s));
 }
 
 /* What is known when a question leaves: the answer must be newer. */
@@ -594,12 +594,12 @@
 /* Asks the worker for its report; false if too many were asked of late. */
 bool workers_ask(struct core *core, struct machine *machine)
 {
-	allowance_fill(core, &core->asks, asks_per_s(core));
-	if (!*machine->addr || core->asks.left < 1 ||
+	allowance_fill(core, &core->fleet.asks, asks_per_s(core));
+	if (!*machine->addr || core->fleet.asks.left < 1 ||
 	    core->now - machine->asked_at < MACHINE_ASK_S || directs_full(core))
 		return false;
-	core->asks.left -= 1;
-	core->directs++;
+	core->fleet.asks.left -= 1;
+	core->fleet.directs++;
 	machine->asked_at = core->now;
 	call_mark(core,
 		  core_call(core, machine->addr, "GET", fmt_path(W_PATH_STATUS), NULL,
@@ -649,7 +649,7 @@
 		return;
 	machine->announce_token = false;
 	machine->commands_out++;
-	core->directs++;
+	core->fleet.directs++;
 	call = core_call(
 	    core, machine->addr, "POST", fmt_path(W_PATH_COMMANDS),
 	    wire_direct_commands(core->election.token, machine->session, list.items, list.n),
@@ -662,7 +662,7 @@
 {
 	struct machine *machine;
 
-	while ((machine = core->command_queue) && !directs_full(core)) {
+	while ((machine = core->fleet.command_queue) && !directs_full(core)) {
 		commands_unwanted(core, machine);
 		drop_unsent(core, machine);
 		if (machine->session && *machine->addr && !machine->gone &&
--- a/tests/runner.c
+++ b/tests/runner.c
@@ -1150,7 +1150,7 @@
 	n = 0;
 	if (!strcmp(what, "directs")) {
 		for (int i = 0; i < w->nnodes; i++)
-			n += w->nodes[i].up ? w->nodes[i].core->directs : 0;
+			n += w->nodes[i].up ? w->nodes[i].core->fleet.directs : 0;
 		return n;
 	}
 	if (!strcmp(what, "rented"))
@@ -1188,7 +1188,7 @@
 	}
 	if (!strcmp(what, "switches")) {
 		for (int i = 0; i < w->nnodes; i++)
-			n += w->nodes[i].up ? w->nodes[i].core->switches : 0;
+			n += w->nodes[i].up ? w->nodes[i].core->pairing.switches : 0;
 		return n;
 	}
 	if (!strcmp(what, "broken")) {
