--- a/src/constants.h
+++ b/src/constants.h
@@ -75,7 +75,7 @@
 #define PEER_PING_S 1.0
 /* times cancel_s that what users were told is kept: a leader asks sooner */
 #define CONFIRMED_KEEP_CANCELS 2.0
-#define CONFIRMED_MAX 4096	     /* cancellations kept so: some 0.5 MB */
+#define CONFIRMED_MAX 4096   /* cancellations kept so: some 0.5 MB */
 #define PEER_ALONE_S 4.0     /* seconds without state service and peers before /ready says so */
 #define PEER_BACKOFF_S 2.0   /* seconds nothing is handed to a peer that could not serve either */
 #define RETRY_AFTER_S 1	     /* seconds: the least a user waits anyway */
@@ -143,9 +143,24 @@
 #define LISTED_EVERY_S 3.0   /* seconds between machine lists: they lag by more */
 #define MACHINES_EVERY_S 0.5 /* seconds between looks at all machines */
 #define CUT_SHARE 0.7	     /* share of machines silent at once: then it is us who are cut */
-/* of the machines overdue at once up to which one may be deleted early */
+/* share of the other machines that may be silent when one is deleted early: more, and it may be
+ * this controller that is cut off */
 #define SILENT_SHARE 0.34
-#define CUT_MACHINES 3 /* machines heard of before that share means anything */
+#define FLEET_WORD_AGES 80    /* ages told apart: up to what a lease may be */
+#define FLEET_WORD_AGE_S 0.25 /* seconds that one of them spans */
+#define REPLICA_ASK_S 0.8     /* seconds between words of a machine with replicas */
+/* seconds for an answer: usually ms, with a lost packet some hundred */
+#define REPLICA_ANSWER_S 0.8
+#define REPLICA_UNANSWERED 2	 /* questions in a row without an answer: one may be lost */
+#define REPLICA_ASKS_PER_S 10.0	 /* such questions a second at least */
+#define REPLICA_ASK_SHARE 0.34	 /* such questions at most, as a share of the reports */
+#define REPLICA_WATCH_LATE_S 0.5 /* seconds late: no questions are sent in this turn */
+/* leases without a report after which replicas move off a machine that answers questions */
+#define REPLICA_MOVE_LEASES 0.5
+/* report intervals since a machine's last message after which replicas rather go elsewhere */
+#define REPLICA_OVERDUE_REPORTS 1.25
+#define REPLICA_OVERDUE_S 20.0 /* seconds: what that is worth in waiting for an image */
+#define CUT_MACHINES 3	       /* machines heard of before that share means anything */
 
 /* --- scheduling --- */
 #define ROUND_MIN_S 0.004	 /* seconds between rounds of decisions when nothing presses */
--- a/src/core/call.h
+++ b/src/core/call.h
@@ -28,7 +28,8 @@
 	void *arg;
 	void (*drop)(void *arg); /* frees arg if no answer is waited for any more */
 	uint64_t term; /* leadership under which it was made: answers of an older one are void */
-	double sent;
+	double sent;   /* steady */
+	double timeout_s;
 	uint64_t session, seq; /* asked of a worker: what was known of it by then */
 	bool starts;	       /* direct commands: a start is among them */
 	uint64_t token;	       /* direct commands: sent under it */
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -92,6 +92,7 @@
 	call->arg = arg;
 	call->term = core->election.term;
 	call->sent = core->now;
+	call->timeout_s = timeout_s;
 	HASH_ADD(hh, core->calls, id, sizeof(call->id), call);
 	action = action_add(core, ACT_SEND, call->id);
 	snprintf(action->addr, sizeof(action->addr), "%s", addr);
@@ -195,6 +196,7 @@
 		return;
 	load_tick(core);
 	machine_tick(core);
+	replica_watch_tick(core);
 	job_tick(core);
 	round_tick(core);
 	rent_tick(core);
--- a/src/core/jobs.c
+++ b/src/core/jobs.c
@@ -261,6 +261,7 @@
 	DL_APPEND2(job->bindings, binding, jprev, jnext);
 	machine->nbindings++;
 	machine->nreplicas += job->spec.kind == JOB_SERVICE;
+	replica_watch_update(core, machine);
 	machine->cpus -= job->spec.cpus;
 	machine->gpus -= job->spec.gpus;
 	machine->mem_gb -= job->spec.mem_gb;
@@ -377,6 +378,7 @@
 	DL_DELETE2(job->bindings, binding, jprev, jnext);
 	machine->nbindings--;
 	machine->nreplicas -= job->spec.kind == JOB_SERVICE;
+	replica_watch_update(core, machine);
 	machine->cpus += job->spec.cpus;
 	machine->gpus += job->spec.gpus;
 	machine->mem_gb += job->spec.mem_gb;
--- a/src/core/machine.h
+++ b/src/core/machine.h
@@ -76,7 +76,10 @@
 	double reported;   /* any report, be it a copy or a new machine's first; < 0: none */
 	double up_at;	   /* its first message this term */
 	double asked_at;
-	double unanswered_at; /* when the newest question left that got no answer; 0: none */
+	int unanswered;		 /* questions without an answer since its last message */
+	double unanswered_since; /* steady; when the first of them was sent */
+	bool watched;		 /* in the list of machines with replicas */
+	struct machine *watch_prev, *watch_next;
 	double notice_s;
 	double notice_heard;			/* when notice_s was said */
 	struct report_cache_entry *last_report; /* in core->reports */
@@ -115,6 +118,12 @@
 	UT_hash_handle hh;
 };
 
+/* How long ago machines were heard of, at the last look at all of them. */
+struct fleet_words {
+	int known;		     /* machines that should be heard of */
+	int by_age[FLEET_WORD_AGES]; /* of them, by the age of their last message */
+};
+
 /* The machines, and what the leader asks of them. */
 struct fleet {
 	struct machine *machines;
@@ -122,9 +131,9 @@
 	struct machine *command_queue; /* commands wait for them, longest waiting first */
 	struct allowance asks;	       /* questions to workers */
 	int directs;		       /* commands and questions under way: each holds a socket */
-	double next_look;	       /* steady; at all machines */
+	struct fleet_words words;
+	double next_look;    /* steady; at all machines */
 	bool replicas_leave; /* at the last look: some are on machines that are about to go */
-	bool few_silent; /* at the last look: the silent may be deleted before their leases end */
 };
 
 struct machine *machine_find(struct core *core, const char *id);
@@ -133,8 +142,12 @@
 void machine_describe(struct core *core, struct machine *machine, const char *addr,
 		      const char *type, const char *zone, bool spot);
 bool machine_has_tombstone(struct core *core, const char *id);
+/* It is given up, and is to be deleted at once. */
+void machine_lost(struct core *core, struct machine *machine);
 void machine_gone(struct core *core, struct machine *machine);
 void machine_tick(struct core *core);
+/* Machines heard of within so many seconds before the last look; an age is rounded up. */
+int fleet_words_since(const struct fleet_words *words, double age_s);
 void machine_show(struct core *core, struct machine *machine);
 bool machine_fresh(const struct core *core, const struct machine *machine);
 /* It has a notice, or is to be returned: nothing new goes there. */
--- a/src/core/machines.c
+++ b/src/core/machines.c
@@ -37,6 +37,7 @@
 void machine_free(struct core *core, struct machine *machine)
 {
 	HASH_DEL(core->fleet.machines, machine);
+	replica_watch_remove(core, machine);
 	report_cache_remove(&core->fleet.reports, &machine->last_report);
 	free(machine->left);
 	free(machine);
@@ -189,30 +190,14 @@
 		workers_ask(core, machine);
 }
 
-/* No report for longer than one may be late; not heard of in this term though all others were. */
-static bool overdue(const struct core *core, const struct machine *machine)
+void machine_lost(struct core *core, struct machine *machine)
 {
-	if (machine->last_word < 0)
-		return machine->nbindings &&
-		       core->now - core->lead_since > MACHINE_SHOW_REPORTS * core->conf->report_s;
-	return core->now - machine->last_word > MACHINE_NEWS_REPORTS * core->conf->report_s;
-}
-
-/*
- * A replica's users miss it at once, and waiting for the end of a lease costs them all of it. Its
- * machine is asked when a report is overdue, and deleted when it does not answer either: the
- * cloud's answer proves its end. Its other tasks lose what they would keep if it came back within
- * its lease. That is allowed only while few machines are silent: else it may be this controller
- * that is cut off.
- */
-static bool replicas_unreachable(struct core *core, struct machine *machine)
-{
-	if (!machine->nreplicas || !overdue(core, machine))
-		return false;
-	if (machine->unanswered_at > fmax(machine->last_word, core->lead_since))
-		return core->fleet.few_silent;
-	workers_ask(core, machine);
-	return false;
+	log_info("machine_lost", "machine=%s failed=%d missing=%d last_word=%.1f bound=%d",
+		 machine->id, machine->failed, machine->missing,
+		 machine->last_word < 0 ? -1.0 : core->now - machine->last_word,
+		 machine->nbindings);
+	machine->deleting = true;
+	core->rentals.next = core->now; /* its delete proves the ends of its tasks */
 }
 
 static void machine_look(struct core *core, struct machine *machine)
@@ -224,13 +209,8 @@
 		machine->hold_job = NULL;
 	if (machine->deleting)
 		return;
-	if (machine->failed || vanished || silent_too_long(core, machine) ||
-	    replicas_unreachable(core, machine)) {
-		log_info("machine_lost", "machine=%s failed=%d missing=%d last_word=%.1f bound=%d",
-			 machine->id, machine->failed, machine->missing,
-			 machine->last_word < 0 ? -1.0 : core->now - machine->last_word,
-			 machine->nbindings);
-		machine->deleting = true;
+	if (machine->failed || vanished || silent_too_long(core, machine)) {
+		machine_lost(core, machine);
 		return;
 	}
 	/* Known from a record or the list, but not heard of under this leader. */
@@ -244,26 +224,46 @@
 	}
 }
 
+int fleet_words_since(const struct fleet_words *words, double age_s)
+{
+	int heard = 0;
+
+	for (int age = 0; age < FLEET_WORD_AGES && (age + 1) * FLEET_WORD_AGE_S <= age_s; age++)
+		heard += words->by_age[age];
+	return heard;
+}
+
+static void word_count(struct core *core, const struct machine *machine)
+{
+	struct fleet_words *words = &core->fleet.words;
+	double age = (core->now - machine->last_word) / FLEET_WORD_AGE_S;
+
+	if (machine->last_word < 0 && !machine->nbindings)
+		return;
+	words->known++;
+	if (machine->last_word >= 0 && age < FLEET_WORD_AGES)
+		words->by_age[(int)age]++;
+}
+
 /* If nearly all fall silent at once, it is this controller that is cut off. */
 static bool looks_cut(struct core *core)
 {
-	int heard = 0, silent = 0, late = 0, known = 0;
+	int heard = 0, silent = 0;
 	bool leave = false;
 	struct machine *machine, *tmp;
 
+	memset(&core->fleet.words, 0, sizeof(core->fleet.words));
 	HASH_ITER (hh, core->fleet.machines, machine, tmp) {
 		if (machine->deleting)
 			continue;
-		leave |= machine->nreplicas && machine_leaves(machine);
-		known += machine->last_word >= 0 || machine->nbindings;
-		late += overdue(core, machine);
+		word_count(core, machine);
+		leave |= machine->nreplicas && replica_watch_leaves(core, machine);
 		if (machine->last_word < 0)
 			continue;
 		heard++;
 		silent += !machine_fresh(core, machine);
 	}
 	core->fleet.replicas_leave = leave;
-	core->fleet.few_silent = known >= CUT_MACHINES && late <= fmax(1, SILENT_SHARE * known);
 	return heard >= CUT_MACHINES && silent > CUT_SHARE * heard;
 }
 
--- a/src/core/place.c
+++ b/src/core/place.c
@@ -306,10 +306,11 @@
 
 /*
  * Replicas of one service apart, so that one machine or zone takes one of them, and off machines
- * that may be taken back or that tasks failed on: seconds that it is worth to wait for an image
- * elsewhere.
+ * that may be taken back, that tasks failed on or that are overdue: seconds that it is worth to
+ * wait for an image elsewhere.
  */
-static double replica_cost(const struct job *job, const struct machine *machine)
+static double replica_cost(const struct core *core, const struct job *job,
+			   const struct machine *machine)
 {
 	const struct binding *binding;
 	double cost = 0;
@@ -322,6 +323,9 @@
 		else if (!strcmp(binding->machine->zone, machine->zone))
 			cost += REPLICA_ZONE_S;
 	}
+	/* It may be gone without anyone knowing yet. */
+	if (core->now - machine->last_word > REPLICA_OVERDUE_REPORTS * core->conf->report_s)
+		cost += REPLICA_OVERDUE_S;
 	return cost + (machine->spot ? REPLICA_SPOT_S : 0) +
 	       machine->nfailed_jobs * REPLICA_MACHINE_S;
 }
@@ -343,7 +347,8 @@
 		    (held && strcmp(held, pool->zone)) ||
 		    (spare && takes_wanted(round, room, &job->spec)))
 			continue;
-		cost += place_cost(room->machine, job) + replica_cost(job, room->machine);
+		cost +=
+		    place_cost(room->machine, job) + replica_cost(round->core, job, room->machine);
 		if (cost < best_cost && job_zone_rest(job, pool->zone)) {
 			best_cost = cost;
 			best = room->machine;
@@ -633,7 +638,7 @@
 	struct binding *binding;
 
 	HASH_ITER (hh, round->core->fleet.machines, machine, tmp) {
-		if (!machine_leaves(machine) || !machine->nreplicas)
+		if (!machine->nreplicas || !replica_watch_leaves(round->core, machine))
 			continue;
 		DL_FOREACH2 (machine->bindings, binding, mnext)
 			move_replica(round, binding);
--- /dev/null
+++ b/src/core/replica_watch.h
@@ -0,0 +1,33 @@
+/*
+ * Supervision of the machines that hold replicas of services: each is asked every second whether it
+ * still answers, so that a lost replica starts elsewhere long before its worker's lease has ended.
+ */
+#ifndef PLOVERLOFT_REPLICA_WATCH_H
+#define PLOVERLOFT_REPLICA_WATCH_H
+
+#include <stdbool.h>
+
+#include "core/call.h"
+
+struct machine;
+
+struct replica_watch {
+	struct machine *machines; /* that hold replicas, in the order of their turns */
+	int count;
+	struct allowance questions;
+	double next; /* steady; the next turn */
+};
+
+/* The number of replicas that the machine holds has changed. */
+void replica_watch_update(struct core *core, struct machine *machine);
+/* The machine is forgotten. */
+void replica_watch_remove(struct core *core, struct machine *machine);
+/* Asks the machines whose turn it is, and has those deleted that are gone. */
+void replica_watch_tick(struct core *core);
+/*
+ * Whether replicas are to be moved off the machine while they still run: it has a notice, is to be
+ * returned, or its reports reach nobody, so that its worker's lease will end.
+ */
+bool replica_watch_leaves(const struct core *core, const struct machine *machine);
+
+#endif
--- a/src/core/state.h
+++ b/src/core/state.h
@@ -19,6 +19,7 @@
 #include "core/limits.h"
 #include "core/machine.h"
 #include "core/peers.h"
+#include "core/replica_watch.h"
 #include "core/store.h"
 #include "core/users.h"
 #include "core/workers.h"
@@ -62,6 +63,7 @@
 	double next_jobs; /* steady; a look at all jobs */
 	struct team *teams;
 	struct fleet fleet;
+	struct replica_watch replica_watch;
 	struct commits commits;
 	struct rounds rounds;
 	struct pairing pairing;
--- a/src/core/workers.c
+++ b/src/core/workers.c
@@ -210,6 +210,7 @@
 	if (report->token > machine->token)
 		machine->token = report->token;
 	machine->last_word = core->now;
+	machine->unanswered = 0;
 	if (beat)
 		machine->last_beat = core->now;
 	if (first) {
@@ -547,6 +548,21 @@
 		take_answer(core, call, body, len);
 }
 
+/* A question that never left, for want of a socket, says nothing of the machine. */
+static bool waited_in_full(const struct core *core, const struct call *call)
+{
+	return core->now - call->sent >= call->timeout_s * (1 - CLOCK_DRIFT);
+}
+
+static void note_unanswered(const struct core *core, const struct call *call,
+			    struct machine *machine)
+{
+	if (call->sent <= machine->last_word || !waited_in_full(core, call))
+		return;
+	if (!machine->unanswered++)
+		machine->unanswered_since = call->sent;
+}
+
 static void on_show(struct core *core, struct call *call, int status, const char *body, size_t len)
 {
 	struct machine *machine;
@@ -556,7 +572,7 @@
 		return;
 	machine = machine_find(core, call->key);
 	if (machine && status <= 0)
-		machine->unanswered_at = call->sent;
+		note_unanswered(core, call, machine);
 	if (status == 200)
 		take_answer(core, call, body, len);
 }
@@ -591,7 +607,16 @@
 	call->seq = machine->seq;
 }
 
-/* Asks the worker for its report; false if too many were asked of late. */
+static void send_question(struct core *core, struct machine *machine, double timeout_s)
+{
+	struct call *call = core_call(core, machine->addr, "GET", fmt_path(W_PATH_STATUS), NULL,
+				      timeout_s, on_show, NULL);
+
+	core->fleet.directs++;
+	machine->asked_at = core->now;
+	call_mark(core, call, machine);
+}
+
 bool workers_ask(struct core *core, struct machine *machine)
 {
 	allowance_fill(core, &core->fleet.asks, asks_per_s(core));
@@ -599,12 +624,15 @@
 	    core->now - machine->asked_at < MACHINE_ASK_S || directs_full(core))
 		return false;
 	core->fleet.asks.left -= 1;
-	core->fleet.directs++;
-	machine->asked_at = core->now;
-	call_mark(core,
-		  core_call(core, machine->addr, "GET", fmt_path(W_PATH_STATUS), NULL,
-			    CALL_WORKER_S, on_show, NULL),
-		  machine);
+	send_question(core, machine, CALL_WORKER_S);
+	return true;
+}
+
+bool workers_probe(struct core *core, struct machine *machine)
+{
+	if (!*machine->addr || directs_full(core))
+		return false;
+	send_question(core, machine, REPLICA_ANSWER_S);
 	return true;
 }
 
--- a/src/core/workers.h
+++ b/src/core/workers.h
@@ -14,6 +14,8 @@
 void commands_unwanted(struct core *core, struct machine *machine);
 /* Asks the worker for its report; false if too many were asked of late. */
 bool workers_ask(struct core *core, struct machine *machine);
+/* The same for a machine with replicas, within an allowance and a time of their own. */
+bool workers_probe(struct core *core, struct machine *machine);
 /* Sends the commands that are due. */
 void workers_tick(struct core *core);
 /* A new token is held: machines that began anew count from now on. */
