--- a/src/constants.h
+++ b/src/constants.h
@@ -5,7 +5,7 @@
 #ifndef PLOVERLOFT_CONSTANTS_H
 #define PLOVERLOFT_CONSTANTS_H
 
-#define PLOVERLOFT_VERSION "0.5.0"
+#define PLOVERLOFT_VERSION "0.6.0"
 
 /* --- net --- */
 #define NET_ADDR_MAX 64	    /* bytes: "255.255.255.255:65535" with room */
@@ -201,11 +201,13 @@
 #define REPLICA_MACHINE_S 8.0
 #define REPLICA_STEADY_S 20.0 /* seconds a replica runs before its end is no failure to start */
 #define REPLICA_SPARE 1	      /* replicas of each class of services whose room is kept free */
-#define REPLICA_ZONE_S 0.5    /* seconds: another replica in the same zone, if machines are alike */
-#define REPLICA_SPOT_S 20.0   /* seconds: a machine that may be taken back with a replica */
-#define ROOM_SLACK 1e-6	      /* CPUs, GPUs, GB: sums of decimal amounts */
-#define ROUND_WANTED_MAX 8    /* shapes of waiting gangs whose room is left to them in a round */
-#define ROUND_NO_MAX 32	      /* shapes without room remembered in a round */
+/* seconds: each replica of another service on the machine, which would be lost with this one */
+#define REPLICA_CROWD_S 1.0
+#define REPLICA_ZONE_S 0.5  /* seconds: another replica in the same zone, if machines are alike */
+#define REPLICA_SPOT_S 20.0 /* seconds: a machine that may be taken back with a replica */
+#define ROOM_SLACK 1e-6	    /* CPUs, GPUs, GB: sums of decimal amounts */
+#define ROUND_WANTED_MAX 8  /* shapes of waiting gangs whose room is left to them in a round */
+#define ROUND_NO_MAX 32	    /* shapes without room remembered in a round */
 
 /* --- rentals --- */
 #define RENT_EVERY_S 0.5  /* seconds between looks at what is missing */
--- a/src/core/place.c
+++ b/src/core/place.c
@@ -323,6 +323,7 @@
 		else if (!strcmp(binding->machine->zone, machine->zone))
 			cost += REPLICA_ZONE_S;
 	}
+	cost += REPLICA_CROWD_S * machine->nreplicas;
 	/* It may be gone without anyone knowing yet. */
 	if (core->now - machine->last_word > REPLICA_OVERDUE_REPORTS * core->conf->report_s)
 		cost += REPLICA_OVERDUE_S;
