--- a/src/constants.h
+++ b/src/constants.h
@@ -200,7 +200,6 @@
 /* seconds: a second replica on one machine, against a fetch elsewhere */
 #define REPLICA_MACHINE_S 8.0
 #define REPLICA_STEADY_S 20.0 /* seconds a replica runs before its end is no failure to start */
-#define REPLICA_SPARE 1	      /* replicas of each class of services whose room is kept free */
 /* seconds: each replica of another service on the machine, which would be lost with this one */
 #define REPLICA_CROWD_S 1.0
 #define REPLICA_ZONE_S 0.5  /* seconds: another replica in the same zone, if machines are alike */
--- a/src/core/rent.c
+++ b/src/core/rent.c
@@ -7,7 +7,6 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "core/replicas.h"
 #include "core/round.h"
 #include "core/state.h"
 #include "util/log.h"
@@ -416,22 +415,6 @@
 	return n;
 }
 
-/* A replica that is lost finds room at once: a boot costs its users more than the room. */
-static void plan_replicas(struct core *core, struct plan *plan)
-{
-	struct replica_classes classes;
-
-	replica_classes_find(core, &classes);
-	for (size_t i = 0; i < classes.count; i++) {
-		const struct job_spec *spec = classes.list[i].spec;
-
-		for (uint32_t k = 0; k < REPLICA_SPARE; k++)
-			if (!plan_fit(plan, spec, true, NULL) &&
-			    !plan_rent(core, plan, spec, REPLICA_SPARE - k, false, NULL))
-				break;
-	}
-}
-
 /* Where money is no aim, room is kept for what comes next. */
 static void plan_headroom(struct core *core, struct plan *plan)
 {
@@ -549,7 +532,6 @@
 
 	plan_known(core, &plan);
 	plan_waiting(core, &plan);
-	plan_replicas(core, &plan);
 	plan_headroom(core, &plan);
 	while (plan.nwanted && cloud_take(core))
 		rent_first(core, &plan);
--- a/src/core/returns.c
+++ b/src/core/returns.c
@@ -5,7 +5,6 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "core/replicas.h"
 #include "core/round.h"
 #include "util/log.h"
 #include "wire/names.h"
@@ -52,12 +51,9 @@
 
 void returns_look(struct core *core)
 {
-	struct replica_classes classes;
 	struct machine *machine, *tmp;
 	double idle;
 
-	replica_classes_find(core, &classes);
-	replica_classes_count(core, &classes);
 	HASH_ITER (hh, core->fleet.machines, machine, tmp) {
 		if (machine->deleting)
 			continue;
@@ -69,10 +65,8 @@
 			continue;
 		idle = core->now - machine->idle_since;
 		/* Its reports cost the leader as much as those of a machine that works. */
-		if (machine->draining ||
-		    ((idle > patience(core, machine) ||
-		      (idle > IDLE_USELESS_S && !type_of_use(core, machine))) &&
-		     replica_classes_spare(&classes, machine))) {
+		if (machine->draining || idle > patience(core, machine) ||
+		    (idle > IDLE_USELESS_S && !type_of_use(core, machine))) {
 			log_info("machine_return", "machine=%s type=%s idle=%.1f", machine->id,
 				 machine->type_name, core->now - machine->idle_since);
 			machine->deleting = true;
