--- a/daemon/main.c
+++ b/daemon/main.c
@@ -5,6 +5,7 @@
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
+#include <sys/resource.h>
 #include <unistd.h>
 
 #include <xxhash.h>
@@ -116,6 +117,30 @@
 	       (uint64_t)getpid();
 }
 
+/*
+ * The sockets that the settings allow, or as many as the system does: raised as far as this process
+ * may. Fewer mean that connections give way sooner.
+ */
+static int sockets_allowed(const struct conf *conf)
+{
+	struct rlimit files;
+
+	if (getrlimit(RLIMIT_NOFILE, &files))
+		return conf->max_connections;
+	if (files.rlim_cur < (rlim_t)conf->max_connections) {
+		files.rlim_cur = files.rlim_max < (rlim_t)conf->max_connections
+				     ? files.rlim_max
+				     : (rlim_t)conf->max_connections;
+		if (setrlimit(RLIMIT_NOFILE, &files) || getrlimit(RLIMIT_NOFILE, &files))
+			return conf->max_connections;
+	}
+	if (files.rlim_cur >= (rlim_t)conf->max_connections)
+		return conf->max_connections;
+	log_error("few_files", "wanted=%d allowed=%llu", conf->max_connections,
+		  (unsigned long long)files.rlim_cur);
+	return (int)files.rlim_cur;
+}
+
 static int serve(const struct conf *conf)
 {
 	static const struct net_ops ops = {on_request, on_reply};
@@ -123,7 +148,7 @@
 
 	signal(SIGPIPE, SIG_IGN);
 	/* A worker silent for its lease has lost its tasks; our own idle ones close first. */
-	d.net = net_new(&ops, &d, conf->max_connections - NET_FILES,
+	d.net = net_new(&ops, &d, sockets_allowed(conf) - NET_FILES,
 			fmax(conf->lease_s, NET_IDLE_S) + NET_SLOW_S);
 	if (net_listen(d.net, NET_FRONT, conf->front) || net_listen(d.net, NET_BACK, conf->back)) {
 		log_error("listen", "front=%s back=%s", conf->front, conf->back);
--- a/src/constants.h
+++ b/src/constants.h
@@ -63,7 +63,11 @@
 /* --- users --- */
 #define USER_READS_SHARE 0.25 /* share of the sockets whose users wait for reads: beyond it 429 */
 #define USER_WAIT_S 3.5	      /* seconds: a user gives up at 5, the answer has to travel */
-#define USER_QUEUE_MAX 400    /* waiting submissions: beyond it 429, they would wait seconds */
+#define USER_QUEUE_LEAST 400 /* waiting submissions at least: beyond it 429 */
+#define USER_QUEUE_S 5.0	      /* seconds of writes that may wait: longer, and users have given up */
+#define INDEX_IDLE_S 10.0 /* seconds without questions before the changes are read all the same */
+/* changes that one answer may hold: some 2 MB, a fraction of what is kept of them */
+#define INDEX_CHANGES_MAX 4000
 #define ASK_GATHER_S 0.05     /* seconds between reads of changes: questions gather meanwhile */
 #define ASK_AGAIN_S 0.2	      /* seconds before a read that was refused is tried again */
 #define ASK_WAIT_S 1.0	      /* seconds a question waits for that: a poll is given up at 2 */
@@ -221,8 +225,9 @@
 #define RENT_ESTIMATE_FACTOR 1.5 /* times the estimate: owners are often wrong by half */
 #define RENT_LEAD_S 60.0	 /* seconds to rent, boot and fetch before a task can start */
 #define RENT_JITTER 0.02	 /* share: equal offers are spread over zones */
-/* deleted machines remembered in a term: lists lag, copies come late */
-#define TOMBSTONES_MAX 8192
+/* deleted machines remembered before a new token makes the older ones needless: some 1 MB */
+#define TOMBSTONES_MANY 8192
+#define TOMBSTONE_LISTS_S 60.0 /* seconds beyond the lag that a list may be read and taken */
 #define NOTICE_MARGIN_S 2.0	/* seconds beyond the save: the stop has to arrive */
 #define RENT_REFUSED_S 10.0	/* seconds before a refused type, zone and kind is asked again */
 #define RENT_REFUSED_MAX_S 40.0 /* seconds: capacity may come back any time */
--- a/src/core/catalog.c
+++ b/src/core/catalog.c
@@ -17,7 +17,7 @@
 
 	if (wire_types_decode(o, &types, &n))
 		return false;
-	free(core->catalog.types);
+	wire_types_free(core->catalog.types, core->catalog.ntypes);
 	core->catalog.types = types;
 	core->catalog.ntypes = n;
 	machines_relink(core);
--- a/src/core/cloud.h
+++ b/src/core/cloud.h
@@ -43,7 +43,8 @@
 	uint64_t list_round;
 	struct rent_req *requested;
 	struct refusal *refusals;
-	struct tombstone *tombstones;
+	struct tombstone *tombstones; /* oldest first */
+	double tombstones_dropped;    /* steady; when some last were */
 	uint32_t counter;
 };
 
@@ -67,6 +68,13 @@
 void list_tick(struct core *core);
 /* The machine is deleted: lists and copies of its reports that still name it are void. */
 void tombstone_add(struct core *core, const char *id);
+/* Enough tombstones are old enough that a new token is worth it, under which they are needless. */
+bool tombstones_many(const struct core *core);
+/*
+ * A new token is held, taken at that moment: copies of reports of machines deleted before it are
+ * void under it, and so are tombstones that no list needs any more.
+ */
+void tombstones_drop(struct core *core, double fenced_at);
 
 /* returns.c */
 /* Decides which machines go back, and saves work on those with a notice. */
--- a/src/core/commit.c
+++ b/src/core/commit.c
@@ -329,6 +329,16 @@
 		final_committed(core, item->job);
 }
 
+/*
+ * Whoever shows this token was there after it was taken, which no copy from a machine deleted
+ * before does. So reports count only under it from now on, and the tombstones are not needed.
+ */
+static void forget_deleted(struct core *core)
+{
+	core->election.first_token = core->election.token;
+	tombstones_drop(core, core->commits.fence_at);
+}
+
 static void committed(struct core *core, uint64_t revision)
 {
 	struct write *item, *tmp;
@@ -342,6 +352,8 @@
 		log_info("fence", "old=%llu new=%llu", (unsigned long long)core->election.token,
 			 (unsigned long long)revision);
 		core->election.token = core->election.revision = revision;
+		if (tombstones_many(core))
+			forget_deleted(core);
 		core->rounds.attempts = 0;
 		if (core->commits.transaction.raises) {
 			election_raised(core, FORMAT_NEWEST, revision);
@@ -778,6 +790,8 @@
 	refill(core);
 	if (core->commits.puts.left < 1)
 		return;
+	if (tombstones_many(core))
+		core->commits.fence_wanted = true;
 	if ((core->commits.fence_wanted && core->now - core->commits.fence_at >= FENCE_EVERY_S) ||
 	    format_wanted(core))
 		send_fence(core);
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -248,7 +248,7 @@
 			call->drop(call->arg);
 		free(call);
 	}
-	free(core->catalog.types);
+	wire_types_free(core->catalog.types, core->catalog.ntypes);
 	free(core->teams);
 	free(core->pairing.peer_live);
 	free(core->peers.list);
--- a/src/core/job.h
+++ b/src/core/job.h
@@ -75,6 +75,7 @@
 
 /* NULL if it is not known. */
 struct job *job_find(struct core *core, const char *id);
+/* Takes over what the description holds. */
 struct job *job_add(struct core *core, const struct job_spec *spec);
 void job_cancel(struct core *core, struct job *job);
 /* A cancellation is on record, with this version of the job's key: the leader stops its tasks. */
--- a/src/core/jobs.c
+++ b/src/core/jobs.c
@@ -84,6 +84,7 @@
 {
 	plan_release(core, job);
 	HASH_DEL(core->jobs, job);
+	wire_job_free(&job->spec);
 	free(job->done);
 	free(job->bound);
 	free(job->chunks);
--- a/src/core/load.c
+++ b/src/core/load.c
@@ -31,6 +31,7 @@
 	if (!job) {
 		if (wire_job_decode(json_object_get(value, "spec"), &spec, &why)) {
 			log_error("record_unreadable", "job=%s field=%s", id, why);
+			wire_job_free(&spec);
 			return;
 		}
 		job = job_add(core, &spec);
--- a/src/core/machine_list.c
+++ b/src/core/machine_list.c
@@ -2,6 +2,7 @@
  * them. */
 #include "core/state.h"
 
+#include <math.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -19,14 +20,8 @@
 
 void tombstone_add(struct core *core, const char *id)
 {
-	struct tombstone *tombstone, *tmp;
+	struct tombstone *tombstone;
 
-	HASH_ITER (hh, core->rentals.tombstones, tombstone, tmp) {
-		if (HASH_COUNT(core->rentals.tombstones) < TOMBSTONES_MAX)
-			break; /* oldest first */
-		HASH_DEL(core->rentals.tombstones, tombstone);
-		free(tombstone);
-	}
 	if (machine_has_tombstone(core, id))
 		return;
 	tombstone = calloc(1, sizeof(*tombstone));
@@ -37,6 +32,36 @@
 	HASH_ADD_STR(core->rentals.tombstones, id, tombstone);
 }
 
+/* No list still names a machine that was deleted before this moment. */
+static double lists_name_since(const struct core *core)
+{
+	return core->now - TOMBSTONE_LISTS_S - 2 * core->conf->list_lag_s;
+}
+
+bool tombstones_many(const struct core *core)
+{
+	const struct tombstone *oldest =
+	    core->rentals.tombstones; /* in the order of their adding */
+
+	return HASH_COUNT(core->rentals.tombstones) > TOMBSTONES_MANY &&
+	       core->now - core->rentals.tombstones_dropped > TOMBSTONE_LISTS_S &&
+	       oldest->at < lists_name_since(core);
+}
+
+void tombstones_drop(struct core *core, double fenced_at)
+{
+	double before = fmin(fenced_at, lists_name_since(core));
+	struct tombstone *tombstone, *tmp;
+
+	core->rentals.tombstones_dropped = core->now;
+	HASH_ITER (hh, core->rentals.tombstones, tombstone, tmp) {
+		if (tombstone->at >= before)
+			break;
+		HASH_DEL(core->rentals.tombstones, tombstone);
+		free(tombstone);
+	}
+}
+
 static void take_listed(struct core *core, const struct listed_machine *listed)
 {
 	struct machine *machine = machine_find(core, listed->id);
--- a/src/core/machines.c
+++ b/src/core/machines.c
@@ -123,10 +123,7 @@
 		return false;
 	if (*spec->zone && strcmp(spec->zone, zone))
 		return false;
-	for (int i = 0; i < spec->ntypes; i++)
-		if (!strcmp(spec->types[i], type->name))
-			return true;
-	return spec->ntypes == 0;
+	return !spec->types.count || name_list_has(&spec->types, type->name);
 }
 
 bool machine_has_image(const struct machine *machine, const char *image)
--- a/src/core/pair.c
+++ b/src/core/pair.c
@@ -28,6 +28,9 @@
 struct pair_work {
 	uint64_t conn; /* the leader's request; 0: the leader's own part */
 	Peer__Part *part;
+	struct pair_count *own; /* our counts, as far as they are still to be written */
+	int written;		/* values of them */
+	uint64_t own_quantum;	/* that they are counts of */
 	struct pair_count *counts;
 	json_int_t quantum; /* of the controller whose values are read */
 };
@@ -46,6 +49,7 @@
 {
 	struct pair_work *work = arg;
 
+	counts_free(&work->own);
 	counts_free(&work->counts);
 	peer__part__free_unpacked(work->part, NULL);
 	free(work);
@@ -185,75 +189,83 @@
 	work_free(work);
 }
 
-static void on_written(struct core *core, struct call *call, int status, const char *body,
-		       size_t len)
-{
-	struct pair_work *work = call->arg;
-
-	(void)body;
-	(void)len;
-	store_heard(core, status);
-	if (status == 200) {
-		store_range(core, "p/", "", on_counts, work)->drop = work_free;
-		return;
-	}
-	if (work->conn)
-		core_reply_error(core, work->conn, 503, 0, "state");
-	work_free(work);
-}
-
 #define COUNTS_FRAME_BYTES 64 /* of a value beside its entries: names, token, quantum */
 #define COUNT_FRAME_BYTES 16  /* of an entry beside the job's id */
 
-static void add_counts_value(const struct core *core, struct txn *txn, uint64_t token, int index,
+static void add_counts_value(const struct core *core, struct txn *txn, struct pair_work *work,
 			     json_t *counts)
 {
 	char key[CONF_NAME_MAX + 16];
 
-	if (index)
-		snprintf(key, sizeof(key), "p/%s/%d", core->conf->name, index);
+	if (work->written)
+		snprintf(key, sizeof(key), "p/%s/%d", core->conf->name, work->written);
 	else
 		snprintf(key, sizeof(key), "p/%s", core->conf->name);
 	txn_put(txn, key,
-		json_pack("{s:I,s:I,s:o}", "token", (json_int_t)token, "quantum",
-			  (json_int_t)core->pairing.quantum, "counts", counts),
+		json_pack("{s:I,s:I,s:o}", "token", (json_int_t)work->part->token, "quantum",
+			  (json_int_t)work->own_quantum, "counts", counts),
 		0);
+	work->written++;
 }
 
-/*
- * Our counts as one value, as several where one would be too large. Jobs that fit in none are not
- * drawn in this quantum.
- */
-static void add_counts(struct core *core, struct txn *txn, uint64_t token, struct pair_count *own)
+/* One value, of as many of our counts as fit; they are taken off those still to be written. */
+static void add_counts(const struct core *core, struct txn *txn, struct pair_work *work)
 {
 	size_t most = limits_job_record_bytes(core), bytes = COUNTS_FRAME_BYTES;
 	json_t *counts = json_object();
 	struct pair_count *count, *tmp;
 
-	core->pairing.quantum++;
-	HASH_ITER (hh, own, count, tmp) {
-		size_t more = strlen(count->id) + COUNT_FRAME_BYTES;
-
-		if (bytes + more > most && txn->nops + 1 >= limits_txn_ops(core))
+	HASH_ITER (hh, work->own, count, tmp) {
+		bytes += strlen(count->id) + COUNT_FRAME_BYTES;
+		if (bytes > most)
 			break;
-		if (bytes + more > most) {
-			add_counts_value(core, txn, token, txn->nops, counts);
-			counts = json_object();
-			bytes = COUNTS_FRAME_BYTES;
-		}
 		json_object_set_new(counts, count->id, json_integer((json_int_t)count->slots));
-		bytes += more;
+		HASH_DEL(work->own, count);
+		free(count);
+	}
+	add_counts_value(core, txn, work, counts);
+}
+
+static void write_counts(struct core *core, struct pair_work *work);
+
+static void on_written(struct core *core, struct call *call, int status, const char *body,
+		       size_t len)
+{
+	struct pair_work *work = call->arg;
+
+	(void)body;
+	(void)len;
+	store_heard(core, status);
+	if (status == 200 && work->own) {
+		write_counts(core, work);
+		return;
+	}
+	if (status == 200) {
+		store_range(core, "p/", "", on_counts, work)->drop = work_free;
+		return;
 	}
-	add_counts_value(core, txn, token, txn->nops, counts);
+	if (work->conn)
+		core_reply_error(core, work->conn, 503, 0, "state");
+	work_free(work);
+}
+
+/* Our counts, in as many values and transactions as they need. */
+static void write_counts(struct core *core, struct pair_work *work)
+{
+	struct txn txn;
+
+	txn_begin(&txn);
+	do
+		add_counts(core, &txn, work);
+	while (work->own && txn.nops < limits_txn_ops(core));
+	store_commit(core, txn_finish(&txn), on_written, work)->drop = work_free;
 }
 
 /* Starts on a part: the own counts are written. */
 static void pair_begin(struct core *core, uint64_t conn, const uint8_t *data, size_t len)
 {
 	Peer__Part *part = peer__part__unpack(NULL, len, data);
-	struct pair_count *own = NULL;
 	struct pair_work *work;
-	struct txn txn;
 
 	if (!part) {
 		core_reply_error(core, conn, 400, 0, "part");
@@ -267,11 +279,9 @@
 	for (size_t i = 0; i < part->n_open; i++)
 		count_get(&work->counts, part->open[i]->job)->open = true;
 	for (size_t i = 0; i < part->n_slots; i++)
-		count_get(&own, part->slots[i]->job)->slots++;
-	txn_begin(&txn);
-	add_counts(core, &txn, part->token, own);
-	counts_free(&own);
-	store_commit(core, txn_finish(&txn), on_written, work)->drop = work_free;
+		count_get(&work->own, part->slots[i]->job)->slots++;
+	work->own_quantum = ++core->pairing.quantum;
+	write_counts(core, work);
 }
 
 void pair_request(struct core *core, const struct core_request *request)
--- a/src/core/rent.c
+++ b/src/core/rent.c
@@ -242,20 +242,21 @@
 	for (size_t i = 0; i < core->catalog.ntypes; i++) {
 		const struct machine_type *type = &core->catalog.types[i];
 
-		for (int z = 0; z < type->nzones; z++)
+		for (int z = 0; z < type->zones.count; z++)
 			for (int k = 0; k < 2; k++) {
 				double cost;
 
-				if ((only_spot && !k) || (only && strcmp(only, type->zones[z])) ||
-				    !machine_allowed(type, type->zones[z], k, spec) ||
-				    refused(core, type->name, type->zones[z], k))
+				if ((only_spot && !k) ||
+				    (only && strcmp(only, type->zones.names[z])) ||
+				    !machine_allowed(type, type->zones.names[z], k, spec) ||
+				    refused(core, type->name, type->zones.names[z], k))
 					continue;
 				cost = rent_cost(core, type, k, spec, tasks) *
 				       (1 + RENT_JITTER * core_random(core));
 				if (cost < best_cost) {
 					best_cost = cost;
 					best = type;
-					zone = type->zones[z];
+					zone = type->zones.names[z];
 					spot = k;
 				}
 			}
@@ -341,13 +342,13 @@
 	for (size_t i = 0; i < core->catalog.ntypes; i++) {
 		const struct machine_type *type = &core->catalog.types[i];
 
-		for (int z = 0; z < type->nzones; z++) {
-			if (best && !strcmp(best, type->zones[z]))
+		for (int z = 0; z < type->zones.count; z++) {
+			if (best && !strcmp(best, type->zones.names[z]))
 				continue;
-			n = zone_coming(plan, spec, type->zones[z], spec->ntasks);
+			n = zone_coming(plan, spec, type->zones.names[z], spec->ntasks);
 			if (n > most) {
 				most = n;
-				best = type->zones[z];
+				best = type->zones.names[z];
 			}
 		}
 	}
--- a/src/core/round.c
+++ b/src/core/round.c
@@ -105,10 +105,10 @@
 {
 	if (a->cpus != b->cpus || a->gpus != b->gpus || a->mem_gb != b->mem_gb ||
 	    a->spot != b->spot || a->one_zone != b->one_zone || a->spread != b->spread ||
-	    a->ntypes != b->ntypes || strcmp(a->zone, b->zone))
+	    a->types.count != b->types.count || strcmp(a->zone, b->zone))
 		return false;
-	for (int i = 0; i < a->ntypes; i++)
-		if (strcmp(a->types[i], b->types[i]))
+	for (int i = 0; i < a->types.count; i++)
+		if (strcmp(a->types.names[i], b->types.names[i]))
 			return false;
 	return true;
 }
--- a/src/core/users.c
+++ b/src/core/users.c
@@ -1,4 +1,5 @@
 /* Users' requests, against the state service alone: every controller answers them. */
+#include <math.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -32,6 +33,8 @@
 {
 	struct user_req *request = arg;
 
+	if (request->spec)
+		wire_job_free(request->spec);
 	free(request->spec);
 	free(request->body);
 	free(request);
@@ -88,22 +91,19 @@
 
 static void known_drop(struct core *core, struct known *known)
 {
-	core->users.nfinals -= known->final;
+	if (known->final) {
+		DL_DELETE(core->users.finals, known);
+		core->users.nfinals--;
+	}
 	HASH_DEL(core->users.known, known);
 	free(known);
 }
 
 /* The oldest final states go first; they can be read again. */
-static void known_trim(struct core *core)
+static void finals_trim(struct core *core)
 {
-	struct known *known, *tmp;
-
-	HASH_ITER (hh, core->users.known, known, tmp) {
-		if (core->users.nfinals <= FINAL_CACHE_MAX)
-			return;
-		if (known->final)
-			known_drop(core, known);
-	}
+	while (core->users.nfinals > FINAL_CACHE_MAX)
+		known_drop(core, core->users.finals);
 }
 
 void users_note_final(struct core *core, const char *id, enum job_state s, uint32_t ntasks)
@@ -116,8 +116,9 @@
 	known->state = s;
 	known->done = s == JS_DONE ? ntasks : 0;
 	known->running = 0;
+	DL_APPEND(core->users.finals, known);
 	core->users.nfinals++;
-	known_trim(core);
+	finals_trim(core);
 }
 
 static void known_open(struct core *core, const char *id, json_t *value)
@@ -384,6 +385,7 @@
 	}
 	o = wire_parse(body, len);
 	wire_items(o, index_item, core);
+	core->users.index_read_at = core->users.index_sent;
 	if (wire_revision(o) > core->users.index_revision)
 		core->users.index_revision = wire_revision(o);
 	json_decref(o);
@@ -409,8 +411,10 @@
 		return;
 	}
 	o = wire_parse(body, len);
-	if (first)
+	if (first) {
 		core->users.index_revision = wire_revision(o);
+		core->users.index_read_at = call->sent;
+	}
 	wire_items(o, index_item, core);
 	n = json_array_size(json_object_get(o, W_ITEMS));
 	last = json_object_get(json_array_get(json_object_get(o, W_ITEMS), n ? n - 1 : 0), W_KEY);
@@ -424,16 +428,35 @@
 	json_decref(o);
 }
 
+/* Nobody has asked for a while: what has changed since is read before it is much. */
+static bool index_idle(const struct core *core)
+{
+	return core->users.index_known && !core->state_down &&
+	       core->now - core->users.index_sent > INDEX_IDLE_S;
+}
+
+/* One answer with all that may have changed since would be too large: the pages are read again. */
+static bool index_far_behind(const struct core *core)
+{
+	double changes = (core->now - core->users.index_read_at) * core->conf->limits.write_rps;
+
+	return changes > INDEX_CHANGES_MAX;
+}
+
 static void index_tick(struct core *core)
 {
-	if (core->users.index_out || !core->users.asking || core->now < core->users.index_next)
+	if (core->users.index_out || core->now < core->users.index_next ||
+	    !(core->users.asking || index_idle(core)))
 		return;
+	if (core->users.index_known && index_far_behind(core))
+		index_forget(core);
 	core->users.index_out = true;
 	if (!core->users.index_known) {
 		store_range(core, JOBS_OPEN, core->users.index_last, on_index_page, NULL);
 		return;
 	}
 	core->users.index_next = core->now + ASK_GATHER_S;
+	core->users.index_sent = core->now;
 	core->users.asked = core->users.asking;
 	core->users.asking = NULL;
 	store_watch(core, JOBS_ALL, core->users.index_revision, 0, on_changes, NULL);
@@ -602,8 +625,8 @@
 
 static bool zone_fits(const struct machine_type *type, const struct job_spec *spec)
 {
-	for (int i = 0; i < type->nzones; i++)
-		if (!*spec->zone || !strcmp(type->zones[i], spec->zone))
+	for (int i = 0; i < type->zones.count; i++)
+		if (!*spec->zone || !strcmp(type->zones.names[i], spec->zone))
 			return true;
 	return false;
 }
@@ -634,10 +657,10 @@
 	for (size_t i = 0; i < core->catalog.ntypes; i++) {
 		const struct machine_type *type = &core->catalog.types[i];
 
-		for (int k = 0; k < type->nzones && type_fits(type, spec); k++) {
-			if (first && strcmp(first, type->zones[k]))
+		for (int k = 0; k < type->zones.count && type_fits(type, spec); k++) {
+			if (first && strcmp(first, type->zones.names[k]))
 				return true;
-			first = type->zones[k];
+			first = type->zones.names[k];
 		}
 	}
 	return false;
@@ -681,6 +704,12 @@
 	return request;
 }
 
+/* Submissions that may wait: what is written within some seconds. */
+static int queue_max(const struct core *core)
+{
+	return (int)fmax(USER_QUEUE_LEAST, USER_QUEUE_S * limits_write_rps(core));
+}
+
 static void submit(struct core *core, const struct core_request *r)
 {
 	json_t *o = wire_parse(r->body, r->len);
@@ -708,7 +737,7 @@
 	json_decref(o);
 	if (u->verdict) {
 		user_lookup(core, u);
-	} else if (core->users.nsubmits >= USER_QUEUE_MAX) {
+	} else if (core->users.nsubmits >= queue_max(core)) {
 		user_fail(core, u, 429, RETRY_AFTER_BUSY_S, "busy");
 	} else if (!answer_final(core, u)) {
 		DL_APPEND(core->users.submits, u);
--- a/src/core/users.h
+++ b/src/core/users.h
@@ -29,7 +29,8 @@
 	char id[ID_MAX];
 	enum job_state state; /* queued, cancelled, or if final, done */
 	bool final;
-	uint32_t done, running; /* tasks */
+	struct known *prev, *next; /* among the final ones, oldest first */
+	uint32_t done, running;	   /* tasks */
 	UT_hash_handle hh;
 };
 
@@ -40,13 +41,16 @@
 	size_t submit_largest; /* bytes of the largest record in that transaction */
 	int nreads;
 	struct known *known;
+	struct known *finals;
 	size_t nfinals;
 	struct user_req *asking; /* wait for the next read of changes */
 	struct user_req *asked;	 /* wait for the read under way */
 	bool index_known, index_out;
 	uint64_t index_revision;
 	char index_last[KEY_MAX];
-	double index_next;
+	double index_next;    /* steady; no read before */
+	double index_sent;    /* steady; the read of changes under way */
+	double index_read_at; /* steady; when the newest read that came back was sent */
 	double counts_at, counts_wanted, counts_next; /* steady */
 	uint64_t counts_token;
 	bool counts_out;
--- a/src/net/net.c
+++ b/src/net/net.c
@@ -348,13 +348,20 @@
 		conn_close(n, c);
 }
 
+/* Users and workers are held to the protocol's limit; what controllers tell grows with the fleet.
+ */
+static size_t body_max(const struct conn *c)
+{
+	return c->side == NET_BACK ? HTTP_REPLY_MAX : HTTP_BODY_MAX;
+}
+
 static void server_input(struct net *n, struct conn *c)
 {
 	struct http_msg m;
 	char path[HTTP_PATH_MAX];
 
 	while (!c->dead && !c->busy && c->in.len) {
-		enum http_result r = http_parse(&m, buf_at(&c->in), c->in.len, 0, HTTP_BODY_MAX);
+		enum http_result r = http_parse(&m, buf_at(&c->in), c->in.len, 0, body_max(c));
 		char *body;
 
 		if (r == HTTP_MORE)
@@ -431,7 +438,7 @@
 		 */
 		p[r] = 0;
 		if (c->in.len > HTTP_REPLY_MAX + HTTP_HEAD_MAX ||
-		    (c->kind == CONN_SERVER && c->in.len > HTTP_BODY_MAX + HTTP_HEAD_MAX)) {
+		    (c->kind == CONN_SERVER && c->in.len > body_max(c) + HTTP_HEAD_MAX)) {
 			conn_broken(n, c);
 			return;
 		}
--- a/src/wire/json.c
+++ b/src/wire/json.c
@@ -22,6 +22,35 @@
 
 #define LEN(a) (sizeof(a) / sizeof((a)[0]))
 
+int name_list_add(struct name_list *list, const char *name)
+{
+	char(*more)[NAME_MAX_LEN];
+
+	if (!name || !*name || strlen(name) >= NAME_MAX_LEN)
+		return -1;
+	more = realloc(list->names, (size_t)(list->count + 1) * sizeof(*more));
+	if (!more)
+		abort();
+	list->names = more;
+	memcpy(list->names[list->count++], name, strlen(name) + 1);
+	return 0;
+}
+
+bool name_list_has(const struct name_list *list, const char *name)
+{
+	for (int i = 0; i < list->count; i++)
+		if (!strcmp(list->names[i], name))
+			return true;
+	return false;
+}
+
+void name_list_free(struct name_list *list)
+{
+	free(list->names);
+	list->names = NULL;
+	list->count = 0;
+}
+
 static int name_index(const char *const *names, size_t n, const char *s)
 {
 	for (size_t i = 0; s && i < n; i++)
@@ -102,13 +131,8 @@
 	if (!json_is_array(v) || !json_array_size(v))
 		return -1;
 	json_array_foreach (v, i, e) {
-		const char *s = json_string_value(e);
-
-		if (!s || !*s || strlen(s) >= NAME_MAX_LEN)
-			return -1;
-		if (j->ntypes == WIRE_TYPES_MAX)
+		if (name_list_add(&j->types, json_string_value(e)))
 			return -1;
-		memcpy(j->types[j->ntypes++], s, strlen(s) + 1);
 	}
 	return 0;
 }
@@ -199,6 +223,11 @@
 	return decode_optional(o, j, why);
 }
 
+void wire_job_free(struct job_spec *spec)
+{
+	name_list_free(&spec->types);
+}
+
 json_t *wire_job_encode(const struct job_spec *j)
 {
 	json_t *o = json_object();
@@ -214,11 +243,11 @@
 	json_object_set_new(o, W_MEMORY, json_real(j->mem_gb));
 	json_object_set_new(o, W_IMAGE, json_string(j->image));
 	json_object_set_new(o, W_IMAGE_GB, json_real(j->image_gb));
-	if (j->ntypes) {
+	if (j->types.count) {
 		json_t *a = json_array();
 
-		for (int i = 0; i < j->ntypes; i++)
-			json_array_append_new(a, json_string(j->types[i]));
+		for (int i = 0; i < j->types.count; i++)
+			json_array_append_new(a, json_string(j->types.names[i]));
 		json_object_set_new(o, W_TYPES, a);
 	}
 	if (*j->zone)
@@ -412,12 +441,10 @@
 	if (get_number(o, W_BOOT, &t->boot_s))
 		t->boot_s = 0;
 	json_array_foreach (zones, i, e) {
-		const char *s = json_string_value(e);
-
-		if (s && t->nzones < WIRE_TYPES_MAX && strlen(s) < NAME_MAX_LEN)
-			memcpy(t->zones[t->nzones++], s, strlen(s) + 1);
+		if (name_list_add(&t->zones, json_string_value(e)))
+			return -1;
 	}
-	return t->nzones ? 0 : -1;
+	return t->zones.count ? 0 : -1;
 }
 
 int wire_types_decode(json_t *o, struct machine_type **out, size_t *n)
@@ -432,8 +459,14 @@
 	if (!*out)
 		abort();
 	json_array_foreach (a, i, e) {
-		if (!decode_type(e, &(*out)[*n]))
+		struct machine_type *type = &(*out)[*n];
+
+		if (decode_type(e, type)) {
+			name_list_free(&type->zones);
+			memset(type, 0, sizeof(*type));
+		} else {
 			(*n)++;
+		}
 	}
 	if (*n)
 		return 0;
@@ -441,6 +474,13 @@
 	return -1;
 }
 
+void wire_types_free(struct machine_type *types, size_t n)
+{
+	for (size_t i = 0; i < n; i++)
+		name_list_free(&types[i].zones);
+	free(types);
+}
+
 json_t *wire_types_encode(const struct machine_type *t, size_t n)
 {
 	json_t *a = json_array(), *o = json_object();
@@ -448,8 +488,8 @@
 	for (size_t i = 0; i < n; i++) {
 		json_t *e = json_object(), *z = json_array();
 
-		for (int k = 0; k < t[i].nzones; k++)
-			json_array_append_new(z, json_string(t[i].zones[k]));
+		for (int k = 0; k < t[i].zones.count; k++)
+			json_array_append_new(z, json_string(t[i].zones.names[k]));
 		json_object_set_new(e, W_NAME, json_string(t[i].name));
 		json_object_set_new(e, W_CPUS, json_real(t[i].cpus));
 		json_object_set_new(e, W_GPUS, json_real(t[i].gpus));
--- a/src/wire/wire.h
+++ b/src/wire/wire.h
@@ -2,6 +2,7 @@
 #ifndef PLOVERLOFT_WIRE_H
 #define PLOVERLOFT_WIRE_H
 
+#include <stdbool.h>
 #include <stddef.h>
 #include <stdint.h>
 
@@ -11,7 +12,17 @@
 
 #define ID_MAX 48
 #define NAME_MAX_LEN 64
-#define WIRE_TYPES_MAX 16
+
+/* Names without a bound on their number. */
+struct name_list {
+	char (*names)[NAME_MAX_LEN];
+	int count;
+};
+
+/* -1 if the name is empty or too long. */
+int name_list_add(struct name_list *list, const char *name);
+bool name_list_has(const struct name_list *list, const char *name);
+void name_list_free(struct name_list *list);
 
 /* A service's tasks run until its user cancels it: one that ends is started again. */
 enum job_kind { JOB_ARRAY, JOB_GANG, JOB_SERVICE };
@@ -24,8 +35,7 @@
 	char team[NAME_MAX_LEN];
 	char image[NAME_MAX_LEN];
 	char zone[NAME_MAX_LEN]; /* empty: any */
-	char types[WIRE_TYPES_MAX][NAME_MAX_LEN];
-	int ntypes; /* 0: any */
+	struct name_list types;	 /* allowed types of machines; none: any */
 	enum job_kind kind;
 	enum job_priority priority;
 	uint32_t ntasks;
@@ -83,8 +93,7 @@
 struct machine_type {
 	char name[NAME_MAX_LEN];
 	double cpus, gpus, mem_gb, cache_gb, fetch_gb_per_s, price, spot_price, boot_s;
-	char zones[WIRE_TYPES_MAX][NAME_MAX_LEN];
-	int nzones;
+	struct name_list zones;
 };
 
 enum listed_state { LS_BOOTING, LS_RUNNING, LS_FAILED };
@@ -101,8 +110,13 @@
 
 json_t *wire_parse(const char *body, size_t len);
 int wire_job_id_ok(const char *id);
-/* 0, or -1 with the reason; `body` is the user's words or what wire_job_encode gave. */
+/*
+ * 0, or -1 with the reason. `o` is the user's words or what wire_job_encode gave. Whatever it
+ * returns, the caller frees what the description holds.
+ */
 int wire_job_decode(json_t *o, struct job_spec *out, const char **why);
+/* Frees what the description holds, not the description itself. */
+void wire_job_free(struct job_spec *spec);
 json_t *wire_job_encode(const struct job_spec *j);
 const char *wire_job_state(enum job_state s);
 char *wire_job_answer(const char *id, enum job_state s, uint32_t done, uint32_t running);
@@ -114,6 +128,7 @@
 char *wire_misdirected(const char *leader);
 
 int wire_types_decode(json_t *o, struct machine_type **out, size_t *n);
+void wire_types_free(struct machine_type *types, size_t n);
 json_t *wire_types_encode(const struct machine_type *t, size_t n);
 int wire_list_decode(const char *body, size_t len, struct listed_machine **out, size_t *n,
 		     int *more);
--- a/tests/loopback.c
+++ b/tests/loopback.c
@@ -296,14 +296,13 @@
 				    .fetch_gb_per_s = 1,
 				    .price = 1,
 				    .spot_price = 1,
-				    .boot_s = 1,
-				    .nzones = 1};
+				    .boot_s = 1};
 
 	signal(SIGPIPE, SIG_IGN);
 	snprintf(s->dir, sizeof(s->dir), "/tmp/ploverloft-loopback-XXXXXX");
 	if (!mkdtemp(s->dir))
 		return -1;
-	snprintf(type.zones[0], NAME_MAX_LEN, "a");
+	name_list_add(&type.zones, "a");
 	s->conf.teams = &team;
 	s->conf.nteams = 1;
 	s->conf.limits.txn_ops = 16;
--- a/tests/runner.c
+++ b/tests/runner.c
@@ -737,7 +737,7 @@
 	snprintf(s->image, sizeof(s->image), "%s", opt(x, "image", "img"));
 	snprintf(s->zone, sizeof(s->zone), "%s", opt(x, "zone", ""));
 	if (opt(x, "type", NULL))
-		snprintf(s->types[s->ntypes++], NAME_MAX_LEN, "%s", opt(x, "type", ""));
+		name_list_add(&s->types, opt(x, "type", ""));
 	s->kind = !strcmp(kind, "gang")	     ? JOB_GANG
 		  : !strcmp(kind, "service") ? JOB_SERVICE
 					     : JOB_ARRAY;
@@ -784,7 +784,7 @@
 	t.boot_s = num(x, "boot", 5);
 	snprintf(zones, sizeof(zones), "%s", opt(x, "zones", "a"));
 	for (z = strtok_r(zones, ",", &save); z; z = strtok_r(NULL, ",", &save))
-		snprintf(t.zones[t.nzones++], NAME_MAX_LEN, "%s", z);
+		name_list_add(&t.zones, z);
 	si_type(&w->si, &t, (int)num(x, "capacity", 10), num(x, "reuse", 0) > 0);
 }
 
--- a/tests/standin.c
+++ b/tests/standin.c
@@ -48,8 +48,8 @@
 	s->state.value_bytes = (size_t)(conf->limits.value_kb * 1024);
 	s->state.rps = conf->limits.rps;
 	s->state.write_rps = conf->limits.write_rps;
-	s->cloud.types = zalloc(WIRE_TYPES_MAX * sizeof(struct machine_type));
-	s->machines_cap = 4096; /* pointers to machines stay valid */
+	s->cloud.types = zalloc(SI_TYPES * sizeof(struct machine_type));
+	s->machines_cap = 16384; /* pointers to machines stay valid */
 	s->machines = zalloc((size_t)s->machines_cap * sizeof(*s->machines));
 }
 
@@ -537,10 +537,10 @@
 static void check_place(struct standin *s, const struct si_machine *m, const struct si_job *j)
 {
 	uint32_t here = 0, most = (j->spec.ntasks + 1) / 2;
-	bool type_ok = j->spec.ntypes == 0;
+	bool type_ok = j->spec.types.count == 0;
 
-	for (int i = 0; i < j->spec.ntypes; i++)
-		type_ok |= !strcmp(j->spec.types[i], m->type->name);
+	for (int i = 0; i < j->spec.types.count; i++)
+		type_ok |= !strcmp(j->spec.types.names[i], m->type->name);
 	if (!type_ok || (*j->spec.zone && strcmp(j->spec.zone, m->zone)) ||
 	    (m->spot && !j->spec.spot))
 		si_broken(s, RULE_WRONG_PLACE, "job %s on %s", j->spec.id, m->id);
@@ -1141,12 +1141,12 @@
 
 static bool fits_type(const struct si_job *j, const struct machine_type *t)
 {
-	bool named = j->spec.ntypes == 0, zone = !*j->spec.zone;
+	bool named = j->spec.types.count == 0, zone = !*j->spec.zone;
 
-	for (int i = 0; i < j->spec.ntypes; i++)
-		named |= !strcmp(j->spec.types[i], t->name);
-	for (int i = 0; i < t->nzones; i++)
-		zone |= !strcmp(j->spec.zone, t->zones[i]);
+	for (int i = 0; i < j->spec.types.count; i++)
+		named |= !strcmp(j->spec.types.names[i], t->name);
+	for (int i = 0; i < t->zones.count; i++)
+		zone |= !strcmp(j->spec.zone, t->zones.names[i]);
 	return named && zone && j->spec.cpus <= t->cpus && j->spec.gpus <= t->gpus &&
 	       j->spec.mem_gb <= t->mem_gb;
 }
@@ -1177,12 +1177,12 @@
 	if (j->spec.one_zone || *j->spec.zone)
 		return false;
 	for (size_t i = 0; i < s->cloud.ntypes; i++)
-		for (int z = 0; z < s->cloud.types[i].nzones; z++) {
+		for (int z = 0; z < s->cloud.types[i].zones.count; z++) {
 			if (!fits_type(j, &s->cloud.types[i]))
 				continue;
-			if (first && strcmp(first, s->cloud.types[i].zones[z]))
+			if (first && strcmp(first, s->cloud.types[i].zones.names[z]))
 				return true;
-			first = s->cloud.types[i].zones[z];
+			first = s->cloud.types[i].zones.names[z];
 		}
 	return false;
 }
@@ -1506,9 +1506,10 @@
 	for (size_t i = 0; i < s->cloud.nrequests; i++)
 		free(s->cloud.requests[i].answer);
 	free(s->cloud.requests);
-	free(s->cloud.types);
+	wire_types_free(s->cloud.types, s->cloud.ntypes);
 	HASH_ITER (hh, s->jobs, j, jtmp) {
 		HASH_DEL(s->jobs, j);
+		wire_job_free(&j->spec);
 		free(j->done);
 		free(j);
 	}
--- a/tests/standin.h
+++ b/tests/standin.h
@@ -14,6 +14,7 @@
 
 #include "wire/wire.h"
 
+#define SI_TYPES 32 /* types of machines of one scenario */
 #define SI_NODES 8
 
 struct standin;
@@ -154,8 +155,8 @@
 struct si_cloud {
 	struct machine_type *types;
 	size_t ntypes;
-	int capacity[WIRE_TYPES_MAX];
-	bool reuse[WIRE_TYPES_MAX]; /* what is deleted can be rented again */
+	int capacity[SI_TYPES];
+	bool reuse[SI_TYPES]; /* what is deleted can be rented again */
 	bool down;
 	int never_boot; /* so many of the next machines never come up */
 	struct {
--- a/tests/unit.c
+++ b/tests/unit.c
@@ -152,6 +152,7 @@
 	else
 		json_object_del(o, key);
 	rc = wire_job_decode(o, &spec, &why);
+	wire_job_free(&spec);
 	json_decref(o);
 	return rc;
 }
@@ -204,16 +205,49 @@
 
 static void test_job_roundtrip(void)
 {
-	json_t *o = wire_parse(good_job, strlen(good_job)), *again;
+	json_t *o = wire_parse(good_job, strlen(good_job)), *again, *third;
 	struct job_spec a, b;
 	const char *why;
 
 	check(!wire_job_decode(o, &a, &why), "job", "decode");
 	again = wire_job_encode(&a);
-	/* NOLINTNEXTLINE(bugprone-suspicious-memory-comparison): both were zeroed at first */
-	check(!wire_job_decode(again, &b, &why) && !memcmp(&a, &b, sizeof(a)), "job", "round trip");
+	check(!wire_job_decode(again, &b, &why), "job", "decode again");
+	third = wire_job_encode(&b);
+	check(json_equal(again, third), "job", "round trip");
+	wire_job_free(&a);
+	wire_job_free(&b);
 	json_decref(o);
 	json_decref(again);
+	json_decref(third);
+}
+
+#define MANY_NAMES 100
+
+/* Neither the types that a job allows nor the zones of a type have a bound. */
+static void test_many_names(void)
+{
+	json_t *o = wire_parse(good_job, strlen(good_job)), *names = json_array(), *type;
+	struct machine_type *types;
+	struct job_spec spec;
+	const char *why;
+	size_t n = 0;
+
+	for (int i = 0; i < MANY_NAMES; i++)
+		json_array_append_new(names, json_sprintf("name-%d", i));
+	json_object_set(o, W_TYPES, names);
+	check(!wire_job_decode(o, &spec, &why), "names", "a job of many types");
+	check(spec.types.count == MANY_NAMES && name_list_has(&spec.types, "name-99") &&
+		  !name_list_has(&spec.types, "name-100"),
+	      "names", "all of them");
+	wire_job_free(&spec);
+	json_decref(o);
+	type = json_pack("{s:[{s:s,s:i,s:i,s:i,s:o}]}", W_TYPES, W_NAME, "g", W_CPUS, 8, W_MEMORY,
+			 16, W_PRICE, 1, W_ZONES, names);
+	check(!wire_types_decode(type, &types, &n) && n == 1, "names", "a type of many zones");
+	check(n == 1 && types[0].zones.count == MANY_NAMES, "names", "all of them");
+	if (n)
+		wire_types_free(types, n);
+	json_decref(type);
 }
 
 static void test_reports(void)
@@ -618,6 +652,7 @@
 	test_http_mutations();
 	test_jobs();
 	test_job_roundtrip();
+	test_many_names();
 	test_reports();
 	test_report_cache();
 	test_answers_end();
