--- a/src/constants.h
+++ b/src/constants.h
@@ -63,16 +63,16 @@
 /* --- users --- */
 #define USER_READS_SHARE 0.25 /* share of the sockets whose users wait for reads: beyond it 429 */
 #define USER_WAIT_S 3.5	      /* seconds: a user gives up at 5, the answer has to travel */
-#define USER_QUEUE_LEAST 400 /* waiting submissions at least: beyond it 429 */
-#define USER_QUEUE_S 5.0	      /* seconds of writes that may wait: longer, and users have given up */
+#define USER_QUEUE_LEAST 400  /* waiting submissions at least: beyond it 429 */
+#define USER_QUEUE_S 5.0      /* seconds of writes that may wait: longer, and users have given up */
 #define INDEX_IDLE_S 10.0 /* seconds without questions before the changes are read all the same */
 /* changes that one answer may hold: some 2 MB, a fraction of what is kept of them */
 #define INDEX_CHANGES_MAX 4000
-#define ASK_GATHER_S 0.05     /* seconds between reads of changes: questions gather meanwhile */
-#define ASK_AGAIN_S 0.2	      /* seconds before a read that was refused is tried again */
-#define ASK_WAIT_S 1.0	      /* seconds a question waits for that: a poll is given up at 2 */
-#define COUNTS_EVERY_S 2.0    /* seconds between questions for counts: what is shown may lag by 3 */
-#define COUNTS_KEEP_S 6.0     /* seconds the leader's counts are shown */
+#define ASK_GATHER_S 0.05  /* seconds between reads of changes: questions gather meanwhile */
+#define ASK_AGAIN_S 0.2	   /* seconds before a read that was refused is tried again */
+#define ASK_WAIT_S 1.0	   /* seconds a question waits for that: a poll is given up at 2 */
+#define COUNTS_EVERY_S 2.0 /* seconds between questions for counts: what is shown may lag by 3 */
+#define COUNTS_KEEP_S 6.0  /* seconds the leader's counts are shown */
 /* seconds after a poll during which they are asked for: polls come every 5 */
 #define COUNTS_ASKED_S 10.0
 /* seconds between questions to others while the state service is silent */
@@ -209,8 +209,10 @@
 #define REPLICA_ZONE_S 0.5  /* seconds: another replica in the same zone, if machines are alike */
 #define REPLICA_SPOT_S 20.0 /* seconds: a machine that may be taken back with a replica */
 #define ROOM_SLACK 1e-6	    /* CPUs, GPUs, GB: sums of decimal amounts */
-#define ROUND_WANTED_MAX 8  /* shapes of waiting gangs whose room is left to them in a round */
-#define ROUND_NO_MAX 32	    /* shapes without room remembered in a round */
+/* rooms looked at for single tasks in one round, at a whole core: 0.2 s of work */
+#define ROUND_VISITS_PER_CORE 2e7
+#define ROUND_WANTED_MAX 8 /* shapes of waiting gangs whose room is left to them in a round */
+#define ROUND_NO_MAX 32	   /* shapes without room remembered in a round */
 
 /* --- rentals --- */
 #define RENT_EVERY_S 0.5  /* seconds between looks at what is missing */
@@ -227,7 +229,7 @@
 #define RENT_JITTER 0.02	 /* share: equal offers are spread over zones */
 /* deleted machines remembered before a new token makes the older ones needless: some 1 MB */
 #define TOMBSTONES_MANY 8192
-#define TOMBSTONE_LISTS_S 60.0 /* seconds beyond the lag that a list may be read and taken */
+#define TOMBSTONE_LISTS_S 60.0	/* seconds beyond the lag that a list may be read and taken */
 #define NOTICE_MARGIN_S 2.0	/* seconds beyond the save: the stop has to arrive */
 #define RENT_REFUSED_S 10.0	/* seconds before a refused type, zone and kind is asked again */
 #define RENT_REFUSED_MAX_S 40.0 /* seconds: capacity may come back any time */
--- a/src/core/commit.c
+++ b/src/core/commit.c
@@ -233,9 +233,8 @@
 	struct binding *binding;
 
 	job->chunks[chunk].in_flight = true;
-	DL_FOREACH2 (job->bindings, binding, jnext)
-		if (job_chunk_of(job, binding->task) == chunk)
-			binding->in_flight = true;
+	DL_FOREACH2 (job->chunks[chunk].bindings, binding, cnext)
+		binding->in_flight = true;
 }
 
 /* The bytes of its largest value, as far as that can grow. */
@@ -285,9 +284,7 @@
 
 	chunk->in_flight = false;
 	chunk->version = dropped ? 0 : revision;
-	DL_FOREACH2 (job->bindings, binding, jnext) {
-		if (job_chunk_of(job, binding->task) != item->chunk)
-			continue;
+	DL_FOREACH2 (chunk->bindings, binding, cnext) {
 		if (binding->in_flight && !binding->committed)
 			binding_committed(core, binding);
 		binding->in_flight = false;
@@ -372,9 +369,8 @@
 	struct binding *binding;
 
 	job->chunks[item->chunk].in_flight = false;
-	DL_FOREACH2 (job->bindings, binding, jnext)
-		if (job_chunk_of(job, binding->task) == item->chunk)
-			binding->in_flight = false;
+	DL_FOREACH2 (job->chunks[item->chunk].bindings, binding, cnext)
+		binding->in_flight = false;
 	if (job->chunks[item->chunk].queued) {
 		free(item);
 		return;
@@ -632,9 +628,8 @@
 {
 	struct binding *binding;
 
-	DL_FOREACH2 (job->bindings, binding, jnext)
-		if (job_chunk_of(job, binding->task) == chunk && !binding->committed &&
-		    binding_unsent(binding))
+	DL_FOREACH2 (job->chunks[chunk].bindings, binding, cnext)
+		if (!binding->committed && binding_unsent(binding))
 			return binding;
 	return NULL;
 }
--- a/src/core/job.h
+++ b/src/core/job.h
@@ -20,6 +20,7 @@
 /* The record of a range of a job's tasks: what is done of it and what is bound where. */
 struct chunk {
 	uint64_t version; /* 0: no record */
+	struct binding *bindings;
 	uint32_t nbound;
 	uint32_t bytes;	      /* of its bindings in the record, at most */
 	struct write *queued; /* its write that waits; NULL: none */
@@ -85,6 +86,8 @@
 bool job_bit(const uint8_t *bits, uint32_t task);
 uint32_t job_chunks(const struct job *job);
 uint32_t job_chunk_of(const struct job *job, uint32_t task);
+/* Counts the binding in the chunk that holds its task. */
+void chunk_add(struct binding *binding);
 /* Makes room for so many tasks of a job whose description is not known. */
 void job_grow(struct job *job, uint32_t ntasks);
 uint32_t job_waiting(const struct job *job);
--- a/src/core/jobs.c
+++ b/src/core/jobs.c
@@ -219,31 +219,53 @@
 	job->nbad++;
 }
 
-static void binding_bit(struct binding *b, bool on)
+static struct chunk *chunk_of(const struct binding *binding)
 {
-	struct job *job = b->job;
-	struct binding *o;
+	return &binding->job->chunks[job_chunk_of(binding->job, binding->task)];
+}
+
+/* Records of an older leader may bind a task twice: it is free when both have ended. */
+static bool bound_elsewhere(const struct binding *binding)
+{
+	const struct binding *other;
 
-	if (b->task >= job->spec.ntasks || job_bit(job->bound, b->task) == on)
+	DL_FOREACH2 (chunk_of(binding)->bindings, other, cnext)
+		if (other != binding && other->task == binding->task)
+			return true;
+	return false;
+}
+
+static void binding_bit(struct binding *binding, bool on)
+{
+	struct job *job = binding->job;
+	uint32_t task = binding->task;
+
+	if (task >= job->spec.ntasks || job_bit(job->bound, task) == on ||
+	    (!on && bound_elsewhere(binding)))
 		return;
-	/* Records of an older leader may bind a task twice: it is free when both have ended. */
-	DL_FOREACH2 (job->bindings, o, jnext)
-		if (!on && o != b && o->task == b->task)
-			return;
-	bit_set(job->bound, b->task, on);
+	bit_set(job->bound, task, on);
 	job->nbound += on ? 1 : (uint32_t)-1;
-	if (!on && b->task < job->next_task)
-		job->next_task = b->task;
+	if (!on && task < job->next_task)
+		job->next_task = task;
+}
+
+void chunk_add(struct binding *binding)
+{
+	struct chunk *chunk = chunk_of(binding);
+
+	binding->record_bytes = task_record_bytes(binding);
+	DL_APPEND2(chunk->bindings, binding, cprev, cnext);
+	chunk->nbound++;
+	chunk->bytes += binding->record_bytes;
 }
 
-static void chunk_count(struct binding *binding, int sign)
+static void chunk_remove(struct binding *binding)
 {
-	struct chunk *chunk = &binding->job->chunks[job_chunk_of(binding->job, binding->task)];
+	struct chunk *chunk = chunk_of(binding);
 
-	if (sign > 0)
-		binding->record_bytes = task_record_bytes(binding);
-	chunk->nbound += (uint32_t)sign;
-	chunk->bytes += (uint32_t)sign * binding->record_bytes;
+	DL_DELETE2(chunk->bindings, binding, cprev, cnext);
+	chunk->nbound--;
+	chunk->bytes -= binding->record_bytes;
 }
 
 struct binding *binding_add(struct core *core, struct machine *machine, struct job *job,
@@ -267,7 +289,7 @@
 	machine->gpus -= job->spec.gpus;
 	machine->mem_gb -= job->spec.mem_gb;
 	binding_bit(binding, true);
-	chunk_count(binding, 1);
+	chunk_add(binding);
 	job->uncommitted++;
 	team_charge(core, &job->spec, 1);
 	return binding;
@@ -372,7 +394,7 @@
 	if (binding->running_since > 0)
 		job->nrunning--;
 	binding_bit(binding, false);
-	chunk_count(binding, -1);
+	chunk_remove(binding);
 	job->uncommitted -= !binding->committed;
 	team_charge(core, &job->spec, -1);
 	DL_DELETE2(machine->bindings, binding, mprev, mnext);
--- a/src/core/machine.h
+++ b/src/core/machine.h
@@ -40,6 +40,7 @@
 	enum task_state state;
 	struct binding *mprev, *mnext; /* on its machine */
 	struct binding *jprev, *jnext; /* of its job */
+	struct binding *cprev, *cnext; /* in its chunk of the job */
 };
 
 /* The listed tasks of a worker that are bound no more: to be stopped or forgotten. */
--- a/src/core/place.c
+++ b/src/core/place.c
@@ -175,8 +175,8 @@
 {
 	round_allow(round, &job->spec);
 	round->ncands = 0;
-	for (size_t i = 0; i < round->nrooms; i++) {
-		struct spot_room *room = &round->rooms[i];
+	for (size_t i = 0; i < round->nopen; i++) {
+		struct spot_room *room = &round->rooms[round->open[i]];
 		struct candidate *candidate;
 		uint32_t slots;
 
@@ -339,8 +339,9 @@
 	double best_cost = INFINITY;
 
 	round_allow(round, &job->spec);
-	for (size_t i = 0; i < round->nrooms; i++) {
-		struct spot_room *room = &round->rooms[i];
+	round->visits -= (double)round->nopen;
+	for (size_t i = 0; i < round->nopen; i++) {
+		struct spot_room *room = &round->rooms[round->open[i]];
 		const struct pool *pool = &round->pools[room->pool];
 		double cost = pool->pool_cost;
 
@@ -365,7 +366,8 @@
 
 	while (t < job->spec.ntasks &&
 	       (job_bit(job->done, t) || job_bit(job->bound, t) || job_chunk_full(core, job, t)))
-		t = job_chunk_full(core, job, t) ? (t / CHUNK_TASKS + 1) * CHUNK_TASKS : t + 1;
+		t = job_chunk_full(core, job, t) ? (t / job->chunk_tasks + 1) * job->chunk_tasks
+						 : t + 1;
 	return t;
 }
 
@@ -380,6 +382,10 @@
 	task = next_task(round->core, job);
 	if (task >= job->spec.ntasks)
 		return false;
+	/* A turn must not last so long that renewals are late. */
+	round->cut |= round->visits <= 0;
+	if (round->cut)
+		return false;
 	machine = best_machine(round, job, spare);
 	if (!machine) {
 		if (!spare)
@@ -691,7 +697,7 @@
 	struct round round;
 	size_t first = 0;
 
-	round_begin(core, &round);
+	round_begin(core, &round, jobs, core->fleet.replicas_leave ? 0 : n);
 	while (first < n) {
 		size_t last = first;
 
@@ -702,6 +708,8 @@
 	}
 	if (core->fleet.replicas_leave)
 		move_replicas(&round);
+	if (round.cut)
+		round_wanted(core);
 	round_end(&round);
 }
 
--- a/src/core/plan.c
+++ b/src/core/plan.c
@@ -445,6 +445,9 @@
 	}
 	if (job->hold_until && core->now > job->hold_until)
 		plan_release(core, job);
+	/* There may be room that was not looked at. */
+	if (round->cut && job->spec.kind != JOB_GANG)
+		return false;
 	if (!plan_possible(job) || job->hold_until || waited < patience(core, job) ||
 	    core->now < job->next_plan)
 		return false;
--- a/src/core/round.c
+++ b/src/core/round.c
@@ -36,7 +36,49 @@
 	room->mem_gb = machine->mem_gb;
 }
 
-void round_begin(struct core *core, struct round *round)
+static bool room_is_open(const struct round *round, const struct spot_room *room)
+{
+	return room->cpus + ROOM_SLACK >= round->least_cpus &&
+	       room->mem_gb + ROOM_SLACK >= round->least_mem_gb;
+}
+
+static void find_least(struct round *round, struct job **jobs, size_t njobs)
+{
+	round->least_cpus = round->least_mem_gb = njobs ? INFINITY : 0;
+	for (size_t i = 0; i < njobs; i++) {
+		round->least_cpus = fmin(round->least_cpus, jobs[i]->spec.cpus);
+		round->least_mem_gb = fmin(round->least_mem_gb, jobs[i]->spec.mem_gb);
+	}
+}
+
+static void find_open(struct round *round)
+{
+	for (size_t i = 0; i < round->nrooms; i++)
+		if (room_is_open(round, &round->rooms[i]))
+			round->open[round->nopen++] = (uint32_t)i;
+}
+
+/* The room is too small for all from now on: room only shrinks while a round lasts. */
+static void room_close(struct round *round, uint32_t at)
+{
+	size_t low = 0, high = round->nopen;
+
+	while (low < high) {
+		size_t middle = (low + high) / 2;
+
+		if (round->open[middle] < at)
+			low = middle + 1;
+		else
+			high = middle;
+	}
+	if (low == round->nopen || round->open[low] != at)
+		return;
+	round->nopen--;
+	memmove(&round->open[low], &round->open[low + 1],
+		(round->nopen - low) * sizeof(*round->open));
+}
+
+void round_begin(struct core *core, struct round *round, struct job **jobs, size_t njobs)
 {
 	size_t n = HASH_COUNT(core->fleet.machines) + 1;
 	struct machine *machine, *tmp;
@@ -47,11 +89,15 @@
 	round->rooms = malloc(n * sizeof(*round->rooms));
 	round->cands = malloc(n * sizeof(*round->cands));
 	round->pools = malloc(n * sizeof(*round->pools));
-	if (!round->rooms || !round->cands || !round->pools)
+	round->open = malloc(n * sizeof(*round->open));
+	if (!round->rooms || !round->cands || !round->pools || !round->open)
 		abort();
 	HASH_ITER (hh, core->fleet.machines, machine, tmp)
 		if (machine_usable(core, machine))
 			room_add(round, machine);
+	find_least(round, jobs, njobs);
+	find_open(round);
+	round->visits = fmax(ROUND_VISITS_PER_CORE * core->conf->cores, (double)round->nopen);
 	HASH_ITER (hh, core->jobs, job, jtmp)
 		round->ordinary_wanted |= !job->orphan && !job->spec.spot;
 }
@@ -59,6 +105,7 @@
 void round_end(struct round *round)
 {
 	free(round->rooms);
+	free(round->open);
 	free(round->cands);
 	free(round->pools);
 }
@@ -70,6 +117,8 @@
 	room->cpus -= spec->cpus;
 	room->gpus -= spec->gpus;
 	room->mem_gb -= spec->mem_gb;
+	if (!room_is_open(round, room))
+		room_close(round, machine->round_at);
 }
 
 void round_allow(struct round *round, const struct job_spec *spec)
--- a/src/core/round.h
+++ b/src/core/round.h
@@ -41,6 +41,11 @@
 	uint64_t attempt; /* of the starts of this round, gangs aside; 0: none yet */
 	struct spot_room *rooms;
 	size_t nrooms;
+	uint32_t *open; /* of them, those that a waiting task may fit in, in order */
+	size_t nopen;
+	double least_cpus, least_mem_gb; /* of the waiting tasks */
+	double visits;			 /* of rooms that single tasks may still cost */
+	bool cut;			 /* they were used up: the rest follows in another round */
 	struct pool *pools;
 	size_t npools;
 	struct candidate *cands;
@@ -53,7 +58,8 @@
 	bool ordinary_wanted; /* some job may not use spot machines */
 };
 
-void round_begin(struct core *core, struct round *round);
+/* For these jobs; none: any room may be of use. */
+void round_begin(struct core *core, struct round *round, struct job **jobs, size_t njobs);
 void round_end(struct round *round);
 void round_take(struct round *round, const struct machine *machine, const struct job_spec *spec);
 /* Marks the pools that the job may use. */
--- a/src/core/task_records.c
+++ b/src/core/task_records.c
@@ -55,12 +55,9 @@
 	json_t *groups = json_array(), *value;
 	const struct binding *binding;
 
-	DL_FOREACH2 (job->bindings, binding, jnext) {
-		json_t *group;
+	DL_FOREACH2 (job->chunks[chunk].bindings, binding, cnext) {
+		json_t *group = group_of(groups, binding);
 
-		if (job_chunk_of(job, binding->task) != chunk)
-			continue;
-		group = group_of(groups, binding);
 		json_array_append_new(group, json_integer((json_int_t)binding->task));
 		json_array_append_new(group, json_string(binding->machine->id));
 	}
@@ -287,12 +284,8 @@
 	job->chunks = calloc(job_chunks(job), sizeof(*job->chunks));
 	if (!job->chunks)
 		abort();
-	DL_FOREACH2 (job->bindings, binding, jnext) {
-		struct chunk *chunk = &job->chunks[job_chunk_of(job, binding->task)];
-
-		chunk->nbound++;
-		chunk->bytes += binding->record_bytes;
-	}
+	DL_FOREACH2 (job->bindings, binding, jnext)
+		chunk_add(binding);
 	/* What waited to be written waits in the new form. */
 	for (uint32_t chunk = 0; chunk < job_chunks(job); chunk++)
 		if (before[chunk / PIECES_PER_CHUNK].queued)
--- a/tests/standin.c
+++ b/tests/standin.c
@@ -510,19 +510,32 @@
 	return m->power == SI_UP && t->state != TS_EXITED && t->state != TS_FETCHING;
 }
 
+static bool team_limited(const struct standin *s, const char *team)
+{
+	for (size_t i = 0; i < s->conf->nteams; i++)
+		if (!strcmp(s->conf->teams[i].name, team))
+			return s->conf->teams[i].cpus_max > 0 || s->conf->teams[i].gpus_max > 0;
+	return false;
+}
+
 static void check_team(struct standin *s, const struct si_job *j)
 {
 	double cpus = 0, gpus = 0;
+	struct si_job *o, *tmp;
+	const struct si_task *t;
 
-	for (int i = 0; i < s->nmachines; i++)
-		for (struct si_task *t = s->machines[i].tasks; t; t = t->next) {
-			struct si_job *o = si_job(s, t->job);
-
-			if (!holds(&s->machines[i], t) || strcmp(o->spec.team, j->spec.team))
+	if (!team_limited(s, j->spec.team))
+		return;
+	HASH_ITER (hh, s->jobs, o, tmp) {
+		if (strcmp(o->spec.team, j->spec.team))
+			continue;
+		DL_FOREACH2 (o->tasks, t, jnext) {
+			if (!holds(t->on, t))
 				continue;
 			cpus += o->spec.cpus;
 			gpus += o->spec.gpus;
 		}
+	}
 	for (size_t i = 0; i < s->conf->nteams; i++) {
 		const struct conf_team *t = &s->conf->teams[i];
 
@@ -538,34 +551,36 @@
 {
 	uint32_t here = 0, most = (j->spec.ntasks + 1) / 2;
 	bool type_ok = j->spec.types.count == 0;
+	const struct si_task *t;
 
 	for (int i = 0; i < j->spec.types.count; i++)
 		type_ok |= !strcmp(j->spec.types.names[i], m->type->name);
 	if (!type_ok || (*j->spec.zone && strcmp(j->spec.zone, m->zone)) ||
 	    (m->spot && !j->spec.spot))
 		si_broken(s, RULE_WRONG_PLACE, "job %s on %s", j->spec.id, m->id);
-	for (int i = 0; i < s->nmachines; i++)
-		for (struct si_task *t = s->machines[i].tasks; t; t = t->next) {
-			if (!holds(&s->machines[i], t) || strcmp(t->job, j->spec.id))
-				continue;
-			here += !strcmp(s->machines[i].zone, m->zone);
-			if (j->spec.one_zone && strcmp(s->machines[i].zone, m->zone))
-				si_broken(s, RULE_WRONG_PLACE, "job %s in two zones", j->spec.id);
-		}
+	if (!j->spec.one_zone && !j->spec.spread)
+		return;
+	DL_FOREACH2 (j->tasks, t, jnext) {
+		if (!holds(t->on, t))
+			continue;
+		here += !strcmp(t->on->zone, m->zone);
+		if (j->spec.one_zone && strcmp(t->on->zone, m->zone))
+			si_broken(s, RULE_WRONG_PLACE, "job %s in two zones", j->spec.id);
+	}
 	if (j->spec.spread && here > most)
 		si_broken(s, RULE_WRONG_PLACE, "job %s not spread", j->spec.id);
 }
 
 static void check_start(struct standin *s, struct si_machine *m, struct si_task *t)
 {
-	struct si_job *j = si_job(s, t->job);
+	struct si_job *j = t->of;
 
-	for (int i = 0; i < s->nmachines; i++)
-		for (struct si_task *o = s->machines[i].tasks; o; o = o->next)
-			if (o != t && holds(&s->machines[i], o) && o->task == t->task &&
-			    !strcmp(o->job, t->job))
-				si_broken(s, RULE_RAN_TWICE, "%s/%u on %s and %s", t->job, t->task,
-					  s->machines[i].id, m->id);
+	const struct si_task *o;
+
+	DL_FOREACH2 (j->tasks, o, jnext)
+		if (o != t && holds(o->on, o) && o->task == t->task)
+			si_broken(s, RULE_RAN_TWICE, "%s/%u on %s and %s", t->job, t->task,
+				  o->on->id, m->id);
 	s->starts_cancelled += j->told_cancelled;
 	if (j->told_cancelled && s->now > j->cancelled_at + s->conf->cancel_s)
 		si_broken(s, RULE_RAN_CANCELLED, "%s started", t->job);
@@ -582,7 +597,7 @@
 {
 	for (int i = 0; i < s->nmachines; i++)
 		for (struct si_task *t = s->machines[i].tasks; t; t = t->next) {
-			struct si_job *j = si_job(s, t->job);
+			struct si_job *j = t->of;
 
 			if (holds(&s->machines[i], t) && j->told_cancelled &&
 			    s->now > j->cancelled_at + s->conf->cancel_s)
@@ -595,6 +610,15 @@
 
 struct si_machine *si_machine_at(struct standin *s, const char *addr)
 {
+	int high, low;
+
+	/* Most have the address that their number gives them. */
+	if (sscanf(addr, "10.1.%d.%d:", &high, &low) == 2) {
+		int i = high * 250 + low - 1;
+
+		if (i >= 0 && i < s->nmachines && !strcmp(s->machines[i].addr, addr))
+			return &s->machines[i];
+	}
 	for (int i = 0; i < s->nmachines; i++)
 		if (!strcmp(s->machines[i].addr, addr))
 			return &s->machines[i];
@@ -636,13 +660,20 @@
 	m->node = (int)((m - s->machines) % s->nnodes);
 }
 
+static void free_task(struct si_task *t)
+{
+	if (t->of)
+		DL_DELETE2(t->of->tasks, t, jprev, jnext);
+	free(t);
+}
+
 static void drop_tasks(struct si_machine *m)
 {
 	while (m->tasks) {
 		struct si_task *t = m->tasks;
 
 		m->tasks = t->next;
-		free(t);
+		free_task(t);
 	}
 }
 
@@ -720,7 +751,7 @@
 	if (!j || !j->asked || task >= j->spec.ntasks)
 		return WHY_UNKNOWN;
 	for (struct si_task *t = m->tasks; t; t = t->next) {
-		struct si_job *o = si_job(s, t->job);
+		struct si_job *o = t->of;
 
 		if (t->state == TS_EXITED)
 			continue;
@@ -754,12 +785,16 @@
 	t->since = s->now;
 	t->next = m->tasks;
 	m->tasks = t;
+	t->on = m;
+	t->of = si_job(s, job);
+	if (t->of)
+		DL_APPEND2(t->of->tasks, t, jprev, jnext);
 	m->changed = true;
 	if (no != WHY_NONE) {
 		exit_task(m, t, no);
 		return;
 	}
-	t->image_at = s->now + si_job(s, job)->spec.image_gb / m->type->fetch_gb_per_s;
+	t->image_at = s->now + t->of->spec.image_gb / m->type->fetch_gb_per_s;
 }
 
 void si_force_start(struct standin *s, struct si_machine *m, const char *job, uint32_t task)
@@ -771,7 +806,7 @@
 
 static void stop_task(struct standin *s, struct si_machine *m, struct si_task *t, double grace)
 {
-	struct si_job *j = si_job(s, t->job);
+	struct si_job *j = t->of;
 
 	if (t->state == TS_EXITED || (t->state == TS_SAVING && grace > 0))
 		return;
@@ -793,7 +828,7 @@
 		    strcmp(t->job, job))
 			continue;
 		*p = t->next;
-		free(t);
+		free_task(t);
 		m->changed = true;
 		return;
 	}
@@ -912,7 +947,7 @@
 
 static void task_step(struct standin *s, struct si_machine *m, struct si_task *t, double dt)
 {
-	struct si_job *j = si_job(s, t->job);
+	struct si_job *j = t->of;
 	bool gang = j->spec.kind == JOB_GANG;
 
 	if (t->state == TS_FETCHING && s->now >= t->image_at) {
@@ -1211,7 +1246,7 @@
 		m->gpus = m->type->gpus;
 		m->mem_gb = m->type->mem_gb;
 		for (const struct si_task *t = m->tasks; t; t = t->next) {
-			j = si_job(s, t->job);
+			j = t->of;
 			j->held++;
 			if (t->state == TS_EXITED)
 				continue;
--- a/tests/standin.h
+++ b/tests/standin.h
@@ -66,7 +66,8 @@
 	double room_since; /* it waits though there is room; < 0: it does not */
 	uint8_t *done;
 	uint32_t ndone, starts, starts_seen;
-	int shown_running; /* as the last answer said */
+	int shown_running;     /* as the last answer said */
+	struct si_task *tasks; /* on all machines, in any state */
 	UT_hash_handle hh;
 };
 
@@ -121,6 +122,9 @@
 
 /* --- machines --- */
 
+struct si_machine;
+struct si_job;
+
 struct si_task {
 	char job[ID_MAX];
 	uint32_t task;
@@ -130,6 +134,9 @@
 	bool kept;
 	double image_at, progress, since, save_until, stopped_at;
 	struct si_task *next;
+	struct si_job *of; /* NULL: of no job that was asked for */
+	struct si_machine *on;
+	struct si_task *jprev, *jnext; /* of its job, on all machines */
 };
 
 enum si_power { SI_BOOTING, SI_UP, SI_OFF, SI_DELETED };
