--- a/tests/standin.c
+++ b/tests/standin.c
@@ -932,16 +932,14 @@
 	json_decref(o);
 }
 
-static bool gang_complete(struct standin *s, const struct si_job *j, uint64_t attempt,
-			  enum task_state least)
+static bool gang_complete(const struct si_job *j, uint64_t attempt, enum task_state least)
 {
+	const struct si_task *t;
 	uint32_t n = 0;
 
-	for (int i = 0; i < s->nmachines; i++)
-		for (struct si_task *t = s->machines[i].tasks; t; t = t->next)
-			n += t->attempt == attempt && !strcmp(t->job, j->spec.id) &&
-			     (t->state >= least && (t->state != TS_EXITED || t->why == WHY_DONE ||
-						    t->why == WHY_STOPPED));
+	DL_FOREACH2 (j->tasks, t, jnext)
+		n += t->attempt == attempt && t->state >= least &&
+		     (t->state != TS_EXITED || t->why == WHY_DONE || t->why == WHY_STOPPED);
 	return n == j->spec.ntasks;
 }
 
@@ -962,7 +960,7 @@
 		return;
 	}
 	if (t->state == TS_WAITING) {
-		if (gang_complete(s, j, t->attempt, TS_WAITING)) {
+		if (gang_complete(j, t->attempt, TS_WAITING)) {
 			t->state = TS_RUNNING;
 			m->changed = true;
 		} else if (s->now - t->since > s->conf->gang_wait_s) {
@@ -977,7 +975,7 @@
 	}
 	if (t->state != TS_RUNNING)
 		return;
-	if (gang && !gang_complete(s, j, t->attempt, TS_RUNNING)) {
+	if (gang && !gang_complete(j, t->attempt, TS_RUNNING)) {
 		if (t->stopped_at <= 0)
 			t->stopped_at = s->now;
 		if (s->now - t->stopped_at > s->conf->gang_peer_s)
@@ -1001,6 +999,7 @@
 static void count_served(struct standin *s, double dt)
 {
 	struct si_job *j, *tmp;
+	const struct si_task *t;
 
 	HASH_ITER (hh, s->jobs, j, tmp) {
 		bool counts = j->spec.kind == JOB_SERVICE && j->accepted && !j->cancel_asked &&
@@ -1009,11 +1008,9 @@
 		if (!counts)
 			continue;
 		j->replica_s += j->spec.ntasks * dt;
-		for (int i = 0; i < s->nmachines; i++)
-			for (struct si_task *t = s->machines[i].tasks; t; t = t->next)
-				if (t->state == TS_RUNNING && !s->machines[i].hanging &&
-				    !strcmp(t->job, j->spec.id))
-					j->served_s += dt;
+		DL_FOREACH2 (j->tasks, t, jnext)
+			if (t->state == TS_RUNNING && !t->on->hanging)
+				j->served_s += dt;
 	}
 }
 
