--- a/tests/loopback.c
+++ b/tests/loopback.c
@@ -7,6 +7,7 @@
 #include <stdlib.h>
 #include <string.h>
 #include <sys/prctl.h>
+#include <sys/resource.h>
 #include <sys/socket.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -14,6 +15,7 @@
 #include "wire/names.h"
 
 #define JOBS_MAX 255
+#define FILES_AT_START 1024 /* the usual soft limit */
 
 enum call_kind { CALL_REPORT = 1, CALL_SUBMIT, CALL_POLL, CALL_CANCEL };
 
@@ -201,10 +203,22 @@
 	fprintf(f, "[facts.state.next]\nvalue_kb=%.1f\ntxn_ops=%d\n", LOOPBACK_NEXT_VALUE_KB,
 		LOOPBACK_NEXT_TXN_OPS);
 	fprintf(f, "[facts.cloud]\nrps=5.0\nlist_lag_s=1.0\n");
-	fprintf(f, "[facts.resources]\ncores=0.1\nmem_mb=64.0\nmax_connections=500\n");
+	fprintf(f, "[facts.resources]\ncores=0.1\nmem_mb=64.0\nmax_connections=%d\n",
+		s->max_connections);
 	fclose(f);
 }
 
+/* As a system starts programs: more files are theirs to ask for. */
+static void few_files(void)
+{
+	struct rlimit files;
+
+	if (getrlimit(RLIMIT_NOFILE, &files) || files.rlim_cur < FILES_AT_START)
+		return;
+	files.rlim_cur = FILES_AT_START;
+	setrlimit(RLIMIT_NOFILE, &files);
+}
+
 void loopback_start(struct loopback *s, int i, const char *program)
 {
 	char path[128];
@@ -218,6 +232,7 @@
 		/* A test that ends early must not leave controllers behind. */
 		prctl(PR_SET_PDEATHSIG, SIGKILL);
 		setenv("LOG_LEVEL", "error", 0);
+		few_files();
 		execl(program, program, "--config", path, (char *)NULL);
 		_exit(127);
 	}
@@ -303,6 +318,8 @@
 	if (!mkdtemp(s->dir))
 		return -1;
 	name_list_add(&type.zones, "a");
+	if (!s->max_connections)
+		s->max_connections = LOOPBACK_CONNECTIONS;
 	s->conf.teams = &team;
 	s->conf.nteams = 1;
 	s->conf.limits.txn_ops = 16;
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -17,6 +17,7 @@
 #define LIMIT_S                                                                                    \
 	90.0 /* seconds a test may take: generous, so that a slow machine changes nothing          \
 	      */
+#define LOOPBACK_CONNECTIONS 500
 #define LOOPBACK_NEXT_VALUE_KB 2.0
 #define LOOPBACK_NEXT_TXN_OPS 5
 
@@ -29,6 +30,7 @@
 	char front[LOOPBACK_NODES][64], back[LOOPBACK_NODES][64];
 	pid_t pids[LOOPBACK_NODES];
 	char dir[64];
+	int max_connections; /* of a controller; 0 before loopback_init: LOOPBACK_CONNECTIONS */
 	int answers[600];
 	bool done[256]; /* jobs whose users were told so */
 };
--- a/tests/unit.c
+++ b/tests/unit.c
@@ -313,7 +313,7 @@
 	net_answer(*(struct net **)ctx, conn, 200, 0, "{}", 2);
 }
 
-static void short_listen(struct net *n, struct sockaddr_in *sa)
+static void short_listen(struct net *n, struct sockaddr_in *sa, enum net_side side)
 {
 	socklen_t len = sizeof(*sa);
 	char addr[64];
@@ -325,7 +325,7 @@
 		abort();
 	close(fd);
 	snprintf(addr, sizeof(addr), "127.0.0.1:%d", ntohs(sa->sin_port));
-	check(!net_listen(n, NET_FRONT, addr), "sockets", "listen");
+	check(!net_listen(n, side, addr), "sockets", "listen");
 }
 
 /* Asks once and tells whether an answer came while the loop was turned. */
@@ -359,7 +359,7 @@
 	struct sockaddr_in sa;
 
 	n = net_new(&ops, &n, SHORT_ROOM + NET_CONNS_RESERVED, 60);
-	short_listen(n, &sa);
+	short_listen(n, &sa, NET_FRONT);
 	for (int i = 0; i < SHORT_CALLERS; i++) {
 		fds[i] = socket(AF_INET, SOCK_STREAM, 0);
 		if (connect(fds[i], (struct sockaddr *)&sa, sizeof(sa)))
@@ -417,7 +417,7 @@
 	struct sockaddr_in sa;
 
 	n = net_new(&ops, &n, TURN_ROOM + NET_CONNS_RESERVED, 60);
-	short_listen(n, &sa);
+	short_listen(n, &sa, NET_FRONT);
 	memset(fds, -1, sizeof(fds));
 	for (int k = 0; k < TURN_ROUNDS * TURN_CALLERS; k++) {
 		int r = turn_ask(n, &fds[k % TURN_CALLERS], &sa);
@@ -481,8 +481,8 @@
 
 	us.net = net_new(&ops, &us, CROWD + NET_CONNS_RESERVED + 8, 60);
 	other.net = net_new(&ops, &other, NET_CONNS_RESERVED + 8, 60);
-	short_listen(us.net, &sa);
-	short_listen(other.net, &to);
+	short_listen(us.net, &sa, NET_FRONT);
+	short_listen(other.net, &to, NET_FRONT);
 	snprintf(addr, sizeof(addr), "127.0.0.1:%d", ntohs(to.sin_port));
 	for (int i = 0; i < CROWD; i++) {
 		fds[i] = socket(AF_INET, SOCK_STREAM, 0);
@@ -520,7 +520,7 @@
 	int fds[2];
 
 	us.net = net_new(&ops, &us, NET_CONNS_RESERVED + 8, 60);
-	short_listen(us.net, &sa);
+	short_listen(us.net, &sa, NET_FRONT);
 	for (int i = 0; i < 2; i++) {
 		fds[i] = socket(AF_INET, SOCK_STREAM, 0);
 		if (connect(fds[i], (struct sockaddr *)&sa, sizeof(sa)))
@@ -577,7 +577,7 @@
 	char addr[32];
 
 	two.server = net_new(&server_ops, &two, 100, 60);
-	short_listen(two.server, &sa);
+	short_listen(two.server, &sa, NET_FRONT);
 	snprintf(addr, sizeof(addr), "127.0.0.1:%d", ntohs(sa.sin_port));
 	for (int i = 0; i < 2; i++) {
 		struct net_call call = {(uint64_t)i, addr, "GET", "/", "", 0, 5};
@@ -595,6 +595,67 @@
 	net_free(two.server);
 }
 
+#define LARGE_BODY (4 * HTTP_BODY_MAX)
+
+struct large_call {
+	struct net *server;
+	size_t taken;
+	int status;
+};
+
+static void large_request(void *ctx, uint64_t conn, enum net_side side, const char *method,
+			  const char *path, const char *body, size_t len)
+{
+	struct large_call *large = ctx;
+
+	(void)side, (void)method, (void)path, (void)body;
+	large->taken = len;
+	net_answer(large->server, conn, 200, 0, "{}", 2);
+}
+
+static void large_reply(void *ctx, uint64_t id, int status, const char *body, size_t len)
+{
+	struct large_call *large = ctx;
+
+	(void)id, (void)body, (void)len;
+	large->status = status;
+}
+
+/* The status of a request of LARGE_BODY bytes, and how many were taken. */
+static struct large_call large_call(enum net_side side)
+{
+	static const struct net_ops server_ops = {large_request, NULL},
+				    client_ops = {NULL, large_reply};
+	struct large_call large = {NULL, 0, -2};
+	struct net *client = net_new(&client_ops, &large, 100, 60);
+	struct net_call call = {0, NULL, "POST", "/", calloc(1, LARGE_BODY), LARGE_BODY, 5};
+	struct sockaddr_in sa;
+	char addr[32];
+
+	large.server = net_new(&server_ops, &large, 100, 60);
+	short_listen(large.server, &sa, side);
+	snprintf(addr, sizeof(addr), "127.0.0.1:%d", ntohs(sa.sin_port));
+	call.addr = addr;
+	net_send(client, &call);
+	for (int k = 0; k < 500 && large.status == -2; k++) {
+		net_poll(client, 0.005);
+		net_poll(large.server, 0.005);
+	}
+	free((char *)call.body);
+	net_free(client);
+	net_free(large.server);
+	return large;
+}
+
+/* What controllers tell each other grows with the fleet; users and workers are held to 64 KiB. */
+static void test_large_bodies(void)
+{
+	struct large_call back = large_call(NET_BACK), front = large_call(NET_FRONT);
+
+	check(back.status == 200 && back.taken == LARGE_BODY, "large bodies", "a controller's");
+	check(front.status != 200 && !front.taken, "large bodies", "a worker's");
+}
+
 #define REPORT_HEAD                                                                                \
 	"{\"" W_MACHINE "\":\"vm-000001\",\"" W_ADDR "\":\"10.1.0.1:9000\",\"" W_TYPE              \
 	"\":\"g\",\"" W_ZONE "\":\"a\",\"" W_SPOT "\":false,\"" W_SESSION "\":1,\"" W_SEQ "\":"
@@ -656,6 +717,7 @@
 	test_reports();
 	test_report_cache();
 	test_answers_end();
+	test_large_bodies();
 	test_bits();
 	test_rho();
 	test_sockets_short();
