--- a/src/constants.h
+++ b/src/constants.h
@@ -211,8 +211,8 @@
 #define ROOM_SLACK 1e-6	    /* CPUs, GPUs, GB: sums of decimal amounts */
 /* rooms looked at for single tasks in one round, at a whole core: 0.2 s of work */
 #define ROUND_VISITS_PER_CORE 2e7
-#define ROUND_WANTED_MAX 8 /* shapes of waiting gangs whose room is left to them in a round */
-#define ROUND_NO_MAX 32	   /* shapes without room remembered in a round */
+#define ROUND_WANTED_MAX 32 /* shapes of waiting gangs whose room is left to them in a round */
+#define ROUND_NO_MAX 32	    /* shapes without room remembered in a round */
 
 /* --- rentals --- */
 #define RENT_EVERY_S 0.5  /* seconds between looks at what is missing */
--- a/src/core/place.c
+++ b/src/core/place.c
@@ -91,7 +91,7 @@
 	if (round->nwanted == ROUND_WANTED_MAX)
 		return;
 	for (size_t i = 0; i < round->npools; i++)
-		round->pools[i].wanted |= (uint8_t)(round->pools[i].allowed << round->nwanted);
+		round->pools[i].wanted |= (uint32_t)round->pools[i].allowed << round->nwanted;
 	round->wanted[round->nwanted++] = &job->spec;
 }
 
--- a/src/core/rent.c
+++ b/src/core/rent.c
@@ -386,54 +386,57 @@
 	}
 }
 
+/* A class of jobs, by one of them, and the tasks that its jobs run. */
 struct class_use {
 	const struct job_spec *spec;
 	uint32_t tasks;
 };
 
-#define CLASSES_MAX 16
+struct class_list {
+	struct class_use *items;
+	size_t count;
+};
 
-static size_t classes_in_use(struct core *core, struct class_use *use)
+static struct class_use *class_get(struct class_list *classes, const struct job_spec *spec)
 {
-	struct job *job, *tmp;
-	size_t n = 0;
+	for (size_t i = 0; i < classes->count; i++)
+		if (!strcmp(classes->items[i].spec->class_name, spec->class_name))
+			return &classes->items[i];
+	classes->items = realloc(classes->items, (classes->count + 1) * sizeof(*classes->items));
+	if (!classes->items)
+		abort();
+	classes->items[classes->count] = (struct class_use){spec, 0};
+	return &classes->items[classes->count++];
+}
 
-	HASH_ITER (hh, core->jobs, job, tmp) {
-		size_t i = 0;
+static void classes_in_use(struct core *core, struct class_list *classes)
+{
+	struct job *job, *tmp;
 
-		if (job->orphan)
-			continue;
-		while (i < n && strcmp(use[i].spec->class_name, job->spec.class_name))
-			i++;
-		if (i == CLASSES_MAX)
-			continue;
-		if (i == n) {
-			use[n].spec = &job->spec;
-			use[n++].tasks = 0;
-		}
-		use[i].tasks += job->nbound;
-	}
-	return n;
+	HASH_ITER (hh, core->jobs, job, tmp)
+		if (!job->orphan)
+			class_get(classes, &job->spec)->tasks += job->nbound;
 }
 
 /* Where money is no aim, room is kept for what comes next. */
 static void plan_headroom(struct core *core, struct plan *plan)
 {
 	double share = core->conf->headroom >= 0 ? core->conf->headroom : HEADROOM_LAVISH;
-	struct class_use use[CLASSES_MAX];
-	size_t n;
+	struct class_list classes = {NULL, 0};
 
 	if (rent_thrifty(core) && core->conf->headroom < 0)
 		return;
-	n = classes_in_use(core, use);
-	for (size_t i = 0; i < n; i++) {
-		uint32_t want = (uint32_t)(share * use[i].tasks) + HEADROOM_LAVISH_MIN;
+	classes_in_use(core, &classes);
+	for (size_t i = 0; i < classes.count; i++) {
+		const struct class_use *use = &classes.items[i];
+		uint32_t want = (uint32_t)(share * use->tasks) + HEADROOM_LAVISH_MIN;
 
 		for (uint32_t k = 0; k < want; k++)
-			if (!plan_fit(plan, use[i].spec, true, NULL) &&
-			    !plan_rent(core, plan, use[i].spec, want - k, false, NULL))
+			if (!plan_fit(plan, use->spec, true, NULL) &&
+			    !plan_rent(core, plan, use->spec, want - k, false, NULL))
 				break;
 	}
+	free(classes.items);
 }
 
 /* --- renting --- */
--- a/src/core/round.h
+++ b/src/core/round.h
@@ -14,7 +14,7 @@
 	const char *zone;
 	bool spot;
 	bool allowed;	  /* for the job last given to round_allow */
-	uint8_t wanted;	  /* a bit for each of the round's wanted shapes that may use it */
+	uint32_t wanted;  /* a bit for each of the round's wanted shapes that may use it */
 	double pool_cost; /* seconds, of what all machines of the pool share */
 };
 
