--- a/src/core/core.c
+++ b/src/core/core.c
@@ -202,7 +202,7 @@
 	rent_tick(core);
 	pair_tick(core);
 	commit_tick(core);
-	workers_tick(core);
+	directs_tick(core);
 }
 
 /* The parts look at their own due times; a coarse beat covers them, rounds and commits come first.
--- /dev/null
+++ b/src/core/directs.h
@@ -0,0 +1,20 @@
+/* Messages to workers that are not answers to their reports: questions, and commands sent directly.
+ */
+#ifndef PLOVERLOFT_DIRECTS_H
+#define PLOVERLOFT_DIRECTS_H
+
+#include <stdbool.h>
+
+#include "core/machine.h"
+
+/* Commands are due for the machine: they are sent in turn. */
+void commands_wanted(struct core *core, struct machine *machine);
+void commands_unwanted(struct core *core, struct machine *machine);
+/* Asks the worker for its report; false if too many were asked of late. */
+bool workers_ask(struct core *core, struct machine *machine);
+/* The same for a machine with replicas, within an allowance and a time of their own. */
+bool workers_probe(struct core *core, struct machine *machine);
+/* Sends the commands that are due. */
+void directs_tick(struct core *core);
+
+#endif
--- a/src/core/state.h
+++ b/src/core/state.h
@@ -13,6 +13,7 @@
 #include "core/cloud.h"
 #include "core/commit.h"
 #include "core/core.h"
+#include "core/directs.h"
 #include "core/election.h"
 #include "core/format.h"
 #include "core/job.h"
--- a/src/core/workers.c
+++ b/src/core/workers.c
@@ -1,5 +1,5 @@
 /*
- * Dealings with workers: reports, the commands in their answers, and direct commands.
+ * Reports of workers, and what they prove of the tasks that are bound to them.
  *
  * A binding ends on the worker's word alone: its task listed as ended, a newer session, or a
  * report that lacks it from a worker that has seen the token under which it could last have been
@@ -12,6 +12,7 @@
 #include <stdlib.h>
 #include <string.h>
 
+#include "core/commands.h"
 #include "core/state.h"
 #include "util/log.h"
 #include "wire/names.h"
@@ -27,12 +28,6 @@
 	return NULL;
 }
 
-/* No start of an earlier moment can still take effect on this machine. */
-static bool fenced(const struct machine *machine)
-{
-	return !machine->commands_out && machine->token > machine->unanswered_token;
-}
-
 /* --- reading a report --- */
 
 static void note_running(struct core *core, struct binding *binding, enum task_state st)
@@ -96,9 +91,9 @@
 		binding_end(core, binding, WHY_NONE);
 		return;
 	}
-	if (!beat || machine->token < binding->floor_token || !fenced(machine) ||
+	if (!beat || machine->token < binding->floor_token || !machine_fenced(machine) ||
 	    machine->seq <= binding->beat_seq) {
-		if (beat && !fenced(machine) && !machine->commands_out &&
+		if (beat && !machine_fenced(machine) && !machine->commands_out &&
 		    (binding->stopping || binding->loaded))
 			core->commits.fence_wanted = true;
 		return;
@@ -290,98 +285,6 @@
 			machine_anew(core, machine);
 }
 
-/* --- commands --- */
-
-struct command_list {
-	struct command items[COMMANDS_MAX];
-	size_t n;
-	bool starts;
-};
-
-static void add_command(struct command_list *list, enum command_op op, const char *job,
-			uint32_t task, uint64_t attempt, double grace_s)
-{
-	struct command *cmd;
-
-	if (list->n == COMMANDS_MAX)
-		return;
-	cmd = &list->items[list->n++];
-	cmd->op = op;
-	snprintf(cmd->job, sizeof(cmd->job), "%s", job);
-	cmd->task = task;
-	cmd->attempt = attempt;
-	cmd->grace_s = grace_s;
-	list->starts |= op == OP_START;
-}
-
-/* A gang starts only when the whole attempt is committed: a part alone would wait in vain. */
-static bool may_start(const struct binding *binding)
-{
-	const struct job *job = binding->job;
-
-	if (!binding->committed || binding->seen || binding->stopping || job->cancelled ||
-	    job->orphan || job->gang_stopping || binding->loaded)
-		return false;
-	return job->spec.kind != JOB_GANG || !job->uncommitted;
-}
-
-static void command_binding(struct core *core, struct machine *machine, struct binding *binding,
-			    struct command_list *list, bool beat)
-{
-	/* Sent by /do and answered, but not yet on a report: not sent again at once. */
-	if (may_start(binding) &&
-	    (beat || binding->sent_at <= 0 || core->now - binding->sent_at > START_RESEND_S)) {
-		add_command(list, OP_START, binding->job->spec.id, binding->task, binding->attempt,
-			    0);
-		binding->sent_at = core->now;
-		binding->sent_session = machine->session;
-		if (beat)
-			binding->beat_seq = machine->seq;
-	} else if (binding->stopping && binding->state != TS_EXITED &&
-		   (beat || binding->stop_at <= 0 ||
-		    core->now - binding->stop_at > START_RESEND_S)) {
-		/* A second stop with less grace would end a save: it is repeated unchanged. */
-		add_command(list, OP_STOP, binding->job->spec.id, binding->task, binding->attempt,
-			    binding->grace_s);
-		binding->stop_at = core->now;
-	}
-}
-
-static bool may_forget(struct core *core, const struct machine *machine,
-		       const struct leftover *leftover)
-{
-	struct job *job = job_find(core, leftover->job);
-
-	/* Its end must be on record first: until then this list is the only proof. */
-	if (!fenced(machine) || machine->token < core->election.token)
-		return false;
-	return !job || leftover->task >= job->spec.ntasks || commit_settled(job, leftover->task);
-}
-
-static void gather(struct core *core, struct machine *machine, struct command_list *list, bool beat)
-{
-	struct binding *binding;
-
-	list->n = 0;
-	list->starts = false;
-	for (size_t i = 0; i < machine->nleft; i++) {
-		const struct leftover *leftover = &machine->left[i];
-
-		if (!leftover->ended)
-			add_command(list, OP_STOP, leftover->job, leftover->task, leftover->attempt,
-				    0);
-		else if (may_forget(core, machine, leftover))
-			add_command(list, OP_FORGET, leftover->job, leftover->task,
-				    leftover->attempt, 0);
-		else if (!fenced(machine) && !machine->commands_out)
-			core->commits.fence_wanted = true;
-	}
-	if (machine->deleting)
-		return;
-	DL_FOREACH2 (machine->bindings, binding, mnext)
-		command_binding(core, machine, binding, list, beat);
-}
-
 static void misdirect(struct core *core, uint64_t conn)
 {
 	const char *leader =
@@ -436,7 +339,7 @@
 		core_reply(core, conn, 200, 0, wire_beat_answer(core->election.token, NULL, 0));
 		return;
 	}
-	gather(core, machine_find(core, report->machine), &commands, true);
+	commands_gather(core, machine_find(core, report->machine), &commands, true);
 	core_reply(core, conn, 200, 0,
 		   wire_beat_answer(core->election.token, commands.items, commands.n));
 }
@@ -488,9 +391,7 @@
 	wire_report_free(&rep);
 }
 
-/* --- direct commands --- */
-
-static void take_answer(struct core *core, const struct call *call, const char *body, size_t len)
+void workers_take_answer(struct core *core, const struct call *call, const char *body, size_t len)
 {
 	struct report rep;
 	struct machine *machine;
@@ -509,192 +410,3 @@
 	}
 	wire_report_free(&rep);
 }
-
-static void command_queue_add(struct core *core, struct machine *machine)
-{
-	if (machine->in_command_queue)
-		return;
-	machine->in_command_queue = true;
-	DL_APPEND2(core->fleet.command_queue, machine, queue_prev, queue_next);
-}
-
-static void command_queue_remove(struct core *core, struct machine *machine)
-{
-	if (!machine->in_command_queue)
-		return;
-	machine->in_command_queue = false;
-	DL_DELETE2(core->fleet.command_queue, machine, queue_prev, queue_next);
-}
-
-static void on_do(struct core *core, struct call *call, int status, const char *body, size_t len)
-{
-	struct machine *machine;
-
-	core->fleet.directs--;
-	if (election_stale(core, call))
-		return;
-	machine = machine_find(core, call->key);
-	if (!machine)
-		return;
-	if (machine->commands_out)
-		machine->commands_out--;
-	if (machine->commands_due)
-		command_queue_add(core, machine); /* what has gathered meanwhile */
-	if (status == 0 && call->starts && call->token > machine->unanswered_token) {
-		machine->unanswered_token = call->token;
-		log_debug("do_unanswered", "machine=%s", machine->id);
-	}
-	if (status == 200 || status == 409)
-		take_answer(core, call, body, len);
-}
-
-/* A question that never left, for want of a socket, says nothing of the machine. */
-static bool waited_in_full(const struct core *core, const struct call *call)
-{
-	return core->now - call->sent >= call->timeout_s * (1 - CLOCK_DRIFT);
-}
-
-static void note_unanswered(const struct core *core, const struct call *call,
-			    struct machine *machine)
-{
-	if (call->sent <= machine->last_word || !waited_in_full(core, call))
-		return;
-	if (!machine->unanswered++)
-		machine->unanswered_since = call->sent;
-}
-
-static void on_show(struct core *core, struct call *call, int status, const char *body, size_t len)
-{
-	struct machine *machine;
-
-	core->fleet.directs--;
-	if (election_stale(core, call))
-		return;
-	machine = machine_find(core, call->key);
-	if (machine && status <= 0)
-		note_unanswered(core, call, machine);
-	if (status == 200)
-		take_answer(core, call, body, len);
-}
-
-/*
- * Machines that are gone keep a socket for each command or question until it is given up. When many
- * go at once, the sockets that callers need must not all wait for them.
- */
-static bool directs_full(const struct core *core)
-{
-	return core->fleet.directs >= core->conf->max_connections * DIRECT_SHARE;
-}
-
-/*
- * Questions a second: enough to ask all machines well within a lease, however many there are. While
- * they find a new leader by themselves, a few are enough.
- */
-static double asks_per_s(const struct core *core)
-{
-	if (core->now - core->lead_since < MACHINE_SHOW_REPORTS * core->conf->report_s)
-		return ASKS_PER_S;
-	return fmax(ASKS_PER_S,
-		    HASH_COUNT(core->fleet.machines) / (ASK_ALL_LEASES * core->conf->lease_s));
-}
-
-/* What is known when a question leaves: the answer must be newer. */
-static void call_mark(struct core *core, struct call *call, const struct machine *machine)
-{
-	snprintf(call->key, sizeof(call->key), "%s", machine->id);
-	call->token = core->election.token;
-	call->session = machine->session;
-	call->seq = machine->seq;
-}
-
-static void send_question(struct core *core, struct machine *machine, double timeout_s)
-{
-	struct call *call = core_call(core, machine->addr, "GET", fmt_path(W_PATH_STATUS), NULL,
-				      timeout_s, on_show, NULL);
-
-	core->fleet.directs++;
-	machine->asked_at = core->now;
-	call_mark(core, call, machine);
-}
-
-bool workers_ask(struct core *core, struct machine *machine)
-{
-	allowance_fill(core, &core->fleet.asks, asks_per_s(core));
-	if (!*machine->addr || core->fleet.asks.left < 1 ||
-	    core->now - machine->asked_at < MACHINE_ASK_S || directs_full(core))
-		return false;
-	core->fleet.asks.left -= 1;
-	send_question(core, machine, CALL_WORKER_S);
-	return true;
-}
-
-bool workers_probe(struct core *core, struct machine *machine)
-{
-	if (!*machine->addr || directs_full(core))
-		return false;
-	send_question(core, machine, REPLICA_ANSWER_S);
-	return true;
-}
-
-void commands_wanted(struct core *core, struct machine *machine)
-{
-	machine->commands_due = true;
-	if (!machine->commands_out) /* one at a time: what has gathered goes with the next */
-		command_queue_add(core, machine);
-}
-
-void commands_unwanted(struct core *core, struct machine *machine)
-{
-	machine->commands_due = false;
-	command_queue_remove(core, machine);
-}
-
-/*
- * Stopped before its start left: no worker will ever name it, so no proof of its end would come,
- * and it would hold its room and its task for the rest of the term.
- */
-static void drop_unsent(struct core *core, struct machine *machine)
-{
-	struct binding *binding = machine->bindings;
-
-	while (binding) {
-		bool ends = binding->stopping && binding_unsent(binding);
-
-		if (ends)
-			binding_end(core, binding, WHY_STOPPED);
-		binding =
-		    ends ? machine->bindings : binding->mnext; /* its end may have ended others */
-	}
-}
-
-static void send_direct(struct core *core, struct machine *machine)
-{
-	struct command_list list;
-	struct call *call;
-
-	gather(core, machine, &list, false);
-	if (!list.n && !machine->announce_token)
-		return;
-	machine->announce_token = false;
-	machine->commands_out++;
-	core->fleet.directs++;
-	call = core_call(
-	    core, machine->addr, "POST", fmt_path(W_PATH_COMMANDS),
-	    wire_direct_commands(core->election.token, machine->session, list.items, list.n),
-	    CALL_WORKER_S, on_do, NULL);
-	call_mark(core, call, machine);
-	call->starts = list.starts;
-}
-
-void workers_tick(struct core *core)
-{
-	struct machine *machine;
-
-	while ((machine = core->fleet.command_queue) && !directs_full(core)) {
-		commands_unwanted(core, machine);
-		drop_unsent(core, machine);
-		if (machine->session && *machine->addr && !machine->gone &&
-		    machine_fresh(core, machine))
-			send_direct(core, machine);
-	}
-}
--- a/src/core/workers.h
+++ b/src/core/workers.h
@@ -1,23 +1,14 @@
-/*
- * Reports of workers, the commands that answer them, and direct commands.
- */
+/* Reports of workers, and what they prove of the tasks that are bound to them. */
 #ifndef PLOVERLOFT_WORKERS_H
 #define PLOVERLOFT_WORKERS_H
 
 #include "core/core.h"
 #include "core/machine.h"
 
-/* A worker's report, or its re-sent copy. */
+/* A worker's report, or its re-sent copy: it is answered with the commands that are due. */
 void workers_beat(struct core *core, const struct core_request *request);
-/* Commands are due for the machine: they are sent directly, in turn. */
-void commands_wanted(struct core *core, struct machine *machine);
-void commands_unwanted(struct core *core, struct machine *machine);
-/* Asks the worker for its report; false if too many were asked of late. */
-bool workers_ask(struct core *core, struct machine *machine);
-/* The same for a machine with replicas, within an allowance and a time of their own. */
-bool workers_probe(struct core *core, struct machine *machine);
-/* Sends the commands that are due. */
-void workers_tick(struct core *core);
+/* A worker's report in the answer to a question or to a direct command. */
+void workers_take_answer(struct core *core, const struct call *call, const char *body, size_t len);
 /* A new token is held: machines that began anew count from now on. */
 void workers_fenced(struct core *core);
 
