--- a/src/core/users.h
+++ b/src/core/users.h
@@ -56,6 +56,23 @@
 	bool counts_out;
 };
 
+/* --- users.c, for submissions too --- */
+
+struct user_req *user_req_new(struct core *core, uint64_t conn, enum user_kind kind,
+			      const char *id);
+void user_free(void *request);
+/* Answers with an error, and frees the request. */
+void user_fail(struct core *core, struct user_req *request, int status, int retry, const char *why);
+/* The state service does not serve us: another controller may be served, else the user is told. */
+void user_unserved(struct core *core, struct user_req *request, int status);
+/* Answers with the job's state, and frees the request. */
+void user_state(struct core *core, struct user_req *request, int status, enum job_state state,
+		uint32_t done, uint32_t running);
+/* Answers if the job's final state is known; false if it is not. */
+bool user_answer_final(struct core *core, struct user_req *request);
+/* Answers once the records, as they are from now on, have told. */
+void user_lookup(struct core *core, struct user_req *request);
+
 void users_request(struct core *core, const struct core_request *request);
 void users_tick(struct core *core);
 /* The record of an open job, which the caller owns. */
--- a/tests/rollout.c
+++ b/tests/rollout.c
@@ -143,3 +143,29 @@
 		fprintf(stderr, "job %d: done %d, %u running\n", job, s->done[job],
 			rollout_running(s, job));
 }
+
+bool rollout_one_back(struct loopback *s, int node, const char *old_program,
+		      const char *new_program)
+{
+	rollout_replace(s, node, old_program);
+	for (int other = 0; other < LOOPBACK_NODES; other++)
+		if (other != node)
+			loopback_kill(s, other);
+	if (!rollout_wait(s, rollout_newest_format_leaderless, "the leader's lease ends"))
+		return false;
+	loopback_run(s, 4);
+	if (rollout_newest_format_led(s)) {
+		fprintf(stderr, "a version that can't read the records leads\n");
+		return false;
+	}
+	for (int other = 0; other < LOOPBACK_NODES; other++)
+		if (other != node)
+			loopback_start(s, other, new_program);
+	if (!rollout_wait(s, rollout_newest_format_led, "this version leads again"))
+		return false;
+	rollout_submit(s, LAST_ARRAY);
+	if (rollout_wait(s, rollout_all_done, "all work is done and the service runs"))
+		return true;
+	rollout_report(s);
+	return false;
+}
--- a/tests/rollout.h
+++ b/tests/rollout.h
@@ -29,6 +29,13 @@
 void rollout_replace(struct loopback *s, int node, const char *program);
 /* The state service's limits fall to those announced. */
 void rollout_lower_limits(struct loopback *s);
+/*
+ * The node comes back as a version that does not read the newest format, all others end: it may
+ * serve users, and never leads. The others return as the new version, and all work is done. False
+ * if not.
+ */
+bool rollout_one_back(struct loopback *s, int node, const char *old_program,
+		      const char *new_program);
 /* Prints which jobs are done and how many of their tasks run. */
 void rollout_report(struct loopback *s);
 
--- a/tests/upgrade.c
+++ b/tests/upgrade.c
@@ -80,30 +80,6 @@
 	return rollout_wait(s, rollout_late_work_runs, "work starts under the new limits");
 }
 
-/* A process comes back old: it may serve users, and never leads. */
-static bool one_back_old(struct loopback *s)
-{
-	loopback_kill(s, 0);
-	loopback_kill(s, 1);
-	rollout_replace(s, 2, old_program);
-	if (!rollout_wait(s, rollout_newest_format_leaderless, "the leader's lease ends"))
-		return false;
-	loopback_run(s, 4);
-	if (rollout_newest_format_led(s)) {
-		fprintf(stderr, "an old controller leads once the format is raised\n");
-		return false;
-	}
-	loopback_start(s, 0, new_program);
-	loopback_start(s, 1, new_program);
-	if (!rollout_wait(s, rollout_newest_format_led, "a new controller leads again"))
-		return false;
-	rollout_submit(s, LAST_ARRAY);
-	if (rollout_wait(s, rollout_all_done, "all work is done and the service runs"))
-		return true;
-	rollout_report(s);
-	return false;
-}
-
 int main(int argc, char **argv)
 {
 	static struct loopback s;
@@ -112,5 +88,6 @@
 		return 2;
 	new_program = argv[1];
 	old_program = argv[2];
-	return rollout_end(&s, lead_in_turn(&s) && roll_and_lower(&s) && one_back_old(&s));
+	return rollout_end(&s, lead_in_turn(&s) && roll_and_lower(&s) &&
+				   rollout_one_back(&s, 2, old_program, new_program));
 }
--- a/tests/upgrade_previous.c
+++ b/tests/upgrade_previous.c
@@ -73,30 +73,6 @@
 	return rollout_wait(s, rollout_newest_format_led, "one leads after all were killed");
 }
 
-/* A process of the version in production serves users, and never leads. */
-static bool one_back_from_production(struct loopback *s)
-{
-	rollout_replace(s, 1, production_program);
-	loopback_kill(s, 0);
-	loopback_kill(s, 2);
-	if (!rollout_wait(s, rollout_newest_format_leaderless, "the leader's lease ends"))
-		return false;
-	loopback_run(s, 4);
-	if (rollout_newest_format_led(s)) {
-		fprintf(stderr, "a version that can't read the records leads\n");
-		return false;
-	}
-	loopback_start(s, 0, new_program);
-	loopback_start(s, 2, new_program);
-	if (!rollout_wait(s, rollout_newest_format_led, "this version leads again"))
-		return false;
-	rollout_submit(s, LAST_ARRAY);
-	if (rollout_wait(s, rollout_all_done, "all work is done and the service runs"))
-		return true;
-	rollout_report(s);
-	return false;
-}
-
 int main(int argc, char **argv)
 {
 	static struct loopback s;
@@ -107,5 +83,5 @@
 	previous_program = argv[2];
 	production_program = argv[3];
 	return rollout_end(&s, lead_in_turn(&s) && roll_forth_and_back(&s) &&
-				   one_back_from_production(&s));
+				   rollout_one_back(&s, 1, production_program, new_program));
 }
