--- a/tests/bench_report.c
+++ b/tests/bench_report.c
@@ -25,6 +25,8 @@
 	double now;
 	unsigned long long revision, token;
 	uint64_t watch; /* the open read of the jobs' changes */
+	int listed;	/* machines that the cloud lists */
+	char *page;	/* its newest page */
 };
 
 static struct core_time at(const struct bench *b)
@@ -39,6 +41,35 @@
     "\":64,\"" W_CACHE "\":50,\"" W_FETCH "\":1,\"" W_PRICE "\":1,\"" W_SPOT_PRICE
     "\":0.3,\"" W_BOOT "\":30,\"" W_ZONES "\":[\"a\"]}]}";
 
+#define PAGE_MAX 500	 /* machines of a page, from the protocol */
+#define LISTED_BYTES 200 /* of one machine in it, at most */
+
+/* A page of the cloud's list, beginning after the machine that the path names. */
+static const char *list_page(struct bench *b, const char *path)
+{
+	const char *after = strstr(path, W_AFTER "=vm-");
+	int first = after ? atoi(after + strlen(W_AFTER "=vm-")) + 1 : 0, last = first + PAGE_MAX;
+	size_t cap = (size_t)PAGE_MAX * LISTED_BYTES + 100, len;
+
+	free(b->page);
+	b->page = malloc(cap);
+	if (!b->page)
+		abort();
+	if (last > b->listed)
+		last = b->listed;
+	len = (size_t)snprintf(b->page, cap, "{\"" W_MACHINES_LIST "\":[");
+	for (int i = first; i < last; i++)
+		len += (size_t)snprintf(b->page + len, cap - len,
+					"%s{\"" W_ID "\":\"vm-%06d\",\"" W_ADDR
+					"\":\"10.1.%d.%d:9000\",\"" W_TYPE "\":\"g\",\"" W_ZONE
+					"\":\"a\",\"" W_SPOT "\":false,\"" W_STATE
+					"\":\"" W_MS_RUNNING "\",\"" W_AGE "\":60}",
+					i > first ? "," : "", i, i / 250, i % 250 + 1);
+	snprintf(b->page + len, cap - len, "],\"" W_MORE "\":%s}",
+		 last < b->listed ? "true" : "false");
+	return b->page;
+}
+
 /* The answer to a call; NULL: none comes. */
 static const char *answer(struct bench *b, const struct core_action *a, int *status, char *buf,
 			  size_t cap)
@@ -53,7 +84,7 @@
 	if (!strcmp(a->path, W_PATH_LEASES))
 		snprintf(buf, cap, "{\"" W_LEASE "\":7}");
 	else if (!strncmp(a->path, W_PATH_MACHINES, strlen(W_PATH_MACHINES)))
-		snprintf(buf, cap, "{\"" W_MACHINES_LIST "\":[],\"" W_MORE "\":false}");
+		return list_page(b, a->path);
 	else if (!strcmp(a->path, W_PATH_TXN) && strstr(a->body, "\"leader\""))
 		snprintf(buf, cap, "{\"" W_REVISION "\":%llu}", b->token = ++b->revision);
 	else
@@ -274,7 +305,13 @@
 	for (int i = 0; i < 500; i++)
 		ask(&b, "GET", W_PATH_JOBS "/job-000007", "");
 	end(&m, "a poll, until the state service is asked", 500);
+	b.listed = machines;
+	b.conf.cloud_rps = 100; /* no list was read before */
+	m = begin();
+	ticks(&b, NULL, 30);
+	end(&m, "a list of all machines, with what is due beside", 30 / 4);
 	core_free(b.core);
+	free(b.page);
 	if (unchanged <= UNCHANGED_ALLOCATIONS_MAX)
 		return 0;
 	fprintf(stderr, "an unchanged report takes %.1f allocations, at most %.1f are expected\n",
