--- a/tests/standin.c
+++ b/tests/standin.c
@@ -1,5 +1,4 @@
 /* The stand-ins for everything around the controllers: their start, time and end. */
-#include <math.h>
 #include <stdarg.h>
 #include <stdio.h>
 #include <stdlib.h>
--- a/tests/standin_cloud.c
+++ b/tests/standin_cloud.c
@@ -1,6 +1,5 @@
 /* The stand-in of the cloud. */
 #include <math.h>
-#include <stdarg.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
--- a/tests/standin_rules.c
+++ b/tests/standin_rules.c
@@ -1,6 +1,5 @@
 /* The checker of the rules: what is on which machine, whether jobs can run, what users are told. */
 #include <math.h>
-#include <stdarg.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
--- a/tests/standin_workers.c
+++ b/tests/standin_workers.c
@@ -1,6 +1,4 @@
 /* The stand-ins of the workers. */
-#include <math.h>
-#include <stdarg.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
