--- a/tests/runner.c
+++ b/tests/runner.c
@@ -2,6 +2,8 @@
  * Plays a scenario file: controllers' cores against the stand-ins, in simulated time. Every
  * scenario runs under the checker of the rules and says what it expects. See tests/README.md.
  */
+#include <getopt.h>
+#include <inttypes.h>
 #include <math.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -9,6 +11,7 @@
 
 #include <utlist.h>
 
+#include "behaviour_trace.h"
 #include "conf/conf.h"
 #include "core/core.h"
 #include "core/state.h"
@@ -108,6 +111,7 @@
 	int line;
 	bool started;
 	uint64_t seed;
+	struct behaviour_trace *trace; /* NULL: none is kept */
 };
 
 struct handle {
@@ -257,6 +261,8 @@
 	while (node->up && (a = core_take(node->core))) {
 		struct msg *m;
 
+		if (w->trace)
+			behaviour_trace_add(w->trace, w->now, n, a);
 		if (a->kind == ACT_ANSWER && a->id >= 1u << 30) {
 			m = msg_new(w, MSG_REPORT_REPLY, n, HOST_WORKERS + (int)(a->id >> 40),
 				    later(w));
@@ -1436,31 +1442,75 @@
 			fail(w, "rule broken: %s", w->si.why);
 }
 
+struct options {
+	const char *scenario;
+	const char *trace; /* file for the controllers' actions; NULL: none */
+	bool digest;
+};
+
+static bool options_parse(struct options *options, int argc, char **argv)
+{
+	static const struct option known[] = {
+	    {"digest", no_argument, NULL, 'd'}, {"trace", required_argument, NULL, 't'}, {0}};
+	int c;
+
+	while ((c = getopt_long(argc, argv, "", known, NULL)) != -1) {
+		if (c == 'd')
+			options->digest = true;
+		else if (c == 't')
+			options->trace = optarg;
+		else
+			return false;
+	}
+	if (optind != argc - 1)
+		return false;
+	options->scenario = argv[optind];
+	return true;
+}
+
+static void play(struct world *w, FILE *f)
+{
+	char line[1024], expected[256] = "";
+
+	while (fgets(line, sizeof(line), f)) {
+		w->line++;
+		if (!strncmp(line, "breaks ", 7))
+			snprintf(expected, sizeof(expected), "%.200s", line + 7);
+		else
+			do_line(w, line);
+	}
+	/* Whatever it did, everybody is answered again when its troubles are over. */
+	world_run(w, fmax(w->now, w->quiet_since) + EPILOGUE_S);
+	check_rules(w, expected);
+}
+
 int main(int argc, char **argv)
 {
 	static const struct si_ops ops = {si_reply, si_report};
 	static struct world w;
-	char line[1024], expected[256] = "";
-	FILE *f = argc == 2 ? fopen(argv[1], "r") : NULL;
+	struct options options = {0};
+	FILE *f = options_parse(&options, argc, argv) ? fopen(options.scenario, "r") : NULL;
 
 	if (!f) {
-		fprintf(stderr, "usage: runner SCENARIO\n");
+		fprintf(stderr, "usage: runner [--digest] [--trace FILE] SCENARIO\n");
 		return 2;
 	}
 	log_setup("-", getenv("LOG_LEVEL") ? getenv("LOG_LEVEL") : "error");
-	world_init(&w, argv[1], &ops);
-	w.si.verbose = log_on(LOG_INFO);
-	while (fgets(line, sizeof(line), f)) {
-		w.line++;
-		if (!strncmp(line, "breaks ", 7))
-			snprintf(expected, sizeof(expected), "%.200s", line + 7);
-		else
-			do_line(&w, line);
+	world_init(&w, options.scenario, &ops);
+	if (options.digest || options.trace) {
+		w.trace = behaviour_trace_new(options.trace);
+		if (!w.trace) {
+			fprintf(stderr, "%s can't be written\n", options.trace);
+			return 2;
+		}
 	}
+	w.si.verbose = log_on(LOG_INFO);
+	play(&w, f);
 	fclose(f);
-	/* Whatever it did, everybody is answered again when its troubles are over. */
-	world_run(&w, fmax(w.now, w.quiet_since) + EPILOGUE_S);
-	check_rules(&w, expected);
+	if (options.digest)
+		printf("%016" PRIx64 "\n", behaviour_trace_digest(w.trace));
+	if (w.trace)
+		behaviour_trace_free(w.trace);
 	world_free(&w);
 	if (w.failures)
 		fprintf(stderr, "%d failures\n", w.failures);
