--- a/src/conf/toml.cc
+++ b/src/conf/toml.cc
@@ -66,15 +66,15 @@
 	static const struct {
 		const char *name;
 		objective_kind kind;
-	} kinds[] = {{"wait", OBJ_WAIT},	 {"finished", OBJ_FINISHED},
-		     {"deadline", OBJ_DEADLINE}, {"guarantee", OBJ_GUARANTEE},
-		     {"useful", OBJ_USEFUL},	 {"makespan", OBJ_MAKESPAN},
-		     {"price", OBJ_PRICE},	 {"up", OBJ_UP}};
+	} kinds[] = {{"wait", OBJECTIVE_WAIT},	 {"finished", OBJECTIVE_FINISHED},
+		     {"deadline", OBJECTIVE_DEADLINE}, {"guarantee", OBJECTIVE_GUARANTEE},
+		     {"useful", OBJECTIVE_USEFUL},	 {"makespan", OBJECTIVE_MAKESPAN},
+		     {"price", OBJECTIVE_PRICE},	 {"up", OBJECTIVE_REPLICA_TIME}};
 
 	for (const auto &k : kinds)
 		if (s == k.name)
 			return k.kind;
-	return OBJ_OTHER;
+	return OBJECTIVE_OTHER;
 }
 
 template <typename T, typename F>
--- a/src/constants.h
+++ b/src/constants.h
@@ -56,7 +56,7 @@
 #define LEADER_WATCH_MS 2000 /* ms a watch blocks: an idle follower too hears the service */
 #define LEADER_WATCH_SLACK_S 1.0 /* seconds more and it is lost: with it below PEER_ALONE_S */
 #define LEADER_REREAD_S 0.4	 /* seconds before reading the key again after a failure */
-#define LEADER_YIELD_S 8.0	 /* seconds a leader that hears no worker stands back */
+#define LEADER_RESIGN_S 8.0	 /* seconds a leader that hears no worker stands back */
 #define CLOCK_DRIFT 0.001	 /* share: two clocks, 0.05% each */
 #define CANCEL_MARGIN_S 2.0	 /* seconds off cancel_s: a late turn, and the way of messages */
 
@@ -68,13 +68,13 @@
 #define INDEX_IDLE_S 10.0 /* seconds without questions before the changes are read all the same */
 /* changes that one answer may hold: some 2 MB, a fraction of what is kept of them */
 #define INDEX_CHANGES_MAX 4000
-#define ASK_GATHER_S 0.05  /* seconds between reads of changes: questions gather meanwhile */
-#define ASK_AGAIN_S 0.2	   /* seconds before a read that was refused is tried again */
-#define ASK_WAIT_S 1.0	   /* seconds a question waits for that: a poll is given up at 2 */
-#define COUNTS_EVERY_S 2.0 /* seconds between questions for counts: what is shown may lag by 3 */
-#define COUNTS_KEEP_S 6.0  /* seconds the leader's counts are shown */
+#define INDEX_BATCH_S 0.05    /* seconds between reads of changes: questions gather meanwhile */
+#define INDEX_RETRY_S 0.2     /* seconds before a read that was refused is tried again */
+#define LOOKUP_MAX_WAIT_S 1.0 /* seconds a question waits for that: a poll is given up at 2 */
+#define COUNTS_EVERY_S 2.0    /* seconds between questions for counts: what is shown may lag by 3 */
+#define COUNTS_KEEP_S 6.0     /* seconds the leader's counts are shown */
 /* seconds after a poll during which they are asked for: polls come every 5 */
-#define COUNTS_ASKED_S 10.0
+#define COUNTS_DEMAND_S 10.0
 /* seconds between questions to others while the state service is silent */
 #define PEER_PING_S 1.0
 /* times cancel_s that what users were told is kept: a leader asks sooner */
@@ -93,7 +93,7 @@
 #define COMMIT_RETRY_S 0.25 /* seconds before a refused transaction is sent again */
 /* share of write_rps the leader uses: the rest takes submissions */
 #define WRITE_SHARE_LEADER 0.85
-#define CHUNK_TASKS 128 /* tasks whose bindings and done bits share one key, below 8 KiB */
+#define LARGE_CHUNK_TASKS 128 /* tasks whose bindings and done bits share one key, below 8 KiB */
 /* bytes of one more binding in it: long names of machine and zone */
 #define CHUNK_ENTRY_BYTES 100
 #define CHUNK_SPARE_BYTES 64 /* bytes of a value beside its bindings: the done bits, braces */
@@ -110,12 +110,13 @@
 #define LIMITS_REFUSED_S 5.0   /* seconds before what can't be made smaller is sent again */
 
 /* --- versions of the records' format --- */
-#define FORMAT_CHUNKS 1 /* bindings in records of CHUNK_TASKS tasks */
-#define FORMAT_PIECES 2 /* bindings in records of PIECE_TASKS tasks */
-#define FORMAT_NEWEST FORMAT_PIECES
+#define FORMAT_LARGE_CHUNKS 1 /* bindings in records of LARGE_CHUNK_TASKS tasks */
+#define FORMAT_SMALL_CHUNKS 2 /* bindings in records of SMALL_CHUNK_TASKS tasks */
+#define FORMAT_NEWEST FORMAT_SMALL_CHUNKS
 #define FORMAT_REGISTER_S 1.0 /* seconds before our own version is written again */
 #define FORMAT_LOOK_S 1.0     /* seconds between the leader's looks at all versions */
-#define PIECE_TASKS 32	      /* tasks whose bindings fit a value of 2 KiB, each of another start */
+#define SMALL_CHUNK_TASKS 32  /* tasks whose bindings fit a value of 2 KiB, each of another start  \
+			       */
 
 /* --- load --- */
 #define RANGE_LIMIT 500	  /* items per page: pages stay below 512 KiB */
@@ -125,82 +126,84 @@
 #define MACHINE_FRESH_REPORTS 2.5 /* reports missed before a machine gets no new tasks */
 /* seconds beyond the worker's lease: its tasks are lost anyway */
 #define MACHINE_DEAD_MARGIN_S 1.0
-#define MACHINE_ASK_S 1.0  /* seconds between questions to one machine */
-#define ASKS_PER_S 40.0	   /* questions a second to all at least: each costs as much as a report */
-#define ASK_ALL_LEASES 0.5 /* leases within which all machines can be asked */
-#define DIRECT_SHARE 0.125 /* share of the sockets that direct commands and questions may hold */
-#define MACHINE_UNHEEDED 2 /* reports in a row that ignore a start: one answer may be lost */
-#define MACHINE_NEWS_REPORTS 1.5 /* report intervals without news: one may be a quarter late */
-#define MACHINE_DEAF_S 60.0	 /* seconds a machine that does not hear us is kept */
-#define MACHINE_SHOW_S 3.0	 /* seconds between questions to a machine not heard of this term */
+#define PROBE_INTERVAL_S 1.0 /* seconds between questions to one machine */
+#define PROBES_PER_S 40.0 /* questions a second to all at least: each costs as much as a report */
+#define PROBE_ALL_LEASES 0.5 /* leases within which all machines can be asked */
+#define DIRECT_SHARE 0.125   /* share of the sockets that direct commands and questions may hold */
+#define MACHINE_IGNORED_STARTS 2   /* reports in a row that ignore a start: one answer may be lost \
+				    */
+#define MACHINE_STALE_REPORTS 1.5  /* report intervals without news: one may be a quarter late */
+#define MACHINE_UNREACHABLE_S 60.0 /* seconds a machine that does not hear us is kept */
+#define PROBE_UNSEEN_S 3.0 /* seconds between questions to a machine not heard of this term */
 /* report intervals in which all find a new leader by themselves */
-#define MACHINE_SHOW_REPORTS 2.0
+#define PROBE_UNSEEN_REPORTS 2.0
 /* times the boot time before a machine counts as never coming up */
 #define MACHINE_BOOT_FACTOR 3.0
 #define MACHINE_BOOT_EXTRA_S 20.0 /* seconds on top: short boots vary more */
-#define MACHINE_GONE_LISTS 2	  /* lists without it before a listed, silent machine is deleted */
-#define MACHINE_FAULT_JOBS 2	  /* different jobs that fail on a machine before it is drained */
-#define MACHINE_IMAGES 8	  /* images remembered per machine: a guess at its cache */
-#define START_RESEND_S 1.5	  /* seconds before a start or stop not yet seen is sent again */
-#define COMMANDS_MAX 300	  /* commands in one message: 64 KiB is the limit of a line */
-#define FENCE_EVERY_S 2.0    /* seconds between new tokens for the sake of unanswered commands */
-#define LISTED_EVERY_S 3.0   /* seconds between machine lists: they lag by more */
-#define MACHINES_EVERY_S 0.5 /* seconds between looks at all machines */
-#define CUT_SHARE 0.7	     /* share of machines silent at once: then it is us who are cut */
+#define MACHINE_MISSED_INVENTORIES                                                                 \
+	2		      /* lists without it before a listed, silent machine is deleted */
+#define MACHINE_FAULT_JOBS 2  /* different jobs that fail on a machine before it is drained */
+#define MACHINE_IMAGES 8      /* images remembered per machine: a guess at its cache */
+#define START_RESEND_S 1.5    /* seconds before a start or stop not yet seen is sent again */
+#define COMMANDS_MAX 300      /* commands in one message: 64 KiB is the limit of a line */
+#define TOKEN_RENEW_S 2.0     /* seconds between new tokens for the sake of unanswered commands */
+#define INVENTORY_EVERY_S 3.0 /* seconds between machine lists: they lag by more */
+#define MACHINES_EVERY_S 0.5  /* seconds between looks at all machines */
+#define PARTITION_SHARE 0.7   /* share of machines silent at once: then it is us who are cut */
 /* share of the other machines that may be silent when one is deleted early: more, and it may be
  * this controller that is cut off */
 #define SILENT_SHARE 0.34
-#define FLEET_WORD_AGES 80    /* ages told apart: up to what a lease may be */
-#define FLEET_WORD_AGE_S 0.25 /* seconds that one of them spans */
-#define REPLICA_ASK_S 0.8     /* seconds between words of a machine with replicas */
+#define CONTACT_AGES 80	    /* ages told apart: up to what a lease may be */
+#define CONTACT_AGE_S 0.25  /* seconds that one of them spans */
+#define REPLICA_PROBE_S 0.8 /* seconds between words of a machine with replicas */
 /* seconds for an answer: usually ms, with a lost packet some hundred */
-#define REPLICA_ANSWER_S 0.8
-#define REPLICA_UNANSWERED 2	 /* questions in a row without an answer: one may be lost */
-#define REPLICA_ASKS_PER_S 10.0	 /* such questions a second at least */
-#define REPLICA_ASK_SHARE 0.34	 /* such questions at most, as a share of the reports */
-#define REPLICA_WATCH_LATE_S 0.5 /* seconds late: no questions are sent in this turn */
+#define REPLICA_PROBE_TIMEOUT_S 0.8
+#define REPLICA_UNANSWERED_PROBES 2    /* questions in a row without an answer: one may be lost */
+#define REPLICA_PROBES_PER_S 10.0      /* such questions a second at least */
+#define REPLICA_PROBE_SHARE 0.34       /* such questions at most, as a share of the reports */
+#define REPLICA_SUPERVISION_LATE_S 0.5 /* seconds late: no questions are sent in this turn */
 /* leases without a report after which replicas move off a machine that answers questions */
 #define REPLICA_MOVE_LEASES 0.5
 /* report intervals since a machine's last message after which replicas rather go elsewhere */
 #define REPLICA_OVERDUE_REPORTS 1.25
 #define REPLICA_OVERDUE_S 20.0 /* seconds: what that is worth in waiting for an image */
-#define CUT_MACHINES 3	       /* machines heard of before that share means anything */
+#define PARTITION_MACHINES 3   /* machines heard of before that share means anything */
 
 /* --- scheduling --- */
-#define ROUND_MIN_S 0.004	 /* seconds between rounds of decisions when nothing presses */
-#define ROUND_AGAIN_S 0.5	 /* seconds between rounds without an event: backoffs end by time */
-#define ROUND_JOB_S 0.0002	 /* seconds more per waiting job: rounds widen with the load */
+#define CYCLE_MIN_S 0.004	 /* seconds between rounds of decisions when nothing presses */
+#define CYCLE_PERIOD_S 0.5	 /* seconds between rounds without an event: backoffs end by time */
+#define CYCLE_JOB_S 0.0002	 /* seconds more per waiting job: rounds widen with the load */
 #define ERROR_BACKOFF_S 2.0	 /* seconds after a first failure; doubles */
 #define ERROR_BACKOFF_MAX_S 60.0 /* seconds: a job that fails everywhere costs one try a minute */
 #define ERROR_JOB_MACHINES 4	 /* machines remembered on which a job failed */
 #define REFUSED_BACKOFF_S 1.0	 /* seconds after a refused start: the description is on its way */
-#define PAIR_QUANTUM_S 5.0	 /* seconds between pairings, from the design */
-#define PAIR_JITTER 0.4		 /* share of the quantum, so that controllers' loads spread */
-#define TURN_S 2.0		 /* seconds a freed slot is kept for its job: a round or two */
+#define SWITCH_QUANTUM_S 5.0	 /* seconds between pairings, from the design */
+#define SWITCH_JITTER 0.4	 /* share of the quantum, so that controllers' loads spread */
+#define FREED_SLOT_S 2.0	 /* seconds a freed slot is kept for its job: a round or two */
 #define GPU_WASTE_S 3.0	    /* seconds: what taking room beside unused GPUs is worth in waiting */
 #define FIT_WEIGHT_S 0.5    /* seconds: the best fit matters less than a held image */
 #define PREEMPT_AFTER_S 0.2 /* seconds of waiting before lower work is stopped */
 #define PREEMPT_SHARE 0.1   /* share of the class's shortest wait aim that passes first */
-#define PREEMPT_HOLD_S 20.0 /* seconds room is held for a gang that work was stopped for */
-#define PLAN_AGAIN_S 2.0    /* seconds between looks for room to be made for one gang */
+#define PREEMPT_RESERVE_S 20.0 /* seconds room is held for a gang that work was stopped for */
+#define PREEMPT_RETRY_S 2.0    /* seconds between looks for room to be made for one gang */
 /* seconds a gang waits before room is held for it as it falls free: within four minutes it has to
  * begin, others are to be served too */
-#define GATHER_AFTER_S 45.0
-#define GATHER_LEAD_S 60.0     /* seconds before a far aim: large gangs took up to 40 to gather */
-#define GATHER_MOST 2	       /* gangs that hold so at once: held room is idle room */
-#define GATHER_SHARE 0.05      /* share of a fleet's CPUs that may be held so, however many gangs */
-#define GATHER_SHARE_LATE 0.1  /* with those that have waited long: four minutes are near */
-#define GATHER_LATE_S 140.0    /* seconds of waiting after which more of them may */
-#define GATHER_MOST_LATE 4     /* then */
-#define GATHER_HOLD_S 2.0      /* seconds held beyond the last round: rounds come twice a second */
-#define GATHER_USED_SHARE 0.05 /* of room in use that falls free in the seconds that matter */
-#define AGAIN_START_S 15.0     /* seconds to find room, start and fetch anew */
+#define RESERVE_AFTER_S 45.0
+#define RESERVE_LEAD_S 60.0    /* seconds before a far aim: large gangs took up to 40 to gather */
+#define RESERVE_MAX_GANGS 2    /* gangs that hold so at once: held room is idle room */
+#define RESERVE_SHARE 0.05     /* share of a fleet's CPUs that may be held so, however many gangs */
+#define RESERVE_SHARE_LATE 0.1 /* with those that have waited long: four minutes are near */
+#define RESERVE_LATE_S 140.0   /* seconds of waiting after which more of them may */
+#define RESERVE_MAX_GANGS_LATE 4 /* then */
+#define RESERVE_EXTEND_S 2.0	/* seconds held beyond the last round: rounds come twice a second */
+#define RESERVE_USED_SHARE 0.05 /* of room in use that falls free in the seconds that matter */
+#define RESTART_S 15.0		/* seconds to find room, start and fetch anew */
 /* times the estimate, for a task that begins anew: often wrong by half */
-#define AGAIN_FACTOR 1.5
+#define RESTART_FACTOR 1.5
 #define NEED_START_S 10.0  /* seconds to start and fetch, off the time an array has left */
 #define LATE_FIRST_S 140.0 /* seconds of waiting after which a gang goes before all others */
 #define ORDER_FAR_S 1e6	   /* seconds: before or behind all that have a time of their own */
-#define ORDINARY_S 4.0	   /* seconds: an ordinary machine's worth to those who need one */
+#define ON_DEMAND_S 4.0	   /* seconds: an ordinary machine's worth to those who need one */
 /* seconds: a second replica on one machine, against a fetch elsewhere */
 #define REPLICA_MACHINE_S 8.0
 #define REPLICA_STEADY_S 20.0 /* seconds a replica runs before its end is no failure to start */
@@ -210,38 +213,39 @@
 #define REPLICA_SPOT_S 20.0 /* seconds: a machine that may be taken back with a replica */
 #define ROOM_SLACK 1e-6	    /* CPUs, GPUs, GB: sums of decimal amounts */
 /* rooms looked at for single tasks in one round, at a whole core: 0.2 s of work */
-#define ROUND_VISITS_PER_CORE 2e7
-#define ROUND_WANTED_MAX 32 /* shapes of waiting gangs whose room is left to them in a round */
-#define ROUND_NO_MAX 32	    /* shapes without room remembered in a round */
+#define CYCLE_VISITS_PER_CORE 2e7
+#define CYCLE_GANG_SHAPES_MAX 32 /* shapes of waiting gangs whose room is left to them in a round  \
+				  */
+#define CYCLE_NO_FITS_MAX 32	 /* shapes without room remembered in a round */
 
 /* --- rentals --- */
-#define RENT_EVERY_S 0.5  /* seconds between looks at what is missing */
-#define RENT_AFTER_S 0.3  /* seconds a task waits before machines are rented for it */
-#define RENT_SETTLE_S 4.0 /* seconds after a take-over: workers have yet to report */
+#define AUTOSCALE_EVERY_S 0.5  /* seconds between looks at what is missing */
+#define SCALE_OUT_AFTER_S 0.3  /* seconds a task waits before machines are rented for it */
+#define AUTOSCALE_SETTLE_S 4.0 /* seconds after a take-over: workers have yet to report */
 /* shapes and zones remembered while it is planned: others are slower */
-#define RENT_SHAPES_MAX 64
+#define SCALE_OUT_SHAPES_MAX 64
 #define CLOUD_SHARE 0.9 /* share of the cloud's rate: clocks differ, a late turn sends at once */
-#define RENT_GIVE_UP_S 30.0	 /* seconds a request without an answer is repeated */
-#define RENT_SPOT_S 5.0		 /* seconds: a spot machine may be taken back */
-#define RENT_GPU_WASTE_S 100.0	 /* seconds: GPUs are rented for those who use them */
-#define RENT_ESTIMATE_FACTOR 1.5 /* times the estimate: owners are often wrong by half */
-#define RENT_LEAD_S 60.0	 /* seconds to rent, boot and fetch before a task can start */
-#define RENT_JITTER 0.02	 /* share: equal offers are spread over zones */
+#define SCALE_OUT_GIVE_UP_S 30.0      /* seconds a request without an answer is repeated */
+#define SCALE_OUT_SPOT_S 5.0	      /* seconds: a spot machine may be taken back */
+#define SCALE_OUT_GPU_WASTE_S 100.0   /* seconds: GPUs are rented for those who use them */
+#define SCALE_OUT_ESTIMATE_FACTOR 1.5 /* times the estimate: owners are often wrong by half */
+#define SCALE_OUT_LEAD_S 60.0	      /* seconds to rent, boot and fetch before a task can start */
+#define SCALE_OUT_JITTER 0.02	      /* share: equal offers are spread over zones */
 /* deleted machines remembered before a new token makes the older ones needless: some 1 MB */
-#define TOMBSTONES_MANY 8192
-#define TOMBSTONE_LISTS_S 60.0	/* seconds beyond the lag that a list may be read and taken */
-#define NOTICE_MARGIN_S 2.0	/* seconds beyond the save: the stop has to arrive */
-#define RENT_REFUSED_S 10.0	/* seconds before a refused type, zone and kind is asked again */
-#define RENT_REFUSED_MAX_S 40.0 /* seconds: capacity may come back any time */
-#define RENT_BATCH_MAX 50	/* machines per request, from the protocol */
-#define DELETE_BATCH_MAX 100	/* names per request, from the protocol */
-#define CLOUD_BACKOFF_S 1.5	/* seconds after 429, 503 or no answer */
-#define CATALOG_EVERY_S 60.0	/* seconds between reads of prices by the leader */
-#define IDLE_THRIFTY_S 25.0	/* seconds idle before return where money counts: about a boot */
-#define IDLE_DEAR_S 12.0	/* the same for GPU machines: shorter brings boots, longer idles */
-#define IDLE_USELESS_S 60.0	/* seconds idle of a machine that no open job could use */
-#define IDLE_LAVISH_S 3600.0	/* seconds where it does not */
-#define HEADROOM_LAVISH 0.6	/* free room kept, as share of use, where a guarantee stands */
-#define HEADROOM_LAVISH_MIN 6	/* tasks of free room at least there */
+#define TOMBSTONES_MAX 8192
+#define TOMBSTONE_LISTS_S 60.0	 /* seconds beyond the lag that a list may be read and taken */
+#define NOTICE_MARGIN_S 2.0	 /* seconds beyond the save: the stop has to arrive */
+#define SCALE_OUT_REFUSED_S 10.0 /* seconds before a refused type, zone and kind is asked again */
+#define SCALE_OUT_REFUSED_MAX_S 40.0 /* seconds: capacity may come back any time */
+#define SCALE_OUT_BATCH_MAX 50	     /* machines per request, from the protocol */
+#define DELETE_BATCH_MAX 100	     /* names per request, from the protocol */
+#define CLOUD_BACKOFF_S 1.5	     /* seconds after 429, 503 or no answer */
+#define CATALOG_EVERY_S 60.0	     /* seconds between reads of prices by the leader */
+#define IDLE_COST_S 25.0	 /* seconds idle before return where money counts: about a boot */
+#define IDLE_GPU_S 12.0		 /* the same for GPU machines: shorter brings boots, longer idles */
+#define IDLE_UNUSABLE_S 60.0	 /* seconds idle of a machine that no open job could use */
+#define IDLE_GUARANTEE_S 3600.0	 /* seconds where it does not */
+#define HEADROOM_GUARANTEE 0.6	 /* free room kept, as share of use, where a guarantee stands */
+#define HEADROOM_GUARANTEE_MIN 6 /* tasks of free room at least there */
 
 #endif
--- a/src/core/call.h
+++ b/src/core/call.h
@@ -18,36 +18,36 @@
 struct call;
 
 /* The answer to a call: its HTTP status, 0 if none came, -1 if the call never left. */
-typedef void (*call_fn)(struct core *core, struct call *call, int status, const char *body,
-			size_t len);
+typedef void (*answer_fn)(struct core *core, struct call *call, int status, const char *body,
+			  size_t len);
 
 /* A call without an answer yet. */
 struct call {
 	uint64_t id;
-	call_fn fn;
+	answer_fn on_answer;
 	void *arg;
-	void (*drop)(void *arg); /* frees arg if no answer is waited for any more */
-	uint64_t term; /* leadership under which it was made: answers of an older one are void */
-	double sent;   /* steady */
+	void (*free_arg)(void *arg); /* frees arg if no answer is waited for any more */
+	uint64_t term;	/* leadership under which it was made: answers of an older one are void */
+	double sent_at; /* steady */
 	double timeout_s;
-	uint64_t session, seq; /* asked of a worker: what was known of it by then */
-	bool starts;	       /* direct commands: a start is among them */
-	uint64_t token;	       /* direct commands: sent under it */
+	uint64_t incarnation, sequence; /* asked of a worker: what was known of it by then */
+	bool has_start;			/* direct commands: a start is among them */
+	uint64_t token;			/* direct commands: sent under it */
 	char key[CONF_NAME_MAX + ID_MAX];
 	UT_hash_handle hh;
 };
 
 /* What may be done now of something that a rate allows: a second's worth gathers at most. */
-struct allowance {
-	double left, filled;
+struct rate_limiter {
+	double tokens, refilled_at;
 };
 
 /* Makes a call; `path` and `body` are owned by it from then on. */
 struct call *core_call(struct core *core, const char *addr, const char *method, char *path,
-		       char *body, double timeout_s, call_fn fn, void *arg);
+		       char *body, double timeout_s, answer_fn fn, void *arg);
 /* To and from other controllers: a packed message, which the action owns from then on. */
 struct call *core_call_packed(struct core *core, const char *addr, const char *path, uint8_t *buf,
-			      size_t len, call_fn fn, void *arg);
+			      size_t len, answer_fn fn, void *arg);
 void core_reply_packed(struct core *core, uint64_t conn, uint8_t *buf, size_t len);
 /* Answers a request; `body` is owned by the answer from then on. retry_after: seconds, 0: none. */
 void core_reply(struct core *core, uint64_t conn, int status, int retry_after, char *body);
@@ -57,8 +57,8 @@
 /* A number from [0, 1). */
 double core_random(struct core *core);
 /* Adds what the rate has allowed since the last time. */
-void allowance_fill(const struct core *core, struct allowance *a, double rate);
+void rate_limiter_refill(const struct core *core, struct rate_limiter *a, double rate);
 /* A formatted path that the caller owns. */
-char *fmt_path(const char *fmt, ...) __attribute__((format(printf, 1, 2)));
+char *format_path(const char *fmt, ...) __attribute__((format(printf, 1, 2)));
 
 #endif
--- a/src/core/catalog.c
+++ b/src/core/catalog.c
@@ -17,10 +17,10 @@
 
 	if (wire_types_decode(o, &types, &n))
 		return false;
-	wire_types_free(core->catalog.types, core->catalog.ntypes);
+	wire_types_free(core->catalog.types, core->catalog.type_count);
 	core->catalog.types = types;
-	core->catalog.ntypes = n;
-	machines_relink(core);
+	core->catalog.type_count = n;
+	machines_apply_catalog(core);
 	return true;
 }
 
@@ -30,7 +30,7 @@
 	(void)call;
 	(void)body;
 	(void)len;
-	store_heard(core, status);
+	store_note_answer(core, status);
 }
 
 static void store_catalog_value(struct core *core, const char *key, json_t *value)
@@ -46,7 +46,7 @@
 /* One value, or where that would be too large one for each type of machine. */
 static void store_catalog(struct core *core)
 {
-	json_t *all = wire_types_encode(core->catalog.types, core->catalog.ntypes);
+	json_t *all = wire_types_encode(core->catalog.types, core->catalog.type_count);
 
 	core->catalog.stored = true;
 	if (wire_value_bytes(all) <= limits_job_record_bytes(core)) {
@@ -54,7 +54,7 @@
 		return;
 	}
 	json_decref(all);
-	for (size_t i = 0; i < core->catalog.ntypes; i++) {
+	for (size_t i = 0; i < core->catalog.type_count; i++) {
 		char key[KEY_MAX];
 
 		snprintf(key, sizeof(key), CATALOG_KEY "/%s", core->catalog.types[i].name);
@@ -83,7 +83,7 @@
 	all = json_pack("{s:o}", W_TYPES, types);
 	if (take_catalog(core, all)) {
 		core->catalog.stored = true;
-		log_info("catalog", "from=state types=%zu", core->catalog.ntypes);
+		log_info("catalog", "from=state types=%zu", core->catalog.type_count);
 	}
 	json_decref(all);
 	json_decref(answer);
@@ -96,8 +96,8 @@
 	json_t *o;
 
 	(void)call;
-	core->catalog.out = false;
-	core->catalog.next = core->now + CLOUD_BACKOFF_S;
+	core->catalog.in_flight = false;
+	core->catalog.next_read_at = core->now + CLOUD_BACKOFF_S;
 	if (status != 200) {
 		if (first)
 			store_range(core, CATALOG_KEY, "", on_stored_catalog, NULL);
@@ -105,9 +105,9 @@
 	}
 	o = wire_parse(body, len);
 	if (take_catalog(core, o)) {
-		core->catalog.next = core->now + CATALOG_EVERY_S;
+		core->catalog.next_read_at = core->now + CATALOG_EVERY_S;
 		if (first)
-			log_info("catalog", "from=cloud types=%zu", core->catalog.ntypes);
+			log_info("catalog", "from=cloud types=%zu", core->catalog.type_count);
 		if (!core->catalog.stored)
 			store_catalog(core);
 	}
@@ -116,10 +116,10 @@
 
 void catalog_tick(struct core *core)
 {
-	if (core->catalog.out || core->now < core->catalog.next ||
-	    (core->catalog.types && core->election.role != ROLE_LEAD))
+	if (core->catalog.in_flight || core->now < core->catalog.next_read_at ||
+	    (core->catalog.types && core->election.role != ROLE_LEADER))
 		return;
-	core->catalog.out = true;
-	core_call(core, core->conf->cloud, "GET", fmt_path(W_PATH_TYPES), NULL, CALL_CLOUD_S,
+	core->catalog.in_flight = true;
+	core_call(core, core->conf->cloud, "GET", format_path(W_PATH_TYPES), NULL, CALL_CLOUD_S,
 		  on_catalog, NULL);
 }
--- a/src/core/commands.c
+++ b/src/core/commands.c
@@ -7,7 +7,8 @@
 
 bool machine_fenced(const struct machine *machine)
 {
-	return !machine->commands_out && machine->token > machine->unanswered_token;
+	return !machine->commands.in_flight &&
+	       machine->agent.token > machine->commands.unanswered_token;
 }
 
 static void add_command(struct command_list *list, enum command_op op, const char *job,
@@ -15,15 +16,15 @@
 {
 	struct command *cmd;
 
-	if (list->n == COMMANDS_MAX)
+	if (list->count == COMMANDS_MAX)
 		return;
-	cmd = &list->items[list->n++];
+	cmd = &list->items[list->count++];
 	cmd->op = op;
 	snprintf(cmd->job, sizeof(cmd->job), "%s", job);
 	cmd->task = task;
 	cmd->attempt = attempt;
 	cmd->grace_s = grace_s;
-	list->starts |= op == OP_START;
+	list->has_start |= op == OP_START;
 }
 
 /* A gang starts only when the whole attempt is committed: a part alone would wait in vain. */
@@ -31,54 +32,55 @@
 {
 	const struct job *job = binding->job;
 
-	if (!binding->committed || binding->seen || binding->stopping || job->cancelled ||
-	    job->orphan || job->gang_stopping || binding->loaded)
+	if (!binding->committed || binding->observed || binding->stopping || job->cancelled ||
+	    job->orphan || job->gang_stopping || binding->recovered)
 		return false;
-	return job->spec.kind != JOB_GANG || !job->uncommitted;
+	return job->spec.kind != JOB_GANG || !job->uncommitted_count;
 }
 
 static void command_binding(struct core *core, struct machine *machine, struct binding *binding,
 			    struct command_list *list, bool beat)
 {
 	/* Sent by /do and answered, but not yet on a report: not sent again at once. */
-	if (may_start(binding) &&
-	    (beat || binding->sent_at <= 0 || core->now - binding->sent_at > START_RESEND_S)) {
+	if (may_start(binding) && (beat || binding->start_sent_at <= 0 ||
+				   core->now - binding->start_sent_at > START_RESEND_S)) {
 		add_command(list, OP_START, binding->job->spec.id, binding->task, binding->attempt,
 			    0);
-		binding->sent_at = core->now;
-		binding->sent_session = machine->session;
+		binding->start_sent_at = core->now;
+		binding->start_incarnation = machine->agent.incarnation;
 		if (beat)
-			binding->beat_seq = machine->seq;
-	} else if (binding->stopping && binding->state != TS_EXITED &&
-		   (beat || binding->stop_at <= 0 ||
-		    core->now - binding->stop_at > START_RESEND_S)) {
+			binding->start_sequence = machine->agent.sequence;
+	} else if (binding->stopping && binding->state != TASK_EXITED &&
+		   (beat || binding->stop_sent_at <= 0 ||
+		    core->now - binding->stop_sent_at > START_RESEND_S)) {
 		/* A second stop with less grace would end a save: it is repeated unchanged. */
 		add_command(list, OP_STOP, binding->job->spec.id, binding->task, binding->attempt,
 			    binding->grace_s);
-		binding->stop_at = core->now;
+		binding->stop_sent_at = core->now;
 	}
 }
 
 static bool may_forget(struct core *core, const struct machine *machine,
-		       const struct leftover *leftover)
+		       const struct unbound_task *leftover)
 {
 	struct job *job = job_find(core, leftover->job);
 
 	/* Its end must be on record first: until then this list is the only proof. */
-	if (!machine_fenced(machine) || machine->token < core->election.token)
+	if (!machine_fenced(machine) || machine->agent.token < core->election.token)
 		return false;
-	return !job || leftover->task >= job->spec.ntasks || commit_settled(job, leftover->task);
+	return !job || leftover->task >= job->spec.task_count ||
+	       write_queue_settled(job, leftover->task);
 }
 
-void commands_gather(struct core *core, struct machine *machine, struct command_list *list,
-		     bool beat)
+void commands_collect(struct core *core, struct machine *machine, struct command_list *list,
+		      bool beat)
 {
 	struct binding *binding;
 
-	list->n = 0;
-	list->starts = false;
-	for (size_t i = 0; i < machine->nleft; i++) {
-		const struct leftover *leftover = &machine->left[i];
+	list->count = 0;
+	list->has_start = false;
+	for (size_t i = 0; i < machine->agent.leftover_count; i++) {
+		const struct unbound_task *leftover = &machine->agent.leftovers[i];
 
 		if (!leftover->ended)
 			add_command(list, OP_STOP, leftover->job, leftover->task, leftover->attempt,
@@ -86,11 +88,11 @@
 		else if (may_forget(core, machine, leftover))
 			add_command(list, OP_FORGET, leftover->job, leftover->task,
 				    leftover->attempt, 0);
-		else if (!machine_fenced(machine) && !machine->commands_out)
-			core->commits.fence_wanted = true;
+		else if (!machine_fenced(machine) && !machine->commands.in_flight)
+			core->write_queue.new_token_wanted = true;
 	}
-	if (machine->deleting)
+	if (machine->cloud.deleting)
 		return;
-	DL_FOREACH2 (machine->bindings, binding, mnext)
+	DL_FOREACH2 (machine->bindings, binding, machine_next)
 		command_binding(core, machine, binding, list, beat);
 }
--- a/src/core/commands.h
+++ b/src/core/commands.h
@@ -8,14 +8,14 @@
 
 struct command_list {
 	struct command items[COMMANDS_MAX];
-	size_t n;
-	bool starts;
+	size_t count;
+	bool has_start;
 };
 
 /* True if no start sent at an earlier moment can still take effect on this machine. */
 bool machine_fenced(const struct machine *machine);
 /* The commands that are due. `beat`: they go with the answer to a report. */
-void commands_gather(struct core *core, struct machine *machine, struct command_list *list,
-		     bool beat);
+void commands_collect(struct core *core, struct machine *machine, struct command_list *list,
+		      bool beat);
 
 #endif
--- a/src/core/commit.c
+++ b/src/core/commit.c
@@ -14,69 +14,69 @@
 #include "core/state.h"
 #include "util/log.h"
 
-static struct write *write_add(struct write **list, enum write_kind kind, struct job *job,
-			       uint32_t chunk)
+static struct pending_write *write_add(struct pending_write **list, enum pending_write_kind kind,
+				       struct job *job, uint32_t chunk)
 {
-	struct write *item = calloc(1, sizeof(*item));
+	struct pending_write *item = calloc(1, sizeof(*item));
 
 	if (!item)
 		abort();
 	item->kind = kind;
 	item->job = job;
 	item->chunk = chunk;
-	item->list = list;
+	item->queue = list;
 	DL_APPEND(*list, item);
 	return item;
 }
 
 /* Out of the queue that it waits in. */
-static void write_unlist(struct write *item)
+static void write_unlist(struct pending_write *item)
 {
-	DL_DELETE(*item->list, item);
-	item->list = NULL;
-	if (item->kind == WR_CHUNK)
-		item->job->chunks[item->chunk].queued = NULL;
+	DL_DELETE(*item->queue, item);
+	item->queue = NULL;
+	if (item->kind == WRITE_CHUNK)
+		item->job->records.chunks[item->chunk].queued_write = NULL;
 }
 
-static void write_move(struct write *item, struct write **list)
+static void write_move(struct pending_write *item, struct pending_write **list)
 {
-	DL_DELETE(*item->list, item);
-	item->list = list;
+	DL_DELETE(*item->queue, item);
+	item->queue = list;
 	DL_APPEND(*list, item);
 }
 
 /* The chunk that holds the task is to be written, at the latest after `delay_s`. */
-void commit_chunk(struct core *core, struct job *job, uint32_t task, double delay_s)
+void write_queue_add_chunk(struct core *core, struct job *job, uint32_t task, double delay_s)
 {
 	uint32_t k = job_chunk_of(job, task);
-	struct write *item;
+	struct pending_write *item;
 
-	if (k >= job_chunks(job) ||
-	    (job->final_queued && !job->chunks[k].nbound && !job->final_done))
+	if (k >= job_chunk_count(job) ||
+	    (job->final_queued && !job->records.chunks[k].binding_count && !job->final_committed))
 		return;
-	item = job->chunks[k].queued;
+	item = job->records.chunks[k].queued_write;
 	if (!item) {
-		item = write_add(&core->commits.writes, WR_CHUNK, job, k);
-		item->due = core->now + delay_s;
-		job->chunks[k].queued = item;
-	} else if (item->list == &core->commits.migrations) {
-		write_move(item, &core->commits.writes);
-		item->due = core->now + delay_s;
+		item = write_add(&core->write_queue.chunks, WRITE_CHUNK, job, k);
+		item->due_at = core->now + delay_s;
+		job->records.chunks[k].queued_write = item;
+	} else if (item->queue == &core->write_queue.migrations) {
+		write_move(item, &core->write_queue.chunks);
+		item->due_at = core->now + delay_s;
 	}
-	if (item->due > core->now + delay_s)
-		item->due = core->now + delay_s;
+	if (item->due_at > core->now + delay_s)
+		item->due_at = core->now + delay_s;
 }
 
-void commit_migrate(struct core *core, struct job *job, uint32_t chunk)
+void write_queue_add_migration(struct core *core, struct job *job, uint32_t chunk)
 {
-	if (!job->chunks[chunk].queued)
-		job->chunks[chunk].queued =
-		    write_add(&core->commits.migrations, WR_CHUNK, job, chunk);
+	if (!job->records.chunks[chunk].queued_write)
+		job->records.chunks[chunk].queued_write =
+		    write_add(&core->write_queue.migrations, WRITE_CHUNK, job, chunk);
 }
 
-void commit_drop(struct core *core, const char *key, uint64_t version)
+void write_queue_add_delete(struct core *core, const char *key, uint64_t version)
 {
-	struct write *w = write_add(&core->commits.drops, WR_DROP, NULL, 0);
+	struct pending_write *w = write_add(&core->write_queue.deletes, WRITE_DELETE, NULL, 0);
 
 	snprintf(w->key, sizeof(w->key), "%s", key);
 	w->version = version;
@@ -85,8 +85,8 @@
 static void unqueue_chunks(struct core *core, struct job *job)
 {
 	(void)core;
-	for (uint32_t k = 0; k < job_chunks(job); k++) {
-		struct write *item = job->chunks[k].queued;
+	for (uint32_t k = 0; k < job_chunk_count(job); k++) {
+		struct pending_write *item = job->records.chunks[k].queued_write;
 
 		if (!item)
 			continue;
@@ -95,19 +95,19 @@
 	}
 }
 
-void commit_final(struct core *core, struct job *job)
+void write_queue_add_final(struct core *core, struct job *job)
 {
 	if (job->final_queued)
 		return;
 	job->final_queued = true;
 	/* The final record stands for the chunks that were still to be written. */
 	unqueue_chunks(core, job);
-	write_add(&core->commits.finals, WR_FINAL, job, 0);
+	write_add(&core->write_queue.finals, WRITE_FINAL, job, 0);
 }
 
-static void drop_list(struct write **list)
+static void drop_list(struct pending_write **list)
 {
-	struct write *item, *tmp;
+	struct pending_write *item, *tmp;
 
 	DL_FOREACH_SAFE (*list, item, tmp) {
 		DL_DELETE(*list, item);
@@ -117,39 +117,39 @@
 
 static void commit_clear_transaction(struct core *core)
 {
-	drop_list(&core->commits.transaction.items);
-	free(core->commits.transaction.body);
-	memset(&core->commits.transaction, 0, sizeof(core->commits.transaction));
-	core->commits.in_flight = false;
+	drop_list(&core->write_queue.transaction.writes);
+	free(core->write_queue.transaction.body);
+	memset(&core->write_queue.transaction, 0, sizeof(core->write_queue.transaction));
+	core->write_queue.in_flight = false;
 }
 
-void commit_clear(struct core *core)
+void write_queue_clear(struct core *core)
 {
-	drop_list(&core->commits.writes);
-	drop_list(&core->commits.migrations);
-	drop_list(&core->commits.finals);
-	drop_list(&core->commits.drops);
+	drop_list(&core->write_queue.chunks);
+	drop_list(&core->write_queue.migrations);
+	drop_list(&core->write_queue.finals);
+	drop_list(&core->write_queue.deletes);
 	commit_clear_transaction(core);
 }
 
-void commit_forget_chunks(struct core *core)
+void write_queue_discard_chunks(struct core *core)
 {
-	drop_list(&core->commits.writes);
-	drop_list(&core->commits.migrations);
+	drop_list(&core->write_queue.chunks);
+	drop_list(&core->write_queue.migrations);
 }
 
-bool commit_settled(const struct job *job, uint32_t task)
+bool write_queue_settled(const struct job *job, uint32_t task)
 {
-	const struct chunk *chunk = &job->chunks[job_chunk_of(job, task)];
+	const struct chunk *chunk = &job->records.chunks[job_chunk_of(job, task)];
 
 	if (job->final_queued)
-		return job->final_done;
-	return !chunk->queued && !chunk->in_flight;
+		return job->final_committed;
+	return !chunk->queued_write && !chunk->in_flight;
 }
 
 static void key_job(char *key, const struct job *job)
 {
-	snprintf(key, KEY_MAX, JOBS_OPEN "%s", job->spec.id);
+	snprintf(key, KEY_MAX, KEY_OPEN_JOBS "%s", job->spec.id);
 }
 
 /* --- building --- */
@@ -157,24 +157,24 @@
 /* On record, and nothing is bound in it or about to be written of it. */
 static bool chunk_idle(const struct chunk *chunk)
 {
-	return chunk->version && !chunk->nbound && !chunk->queued && !chunk->in_flight;
+	return chunk->version && !chunk->binding_count && !chunk->queued_write && !chunk->in_flight;
 }
 
-static int write_ops(const struct write *item, int most)
+static int write_ops(const struct pending_write *item, int most)
 {
 	int n = 2;
 
-	if (item->kind != WR_FINAL)
+	if (item->kind != WRITE_FINAL)
 		return 1;
-	for (uint32_t k = 0; k < job_chunks(item->job) && n < most; k++)
-		n += chunk_idle(&item->job->chunks[k]);
+	for (uint32_t k = 0; k < job_chunk_count(item->job) && n < most; k++)
+		n += chunk_idle(&item->job->records.chunks[k]);
 	return n;
 }
 
 /* Cancelled stays cancelled, even if the last task was done before its stop arrived. */
 static enum job_state final_state(const struct job *job)
 {
-	return job->cancelled ? JS_CANCELLED : JS_DONE;
+	return job->cancelled ? JOB_STATE_CANCELLED : JOB_STATE_DONE;
 }
 
 static void add_drop(struct txn *txn, const char *key, uint64_t version)
@@ -190,37 +190,37 @@
 	int n = 2;
 
 	key_job(key, job);
-	snprintf(fkey, sizeof(fkey), JOBS_OVER "%s", job->spec.id);
-	txn_guard(txn, key, job->version);
+	snprintf(fkey, sizeof(fkey), KEY_FINAL_JOBS "%s", job->spec.id);
+	txn_guard(txn, key, job->record_version);
 	txn_guard(txn, fkey, 0);
 	txn_drop(txn, key);
 	txn_put(txn, fkey,
 		json_pack("{s:s,s:i}", "state", wire_job_state(final_state(job)), "tasks",
-			  (int)job->spec.ntasks),
+			  (int)job->spec.task_count),
 		0);
-	for (uint32_t k = 0; k < job_chunks(job) && n < most; k++) {
-		if (!chunk_idle(&job->chunks[k]))
+	for (uint32_t k = 0; k < job_chunk_count(job) && n < most; k++) {
+		if (!chunk_idle(&job->records.chunks[k]))
 			continue;
 		task_record_key(key, job, k);
-		add_drop(txn, key, job->chunks[k].version);
-		job->chunks[k].ending = true;
+		add_drop(txn, key, job->records.chunks[k].version);
+		job->records.chunks[k].ends_with_job = true;
 		n++;
 	}
 }
 
 /* Nothing is bound in it any more and its job is over: the record goes. */
-static bool chunk_ends(const struct write *item)
+static bool chunk_ends(const struct pending_write *item)
 {
-	return item->job->orphan && !item->job->chunks[item->chunk].nbound;
+	return item->job->orphan && !item->job->records.chunks[item->chunk].binding_count;
 }
 
 /* The bytes of the chunk's value; 0 if its record goes. */
-static size_t add_chunk(struct txn *txn, const struct write *item)
+static size_t add_chunk(struct txn *txn, const struct pending_write *item)
 {
 	char key[KEY_MAX];
 
 	task_record_key(key, item->job, item->chunk);
-	txn_guard(txn, key, item->job->chunks[item->chunk].version);
+	txn_guard(txn, key, item->job->records.chunks[item->chunk].version);
 	if (!chunk_ends(item))
 		return txn_put(txn, key, task_record_value(item->job, item->chunk), 0);
 	txn_drop(txn, key);
@@ -232,17 +232,17 @@
 {
 	struct binding *binding;
 
-	job->chunks[chunk].in_flight = true;
-	DL_FOREACH2 (job->chunks[chunk].bindings, binding, cnext)
+	job->records.chunks[chunk].in_flight = true;
+	DL_FOREACH2 (job->records.chunks[chunk].bindings, binding, chunk_next)
 		binding->in_flight = true;
 }
 
 /* The bytes of its largest value, as far as that can grow. */
-static size_t add_write(struct txn *txn, const struct write *item, int most)
+static size_t add_write(struct txn *txn, const struct pending_write *item, int most)
 {
-	if (item->kind == WR_CHUNK)
+	if (item->kind == WRITE_CHUNK)
 		return add_chunk(txn, item);
-	if (item->kind == WR_FINAL)
+	if (item->kind == WRITE_FINAL)
 		add_final(txn, item->job, most);
 	else
 		add_drop(txn, item->key, item->version);
@@ -252,8 +252,8 @@
 /* The transaction that was to end the job is not sent. */
 static void final_unsent(struct job *job)
 {
-	for (uint32_t k = 0; k < job_chunks(job); k++)
-		job->chunks[k].ending = false;
+	for (uint32_t k = 0; k < job_chunk_count(job); k++)
+		job->records.chunks[k].ends_with_job = false;
 }
 
 /* --- outcomes --- */
@@ -264,33 +264,33 @@
 	struct binding *binding;
 
 	b->committed = true;
-	job->uncommitted--;
+	job->uncommitted_count--;
 	if (job->spec.kind != JOB_GANG) {
-		commands_wanted(core, b->machine);
+		commands_request(core, b->machine);
 		return;
 	}
 	/* A gang starts when all of it is on record. */
-	if (!job->uncommitted)
-		DL_FOREACH2 (job->bindings, binding, jnext)
-			commands_wanted(core, binding->machine);
+	if (!job->uncommitted_count)
+		DL_FOREACH2 (job->bindings, binding, job_next)
+			commands_request(core, binding->machine);
 }
 
-static void chunk_committed(struct core *core, struct write *item, uint64_t revision)
+static void chunk_committed(struct core *core, struct pending_write *item, uint64_t revision)
 {
 	struct job *job = item->job;
-	struct chunk *chunk = &job->chunks[item->chunk];
+	struct chunk *chunk = &job->records.chunks[item->chunk];
 	bool dropped = chunk_ends(item);
 	struct binding *binding;
 
 	chunk->in_flight = false;
 	chunk->version = dropped ? 0 : revision;
-	DL_FOREACH2 (chunk->bindings, binding, cnext) {
+	DL_FOREACH2 (chunk->bindings, binding, chunk_next) {
 		if (binding->in_flight && !binding->committed)
 			binding_committed(core, binding);
 		binding->in_flight = false;
 	}
-	task_record_superseded(core, job, item->chunk);
-	job_release(core, job);
+	task_record_note_superseded(core, job, item->chunk);
+	job_release_if_over(core, job);
 }
 
 static void final_committed(struct core *core, struct job *job)
@@ -299,30 +299,30 @@
 	char key[KEY_MAX];
 
 	log_info("job_final", "job=%s state=%s", job->spec.id, wire_job_state(s));
-	users_note_final(core, job->spec.id, s, job->spec.ntasks);
-	job->final_done = true;
+	job_index_note_final(core, job->spec.id, s, job->spec.task_count);
+	job->final_committed = true;
 	job->orphan = true;
-	for (uint32_t k = 0; k < job_chunks(job); k++) {
-		struct chunk *chunk = &job->chunks[k];
+	for (uint32_t k = 0; k < job_chunk_count(job); k++) {
+		struct chunk *chunk = &job->records.chunks[k];
 
-		if (!chunk->ending && chunk_idle(chunk)) {
+		if (!chunk->ends_with_job && chunk_idle(chunk)) {
 			task_record_key(key, job, k);
-			commit_drop(core, key, chunk->version);
+			write_queue_add_delete(core, key, chunk->version);
 		}
-		if (chunk->ending)
+		if (chunk->ends_with_job)
 			chunk->version = 0;
-		chunk->ending = false;
-		if (!chunk->nbound && !chunk->queued && !chunk->in_flight)
-			task_record_superseded(core, job, k);
+		chunk->ends_with_job = false;
+		if (!chunk->binding_count && !chunk->queued_write && !chunk->in_flight)
+			task_record_note_superseded(core, job, k);
 	}
-	job_release(core, job);
+	job_release_if_over(core, job);
 }
 
-static void write_committed(struct core *core, struct write *item, uint64_t revision)
+static void write_committed(struct core *core, struct pending_write *item, uint64_t revision)
 {
-	if (item->kind == WR_CHUNK)
+	if (item->kind == WRITE_CHUNK)
 		chunk_committed(core, item, revision);
-	else if (item->kind == WR_FINAL)
+	else if (item->kind == WRITE_FINAL)
 		final_committed(core, item->job);
 }
 
@@ -333,67 +333,67 @@
 static void forget_deleted(struct core *core)
 {
 	core->election.first_token = core->election.token;
-	tombstones_drop(core, core->commits.fence_at);
+	tombstones_trim(core, core->write_queue.token_renewed_at);
 }
 
 static void committed(struct core *core, uint64_t revision)
 {
-	struct write *item, *tmp;
+	struct pending_write *item, *tmp;
 
-	DL_FOREACH_SAFE (core->commits.transaction.items, item, tmp) {
-		DL_DELETE(core->commits.transaction.items, item);
+	DL_FOREACH_SAFE (core->write_queue.transaction.writes, item, tmp) {
+		DL_DELETE(core->write_queue.transaction.writes, item);
 		write_committed(core, item, revision);
 		free(item);
 	}
-	if (core->commits.transaction.fence) {
+	if (core->write_queue.transaction.renews_token) {
 		log_info("fence", "old=%llu new=%llu", (unsigned long long)core->election.token,
 			 (unsigned long long)revision);
-		core->election.token = core->election.revision = revision;
-		if (tombstones_many(core))
+		core->election.token = core->election.key_revision = revision;
+		if (tombstones_need_new_token(core))
 			forget_deleted(core);
-		core->rounds.attempts = 0;
-		if (core->commits.transaction.raises) {
-			election_raised(core, FORMAT_NEWEST, revision);
+		core->cycles.attempt_counter = 0;
+		if (core->write_queue.transaction.raises_format) {
+			election_note_format(core, FORMAT_NEWEST, revision);
 			task_records_raise(core);
 			log_info("format", "raised=%d", FORMAT_NEWEST);
 		}
 		log_token(revision);
-		workers_fenced(core);
+		agents_token_renewed(core);
 	}
 	commit_clear_transaction(core);
 }
 
-static void requeue_chunk(struct core *core, struct write *item)
+static void requeue_chunk(struct core *core, struct pending_write *item)
 {
 	struct job *job = item->job;
 	struct binding *binding;
 
-	job->chunks[item->chunk].in_flight = false;
-	DL_FOREACH2 (job->chunks[item->chunk].bindings, binding, cnext)
+	job->records.chunks[item->chunk].in_flight = false;
+	DL_FOREACH2 (job->records.chunks[item->chunk].bindings, binding, chunk_next)
 		binding->in_flight = false;
-	if (job->chunks[item->chunk].queued) {
+	if (job->records.chunks[item->chunk].queued_write) {
 		free(item);
 		return;
 	}
-	job->chunks[item->chunk].queued = item;
-	item->due = core->now;
-	item->list = &core->commits.writes;
-	DL_PREPEND(core->commits.writes, item);
+	job->records.chunks[item->chunk].queued_write = item;
+	item->due_at = core->now;
+	item->queue = &core->write_queue.chunks;
+	DL_PREPEND(core->write_queue.chunks, item);
 }
 
 /* All that flew is to be written again, before what came after it. */
 static void requeue(struct core *core)
 {
-	struct write *item, *tmp;
+	struct pending_write *item, *tmp;
 
-	DL_FOREACH_SAFE (core->commits.transaction.items, item, tmp) {
-		DL_DELETE(core->commits.transaction.items, item);
-		if (item->kind == WR_CHUNK) {
+	DL_FOREACH_SAFE (core->write_queue.transaction.writes, item, tmp) {
+		DL_DELETE(core->write_queue.transaction.writes, item);
+		if (item->kind == WRITE_CHUNK) {
 			requeue_chunk(core, item);
-		} else if (item->kind == WR_FINAL) {
+		} else if (item->kind == WRITE_FINAL) {
 			final_unsent(item->job);
-			item->list = &core->commits.finals;
-			DL_PREPEND(core->commits.finals, item);
+			item->queue = &core->write_queue.finals;
+			DL_PREPEND(core->write_queue.finals, item);
 		} else {
 			free(item); /* read again at the next take-over */
 		}
@@ -404,24 +404,24 @@
 /* What a key holds now; a final record that is there already was our own write. */
 static void adopt(struct core *core, const char *key, json_t *value, uint64_t version)
 {
-	struct write *item;
+	struct pending_write *item;
 	char k[KEY_MAX];
 
-	DL_FOREACH (core->commits.transaction.items, item) {
+	DL_FOREACH (core->write_queue.transaction.writes, item) {
 		struct job *job = item->job;
 
-		if (item->kind == WR_CHUNK) {
+		if (item->kind == WRITE_CHUNK) {
 			task_record_key(k, job, item->chunk);
 			if (!strcmp(k, key))
-				job->chunks[item->chunk].version = version;
-		} else if (item->kind == WR_FINAL) {
+				job->records.chunks[item->chunk].version = version;
+		} else if (item->kind == WRITE_FINAL) {
 			key_job(k, job);
 			if (strcmp(k, key))
 				continue;
-			job->final_done = !value;
+			job->final_committed = !value;
 			if (!value)
 				continue;
-			job->version = version;
+			job->record_version = version;
 			if (json_is_true(json_object_get(value, "cancelled")))
 				job_cancel(core, job);
 		}
@@ -430,12 +430,12 @@
 
 static void reread_done(struct core *core)
 {
-	struct write *item, *tmp;
+	struct pending_write *item, *tmp;
 
-	DL_FOREACH_SAFE (core->commits.transaction.items, item, tmp) {
-		if (item->kind != WR_FINAL || !item->job->final_done)
+	DL_FOREACH_SAFE (core->write_queue.transaction.writes, item, tmp) {
+		if (item->kind != WRITE_FINAL || !item->job->final_committed)
 			continue;
-		DL_DELETE(core->commits.transaction.items, item);
+		DL_DELETE(core->write_queue.transaction.writes, item);
 		final_committed(core, item->job);
 		free(item);
 	}
@@ -448,9 +448,9 @@
 	struct kv_item it = {0};
 	json_t *o = NULL;
 
-	if (election_stale(core, call))
+	if (election_call_is_stale(core, call))
 		return;
-	store_heard(core, status);
+	store_note_answer(core, status);
 	if (status != 200 && status != 404) {
 		store_get(core, call->key, on_reread, NULL);
 		return;
@@ -461,28 +461,28 @@
 	}
 	adopt(core, call->key, it.value, it.version);
 	json_decref(o);
-	if (--core->commits.transaction.reads_out == 0)
+	if (--core->write_queue.transaction.reads_in_flight == 0)
 		reread_done(core);
 }
 
 /* Someone else changed a key, or an earlier copy of this transaction was applied: read them all. */
 static void reread(struct core *core)
 {
-	struct write *item;
+	struct pending_write *item;
 	char key[KEY_MAX];
 
-	core->commits.transaction.reads_out = 0;
-	DL_FOREACH (core->commits.transaction.items, item) {
-		if (item->kind == WR_DROP)
+	core->write_queue.transaction.reads_in_flight = 0;
+	DL_FOREACH (core->write_queue.transaction.writes, item) {
+		if (item->kind == WRITE_DELETE)
 			continue;
-		if (item->kind == WR_CHUNK)
+		if (item->kind == WRITE_CHUNK)
 			task_record_key(key, item->job, item->chunk);
 		else
 			key_job(key, item->job);
-		core->commits.transaction.reads_out++;
+		core->write_queue.transaction.reads_in_flight++;
 		store_get(core, key, on_reread, NULL);
 	}
-	if (!core->commits.transaction.reads_out)
+	if (!core->write_queue.transaction.reads_in_flight)
 		requeue(core);
 }
 
@@ -493,8 +493,8 @@
 /* The leader's key once the transaction under way is done. */
 static const char *fence_key(const struct core *core)
 {
-	return election_key(core->commits.transaction.raises ? FORMAT_NEWEST
-							     : core->election.format);
+	return election_key(core->write_queue.transaction.raises_format ? FORMAT_NEWEST
+									: core->election.format);
 }
 
 static void on_fence_read(struct core *core, struct call *call, int status, const char *body,
@@ -504,9 +504,9 @@
 	struct kv_item it = {0};
 	json_t *o;
 
-	if (election_stale(core, call) || !core->commits.in_flight)
+	if (election_call_is_stale(core, call) || !core->write_queue.in_flight)
 		return;
-	store_heard(core, status);
+	store_note_answer(core, status);
 	if (status != 200 && status != 404) {
 		store_get(core, fence_key(core), on_fence_read, NULL);
 		return;
@@ -527,18 +527,20 @@
  */
 static void refused(struct core *core, const char *body, size_t len)
 {
-	bool small = core->commits.transaction.nops <= LIMITS_TXN_OPS_MIN &&
-		     core->commits.transaction.largest <= LIMITS_VALUE_FLOOR;
+	bool small = core->write_queue.transaction.op_count <= LIMITS_TXN_OPS_MIN &&
+		     core->write_queue.transaction.largest_value <= LIMITS_VALUE_FLOOR;
 
-	log_error("commit_refused", "nops=%d largest=%zu body=%.*s", core->commits.transaction.nops,
-		  core->commits.transaction.largest, (int)(len < 200 ? len : 200), body);
-	if (core->commits.transaction.fence) {
+	log_error("commit_refused", "nops=%d largest=%zu body=%.*s",
+		  core->write_queue.transaction.op_count,
+		  core->write_queue.transaction.largest_value, (int)(len < 200 ? len : 200), body);
+	if (core->write_queue.transaction.renews_token) {
 		election_step_down(core, "lease_refused");
 		return;
 	}
-	limits_refused(core, core->commits.transaction.nops, core->commits.transaction.largest);
+	limits_note_refusal(core, core->write_queue.transaction.op_count,
+			    core->write_queue.transaction.largest_value);
 	requeue(core);
-	core->commits.again = core->now + (small ? LIMITS_REFUSED_S : COMMIT_RETRY_S);
+	core->write_queue.retry_at = core->now + (small ? LIMITS_REFUSED_S : COMMIT_RETRY_S);
 }
 
 static void on_commit(struct core *core, struct call *call, int status, const char *body,
@@ -546,8 +548,8 @@
 {
 	json_t *o;
 
-	store_heard(core, status);
-	if (election_stale(core, call) || !core->commits.in_flight)
+	store_note_answer(core, status);
+	if (election_call_is_stale(core, call) || !core->write_queue.in_flight)
 		return;
 	if (status == 200) {
 		o = wire_parse(body, len);
@@ -558,7 +560,7 @@
 	if (status == 409) {
 		o = wire_parse(body, len);
 		log_info("commit_conflict", "body=%.*s", (int)(len < 200 ? len : 200), body);
-		if (core->commits.transaction.fence)
+		if (core->write_queue.transaction.renews_token)
 			store_get(core, fence_key(core), on_fence_read, NULL);
 		else if (wire_failed_has(o, election_key(core->election.format)))
 			election_step_down(core, "guard_failed");
@@ -575,31 +577,32 @@
 	 * Refused, or unknown: the very same transaction goes again. Only a definite answer ends
 	 * it, since an unknown one may still be applied at any time until then.
 	 */
-	core->commits.again = core->now + COMMIT_RETRY_S;
-	core->commits.transaction.waiting = true;
+	core->write_queue.retry_at = core->now + COMMIT_RETRY_S;
+	core->write_queue.transaction.awaits_retry = true;
 }
 
 /* --- sending --- */
 
 static void refill(struct core *core)
 {
-	allowance_fill(core, &core->commits.puts, limits_write_rps(core) * WRITE_SHARE_LEADER);
+	rate_limiter_refill(core, &core->write_queue.put_limiter,
+			    limits_write_rps(core) * WRITE_SHARE_LEADER);
 }
 
 static void send_transaction(struct core *core)
 {
-	core->commits.transaction.waiting = false;
+	core->write_queue.transaction.awaits_retry = false;
 	refill(core);
-	core->commits.puts.left -= core->commits.transaction.nops;
-	store_commit(core, strdup(core->commits.transaction.body), on_commit, NULL);
+	core->write_queue.put_limiter.tokens -= core->write_queue.transaction.op_count;
+	store_commit(core, strdup(core->write_queue.transaction.body), on_commit, NULL);
 }
 
 static void send_txn(struct core *core, struct txn *txn)
 {
-	core->commits.in_flight = true;
-	core->commits.transaction.nops = txn->nops;
-	core->commits.transaction.largest = txn->largest;
-	core->commits.transaction.body = txn_finish(txn);
+	core->write_queue.in_flight = true;
+	core->write_queue.transaction.op_count = txn->op_count;
+	core->write_queue.transaction.largest_value = txn->largest_value;
+	core->write_queue.transaction.body = txn_finish(txn);
 	send_transaction(core);
 }
 
@@ -607,7 +610,7 @@
  */
 static void send_fence(struct core *core)
 {
-	bool raises = format_wanted(core);
+	bool raises = format_raise_due(core);
 	struct txn txn;
 
 	txn_begin(&txn);
@@ -615,11 +618,11 @@
 	if (raises)
 		txn_put(&txn, LEADER_KEY, election_gate_value(FORMAT_NEWEST), 0);
 	txn_put(&txn, election_key(raises ? FORMAT_NEWEST : core->election.format),
-		election_value(core), core->election.lease);
-	core->commits.transaction.fence = true;
-	core->commits.transaction.raises = raises;
-	core->commits.fence_wanted = false;
-	core->commits.fence_at = core->now;
+		election_leader_value(core), core->election.lease);
+	core->write_queue.transaction.renews_token = true;
+	core->write_queue.transaction.raises_format = raises;
+	core->write_queue.new_token_wanted = false;
+	core->write_queue.token_renewed_at = core->now;
 	send_txn(core, &txn);
 }
 
@@ -628,8 +631,8 @@
 {
 	struct binding *binding;
 
-	DL_FOREACH2 (job->chunks[chunk].bindings, binding, cnext)
-		if (!binding->committed && binding_unsent(binding))
+	DL_FOREACH2 (job->records.chunks[chunk].bindings, binding, chunk_next)
+		if (!binding->committed && binding_start_never_sent(binding))
 			return binding;
 	return NULL;
 }
@@ -638,19 +641,19 @@
  * The chunk's value is over the limit, as when that was lowered: bindings that were never on record
  * are taken back. Without any, it waits until tasks have ended.
  */
-static void chunk_too_large(struct core *core, struct write *item)
+static void chunk_too_large(struct core *core, struct pending_write *item)
 {
 	struct job *job = item->job;
 	uint32_t chunk = item->chunk;
 	struct binding *binding;
 
 	log_info("record_too_large", "job=%s chunk=%u bound=%u limit=%zu", job->spec.id, chunk,
-		 job->chunks[chunk].nbound, limits_value_bytes(core));
-	job->not_before = core->now + LIMITS_WAIT_S;
+		 job->records.chunks[chunk].binding_count, limits_value_bytes(core));
+	job->scheduling.retry_at = core->now + LIMITS_WAIT_S;
 	if (!unrecorded(job, chunk))
-		item->held_until = core->now + LIMITS_WAIT_S;
+		item->blocked_until = core->now + LIMITS_WAIT_S;
 	while ((binding = unrecorded(job, chunk)))
-		binding_end(core, binding, WHY_STOPPED);
+		binding_end(core, binding, END_STOPPED);
 }
 
 enum batch_result {
@@ -659,20 +662,21 @@
 	BATCH_FULL
 };
 
-static enum batch_result batch_add(struct core *core, struct txn *txn, struct write *item)
+static enum batch_result batch_add(struct core *core, struct txn *txn, struct pending_write *item)
 {
 	int most = limits_txn_ops(core), n = write_ops(item, most);
 	struct txn_mark mark = txn_mark(txn);
 	size_t bytes;
 
-	if (core->now < item->held_until)
+	if (core->now < item->blocked_until)
 		return BATCH_SKIPPED;
-	if (txn->nops && (txn->nops + n > most || txn->nops + n > core->commits.puts.left))
+	if (txn->op_count &&
+	    (txn->op_count + n > most || txn->op_count + n > core->write_queue.put_limiter.tokens))
 		return BATCH_FULL;
 	bytes = add_write(txn, item, most);
-	if (mark.nops && txn_bytes(txn) > COMMIT_BYTES) {
+	if (mark.op_count && txn_bytes(txn) > COMMIT_BYTES) {
 		txn_rollback(txn, &mark);
-		if (item->kind == WR_FINAL)
+		if (item->kind == WRITE_FINAL)
 			final_unsent(item->job);
 		return BATCH_FULL;
 	}
@@ -682,35 +686,36 @@
 		return BATCH_FULL; /* other writes may have left the queue with it */
 	}
 	write_unlist(item);
-	DL_APPEND(core->commits.transaction.items, item);
-	if (item->kind == WR_CHUNK)
+	DL_APPEND(core->write_queue.transaction.writes, item);
+	if (item->kind == WRITE_CHUNK)
 		chunk_sent(item->job, item->chunk);
 	return BATCH_ADDED;
 }
 
 /* The chunk has no record of its own, and needs none any more. */
-static bool chunk_needless(const struct write *item)
+static bool chunk_needless(const struct pending_write *item)
 {
-	return chunk_ends(item) && !item->job->chunks[item->chunk].version;
+	return chunk_ends(item) && !item->job->records.chunks[item->chunk].version;
 }
 
-static void chunk_forget(struct core *core, struct write *item)
+static void chunk_forget(struct core *core, struct pending_write *item)
 {
 	struct job *job = item->job;
 
 	write_unlist(item);
-	task_record_superseded(core, job, item->chunk);
-	job_release(core, job);
+	task_record_note_superseded(core, job, item->chunk);
+	job_release_if_over(core, job);
 	free(item);
 }
 
 /* Chunks of the list that are due, or those that could wait; false if there is no room for all. */
-static bool batch_chunks(struct core *core, struct txn *txn, struct write **list, bool due)
+static bool batch_chunks(struct core *core, struct txn *txn, struct pending_write **list, bool due)
 {
-	struct write *item, *tmp;
+	struct pending_write *item, *tmp;
 
 	DL_FOREACH_SAFE (*list, item, tmp) {
-		if ((item->due <= core->now) != due || item->job->chunks[item->chunk].in_flight)
+		if ((item->due_at <= core->now) != due ||
+		    item->job->records.chunks[item->chunk].in_flight)
 			continue;
 		if (chunk_needless(item))
 			chunk_forget(core, item);
@@ -720,7 +725,7 @@
 	return true;
 }
 
-static bool batch_all(struct core *core, struct txn *txn, struct write **list)
+static bool batch_all(struct core *core, struct txn *txn, struct pending_write **list)
 {
 	while (*list)
 		if (batch_add(core, txn, *list) == BATCH_FULL)
@@ -731,7 +736,7 @@
 /* Enough of the rate is left for what can wait for ever. */
 static bool puts_spare(const struct core *core)
 {
-	return core->commits.puts.left > limits_write_rps(core) / 2;
+	return core->write_queue.put_limiter.tokens > limits_write_rps(core) / 2;
 }
 
 static void send_writes(struct core *core)
@@ -741,18 +746,19 @@
 	txn_begin(&txn);
 	txn_guard(&txn, election_key(core->election.format), core->election.token);
 	/* Ends of jobs first: they are few, and their users wait for the word. */
-	if (batch_all(core, &txn, &core->commits.finals) &&
-	    batch_chunks(core, &txn, &core->commits.writes, true) && txn.nops)
-		batch_chunks(core, &txn, &core->commits.writes, false);
-	if (!txn.nops)
-		batch_chunks(core, &txn, &core->commits.migrations, true);
-	if (!txn.nops)
-		batch_all(core, &txn, &core->commits.drops);
-	log_debug("commit", "nops=%d largest=%zu tokens=%.1f kind=%d", txn.nops, txn.largest,
-		  core->commits.puts.left,
-		  core->commits.transaction.items ? (int)core->commits.transaction.items->kind
-						  : -1);
-	if (txn.nops) {
+	if (batch_all(core, &txn, &core->write_queue.finals) &&
+	    batch_chunks(core, &txn, &core->write_queue.chunks, true) && txn.op_count)
+		batch_chunks(core, &txn, &core->write_queue.chunks, false);
+	if (!txn.op_count)
+		batch_chunks(core, &txn, &core->write_queue.migrations, true);
+	if (!txn.op_count)
+		batch_all(core, &txn, &core->write_queue.deletes);
+	log_debug("commit", "nops=%d largest=%zu tokens=%.1f kind=%d", txn.op_count,
+		  txn.largest_value, core->write_queue.put_limiter.tokens,
+		  core->write_queue.transaction.writes
+		      ? (int)core->write_queue.transaction.writes->kind
+		      : -1);
+	if (txn.op_count) {
 		send_txn(core, &txn);
 		return;
 	}
@@ -762,33 +768,35 @@
 
 static bool anything_due(const struct core *core)
 {
-	const struct write *item;
+	const struct pending_write *item;
 
-	if (core->commits.finals ||
-	    ((core->commits.drops || core->commits.migrations) && puts_spare(core)))
+	if (core->write_queue.finals ||
+	    ((core->write_queue.deletes || core->write_queue.migrations) && puts_spare(core)))
 		return true;
-	DL_FOREACH (core->commits.writes, item)
-		if (item->due <= core->now && item->held_until <= core->now)
+	DL_FOREACH (core->write_queue.chunks, item)
+		if (item->due_at <= core->now && item->blocked_until <= core->now)
 			return true;
 	return false;
 }
 
-void commit_tick(struct core *core)
+void write_queue_tick(struct core *core)
 {
-	if (core->commits.in_flight) {
-		if (core->commits.transaction.waiting && core->now >= core->commits.again)
+	if (core->write_queue.in_flight) {
+		if (core->write_queue.transaction.awaits_retry &&
+		    core->now >= core->write_queue.retry_at)
 			send_transaction(core);
 		return;
 	}
-	if (core->now < core->commits.again)
+	if (core->now < core->write_queue.retry_at)
 		return;
 	refill(core);
-	if (core->commits.puts.left < 1)
+	if (core->write_queue.put_limiter.tokens < 1)
 		return;
-	if (tombstones_many(core))
-		core->commits.fence_wanted = true;
-	if ((core->commits.fence_wanted && core->now - core->commits.fence_at >= FENCE_EVERY_S) ||
-	    format_wanted(core))
+	if (tombstones_need_new_token(core))
+		core->write_queue.new_token_wanted = true;
+	if ((core->write_queue.new_token_wanted &&
+	     core->now - core->write_queue.token_renewed_at >= TOKEN_RENEW_S) ||
+	    format_raise_due(core))
 		send_fence(core);
 	else if (anything_due(core))
 		send_writes(core);
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -20,7 +20,7 @@
 	core->now = now.steady;
 	core->wall = now.wall;
 	core->next_call = 1;
-	core->election.format = FORMAT_CHUNKS;
+	core->election.format = FORMAT_LARGE_CHUNKS;
 	core->peers.incarnation = seed;
 	core->rand48[0] = (unsigned short)seed;
 	core->rand48[1] = (unsigned short)(seed >> 16);
@@ -33,10 +33,11 @@
 		abort();
 	for (size_t i = 0; i < conf->npeers; i++)
 		core->peers.list[i].confirmed_until = -1;
-	core->state_heard = core->now;
-	core->users.counts_at = core->users.counts_wanted = core->now - COUNTS_ASKED_S;
-	core->pairing.peer_live = calloc(conf->npeers + 1, sizeof(*core->pairing.peer_live));
-	if (!core->pairing.peer_live)
+	core->store_answered_at = core->now;
+	core->api.counts_received_at = core->api.counts_wanted_at = core->now - COUNTS_DEMAND_S;
+	core->share_switching.peer_live =
+	    calloc(conf->npeers + 1, sizeof(*core->share_switching.peer_live));
+	if (!core->share_switching.peer_live)
 		abort();
 	for (size_t i = 0; i < conf->nteams; i++)
 		core->teams[i].conf = &conf->teams[i];
@@ -48,13 +49,13 @@
 	return erand48(core->rand48);
 }
 
-void allowance_fill(const struct core *core, struct allowance *a, double rate)
+void rate_limiter_refill(const struct core *core, struct rate_limiter *a, double rate)
 {
-	a->left = fmin(rate, a->left + (core->now - a->filled) * rate);
-	a->filled = core->now;
+	a->tokens = fmin(rate, a->tokens + (core->now - a->refilled_at) * rate);
+	a->refilled_at = core->now;
 }
 
-char *fmt_path(const char *fmt, ...)
+char *format_path(const char *fmt, ...)
 {
 	char *s = malloc(HTTP_PATH_MAX);
 	va_list ap;
@@ -80,7 +81,7 @@
 }
 
 struct call *core_call(struct core *core, const char *addr, const char *method, char *path,
-		       char *body, double timeout_s, call_fn fn, void *arg)
+		       char *body, double timeout_s, answer_fn fn, void *arg)
 {
 	struct call *call = calloc(1, sizeof(*call));
 	struct core_action *action;
@@ -88,10 +89,10 @@
 	if (!call)
 		abort();
 	call->id = core->next_call++;
-	call->fn = fn;
+	call->on_answer = fn;
 	call->arg = arg;
 	call->term = core->election.term;
-	call->sent = core->now;
+	call->sent_at = core->now;
 	call->timeout_s = timeout_s;
 	HASH_ADD(hh, core->calls, id, sizeof(call->id), call);
 	action = action_add(core, ACT_SEND, call->id);
@@ -105,10 +106,10 @@
 }
 
 struct call *core_call_packed(struct core *core, const char *addr, const char *path, uint8_t *buf,
-			      size_t len, call_fn fn, void *arg)
+			      size_t len, answer_fn fn, void *arg)
 {
 	struct call *call =
-	    core_call(core, addr, "POST", fmt_path("%s", path), NULL, CALL_PEER_S, fn, arg);
+	    core_call(core, addr, "POST", format_path("%s", path), NULL, CALL_PEER_S, fn, arg);
 	struct core_action *action = core->actions->prev;
 
 	action->body = (char *)buf;
@@ -131,7 +132,7 @@
 	struct core_action *action = action_add(core, ACT_ANSWER, conn);
 	size_t len = body ? strlen(body) : 0;
 
-	if (peers_wrap(core, conn, &status, retry_after, &body, &len))
+	if (peers_wrap_answer(core, conn, &status, retry_after, &body, &len))
 		retry_after = 0;
 	action->status = status;
 	action->retry_after = retry_after;
@@ -142,7 +143,7 @@
 void core_reply_error(struct core *core, uint64_t conn, int status, int retry_after,
 		      const char *why)
 {
-	core_reply(core, conn, status, retry_after, fmt_path("{\"error\":\"%s\"}", why));
+	core_reply(core, conn, status, retry_after, format_path("{\"error\":\"%s\"}", why));
 }
 
 static void set_time(struct core *core, struct core_time now)
@@ -155,17 +156,17 @@
 void core_request(struct core *core, struct core_time now, const struct core_request *request)
 {
 	set_time(core, now);
-	if (!strcmp(request->path, W_PATH_BEAT)) {
+	if (!strcmp(request->path, W_PATH_HEARTBEAT)) {
 		if (strcmp(request->method, "POST"))
 			core_reply_error(core, request->conn, 405, 0, "method");
 		else
-			workers_beat(core, request);
+			agent_heartbeat(core, request);
 	} else if (request->side == CORE_BACK && !strcmp(request->path, PAIR_PATH)) {
-		pair_request(core, request);
+		share_switching_request(core, request);
 	} else if (request->side == CORE_BACK) {
 		peers_request(core, request);
 	} else {
-		users_request(core, request);
+		api_request(core, request);
 	}
 	core_tick(core, now);
 }
@@ -179,7 +180,7 @@
 	if (!call)
 		return;
 	HASH_DEL(core->calls, call);
-	call->fn(core, call, a->status, a->body, a->len);
+	call->on_answer(core, call, a->status, a->body, a->len);
 	free(call);
 	core_tick(core, now);
 }
@@ -190,19 +191,19 @@
 	election_tick(core);
 	format_tick(core);
 	catalog_tick(core);
-	users_tick(core);
+	api_tick(core);
 	peers_tick(core);
-	if (core->election.role != ROLE_LEAD)
+	if (core->election.role != ROLE_LEADER)
 		return;
-	load_tick(core);
-	machine_tick(core);
-	replica_watch_tick(core);
+	jobs_watch_tick(core);
+	machines_tick(core);
+	replica_supervision_tick(core);
 	job_tick(core);
-	round_tick(core);
-	rent_tick(core);
-	pair_tick(core);
-	commit_tick(core);
-	directs_tick(core);
+	cycle_tick(core);
+	autoscale_tick(core);
+	share_switching_tick(core);
+	write_queue_tick(core);
+	direct_commands_tick(core);
 }
 
 /* The parts look at their own due times; a coarse beat covers them, rounds and commits come first.
@@ -211,8 +212,9 @@
 {
 	double next = core->now + TICK_S;
 
-	if (core->election.role == ROLE_LEAD && core->rounds.due && core->rounds.next < next)
-		next = core->rounds.next;
+	if (core->election.role == ROLE_LEADER && core->cycles.requested &&
+	    core->cycles.next_at < next)
+		next = core->cycles.next_at;
 	return next;
 }
 
@@ -237,20 +239,20 @@
 	struct core_action *action;
 	struct call *call, *tmp;
 
-	leader_clear(core);
-	users_clear(core);
+	leader_state_clear(core);
+	api_clear(core);
 	peers_clear(core);
 	while ((action = core_take(core)))
 		core_action_free(action);
 	HASH_ITER (hh, core->calls, call, tmp) {
 		HASH_DEL(core->calls, call);
-		if (call->drop)
-			call->drop(call->arg);
+		if (call->free_arg)
+			call->free_arg(call->arg);
 		free(call);
 	}
-	wire_types_free(core->catalog.types, core->catalog.ntypes);
+	wire_types_free(core->catalog.types, core->catalog.type_count);
 	free(core->teams);
-	free(core->pairing.peer_live);
+	free(core->share_switching.peer_live);
 	free(core->peers.list);
 	free(core);
 }
--- a/src/core/directs.c
+++ b/src/core/directs.c
@@ -11,69 +11,69 @@
 
 static void command_queue_add(struct core *core, struct machine *machine)
 {
-	if (machine->in_command_queue)
+	if (machine->commands.queued)
 		return;
-	machine->in_command_queue = true;
-	DL_APPEND2(core->fleet.command_queue, machine, queue_prev, queue_next);
+	machine->commands.queued = true;
+	DL_APPEND2(core->fleet.command_queue, machine, commands.queue_prev, commands.queue_next);
 }
 
 static void command_queue_remove(struct core *core, struct machine *machine)
 {
-	if (!machine->in_command_queue)
+	if (!machine->commands.queued)
 		return;
-	machine->in_command_queue = false;
-	DL_DELETE2(core->fleet.command_queue, machine, queue_prev, queue_next);
+	machine->commands.queued = false;
+	DL_DELETE2(core->fleet.command_queue, machine, commands.queue_prev, commands.queue_next);
 }
 
 static void on_do(struct core *core, struct call *call, int status, const char *body, size_t len)
 {
 	struct machine *machine;
 
-	core->fleet.directs--;
-	if (election_stale(core, call))
+	core->fleet.direct_in_flight--;
+	if (election_call_is_stale(core, call))
 		return;
 	machine = machine_find(core, call->key);
 	if (!machine)
 		return;
-	if (machine->commands_out)
-		machine->commands_out--;
-	if (machine->commands_due)
+	if (machine->commands.in_flight)
+		machine->commands.in_flight--;
+	if (machine->commands.due)
 		command_queue_add(core, machine); /* what has gathered meanwhile */
-	if (status == 0 && call->starts && call->token > machine->unanswered_token) {
-		machine->unanswered_token = call->token;
+	if (status == 0 && call->has_start && call->token > machine->commands.unanswered_token) {
+		machine->commands.unanswered_token = call->token;
 		log_debug("do_unanswered", "machine=%s", machine->id);
 	}
 	if (status == 200 || status == 409)
-		workers_take_answer(core, call, body, len);
+		agent_take_probe_answer(core, call, body, len);
 }
 
 /* A question that never left, for want of a socket, says nothing of the machine. */
 static bool waited_in_full(const struct core *core, const struct call *call)
 {
-	return core->now - call->sent >= call->timeout_s * (1 - CLOCK_DRIFT);
+	return core->now - call->sent_at >= call->timeout_s * (1 - CLOCK_DRIFT);
 }
 
 static void note_unanswered(const struct core *core, const struct call *call,
 			    struct machine *machine)
 {
-	if (call->sent <= machine->last_word || !waited_in_full(core, call))
+	if (call->sent_at <= machine->agent.last_message_at || !waited_in_full(core, call))
 		return;
-	if (!machine->unanswered++)
-		machine->unanswered_since = call->sent;
+	if (!machine->probes.unanswered++)
+		machine->probes.unanswered_since = call->sent_at;
 }
 
 static void on_show(struct core *core, struct call *call, int status, const char *body, size_t len)
 {
 	struct machine *machine;
 
-	core->fleet.directs--;
-	if (election_stale(core, call))
+	core->fleet.direct_in_flight--;
+	if (election_call_is_stale(core, call))
 		return;
 	machine = machine_find(core, call->key);
 	if (machine && status <= 0)
 		note_unanswered(core, call, machine);
 	if (status == 200)
-		workers_take_answer(core, call, body, len);
+		agent_take_probe_answer(core, call, body, len);
 }
 
 /*
@@ -82,7 +82,7 @@
  */
 static bool directs_full(const struct core *core)
 {
-	return core->fleet.directs >= core->conf->max_connections * DIRECT_SHARE;
+	return core->fleet.direct_in_flight >= core->conf->max_connections * DIRECT_SHARE;
 }
 
 /*
@@ -91,10 +91,10 @@
  */
 static double asks_per_s(const struct core *core)
 {
-	if (core->now - core->lead_since < MACHINE_SHOW_REPORTS * core->conf->report_s)
-		return ASKS_PER_S;
-	return fmax(ASKS_PER_S,
-		    HASH_COUNT(core->fleet.machines) / (ASK_ALL_LEASES * core->conf->lease_s));
+	if (core->now - core->leading_since < PROBE_UNSEEN_REPORTS * core->conf->report_s)
+		return PROBES_PER_S;
+	return fmax(PROBES_PER_S,
+		    HASH_COUNT(core->fleet.machines) / (PROBE_ALL_LEASES * core->conf->lease_s));
 }
 
 /* What is known when a question leaves: the answer must be newer. */
@@ -102,49 +102,49 @@
 {
 	snprintf(call->key, sizeof(call->key), "%s", machine->id);
 	call->token = core->election.token;
-	call->session = machine->session;
-	call->seq = machine->seq;
+	call->incarnation = machine->agent.incarnation;
+	call->sequence = machine->agent.sequence;
 }
 
 static void send_question(struct core *core, struct machine *machine, double timeout_s)
 {
-	struct call *call = core_call(core, machine->addr, "GET", fmt_path(W_PATH_STATUS), NULL,
+	struct call *call = core_call(core, machine->addr, "GET", format_path(W_PATH_PROBE), NULL,
 				      timeout_s, on_show, NULL);
 
-	core->fleet.directs++;
-	machine->asked_at = core->now;
+	core->fleet.direct_in_flight++;
+	machine->probes.sent_at = core->now;
 	call_mark(core, call, machine);
 }
 
-bool workers_ask(struct core *core, struct machine *machine)
+bool probe_machine(struct core *core, struct machine *machine)
 {
-	allowance_fill(core, &core->fleet.asks, asks_per_s(core));
-	if (!*machine->addr || core->fleet.asks.left < 1 ||
-	    core->now - machine->asked_at < MACHINE_ASK_S || directs_full(core))
+	rate_limiter_refill(core, &core->fleet.probe_limiter, asks_per_s(core));
+	if (!*machine->addr || core->fleet.probe_limiter.tokens < 1 ||
+	    core->now - machine->probes.sent_at < PROBE_INTERVAL_S || directs_full(core))
 		return false;
-	core->fleet.asks.left -= 1;
+	core->fleet.probe_limiter.tokens -= 1;
 	send_question(core, machine, CALL_WORKER_S);
 	return true;
 }
 
-bool workers_probe(struct core *core, struct machine *machine)
+bool probe_replica_machine(struct core *core, struct machine *machine)
 {
 	if (!*machine->addr || directs_full(core))
 		return false;
-	send_question(core, machine, REPLICA_ANSWER_S);
+	send_question(core, machine, REPLICA_PROBE_TIMEOUT_S);
 	return true;
 }
 
-void commands_wanted(struct core *core, struct machine *machine)
+void commands_request(struct core *core, struct machine *machine)
 {
-	machine->commands_due = true;
-	if (!machine->commands_out) /* one at a time: what has gathered goes with the next */
+	machine->commands.due = true;
+	if (!machine->commands.in_flight) /* one at a time: what has gathered goes with the next */
 		command_queue_add(core, machine);
 }
 
-void commands_unwanted(struct core *core, struct machine *machine)
+void commands_withdraw(struct core *core, struct machine *machine)
 {
-	machine->commands_due = false;
+	machine->commands.due = false;
 	command_queue_remove(core, machine);
 }
 
@@ -157,12 +157,12 @@
 	struct binding *binding = machine->bindings;
 
 	while (binding) {
-		bool ends = binding->stopping && binding_unsent(binding);
+		bool ends = binding->stopping && binding_start_never_sent(binding);
 
 		if (ends)
-			binding_end(core, binding, WHY_STOPPED);
-		binding =
-		    ends ? machine->bindings : binding->mnext; /* its end may have ended others */
+			binding_end(core, binding, END_STOPPED);
+		binding = ends ? machine->bindings
+			       : binding->machine_next; /* its end may have ended others */
 	}
 }
 
@@ -171,29 +171,29 @@
 	struct command_list list;
 	struct call *call;
 
-	commands_gather(core, machine, &list, false);
-	if (!list.n && !machine->announce_token)
+	commands_collect(core, machine, &list, false);
+	if (!list.count && !machine->commands.announce_token)
 		return;
-	machine->announce_token = false;
-	machine->commands_out++;
-	core->fleet.directs++;
-	call = core_call(
-	    core, machine->addr, "POST", fmt_path(W_PATH_COMMANDS),
-	    wire_direct_commands(core->election.token, machine->session, list.items, list.n),
-	    CALL_WORKER_S, on_do, NULL);
+	machine->commands.announce_token = false;
+	machine->commands.in_flight++;
+	core->fleet.direct_in_flight++;
+	call = core_call(core, machine->addr, "POST", format_path(W_PATH_COMMANDS),
+			 wire_direct_commands(core->election.token, machine->agent.incarnation,
+					      list.items, list.count),
+			 CALL_WORKER_S, on_do, NULL);
 	call_mark(core, call, machine);
-	call->starts = list.starts;
+	call->has_start = list.has_start;
 }
 
-void directs_tick(struct core *core)
+void direct_commands_tick(struct core *core)
 {
 	struct machine *machine;
 
 	while ((machine = core->fleet.command_queue) && !directs_full(core)) {
-		commands_unwanted(core, machine);
+		commands_withdraw(core, machine);
 		drop_unsent(core, machine);
-		if (machine->session && *machine->addr && !machine->gone &&
-		    machine_fresh(core, machine))
+		if (machine->agent.incarnation && *machine->addr && !machine->cloud.deleted &&
+		    machine_is_responsive(core, machine))
 			send_direct(core, machine);
 	}
 }
--- a/src/core/directs.h
+++ b/src/core/directs.h
@@ -8,13 +8,13 @@
 #include "core/machine.h"
 
 /* Commands are due for the machine: they are sent in turn. */
-void commands_wanted(struct core *core, struct machine *machine);
-void commands_unwanted(struct core *core, struct machine *machine);
+void commands_request(struct core *core, struct machine *machine);
+void commands_withdraw(struct core *core, struct machine *machine);
 /* Asks the worker for its report; false if too many were asked of late. */
-bool workers_ask(struct core *core, struct machine *machine);
+bool probe_machine(struct core *core, struct machine *machine);
 /* The same for a machine with replicas, within an allowance and a time of their own. */
-bool workers_probe(struct core *core, struct machine *machine);
+bool probe_replica_machine(struct core *core, struct machine *machine);
 /* Sends the commands that are due. */
-void directs_tick(struct core *core);
+void direct_commands_tick(struct core *core);
 
 #endif
--- a/src/core/election.c
+++ b/src/core/election.c
@@ -12,11 +12,11 @@
 #include "wire/names.h"
 
 /* Formats after the first have a key of their own beside the one that older versions know. */
-#define LEADER_KEY_PIECES LEADER_KEY "/2"
+#define LEADER_KEY_SMALL_CHUNKS LEADER_KEY "/2"
 
 const char *election_key(int format)
 {
-	return format >= FORMAT_PIECES ? LEADER_KEY_PIECES : LEADER_KEY;
+	return format >= FORMAT_SMALL_CHUNKS ? LEADER_KEY_SMALL_CHUNKS : LEADER_KEY;
 }
 
 json_t *election_gate_value(int format)
@@ -24,39 +24,39 @@
 	return json_pack("{s:o,s:i}", "name", json_sprintf("format-%d", format), "format", format);
 }
 
-json_t *election_value(const struct core *core)
+json_t *election_leader_value(const struct core *core)
 {
 	return json_pack("{s:s}", "name", core->conf->name);
 }
 
-bool election_stale(const struct core *core, const struct call *call)
+bool election_call_is_stale(const struct core *core, const struct call *call)
 {
-	return call->term != core->election.term || core->election.role == ROLE_FOLLOW;
+	return call->term != core->election.term || core->election.role == ROLE_FOLLOWER;
 }
 
 void election_reread(struct core *core)
 {
-	core->election.known = false;
-	if (core->election.next_try < core->now)
-		core->election.next_try = core->now;
+	core->election.key_known = false;
+	if (core->election.retry_at < core->now)
+		core->election.retry_at = core->now;
 }
 
 void election_step_down(struct core *core, const char *why)
 {
-	if (core->election.role == ROLE_FOLLOW)
+	if (core->election.role == ROLE_FOLLOWER)
 		return;
 	log_info("step_down", "reason=%s", why);
-	core->election.role = ROLE_FOLLOW;
+	core->election.role = ROLE_FOLLOWER;
 	core->election.term++;
 	core->election.lease = 0;
 	core->election.token = 0;
-	core->election.renew_out = false;
+	core->election.renewal_in_flight = false;
 	log_token(0);
-	leader_clear(core);
+	leader_state_clear(core);
 	election_reread(core);
 }
 
-void election_raised(struct core *core, int format, uint64_t revision)
+void election_note_format(struct core *core, int format, uint64_t revision)
 {
 	core->election.format = format;
 	core->election.gate_revision = revision;
@@ -75,9 +75,10 @@
 static void lease_return(struct core *core)
 {
 	if (core->election.lease)
-		core_call(core, core->conf->state, "DELETE",
-			  fmt_path(W_PATH_LEASES "/%llu", (unsigned long long)core->election.lease),
-			  NULL, CALL_STATE_S, on_nothing, NULL);
+		core_call(
+		    core, core->conf->state, "DELETE",
+		    format_path(W_PATH_LEASES "/%llu", (unsigned long long)core->election.lease),
+		    NULL, CALL_STATE_S, on_nothing, NULL);
 	core->election.lease = 0;
 }
 
@@ -85,18 +86,18 @@
  */
 void election_deposed(struct core *core, const char *leader)
 {
-	if (core->election.role == ROLE_FOLLOW)
+	if (core->election.role == ROLE_FOLLOWER)
 		return;
 	election_step_down(core, "peer_leads");
 	snprintf(core->election.leader, sizeof(core->election.leader), "%s", leader);
 }
 
 /* Gives the lease back, so that another controller need not wait for its end. */
-void election_yield(struct core *core, const char *why)
+void election_resign(struct core *core, const char *why)
 {
 	uint64_t lease = core->election.lease;
 
-	core->election.stand_back = core->now + LEADER_YIELD_S;
+	core->election.no_claim_before = core->now + LEADER_RESIGN_S;
 	election_step_down(core, why);
 	core->election.lease = lease;
 	lease_return(core);
@@ -117,46 +118,47 @@
 	 * used. */
 	double span = fmax(rest - CANCEL_MARGIN_S, LEADER_TTL_MS / 1000.0);
 
-	double known = fmax(fmin(core->election.renewed, core->jobs_watch.read_at),
+	double known = fmax(fmin(core->election.renewed_at, core->jobs_watch.read_at),
 			    peers_confirmed_until(core));
 
-	return core->election.role == ROLE_LEAD && core->now - known < span;
+	return core->election.role == ROLE_LEADER && core->now - known < span;
 }
 
 /* Looked at before anything is answered: a process that was frozen wakes with questions waiting. */
-void election_look(struct core *core)
+void election_check_deadline(struct core *core)
 {
-	if (core->election.role == ROLE_LEAD && !election_may_serve(core))
+	if (core->election.role == ROLE_LEADER && !election_may_serve(core))
 		election_step_down(core, "state_unreachable");
 }
 
 /* A term's own new token is on its way: what the key tells meanwhile is for its answer to judge. */
 static bool token_changes(const struct core *core)
 {
-	return core->election.role != ROLE_FOLLOW && core->commits.in_flight &&
-	       core->commits.transaction.fence;
+	return core->election.role != ROLE_FOLLOWER && core->write_queue.in_flight &&
+	       core->write_queue.transaction.renews_token;
 }
 
 /* An answer from before the term's own write: versions of a key only grow. */
 static bool older_than_term(const struct core *core, const struct kv_item *it)
 {
-	return core->election.role != ROLE_FOLLOW && it->version &&
+	return core->election.role != ROLE_FOLLOWER && it->version &&
 	       it->version < core->election.token;
 }
 
-static void heard_leader(struct core *core, const struct kv_item *it)
+static void take_leader_key(struct core *core, const struct kv_item *it)
 {
 	const char *name = it->value ? json_string_value(json_object_get(it->value, "name")) : NULL;
 
-	core->election.revision = it->value ? it->version : 0;
+	core->election.key_revision = it->value ? it->version : 0;
 	snprintf(core->election.leader, sizeof(core->election.leader), "%s", name ? name : "");
 	/* Our own name while we do not lead: a process that is no more, or a term given up. */
-	if (core->election.role == ROLE_FOLLOW && !core->election.claiming &&
+	if (core->election.role == ROLE_FOLLOWER && !core->election.claim_in_flight &&
 	    !strcmp(core->election.leader, core->conf->name))
 		core->election.leader[0] = 0;
 	log_debug("leader", "name=%s revision=%llu", core->election.leader,
-		  (unsigned long long)core->election.revision);
-	if (core->election.role != ROLE_FOLLOW && core->election.revision != core->election.token)
+		  (unsigned long long)core->election.key_revision);
+	if (core->election.role != ROLE_FOLLOWER &&
+	    core->election.key_revision != core->election.token)
 		election_step_down(core, "key_taken");
 }
 
@@ -164,10 +166,10 @@
  * LEADER_KEY tells the records' format as well. A format that this version does not know leaves it
  * a follower: the key then names a leader that it can't find, and is never free.
  */
-static void heard_format(struct core *core, const struct kv_item *it)
+static void take_format_key(struct core *core, const struct kv_item *it)
 {
 	json_t *format = it->value ? json_object_get(it->value, "format") : NULL;
-	int known = format ? (int)json_integer_value(format) : FORMAT_CHUNKS;
+	int known = format ? (int)json_integer_value(format) : FORMAT_LARGE_CHUNKS;
 
 	if (known == core->election.format)
 		return;
@@ -176,14 +178,14 @@
 	core->election.gate_revision = it->value ? it->version : 0;
 	/* The key of the new format may be free, or be told of next. */
 	core->election.leader[0] = 0;
-	core->election.revision = 0;
-	if (core->election.role != ROLE_FOLLOW)
+	core->election.key_revision = 0;
+	if (core->election.role != ROLE_FOLLOWER)
 		election_step_down(core, "format_raised");
 }
 
 /* The two keys of one read, or of one answer of the watch. */
 struct leader_keys {
-	struct core *c;
+	struct core *core;
 	bool found; /* the key whose holder leads */
 };
 
@@ -191,19 +193,19 @@
 {
 	struct leader_keys *keys = ctx;
 
-	if (!strcmp(it->key, LEADER_KEY) && !older_than_term(keys->c, it))
-		heard_format(keys->c, it);
+	if (!strcmp(it->key, LEADER_KEY) && !older_than_term(keys->core, it))
+		take_format_key(keys->core, it);
 }
 
 static void read_leader(void *ctx, const struct kv_item *it)
 {
 	struct leader_keys *keys = ctx;
 
-	if (strcmp(it->key, election_key(keys->c->election.format)))
+	if (strcmp(it->key, election_key(keys->core->election.format)))
 		return;
 	keys->found = true;
-	if (!older_than_term(keys->c, it))
-		heard_leader(keys->c, it);
+	if (!older_than_term(keys->core, it))
+		take_leader_key(keys->core, it);
 }
 
 static void on_read(struct core *core, struct call *call, int status, const char *body, size_t len)
@@ -213,18 +215,18 @@
 	json_t *o;
 
 	(void)call;
-	core->election.reading = false;
-	store_heard(core, status);
-	core->election.next_try = core->now + LEADER_REREAD_S;
+	core->election.read_in_flight = false;
+	store_note_answer(core, status);
+	core->election.retry_at = core->now + LEADER_REREAD_S;
 	if (status != 200 || token_changes(core))
 		return;
 	o = wire_parse(body, len);
-	core->election.watched = wire_revision(o);
-	core->election.known = true;
+	core->election.watch_revision = wire_revision(o);
+	core->election.key_known = true;
 	wire_items(o, read_format, &keys);
 	wire_items(o, read_leader, &keys);
 	if (!keys.found)
-		heard_leader(core, &absent);
+		take_leader_key(core, &absent);
 	json_decref(o);
 }
 
@@ -232,14 +234,14 @@
 static bool leader_news(const struct core *core, const struct kv_item *it)
 {
 	return !token_changes(core) &&
-	       (core->election.role == ROLE_FOLLOW || it->version > core->election.token);
+	       (core->election.role == ROLE_FOLLOWER || it->version > core->election.token);
 }
 
 static void watch_format(void *ctx, const struct kv_item *it)
 {
 	struct leader_keys *keys = ctx;
 
-	if (leader_news(keys->c, it))
+	if (leader_news(keys->core, it))
 		read_format(ctx, it);
 }
 
@@ -247,7 +249,7 @@
 {
 	struct leader_keys *keys = ctx;
 
-	if (leader_news(keys->c, it))
+	if (leader_news(keys->core, it))
 		read_leader(ctx, it);
 }
 
@@ -257,18 +259,18 @@
 	json_t *o;
 
 	(void)call;
-	core->election.watching = false;
+	core->election.watch_in_flight = false;
 	if (status != 200) {
 		if (status != 410)
-			store_heard(core, status);
-		core->election.known = false;
-		core->election.next_try = core->now + LEADER_REREAD_S;
+			store_note_answer(core, status);
+		core->election.key_known = false;
+		core->election.retry_at = core->now + LEADER_REREAD_S;
 		return;
 	}
-	store_heard(core, status);
+	store_note_answer(core, status);
 	o = wire_parse(body, len);
-	if (wire_revision(o) > core->election.watched)
-		core->election.watched = wire_revision(o);
+	if (wire_revision(o) > core->election.watch_revision)
+		core->election.watch_revision = wire_revision(o);
 	wire_items(o, watch_format, &keys);
 	wire_items(o, watch_leader, &keys);
 	json_decref(o);
@@ -278,25 +280,25 @@
 {
 	json_t *o;
 
-	core->election.claiming = false;
-	store_heard(core, status);
+	core->election.claim_in_flight = false;
+	store_note_answer(core, status);
 	if (status != 200 || call->term != core->election.term) {
 		log_debug("claim_failed", "status=%d", status);
 		core->election.lease = 0;
-		core->election.known = false;
-		core->election.next_try = core->now + LEADER_REREAD_S;
+		core->election.key_known = false;
+		core->election.retry_at = core->now + LEADER_REREAD_S;
 		return;
 	}
 	o = wire_parse(body, len);
 	core->election.token = wire_revision(o);
 	json_decref(o);
-	core->election.revision = core->election.first_token = core->election.token;
+	core->election.key_revision = core->election.first_token = core->election.token;
 	snprintf(core->election.leader, sizeof(core->election.leader), "%s", core->conf->name);
-	core->election.role = ROLE_LOADING;
+	core->election.role = ROLE_RECOVERING;
 	core->election.term++;
 	log_token(core->election.token);
 	log_info("lead", "state=loading");
-	load_start(core);
+	recovery_start(core);
 }
 
 static void on_lease(struct core *core, struct call *call, int status, const char *body, size_t len)
@@ -304,10 +306,10 @@
 	struct txn txn;
 	json_t *o;
 
-	store_heard(core, status);
+	store_note_answer(core, status);
 	if (status != 200 || call->term != core->election.term) {
-		core->election.claiming = false;
-		core->election.next_try = core->now + LEADER_REREAD_S;
+		core->election.claim_in_flight = false;
+		core->election.retry_at = core->now + LEADER_REREAD_S;
 		return;
 	}
 	o = wire_parse(body, len);
@@ -315,17 +317,17 @@
 	json_decref(o);
 	/* Another took the key while the lease was asked for: it must not be put down again. */
 	if (*core->election.leader) {
-		core->election.claiming = false;
+		core->election.claim_in_flight = false;
 		lease_return(core);
 		return;
 	}
-	core->election.renewed = call->sent;
-	core->election.next_renew = call->sent + LEADER_RENEW_S;
+	core->election.renewed_at = call->sent_at;
+	core->election.next_renewal_at = call->sent_at + LEADER_RENEW_S;
 	txn_begin(&txn);
-	txn_guard(&txn, election_key(core->election.format), core->election.revision);
-	if (core->election.format >= FORMAT_PIECES)
+	txn_guard(&txn, election_key(core->election.format), core->election.key_revision);
+	if (core->election.format >= FORMAT_SMALL_CHUNKS)
 		txn_guard(&txn, LEADER_KEY, core->election.gate_revision);
-	txn_put(&txn, election_key(core->election.format), election_value(core),
+	txn_put(&txn, election_key(core->election.format), election_leader_value(core),
 		core->election.lease);
 	store_commit(core, txn_finish(&txn), on_claim, NULL);
 }
@@ -336,34 +338,34 @@
 	(void)len;
 	if (call->term != core->election.term)
 		return;
-	core->election.renew_out = false;
-	store_heard(core, status);
+	core->election.renewal_in_flight = false;
+	store_note_answer(core, status);
 	if (status == 200) {
-		core->election.renewed = call->sent;
-		core->election.next_renew = call->sent + LEADER_RENEW_S;
+		core->election.renewed_at = call->sent_at;
+		core->election.next_renewal_at = call->sent_at + LEADER_RENEW_S;
 	} else if (status == 404) {
 		election_step_down(core, "lease_ended");
 	} else {
-		core->election.next_renew = core->now + LEADER_RETRY_S;
+		core->election.next_renewal_at = core->now + LEADER_RETRY_S;
 	}
 }
 
 static void renew(struct core *core)
 {
-	if (core->election.renew_out || core->now < core->election.next_renew ||
+	if (core->election.renewal_in_flight || core->now < core->election.next_renewal_at ||
 	    !core->election.lease)
 		return;
-	core->election.renew_out = true;
-	core_call(
-	    core, core->conf->state, "POST",
-	    fmt_path(W_PATH_LEASES "/%llu" W_PATH_RENEW, (unsigned long long)core->election.lease),
-	    strdup("{}"), CALL_STATE_S, on_renew, NULL);
+	core->election.renewal_in_flight = true;
+	core_call(core, core->conf->state, "POST",
+		  format_path(W_PATH_LEASES "/%llu" W_PATH_RENEW,
+			      (unsigned long long)core->election.lease),
+		  strdup("{}"), CALL_STATE_S, on_renew, NULL);
 }
 
 static void claim(struct core *core)
 {
-	core->election.claiming = true;
-	core_call(core, core->conf->state, "POST", fmt_path(W_PATH_LEASES),
+	core->election.claim_in_flight = true;
+	core_call(core, core->conf->state, "POST", format_path(W_PATH_LEASES),
 		  wire_lease_body(LEADER_TTL_MS), CALL_STATE_S, on_lease, NULL);
 }
 
@@ -371,22 +373,23 @@
 {
 	struct election *election = &core->election;
 
-	if (!election->known) {
-		if (!election->reading && core->now >= election->next_try) {
-			election->reading = true;
+	if (!election->key_known) {
+		if (!election->read_in_flight && core->now >= election->retry_at) {
+			election->read_in_flight = true;
 			store_range(core, LEADER_KEY, "", on_read, NULL);
 		}
-	} else if (!election->watching) {
-		election->watching = true;
-		store_watch(core, LEADER_KEY, election->watched, LEADER_WATCH_MS, on_watch, NULL);
+	} else if (!election->watch_in_flight) {
+		election->watch_in_flight = true;
+		store_watch(core, LEADER_KEY, election->watch_revision, LEADER_WATCH_MS, on_watch,
+			    NULL);
 	}
-	if (election->role != ROLE_FOLLOW) {
+	if (election->role != ROLE_FOLLOWER) {
 		renew(core);
-		election_look(core);
+		election_check_deadline(core);
 		return;
 	}
-	if (election->known && !*election->leader && !election->claiming &&
-	    core->now >= election->next_try && core->now >= election->stand_back &&
+	if (election->key_known && !*election->leader && !election->claim_in_flight &&
+	    core->now >= election->retry_at && core->now >= election->no_claim_before &&
 	    election->format <= FORMAT_NEWEST)
 		claim(core);
 }
--- a/src/core/format.c
+++ b/src/core/format.c
@@ -20,10 +20,10 @@
 	(void)call;
 	(void)body;
 	(void)len;
-	store_heard(core, status);
-	core->format.registering = false;
+	store_note_answer(core, status);
+	core->format.register_in_flight = false;
 	core->format.registered = status == 200;
-	core->format.register_at = core->now + FORMAT_REGISTER_S;
+	core->format.next_register_at = core->now + FORMAT_REGISTER_S;
 }
 
 static void register_version(struct core *core)
@@ -33,11 +33,11 @@
 
 	snprintf(key, sizeof(key), VERSIONS "%s", core->conf->name);
 	txn_begin(&txn);
-	txn_put(
-	    &txn, key,
-	    json_pack("{s:i}", "format", core->conf->hold_format ? FORMAT_CHUNKS : FORMAT_NEWEST),
-	    0);
-	core->format.registering = true;
+	txn_put(&txn, key,
+		json_pack("{s:i}", "format",
+			  core->conf->hold_format ? FORMAT_LARGE_CHUNKS : FORMAT_NEWEST),
+		0);
+	core->format.register_in_flight = true;
 	store_commit(core, txn_finish(&txn), on_registered, NULL);
 }
 
@@ -73,10 +73,10 @@
 	struct version_count count = {core, 0};
 	json_t *answer;
 
-	store_heard(core, status);
-	if (election_stale(core, call))
+	store_note_answer(core, status);
+	if (election_call_is_stale(core, call))
 		return;
-	core->format.looking = false;
+	core->format.scan_in_flight = false;
 	if (status != 200)
 		return;
 	answer = wire_parse(body, len);
@@ -85,27 +85,28 @@
 	core->format.all_read_newest = count.newest == core->conf->npeers + 1;
 }
 
-bool format_wanted(const struct core *core)
+bool format_raise_due(const struct core *core)
 {
 	return core->election.format < FORMAT_NEWEST && core->format.all_read_newest;
 }
 
 void format_tick(struct core *core)
 {
-	struct format_watch *format = &core->format;
+	struct format_gate *format = &core->format;
 
-	if (!format->registered && !format->registering && core->now >= format->register_at)
+	if (!format->registered && !format->register_in_flight &&
+	    core->now >= format->next_register_at)
 		register_version(core);
-	if (core->election.role != ROLE_LEAD || core->election.format >= FORMAT_NEWEST ||
-	    format->all_read_newest || format->looking || core->now < format->look_at)
+	if (core->election.role != ROLE_LEADER || core->election.format >= FORMAT_NEWEST ||
+	    format->all_read_newest || format->scan_in_flight || core->now < format->next_scan_at)
 		return;
-	format->looking = true;
-	format->look_at = core->now + FORMAT_LOOK_S;
+	format->scan_in_flight = true;
+	format->next_scan_at = core->now + FORMAT_LOOK_S;
 	store_range(core, VERSIONS, "", on_versions, NULL);
 }
 
 void format_clear(struct core *core)
 {
-	core->format.looking = false;
+	core->format.scan_in_flight = false;
 	core->format.all_read_newest = false;
 }
--- a/src/core/jobs.c
+++ b/src/core/jobs.c
@@ -6,7 +6,7 @@
 #include "core/state.h"
 #include "util/log.h"
 
-bool job_bit(const uint8_t *bits, uint32_t task)
+bool task_bit_test(const uint8_t *bits, uint32_t task)
 {
 	return bits[task / 8] >> (task % 8) & 1;
 }
@@ -19,14 +19,15 @@
 		bits[task / 8] &= (uint8_t) ~(1u << (task % 8));
 }
 
-uint32_t job_chunks(const struct job *job)
+uint32_t job_chunk_count(const struct job *job)
 {
-	return (job->spec.ntasks + job->chunk_tasks - 1) / job->chunk_tasks;
+	return (job->spec.task_count + job->records.tasks_per_chunk - 1) /
+	       job->records.tasks_per_chunk;
 }
 
 uint32_t job_chunk_of(const struct job *job, uint32_t task)
 {
-	return task / job->chunk_tasks;
+	return task / job->records.tasks_per_chunk;
 }
 
 struct job *job_find(struct core *core, const char *id)
@@ -40,18 +41,19 @@
 struct job *job_add(struct core *core, const struct job_spec *spec)
 {
 	struct job *job = calloc(1, sizeof(*job));
-	size_t bytes = (spec->ntasks + 7) / 8 + 1;
+	size_t bytes = (spec->task_count + 7) / 8 + 1;
 
 	if (!job)
 		abort();
 	job->spec = *spec;
 	job->done = calloc(1, bytes);
 	job->bound = calloc(1, bytes);
-	job->chunk_tasks = core->election.format >= FORMAT_PIECES ? PIECE_TASKS : CHUNK_TASKS;
-	job->chunks = calloc(job_chunks(job), sizeof(*job->chunks));
-	if (!job->done || !job->bound || !job->chunks)
+	job->records.tasks_per_chunk =
+	    core->election.format >= FORMAT_SMALL_CHUNKS ? SMALL_CHUNK_TASKS : LARGE_CHUNK_TASKS;
+	job->records.chunks = calloc(job_chunk_count(job), sizeof(*job->records.chunks));
+	if (!job->done || !job->bound || !job->records.chunks)
 		abort();
-	job->waiting_since = core->now;
+	job->scheduling.waiting_since = core->now;
 	HASH_ADD_STR(core->jobs, spec.id, job);
 	return job;
 }
@@ -69,35 +71,36 @@
 
 void job_grow(struct job *job, uint32_t ntasks)
 {
-	uint32_t chunks = job_chunks(job);
-	size_t bytes = (job->spec.ntasks + 7) / 8 + 1;
+	uint32_t chunks = job_chunk_count(job);
+	size_t bytes = (job->spec.task_count + 7) / 8 + 1;
 
-	if (ntasks <= job->spec.ntasks)
+	if (ntasks <= job->spec.task_count)
 		return;
-	job->spec.ntasks = ntasks;
+	job->spec.task_count = ntasks;
 	job->done = grown(job->done, bytes, (ntasks + 7) / 8 + 1, 1);
 	job->bound = grown(job->bound, bytes, (ntasks + 7) / 8 + 1, 1);
-	job->chunks = grown(job->chunks, chunks, job_chunks(job), sizeof(*job->chunks));
+	job->records.chunks =
+	    grown(job->records.chunks, chunks, job_chunk_count(job), sizeof(*job->records.chunks));
 }
 
 void job_free(struct core *core, struct job *job)
 {
-	plan_release(core, job);
+	reservation_release(core, job);
 	HASH_DEL(core->jobs, job);
 	wire_job_free(&job->spec);
 	free(job->done);
 	free(job->bound);
-	free(job->chunks);
-	free(job->old_chunks);
+	free(job->records.chunks);
+	free(job->records.old_chunks);
 	free(job);
 }
 
-void job_release(struct core *core, struct job *job)
+void job_release_if_over(struct core *core, struct job *job)
 {
 	if (!job->orphan || job->bindings)
 		return;
-	for (uint32_t k = 0; k < job_chunks(job); k++)
-		if (job->chunks[k].queued || job->chunks[k].in_flight)
+	for (uint32_t k = 0; k < job_chunk_count(job); k++)
+		if (job->records.chunks[k].queued_write || job->records.chunks[k].in_flight)
 			return;
 	job_free(core, job);
 }
@@ -105,45 +108,47 @@
 /* Its record would grow beyond what one value may hold. */
 bool job_chunk_full(const struct core *core, const struct job *job, uint32_t task)
 {
-	return job->chunks[job_chunk_of(job, task)].bytes + CHUNK_SPARE_BYTES + CHUNK_ENTRY_BYTES >
+	return job->records.chunks[job_chunk_of(job, task)].bytes + CHUNK_SPARE_BYTES +
+		   CHUNK_ENTRY_BYTES >
 	       limits_value_bytes(core);
 }
 
-uint32_t job_waiting(const struct job *job)
+uint32_t job_waiting_count(const struct job *job)
 {
-	uint32_t busy = job->ndone + job->nbound;
+	uint32_t busy = job->done_count + job->bound_count;
 
-	if (job->cancelled || job->orphan || job->final_queued || busy >= job->spec.ntasks)
+	if (job->cancelled || job->orphan || job->final_queued || busy >= job->spec.task_count)
 		return 0;
-	return job->spec.ntasks - busy;
+	return job->spec.task_count - busy;
 }
 
 /* The first task that is neither done nor bound; ntasks if there is none. */
-uint32_t job_next_waiting(struct job *job)
+uint32_t job_first_waiting(struct job *job)
 {
-	uint32_t t = job->next_task;
+	uint32_t t = job->first_waiting_hint;
 
-	while (t < job->spec.ntasks && (job_bit(job->done, t) || job_bit(job->bound, t)))
+	while (t < job->spec.task_count &&
+	       (task_bit_test(job->done, t) || task_bit_test(job->bound, t)))
 		t++;
-	job->next_task = t;
+	job->first_waiting_hint = t;
 	return t;
 }
 
-void job_task_done(struct core *core, struct job *job, uint32_t task)
+void job_note_task_done(struct core *core, struct job *job, uint32_t task)
 {
-	if (job->orphan || task >= job->spec.ntasks || job_bit(job->done, task) ||
+	if (job->orphan || task >= job->spec.task_count || task_bit_test(job->done, task) ||
 	    job->spec.kind == JOB_SERVICE)
 		return;
 	bit_set(job->done, task, true);
-	job->ndone++;
-	log_debug("task_done", "job=%s task=%u done=%u of=%u", job->spec.id, task, job->ndone,
-		  job->spec.ntasks);
-	if (job->ndone < job->spec.ntasks)
-		commit_chunk(core, job, task, END_DELAY_S);
+	job->done_count++;
+	log_debug("task_done", "job=%s task=%u done=%u of=%u", job->spec.id, task, job->done_count,
+		  job->spec.task_count);
+	if (job->done_count < job->spec.task_count)
+		write_queue_add_chunk(core, job, task, END_DELAY_S);
 }
 
 /* Looks whether the job is over; call after anything that ends a task or a binding. */
-void job_settle(struct core *core, struct job *job)
+void job_check_end(struct core *core, struct job *job)
 {
 	if (!job->bindings && job->gang_stopping)
 		job->gang_stopping = false;
@@ -151,28 +156,28 @@
 		return;
 	if (job->cancelled) {
 		if (!job->bindings)
-			commit_final(core, job);
+			write_queue_add_final(core, job);
 		return;
 	}
-	if (job->ndone < job->spec.ntasks)
+	if (job->done_count < job->spec.task_count)
 		return;
 	/* The last tasks of a gang are heard of within moments: one transaction for all. */
-	if (job->done_at <= 0)
-		job->done_at = core->now;
-	if (!job->bindings || core->now - job->done_at >= FINAL_WAIT_S)
-		commit_final(core, job);
+	if (job->all_done_at <= 0)
+		job->all_done_at = core->now;
+	if (!job->bindings || core->now - job->all_done_at >= FINAL_WAIT_S)
+		write_queue_add_final(core, job);
 }
 
 void job_tick(struct core *core)
 {
 	struct job *job, *tmp;
 
-	if (core->now < core->next_jobs)
+	if (core->now < core->next_job_scan_at)
 		return;
-	core->next_jobs = core->now + JOBS_EVERY_S;
+	core->next_job_scan_at = core->now + JOBS_EVERY_S;
 	HASH_ITER (hh, core->jobs, job, tmp)
-		if (job->done_at > 0 && !job->final_queued)
-			job_settle(core, job);
+		if (job->all_done_at > 0 && !job->final_queued)
+			job_check_end(core, job);
 }
 
 void job_cancel(struct core *core, struct job *job)
@@ -182,46 +187,48 @@
 	if (job->cancelled || job->orphan)
 		return;
 	job->cancelled = true;
-	log_info("job_cancelled", "job=%s bound=%u", job->spec.id, job->nbound);
-	DL_FOREACH_SAFE2 (job->bindings, binding, tmp, jnext) {
+	log_info("job_cancelled", "job=%s bound=%u", job->spec.id, job->bound_count);
+	DL_FOREACH_SAFE2 (job->bindings, binding, tmp, job_next) {
 		/* A start that never left needs no proof of its end. */
-		if (binding_unsent(binding))
-			binding_end(core, binding, WHY_STOPPED);
+		if (binding_start_never_sent(binding))
+			binding_end(core, binding, END_STOPPED);
 		else
 			binding_stop(core, binding, 0);
 	}
-	job_settle(core, job);
+	job_check_end(core, job);
 }
 
 void job_cancel_committed(struct core *core, const char *id, uint64_t version)
 {
-	struct job *job = core->election.role == ROLE_LEAD ? job_find(core, id) : NULL;
+	struct job *job = core->election.role == ROLE_LEADER ? job_find(core, id) : NULL;
 
 	if (!job || job->orphan)
 		return;
-	if (version > job->version)
-		job->version = version;
+	if (version > job->record_version)
+		job->record_version = version;
 	job_cancel(core, job);
 }
 
-void job_failed_on(struct core *core, struct job *job, struct machine *machine)
+void job_note_failure(struct core *core, struct job *job, struct machine *machine)
 {
 	double wait = ERROR_BACKOFF_S;
 
-	for (int i = 0; i < job->errors && wait < ERROR_BACKOFF_MAX_S; i++)
+	for (int i = 0; i < job->scheduling.failures && wait < ERROR_BACKOFF_MAX_S; i++)
 		wait *= 2;
 	if (wait > ERROR_BACKOFF_MAX_S)
 		wait = ERROR_BACKOFF_MAX_S;
 	/* The first failure is mostly the machine's: try elsewhere at once. */
-	job->not_before = core->now + (job->errors ? wait : 0);
-	job->errors++;
-	snprintf(job->bad[job->nbad % ERROR_JOB_MACHINES], ID_MAX, "%s", machine->id);
-	job->nbad++;
+	job->scheduling.retry_at = core->now + (job->scheduling.failures ? wait : 0);
+	job->scheduling.failures++;
+	snprintf(job->scheduling
+		     .failed_machines[job->scheduling.failed_machine_count % ERROR_JOB_MACHINES],
+		 ID_MAX, "%s", machine->id);
+	job->scheduling.failed_machine_count++;
 }
 
 static struct chunk *chunk_of(const struct binding *binding)
 {
-	return &binding->job->chunks[job_chunk_of(binding->job, binding->task)];
+	return &binding->job->records.chunks[job_chunk_of(binding->job, binding->task)];
 }
 
 /* Records of an older leader may bind a task twice: it is free when both have ended. */
@@ -229,7 +236,7 @@
 {
 	const struct binding *other;
 
-	DL_FOREACH2 (chunk_of(binding)->bindings, other, cnext)
+	DL_FOREACH2 (chunk_of(binding)->bindings, other, chunk_next)
 		if (other != binding && other->task == binding->task)
 			return true;
 	return false;
@@ -240,22 +247,22 @@
 	struct job *job = binding->job;
 	uint32_t task = binding->task;
 
-	if (task >= job->spec.ntasks || job_bit(job->bound, task) == on ||
+	if (task >= job->spec.task_count || task_bit_test(job->bound, task) == on ||
 	    (!on && bound_elsewhere(binding)))
 		return;
 	bit_set(job->bound, task, on);
-	job->nbound += on ? 1 : (uint32_t)-1;
-	if (!on && task < job->next_task)
-		job->next_task = task;
+	job->bound_count += on ? 1 : (uint32_t)-1;
+	if (!on && task < job->first_waiting_hint)
+		job->first_waiting_hint = task;
 }
 
-void chunk_add(struct binding *binding)
+void chunk_add_binding(struct binding *binding)
 {
 	struct chunk *chunk = chunk_of(binding);
 
 	binding->record_bytes = task_record_bytes(binding);
-	DL_APPEND2(chunk->bindings, binding, cprev, cnext);
-	chunk->nbound++;
+	DL_APPEND2(chunk->bindings, binding, chunk_prev, chunk_next);
+	chunk->binding_count++;
 	chunk->bytes += binding->record_bytes;
 }
 
@@ -263,8 +270,8 @@
 {
 	struct chunk *chunk = chunk_of(binding);
 
-	DL_DELETE2(chunk->bindings, binding, cprev, cnext);
-	chunk->nbound--;
+	DL_DELETE2(chunk->bindings, binding, chunk_prev, chunk_next);
+	chunk->binding_count--;
 	chunk->bytes -= binding->record_bytes;
 }
 
@@ -279,26 +286,26 @@
 	binding->job = job;
 	binding->task = task;
 	binding->attempt = attempt;
-	binding->floor_token = core->election.token;
-	DL_APPEND2(machine->bindings, binding, mprev, mnext);
-	DL_APPEND2(job->bindings, binding, jprev, jnext);
-	machine->nbindings++;
-	machine->nreplicas += job->spec.kind == JOB_SERVICE;
-	replica_watch_update(core, machine);
-	machine->cpus -= job->spec.cpus;
-	machine->gpus -= job->spec.gpus;
-	machine->mem_gb -= job->spec.mem_gb;
+	binding->min_token = core->election.token;
+	DL_APPEND2(machine->bindings, binding, machine_prev, machine_next);
+	DL_APPEND2(job->bindings, binding, job_prev, job_next);
+	machine->binding_count++;
+	machine->replica_count += job->spec.kind == JOB_SERVICE;
+	replica_supervision_update(core, machine);
+	machine->free_cpus -= job->spec.cpus;
+	machine->free_gpus -= job->spec.gpus;
+	machine->free_mem_gb -= job->spec.mem_gb;
 	binding_bit(binding, true);
-	chunk_add(binding);
-	job->uncommitted++;
+	chunk_add_binding(binding);
+	job->uncommitted_count++;
 	team_charge(core, &job->spec, 1);
 	return binding;
 }
 
 /* Its start never left, nor can an earlier leader have sent it. */
-bool binding_unsent(const struct binding *binding)
+bool binding_start_never_sent(const struct binding *binding)
 {
-	return !binding->loaded && !binding->sent_session && !binding->beat_seq;
+	return !binding->recovered && !binding->start_incarnation && !binding->start_sequence;
 }
 
 void binding_stop(struct core *core, struct binding *binding, double grace_s)
@@ -307,39 +314,41 @@
 		return;
 	binding->stopping = true;
 	binding->grace_s = grace_s;
-	binding->stop_at = 0;
-	commands_wanted(core, binding->machine);
+	binding->stop_sent_at = 0;
+	commands_request(core, binding->machine);
 }
 
 /* A gang that lost a task stops as a whole; its other tasks would notice by themselves, later. */
-static void gang_lost(struct core *core, struct job *job, enum task_why why)
+static void gang_lost(struct core *core, struct job *job, enum task_end_reason why)
 {
 	struct binding *binding;
 
-	if (job->ndone)
+	if (job->done_count)
 		return;
 	job->gang_stopping = true;
-	DL_FOREACH2 (job->bindings, binding, jnext) {
+	DL_FOREACH2 (job->bindings, binding, job_next) {
 		/* An orderly stop under way must not be cut short: the others are saving. */
-		if (why != WHY_STOPPED || !binding->stopping)
+		if (why != END_STOPPED || !binding->stopping)
 			binding_stop(core, binding, 0);
 	}
 }
 
 static void machine_blamed(struct machine *machine, const struct job *job)
 {
-	for (int i = 0; i < machine->nfailed_jobs; i++)
-		if (!strcmp(machine->failed_jobs[i], job->spec.id))
+	for (int i = 0; i < machine->scheduling.failed_job_count; i++)
+		if (!strcmp(machine->scheduling.failed_jobs[i], job->spec.id))
 			return;
 	/* A job that failed elsewhere too is its owner's mistake, not this machine's. */
-	if (job->nbad > 1)
+	if (job->scheduling.failed_machine_count > 1)
 		return;
-	if (machine->nfailed_jobs < MACHINE_FAULT_JOBS)
-		snprintf(machine->failed_jobs[machine->nfailed_jobs++], ID_MAX, "%s", job->spec.id);
-	if (machine->nfailed_jobs == MACHINE_FAULT_JOBS && !machine->draining) {
-		machine->draining = true;
+	if (machine->scheduling.failed_job_count < MACHINE_FAULT_JOBS)
+		snprintf(machine->scheduling.failed_jobs[machine->scheduling.failed_job_count++],
+			 ID_MAX, "%s", job->spec.id);
+	if (machine->scheduling.failed_job_count == MACHINE_FAULT_JOBS &&
+	    !machine->cloud.draining) {
+		machine->cloud.draining = true;
 		log_info("machine_faulty", "machine=%s jobs=%d", machine->id,
-			 machine->nfailed_jobs);
+			 machine->scheduling.failed_job_count);
 	}
 }
 
@@ -348,77 +357,78 @@
  * whatever it says, is tried again after a time that grows, so that it does not take all starts;
  * one that has run begins again at once.
  */
-static void replica_ended(struct core *core, struct binding *binding, enum task_why why)
+static void replica_ended(struct core *core, struct binding *binding, enum task_end_reason why)
 {
 	struct job *job = binding->job;
 	bool ran =
 	    binding->running_since > 0 && core->now - binding->running_since >= REPLICA_STEADY_S;
 
 	if (ran)
-		job->errors = 0;
-	job_failed_on(core, job, binding->machine);
-	if (why == WHY_ERROR)
+		job->scheduling.failures = 0;
+	job_note_failure(core, job, binding->machine);
+	if (why == END_ERROR)
 		machine_blamed(binding->machine, job);
 }
 
-static void binding_account(struct core *core, struct binding *binding, enum task_why why)
+static void binding_account(struct core *core, struct binding *binding, enum task_end_reason why)
 {
 	struct job *job = binding->job;
 
-	if (job->spec.kind == JOB_SERVICE && (why == WHY_DONE || why == WHY_ERROR)) {
+	if (job->spec.kind == JOB_SERVICE && (why == END_DONE || why == END_ERROR)) {
 		replica_ended(core, binding, why);
-	} else if (why == WHY_DONE) {
-		binding->machine->nfailed_jobs = 0;
-		job->errors = 0;
+	} else if (why == END_DONE) {
+		binding->machine->scheduling.failed_job_count = 0;
+		job->scheduling.failures = 0;
 		if (job->spec.kind == JOB_GANG)
-			for (uint32_t t = 0; t < job->spec.ntasks; t++)
-				job_task_done(core, job, t);
+			for (uint32_t t = 0; t < job->spec.task_count; t++)
+				job_note_task_done(core, job, t);
 		else
-			job_task_done(core, job, binding->task);
-	} else if (why == WHY_ERROR) {
-		job_failed_on(core, job, binding->machine);
+			job_note_task_done(core, job, binding->task);
+	} else if (why == END_ERROR) {
+		job_note_failure(core, job, binding->machine);
 		machine_blamed(binding->machine, job);
-	} else if (why == WHY_NO_ROOM || why == WHY_BUSY || why == WHY_UNKNOWN) {
-		job->not_before = core->now + REFUSED_BACKOFF_S;
-		if (why != WHY_UNKNOWN)
-			binding->machine->no_place_until = core->now + REFUSED_BACKOFF_S;
+	} else if (why == END_NO_ROOM || why == END_BUSY || why == END_UNKNOWN_JOB) {
+		job->scheduling.retry_at = core->now + REFUSED_BACKOFF_S;
+		if (why != END_UNKNOWN_JOB)
+			binding->machine->scheduling.backoff_until = core->now + REFUSED_BACKOFF_S;
 	}
 }
 
 /* Takes the binding out of the books, whatever the reason. */
-void binding_drop(struct core *core, struct binding *binding)
+void binding_remove(struct core *core, struct binding *binding)
 {
 	struct machine *machine = binding->machine;
 	struct job *job = binding->job;
 
 	if (binding->running_since > 0)
-		job->nrunning--;
+		job->running_count--;
 	binding_bit(binding, false);
 	chunk_remove(binding);
-	job->uncommitted -= !binding->committed;
+	job->uncommitted_count -= !binding->committed;
 	team_charge(core, &job->spec, -1);
-	DL_DELETE2(machine->bindings, binding, mprev, mnext);
-	DL_DELETE2(job->bindings, binding, jprev, jnext);
-	machine->nbindings--;
-	machine->nreplicas -= job->spec.kind == JOB_SERVICE;
-	replica_watch_update(core, machine);
-	machine->cpus += job->spec.cpus;
-	machine->gpus += job->spec.gpus;
-	machine->mem_gb += job->spec.mem_gb;
-	if (!machine->nbindings)
-		machine->idle_since = core->now;
+	DL_DELETE2(machine->bindings, binding, machine_prev, machine_next);
+	DL_DELETE2(job->bindings, binding, job_prev, job_next);
+	machine->binding_count--;
+	machine->replica_count -= job->spec.kind == JOB_SERVICE;
+	replica_supervision_update(core, machine);
+	machine->free_cpus += job->spec.cpus;
+	machine->free_gpus += job->spec.gpus;
+	machine->free_mem_gb += job->spec.mem_gb;
+	if (!machine->binding_count)
+		machine->cloud.idle_since = core->now;
 	/* The slot stays with its job, unless pairing switched it to another. */
 	if (job->spec.kind == JOB_ARRAY && !job->orphan) {
-		snprintf(machine->turn, sizeof(machine->turn), "%s",
+		snprintf(machine->scheduling.freed_slot_job,
+			 sizeof(machine->scheduling.freed_slot_job), "%s",
 			 *binding->switched_to ? binding->switched_to : job->spec.id);
-		machine->turn_until = core->now + TURN_S;
+		machine->scheduling.freed_slot_until = core->now + FREED_SLOT_S;
 	}
-	commit_chunk(core, job, binding->task, END_DELAY_S);
+	write_queue_add_chunk(core, job, binding->task, END_DELAY_S);
 	free(binding);
 }
 
 /* The end of a binding, proved. The record follows in the next transaction. */
-void binding_end(struct core *core, struct binding *binding, enum task_why why)
+void binding_end(struct core *core, struct binding *binding, enum task_end_reason why)
 {
 	struct machine *machine = binding->machine;
 	struct job *job = binding->job;
@@ -426,32 +436,32 @@
 	log_info("task_end", "job=%s task=%u attempt=%llu machine=%s why=%d", job->spec.id,
 		 binding->task, (unsigned long long)binding->attempt, machine->id, why);
 	binding_account(core, binding, why);
-	binding_drop(core, binding);
-	if (job->spec.kind == JOB_GANG && why != WHY_DONE && !job->cancelled)
+	binding_remove(core, binding);
+	if (job->spec.kind == JOB_GANG && why != END_DONE && !job->cancelled)
 		gang_lost(core, job, why);
-	job->waiting_since = core->now;
-	job_settle(core, job);
-	job_release(core, job);
-	round_wanted(core);
+	job->scheduling.waiting_since = core->now;
+	job_check_end(core, job);
+	job_release_if_over(core, job);
+	cycle_request(core);
 }
 
 /*
  * A task that is bound here no more, listed as done: the leader before recorded the end of its
  * binding, and ended before its result was on record. Any other attempt of it is needless.
  */
-void job_done_unbound(struct core *core, const char *id, uint32_t task)
+void job_note_done_unbound(struct core *core, const char *id, uint32_t task)
 {
 	struct job *job = job_find(core, id);
 	struct binding *binding;
 
-	if (!job || job->orphan || task >= job->spec.ntasks || job_bit(job->done, task) ||
+	if (!job || job->orphan || task >= job->spec.task_count || task_bit_test(job->done, task) ||
 	    job->spec.kind == JOB_SERVICE)
 		return;
-	for (uint32_t t = 0; t < job->spec.ntasks; t++)
+	for (uint32_t t = 0; t < job->spec.task_count; t++)
 		if (t == task || job->spec.kind == JOB_GANG)
-			job_task_done(core, job, t);
-	DL_FOREACH2 (job->bindings, binding, jnext)
-		if (job_bit(job->done, binding->task))
+			job_note_task_done(core, job, t);
+	DL_FOREACH2 (job->bindings, binding, job_next)
+		if (task_bit_test(job->done, binding->task))
 			binding_stop(core, binding, 0);
-	job_settle(core, job);
+	job_check_end(core, job);
 }
--- a/src/core/limits.c
+++ b/src/core/limits.c
@@ -13,7 +13,7 @@
 
 static bool learned_counts(const struct core *core)
 {
-	return core->now < core->limits.until;
+	return core->now < core->limits.expires_at;
 }
 
 static size_t with_learned(const struct core *core, double value_kb)
@@ -27,7 +27,7 @@
 
 size_t limits_value_bytes(const struct core *core)
 {
-	return core->election.format >= FORMAT_PIECES
+	return core->election.format >= FORMAT_SMALL_CHUNKS
 		   ? limits_job_record_bytes(core)
 		   : with_learned(core, core->conf->limits.value_kb);
 }
@@ -54,17 +54,17 @@
 	return smaller(core->conf->limits.write_rps, core->conf->next_limits.write_rps);
 }
 
-void limits_refused(struct core *core, int nops, size_t largest)
+void limits_note_refusal(struct core *core, int nops, size_t largest)
 {
-	struct limits_learned *learned = &core->limits;
+	struct learned_limits *learned = &core->limits;
 
 	if (!learned_counts(core))
-		*learned = (struct limits_learned){0};
+		*learned = (struct learned_limits){0};
 	if (nops > LIMITS_TXN_OPS_MIN)
 		learned->txn_ops = nops / 2 > LIMITS_TXN_OPS_MIN ? nops / 2 : LIMITS_TXN_OPS_MIN;
 	else if (largest > LIMITS_VALUE_FLOOR)
-		*learned = (struct limits_learned){.value_bytes = largest - 1};
-	learned->until = core->now + LIMITS_LEARNED_S;
+		*learned = (struct learned_limits){.value_bytes = largest - 1};
+	learned->expires_at = core->now + LIMITS_LEARNED_S;
 	log_info("limits", "learned_ops=%d learned_bytes=%zu", learned->txn_ops,
 		 learned->value_bytes);
 }
--- a/src/core/limits.h
+++ b/src/core/limits.h
@@ -10,10 +10,10 @@
 struct core;
 
 /* Bounds that refusals have shown; 0: none. */
-struct limits_learned {
+struct learned_limits {
 	size_t value_bytes;
 	int txn_ops;
-	double until; /* steady; then the settings count again */
+	double expires_at; /* steady; then the settings count again */
 };
 
 /* Bytes of one value. Before the format is raised, all of today's limit may be needed. */
@@ -28,6 +28,6 @@
  * A transaction of so many changes, its largest value of so many bytes, was answered 400. One of
  * several changes is to be split; of one change, the value is too large.
  */
-void limits_refused(struct core *core, int nops, size_t largest);
+void limits_note_refusal(struct core *core, int nops, size_t largest);
 
 #endif
--- a/src/core/load.c
+++ b/src/core/load.c
@@ -8,21 +8,23 @@
 #include "util/log.h"
 
 /* In this order: an older record of tasks counts only where no newer one was read. */
-static const char *const prefixes_chunks[] = {JOBS_OPEN, JOBS_BOUND, NULL};
-static const char *const prefixes_pieces[] = {JOBS_OPEN, JOBS_PIECES, JOBS_BOUND, NULL};
+static const char *const prefixes_large_chunks[] = {KEY_OPEN_JOBS, KEY_LARGE_CHUNKS, NULL};
+static const char *const prefixes_small_chunks[] = {KEY_OPEN_JOBS, KEY_SMALL_CHUNKS,
+						    KEY_LARGE_CHUNKS, NULL};
 
 static const char *load_prefix(const struct core *core, size_t at)
 {
-	return (core->election.format >= FORMAT_PIECES ? prefixes_pieces : prefixes_chunks)[at];
+	return (core->election.format >= FORMAT_SMALL_CHUNKS ? prefixes_small_chunks
+							     : prefixes_large_chunks)[at];
 }
 
-struct load {
-	size_t at;
-	char last[200];
-	bool first;
+struct recovery {
+	size_t prefix_index;
+	char cursor[200];
+	bool first_page;
 };
 
-void load_job_record(struct core *core, const char *id, json_t *value, uint64_t version)
+void recovery_take_job_record(struct core *core, const char *id, json_t *value, uint64_t version)
 {
 	struct job *job = job_find(core, id);
 	struct job_spec spec;
@@ -35,36 +37,37 @@
 			return;
 		}
 		job = job_add(core, &spec);
-		job->submitted = json_number_value(json_object_get(value, "at"));
+		job->submitted_at = json_number_value(json_object_get(value, "at"));
 	}
-	job->version = version;
+	job->record_version = version;
 	/*
 	 * While loading, its bindings may not have been read yet: a job that seems to have none
 	 * would be closed at once, and its tasks run on with nobody to stop them.
 	 */
 	if (json_is_true(json_object_get(value, "cancelled"))) {
-		if (core->election.role == ROLE_LOADING)
+		if (core->election.role == ROLE_RECOVERING)
 			job->cancelled = true;
 		else
 			job_cancel(core, job);
 	}
-	round_wanted(core);
+	cycle_request(core);
 }
 
-struct load_ctx {
-	struct core *c;
-	struct load *l;
+struct recovery_context {
+	struct core *core;
+	struct recovery *recovery;
 };
 
 static void load_item(void *ctx, const struct kv_item *it)
 {
-	struct load_ctx *x = ctx;
+	struct recovery_context *x = ctx;
 
-	snprintf(x->l->last, sizeof(x->l->last), "%s", it->key);
-	if (x->l->at == 0)
-		load_job_record(x->c, it->key + strlen(JOBS_OPEN), it->value, it->version);
+	snprintf(x->recovery->cursor, sizeof(x->recovery->cursor), "%s", it->key);
+	if (x->recovery->prefix_index == 0)
+		recovery_take_job_record(x->core, it->key + strlen(KEY_OPEN_JOBS), it->value,
+					 it->version);
 	else
-		task_record_load(x->c, it);
+		task_record_load(x->core, it);
 }
 
 static void load_finish(struct core *core)
@@ -74,49 +77,50 @@
 	HASH_ITER (hh, core->jobs, job, tmp) {
 		struct binding *binding;
 
-		for (uint32_t t = 0; t < job->spec.ntasks; t++)
-			job->ndone += job_bit(job->done, t);
+		for (uint32_t t = 0; t < job->spec.task_count; t++)
+			job->done_count += task_bit_test(job->done, t);
 		/* Part of a gang: the leader before ended between two transactions of one
 		 * placement. */
-		if (job->spec.kind == JOB_GANG && !job->orphan && job->nbound &&
-		    job->nbound < job->spec.ntasks) {
+		if (job->spec.kind == JOB_GANG && !job->orphan && job->bound_count &&
+		    job->bound_count < job->spec.task_count) {
 			job->gang_stopping = true;
-			DL_FOREACH2 (job->bindings, binding, jnext)
+			DL_FOREACH2 (job->bindings, binding, job_next)
 				binding_stop(core, binding, 0);
 		}
 		if (job->cancelled)
-			DL_FOREACH2 (job->bindings, binding, jnext)
+			DL_FOREACH2 (job->bindings, binding, job_next)
 				binding_stop(core, binding, 0);
 	}
 	HASH_ITER (hh, core->jobs, job, tmp) {
 		task_records_migrate(core, job);
-		job_settle(core, job);
-		job_release(core, job);
+		job_check_end(core, job);
+		job_release_if_over(core, job);
 	}
-	core->election.role = ROLE_LEAD;
-	core->lead_since = core->now;
-	core->commits.puts.filled = core->now;
-	core->commits.puts.left = limits_write_rps(core) * WRITE_SHARE_LEADER;
+	core->election.role = ROLE_LEADER;
+	core->leading_since = core->now;
+	core->write_queue.put_limiter.refilled_at = core->now;
+	core->write_queue.put_limiter.tokens = limits_write_rps(core) * WRITE_SHARE_LEADER;
 	log_info("lead", "state=leading jobs=%u machines=%u", HASH_COUNT(core->jobs),
 		 HASH_COUNT(core->fleet.machines));
-	round_wanted(core);
+	cycle_request(core);
 }
 
 static void on_page(struct core *core, struct call *call, int status, const char *body, size_t len);
 
-static void ask_page(struct core *core, struct load *load)
+static void ask_page(struct core *core, struct recovery *load)
 {
-	store_range(core, load_prefix(core, load->at), load->last, on_page, load)->drop = free;
+	store_range(core, load_prefix(core, load->prefix_index), load->cursor, on_page, load)
+	    ->free_arg = free;
 }
 
 static void on_page(struct core *core, struct call *call, int status, const char *body, size_t len)
 {
-	struct load *load = call->arg;
-	struct load_ctx x = {core, load};
+	struct recovery *load = call->arg;
+	struct recovery_context x = {core, load};
 	json_t *o;
 
-	store_heard(core, status);
-	if (election_stale(core, call)) {
+	store_note_answer(core, status);
+	if (election_call_is_stale(core, call)) {
 		free(load);
 		return;
 	}
@@ -125,18 +129,18 @@
 		return;
 	}
 	o = wire_parse(body, len);
-	if (load->first) {
+	if (load->first_page) {
 		core->jobs_watch.revision = wire_revision(o);
-		core->jobs_watch.read_at = call->sent;
+		core->jobs_watch.read_at = call->sent_at;
 	}
-	load->first = false;
+	load->first_page = false;
 	wire_items(o, load_item, &x);
 	if (!wire_more(o)) {
-		load->at++;
-		load->last[0] = 0;
+		load->prefix_index++;
+		load->cursor[0] = 0;
 	}
 	json_decref(o);
-	if (load_prefix(core, load->at)) {
+	if (load_prefix(core, load->prefix_index)) {
 		ask_page(core, load);
 		return;
 	}
@@ -144,13 +148,13 @@
 	load_finish(core);
 }
 
-void load_start(struct core *core)
+void recovery_start(struct core *core)
 {
-	struct load *load = calloc(1, sizeof(*load));
+	struct recovery *load = calloc(1, sizeof(*load));
 
 	if (!load)
 		abort();
-	load->first = true;
+	load->first_page = true;
 	ask_page(core, load);
 }
 
@@ -159,61 +163,61 @@
 	struct core *core = ctx;
 	struct job *job;
 
-	size_t n = strlen(JOBS_OPEN);
+	size_t n = strlen(KEY_OPEN_JOBS);
 
-	if (strncmp(it->key, JOBS_OPEN, n) || !it->value)
+	if (strncmp(it->key, KEY_OPEN_JOBS, n) || !it->value)
 		return;
 	job = job_find(core, it->key + n);
-	if (job && (job->orphan || it->version <= job->version))
+	if (job && (job->orphan || it->version <= job->record_version))
 		return;
-	load_job_record(core, it->key + n, it->value, it->version);
+	recovery_take_job_record(core, it->key + n, it->value, it->version);
 }
 
 static void on_watch(struct core *core, struct call *call, int status, const char *body, size_t len)
 {
 	json_t *o;
 
-	if (election_stale(core, call))
+	if (election_call_is_stale(core, call))
 		return;
-	core->jobs_watch.watching = false;
+	core->jobs_watch.in_flight = false;
 	if (status == 410) {
 		election_step_down(core, "watch_too_old");
 		return;
 	}
 	if (status != 200) {
-		core->jobs_watch.again = core->now + LEADER_REREAD_S;
+		core->jobs_watch.retry_at = core->now + LEADER_REREAD_S;
 		return;
 	}
 	o = wire_parse(body, len);
 	wire_items(o, watch_item, core);
 	if (wire_revision(o) > core->jobs_watch.revision)
 		core->jobs_watch.revision = wire_revision(o);
-	core->jobs_watch.read_at = call->sent;
+	core->jobs_watch.read_at = call->sent_at;
 	json_decref(o);
 }
 
-void load_tick(struct core *core)
+void jobs_watch_tick(struct core *core)
 {
-	if (core->jobs_watch.watching || core->now < core->jobs_watch.again)
+	if (core->jobs_watch.in_flight || core->now < core->jobs_watch.retry_at)
 		return;
-	core->jobs_watch.watching = true;
-	store_watch(core, JOBS_OPEN, core->jobs_watch.revision, JOBS_WATCH_MS, on_watch, NULL);
+	core->jobs_watch.in_flight = true;
+	store_watch(core, KEY_OPEN_JOBS, core->jobs_watch.revision, JOBS_WATCH_MS, on_watch, NULL);
 }
 
 /* All that only a leader knows; what the next one needs is in the records. */
-void leader_clear(struct core *core)
+void leader_state_clear(struct core *core)
 {
 	struct machine *machine, *mtmp;
 	struct job *job, *jtmp;
 
-	commit_clear(core);
-	rent_clear(core);
+	write_queue_clear(core);
+	autoscale_clear(core);
 	format_clear(core);
 	core->fleet.command_queue = NULL;
 	HASH_ITER (hh, core->fleet.machines, machine, mtmp) {
 		struct binding *binding, *tmp;
 
-		DL_FOREACH_SAFE2 (machine->bindings, binding, tmp, mnext)
+		DL_FOREACH_SAFE2 (machine->bindings, binding, tmp, machine_next)
 			free(binding);
 		machine_free(core, machine);
 	}
@@ -221,8 +225,8 @@
 		job_free(core, job);
 	for (size_t i = 0; i < core->conf->nteams; i++)
 		core->teams[i].cpus = core->teams[i].gpus = 0;
-	core->jobs_watch.watching = false;
-	core->rounds.due = false;
-	core->commits.fence_wanted = false;
-	core->rounds.attempts = 0;
+	core->jobs_watch.in_flight = false;
+	core->cycles.requested = false;
+	core->write_queue.new_token_wanted = false;
+	core->cycles.attempt_counter = 0;
 }
--- a/src/core/machine.h
+++ b/src/core/machine.h
@@ -23,147 +23,172 @@
 	struct job *job;
 	uint32_t task;
 	uint64_t attempt;
-	uint64_t floor_token;  /* a report proves absence only if its worker saw this token */
-	uint64_t sent_session; /* session of the newest start sent this term; 0: none sent */
-	uint64_t beat_seq;     /* report whose answer carried the newest start */
-	uint64_t listed_at;    /* newest message that lists it */
-	double sent_at;
-	double stop_at; /* when the newest stop was sent; 0: none */
+	uint64_t min_token;	    /* a report proves absence only if its worker saw this token */
+	uint64_t start_incarnation; /* session of the newest start sent this term; 0: none sent */
+	uint64_t start_sequence;    /* report whose answer carried the newest start */
+	uint64_t listed_sequence;   /* newest message that lists it */
+	double start_sent_at;
+	double stop_sent_at; /* when the newest stop was sent; 0: none */
 	double grace_s;
 	double running_since;  /* 0: not running */
 	uint32_t record_bytes; /* in its chunk's record, at most */
 	bool committed, in_flight;
-	bool loaded; /* made by an earlier leader */
-	bool seen;   /* listed by its worker under this leader */
+	bool recovered; /* made by an earlier leader */
+	bool observed;	/* listed by its worker under this leader */
 	bool stopping;
 	char switched_to[ID_MAX]; /* the array that its slot serves next; empty: none */
 	enum task_state state;
-	struct binding *mprev, *mnext; /* on its machine */
-	struct binding *jprev, *jnext; /* of its job */
-	struct binding *cprev, *cnext; /* in its chunk of the job */
+	struct binding *machine_prev, *machine_next; /* on its machine */
+	struct binding *job_prev, *job_next;	     /* of its job */
+	struct binding *chunk_prev, *chunk_next;     /* in its chunk of the job */
 };
 
 /* The listed tasks of a worker that are bound no more: to be stopped or forgotten. */
-struct leftover {
+struct unbound_task {
 	char job[ID_MAX];
 	uint32_t task;
 	uint64_t attempt;
 	bool ended;
 };
 
+/*
+ * What is known of the agent: the worker process on the machine, by its own messages. Times are
+ * steady seconds; < 0: never in this term.
+ */
+struct machine_agent {
+	uint64_t incarnation; /* rises each time that the agent has lost its lease or begun anew */
+	uint64_t sequence;    /* of its newest message within the incarnation */
+	uint64_t token;	      /* the newest fencing token that it has shown */
+	uint64_t
+	    min_token;	   /* lower ones are those of copies from before a restart; 0: any counts */
+	bool restarted;	   /* it began anew, and awaits a new token */
+	bool reachable;	   /* false: an outbound partition, our messages do not reach it */
+	int stale_reports; /* reports that did not count since one last did */
+	int ignored_starts; /* reports in a row that lack a start sent with an earlier answer */
+	double unreachable_since;
+	double last_heartbeat_at; /* the newest report that it sent by itself */
+	double last_message_at;	  /* the newest message, also answers to probes and commands */
+	double last_report_at;	  /* any report, be it a copy or a new machine's first */
+	double up_at;		  /* its first message this term */
+	double notice_s;	  /* preemption notice: seconds left when it came; < 0: none */
+	double notice_received_at;
+	struct report_cache_entry *cached_report; /* in fleet.report_cache */
+	struct unbound_task *leftovers;		  /* listed, but bound no more */
+	size_t leftover_count;
+};
+
+/* Probes: status requests that the leader sends to the agent. */
+struct machine_probes {
+	double sent_at;		 /* steady; the newest */
+	int unanswered;		 /* in a row since the agent's last message */
+	double unanswered_since; /* steady; when the first of them was sent */
+	bool supervised;	 /* in the list of machines with replicas */
+	struct machine *supervised_prev, *supervised_next;
+};
+
+/* Commands sent directly, not with the answer to a report. */
+struct machine_commands {
+	uint64_t unanswered_token; /* newest token of an unanswered command to start */
+	int in_flight;
+	bool announce_token; /* it may report to an earlier leader: our token brings it here */
+	bool due;	     /* commands wait to be sent */
+	bool queued;	     /* in the list of those whose turn it is */
+	struct machine *queue_prev, *queue_next;
+};
+
+/* What the cloud says of the machine, and what was decided about keeping it. */
+struct machine_cloud {
+	bool listed;		   /* an inventory has named it */
+	bool expected;		   /* rented or listed: it stands for room before it reports */
+	bool failed;		   /* the cloud says so */
+	uint64_t inventory_number; /* the newest inventory that named it */
+	int missed_inventories;	   /* in a row, without it */
+	double rented_at;	   /* steady */
+	double idle_since;	   /* steady */
+	bool draining;		   /* it gets no new tasks, and is deleted once it is empty */
+	bool deleting;		   /* a delete was decided: it gets no tasks any more */
+	bool delete_in_flight;
+	bool deleted; /* the cloud's 200 to its delete came */
+};
+
+/* What placement remembers of the machine. */
+struct machine_scheduling {
+	char images[MACHINE_IMAGES][NAME_MAX_LEN]; /* most recently used first */
+	int image_count;
+	char failed_jobs[MACHINE_FAULT_JOBS][ID_MAX];
+	int failed_job_count;
+	struct job *reserved_for;    /* the job that room here is reserved for; NULL: none */
+	uint32_t reserved_tasks;     /* room for so many of its tasks */
+	uint32_t room_index;	     /* place in the scheduling cycle's list of rooms */
+	char freed_slot_job[ID_MAX]; /* the array that the slot that fell free belongs to */
+	double freed_slot_until;     /* steady */
+	double backoff_until;	     /* steady; a start was refused: none before */
+};
+
 struct machine {
 	char id[ID_MAX];
 	char addr[NAME_MAX_LEN];
 	char type_name[NAME_MAX_LEN];
 	char zone[NAME_MAX_LEN];
-	const struct machine_type *type;
+	const struct machine_type *type; /* NULL: not in the catalog */
 	bool spot;
-	double cpus, gpus, mem_gb; /* free */
+	double free_cpus, free_gpus, free_mem_gb;
 	struct binding *bindings;
-	int nbindings;
-	int nreplicas; /* of them, tasks of services */
-
-	/* the worker */
-	uint64_t session, seq, token;
-	uint64_t
-	    inc_token;	/* it began anew: older tokens are those of copies from before; 0: never */
-	bool restarted; /* it began anew, and awaits a new token */
-	bool hears;	/* it has shown that answers or commands reach it in this session */
-	int unproven;	/* reports that did not count since one last did */
-	int unheeded;	/* reports in a row that ignore a start */
-	double deaf_since; /* steady; when `hears` was lost */
-	double last_beat;  /* steady; < 0: none this term */
-	double last_word;  /* any message this term; < 0: none */
-	double reported;   /* any report, be it a copy or a new machine's first; < 0: none */
-	double up_at;	   /* its first message this term */
-	double asked_at;
-	int unanswered;		 /* questions without an answer since its last message */
-	double unanswered_since; /* steady; when the first of them was sent */
-	bool watched;		 /* in the list of machines with replicas */
-	struct machine *watch_prev, *watch_next;
-	double notice_s;
-	double notice_heard;			/* when notice_s was said */
-	struct report_cache_entry *last_report; /* in core->reports */
-	struct leftover *left;
-	size_t nleft;
-	uint64_t unanswered_token; /* newest token of an unanswered command to start */
-	int commands_out;
-	bool announce_token;   /* it may report to a leader of before: our token brings it here */
-	bool commands_due;     /* commands wait to be sent directly */
-	bool in_command_queue; /* in the list of those whose turn it is */
-	struct machine *queue_prev, *queue_next;
-
-	/* the cloud */
-	bool listed;
-	bool expected; /* rented or listed: it stands for room even before it reports */
-	bool failed;
-	uint64_t list_round; /* the newest list that named it */
-	int missing;	     /* lists in a row without it */
-	double rented_at;
-	double idle_since;
-	bool draining;
-	bool deleting; /* a delete was decided: it gets no tasks any more */
-	bool delete_out;
-	bool gone; /* the cloud's 200 to its delete came */
-
-	char images[MACHINE_IMAGES][NAME_MAX_LEN];
-	int nimages;
-	char failed_jobs[MACHINE_FAULT_JOBS][ID_MAX];
-	int nfailed_jobs;
-	struct job *hold_job; /* the gang that room here is held for */
-	uint32_t hold_tasks;
-	uint32_t round_at; /* place in the round's list of rooms */
-	char turn[ID_MAX]; /* the array whose turn it is on the slot that fell free */
-	double turn_until;
-	double no_place_until;
+	int binding_count;
+	int replica_count; /* of the bindings, tasks of services */
+	struct machine_agent agent;
+	struct machine_probes probes;
+	struct machine_commands commands;
+	struct machine_cloud cloud;
+	struct machine_scheduling scheduling;
 	UT_hash_handle hh;
 };
 
 /* How long ago machines were heard of, at the last look at all of them. */
-struct fleet_words {
-	int known;		     /* machines that should be heard of */
-	int by_age[FLEET_WORD_AGES]; /* of them, by the age of their last message */
+struct contact_ages {
+	int expected;		  /* machines that should be heard of */
+	int by_age[CONTACT_AGES]; /* of them, by the age of their last message */
 };
 
 /* The machines, and what the leader asks of them. */
 struct fleet {
 	struct machine *machines;
-	struct report_cache reports;
-	struct machine *command_queue; /* commands wait for them, longest waiting first */
-	struct allowance asks;	       /* questions to workers */
-	int directs;		       /* commands and questions under way: each holds a socket */
-	struct fleet_words words;
-	double next_look;    /* steady; at all machines */
-	bool replicas_leave; /* at the last look: some are on machines that are about to go */
+	struct report_cache report_cache;
+	struct machine *command_queue;	   /* commands wait for them, longest waiting first */
+	struct rate_limiter probe_limiter; /* questions to workers */
+	int direct_in_flight; /* commands and questions under way: each holds a socket */
+	struct contact_ages contact_ages;
+	double next_scan_at;	 /* steady; at all machines */
+	bool replicas_must_move; /* at the last look: some are on machines that are about to go */
 };
 
 struct machine *machine_find(struct core *core, const char *id);
-struct machine *machine_get(struct core *core, const char *id);
+struct machine *machine_find_or_add(struct core *core, const char *id);
 void machine_free(struct core *core, struct machine *machine);
-void machine_describe(struct core *core, struct machine *machine, const char *addr,
-		      const char *type, const char *zone, bool spot);
+void machine_set_identity(struct core *core, struct machine *machine, const char *addr,
+			  const char *type, const char *zone, bool spot);
 bool machine_has_tombstone(struct core *core, const char *id);
 /* It is given up, and is to be deleted at once. */
-void machine_lost(struct core *core, struct machine *machine);
-void machine_gone(struct core *core, struct machine *machine);
-void machine_tick(struct core *core);
+void machine_give_up(struct core *core, struct machine *machine);
+void machine_note_deleted(struct core *core, struct machine *machine);
+void machines_tick(struct core *core);
 /* Machines heard of within so many seconds before the last look; an age is rounded up. */
-int fleet_words_since(const struct fleet_words *words, double age_s);
-void machine_show(struct core *core, struct machine *machine);
-bool machine_fresh(const struct core *core, const struct machine *machine);
+int contact_ages_within(const struct contact_ages *words, double age_s);
+void probe_unseen_machine(struct core *core, struct machine *machine);
+bool machine_is_responsive(const struct core *core, const struct machine *machine);
 /* It has a notice, or is to be returned: nothing new goes there. */
-bool machine_leaves(const struct machine *machine);
-bool machine_usable(const struct core *core, const struct machine *machine);
-bool machine_allowed(const struct machine_type *type, const char *zone, bool spot,
-		     const struct job_spec *spec);
+bool machine_is_leaving(const struct machine *machine);
+bool machine_is_usable(const struct core *core, const struct machine *machine);
+bool machine_type_allowed(const struct machine_type *type, const char *zone, bool spot,
+			  const struct job_spec *spec);
 bool machine_has_image(const struct machine *machine, const char *image);
 void machine_note_image(struct machine *machine, const char *image);
-void machines_relink(struct core *core);
+void machines_apply_catalog(struct core *core);
 struct binding *binding_add(struct core *core, struct machine *machine, struct job *job,
 			    uint32_t task, uint64_t attempt);
-void binding_end(struct core *core, struct binding *binding, enum task_why why);
-void binding_drop(struct core *core, struct binding *binding);
+void binding_end(struct core *core, struct binding *binding, enum task_end_reason why);
+void binding_remove(struct core *core, struct binding *binding);
 void binding_stop(struct core *core, struct binding *binding, double grace_s);
-bool binding_unsent(const struct binding *binding);
+bool binding_start_never_sent(const struct binding *binding);
 
 #endif
--- a/src/core/machines.c
+++ b/src/core/machines.c
@@ -16,7 +16,7 @@
 	return machine;
 }
 
-struct machine *machine_get(struct core *core, const char *id)
+struct machine *machine_find_or_add(struct core *core, const char *id)
 {
 	struct machine *machine = machine_find(core, id);
 
@@ -26,10 +26,11 @@
 	if (!machine)
 		abort();
 	snprintf(machine->id, sizeof(machine->id), "%s", id);
-	machine->last_beat = machine->last_word = machine->reported = machine->notice_s = -1;
-	machine->asked_at = core->now - MACHINE_ASK_S;
-	machine->hears = true;
-	machine->rented_at = machine->idle_since = core->now;
+	machine->agent.last_heartbeat_at = machine->agent.last_message_at =
+	    machine->agent.last_report_at = machine->agent.notice_s = -1;
+	machine->probes.sent_at = core->now - PROBE_INTERVAL_S;
+	machine->agent.reachable = true;
+	machine->cloud.rented_at = machine->cloud.idle_since = core->now;
 	HASH_ADD_STR(core->fleet.machines, id, machine);
 	return machine;
 }
@@ -37,15 +38,15 @@
 void machine_free(struct core *core, struct machine *machine)
 {
 	HASH_DEL(core->fleet.machines, machine);
-	replica_watch_remove(core, machine);
-	report_cache_remove(&core->fleet.reports, &machine->last_report);
-	free(machine->left);
+	replica_supervision_remove(core, machine);
+	report_cache_remove(&core->fleet.report_cache, &machine->agent.cached_report);
+	free(machine->agent.leftovers);
 	free(machine);
 }
 
 static const struct machine_type *type_find(const struct core *core, const char *name)
 {
-	for (size_t i = 0; i < core->catalog.ntypes; i++)
+	for (size_t i = 0; i < core->catalog.type_count; i++)
 		if (!strcmp(core->catalog.types[i].name, name))
 			return &core->catalog.types[i];
 	return NULL;
@@ -57,17 +58,17 @@
 	const struct binding *binding;
 
 	machine->type = type_find(core, machine->type_name);
-	machine->cpus = machine->type ? machine->type->cpus : 0;
-	machine->gpus = machine->type ? machine->type->gpus : 0;
-	machine->mem_gb = machine->type ? machine->type->mem_gb : 0;
-	DL_FOREACH2 (machine->bindings, binding, mnext) {
-		machine->cpus -= binding->job->spec.cpus;
-		machine->gpus -= binding->job->spec.gpus;
-		machine->mem_gb -= binding->job->spec.mem_gb;
+	machine->free_cpus = machine->type ? machine->type->cpus : 0;
+	machine->free_gpus = machine->type ? machine->type->gpus : 0;
+	machine->free_mem_gb = machine->type ? machine->type->mem_gb : 0;
+	DL_FOREACH2 (machine->bindings, binding, machine_next) {
+		machine->free_cpus -= binding->job->spec.cpus;
+		machine->free_gpus -= binding->job->spec.gpus;
+		machine->free_mem_gb -= binding->job->spec.mem_gb;
 	}
 }
 
-void machines_relink(struct core *core)
+void machines_apply_catalog(struct core *core)
 {
 	struct machine *machine, *tmp;
 
@@ -75,8 +76,8 @@
 		machine_link(core, machine);
 }
 
-void machine_describe(struct core *core, struct machine *machine, const char *addr,
-		      const char *type, const char *zone, bool spot)
+void machine_set_identity(struct core *core, struct machine *machine, const char *addr,
+			  const char *type, const char *zone, bool spot)
 {
 	if (*addr && strcmp(machine->addr, addr))
 		snprintf(machine->addr, sizeof(machine->addr), "%s", addr);
@@ -88,10 +89,11 @@
 	machine_link(core, machine);
 }
 
-bool machine_fresh(const struct core *core, const struct machine *machine)
+bool machine_is_responsive(const struct core *core, const struct machine *machine)
 {
-	return machine->last_word >= 0 &&
-	       core->now - machine->last_word < MACHINE_FRESH_REPORTS * core->conf->report_s;
+	return machine->agent.last_message_at >= 0 &&
+	       core->now - machine->agent.last_message_at <
+		   MACHINE_FRESH_REPORTS * core->conf->report_s;
 }
 
 /*
@@ -100,24 +102,27 @@
  */
 static bool machine_reports(const struct core *core, const struct machine *machine)
 {
-	return machine->reported >= 0 &&
-	       core->now - machine->reported < MACHINE_FRESH_REPORTS * core->conf->report_s;
+	return machine->agent.last_report_at >= 0 &&
+	       core->now - machine->agent.last_report_at <
+		   MACHINE_FRESH_REPORTS * core->conf->report_s;
 }
 
-bool machine_leaves(const struct machine *machine)
+bool machine_is_leaving(const struct machine *machine)
 {
-	return (machine->notice_s >= 0 || machine->draining) && !machine->deleting;
+	return (machine->agent.notice_s >= 0 || machine->cloud.draining) &&
+	       !machine->cloud.deleting;
 }
 
-bool machine_usable(const struct core *core, const struct machine *machine)
+bool machine_is_usable(const struct core *core, const struct machine *machine)
 {
-	return machine->type && machine->session && machine->hears && !machine->draining &&
-	       !machine->deleting && !machine->failed && machine->notice_s < 0 &&
-	       machine_reports(core, machine) && core->now >= machine->no_place_until;
+	return machine->type && machine->agent.incarnation && machine->agent.reachable &&
+	       !machine->cloud.draining && !machine->cloud.deleting && !machine->cloud.failed &&
+	       machine->agent.notice_s < 0 && machine_reports(core, machine) &&
+	       core->now >= machine->scheduling.backoff_until;
 }
 
-bool machine_allowed(const struct machine_type *type, const char *zone, bool spot,
-		     const struct job_spec *spec)
+bool machine_type_allowed(const struct machine_type *type, const char *zone, bool spot,
+			  const struct job_spec *spec)
 {
 	if (spot && !spec->spot)
 		return false;
@@ -128,8 +133,8 @@
 
 bool machine_has_image(const struct machine *machine, const char *image)
 {
-	for (int i = 0; i < machine->nimages; i++)
-		if (!strcmp(machine->images[i], image))
+	for (int i = 0; i < machine->scheduling.image_count; i++)
+		if (!strcmp(machine->scheduling.images[i], image))
 			return true;
 	return false;
 }
@@ -137,41 +142,45 @@
 /* Most recently used first, as the machines' caches keep them. */
 void machine_note_image(struct machine *machine, const char *image)
 {
-	int at = machine->nimages < MACHINE_IMAGES ? machine->nimages : MACHINE_IMAGES - 1;
+	int at = machine->scheduling.image_count < MACHINE_IMAGES ? machine->scheduling.image_count
+								  : MACHINE_IMAGES - 1;
 
-	for (int i = 0; i < machine->nimages; i++)
-		if (!strcmp(machine->images[i], image))
+	for (int i = 0; i < machine->scheduling.image_count; i++)
+		if (!strcmp(machine->scheduling.images[i], image))
 			at = i;
-	if (at == machine->nimages)
-		machine->nimages++;
-	memmove(machine->images[1], machine->images[0], (size_t)at * NAME_MAX_LEN);
-	snprintf(machine->images[0], NAME_MAX_LEN, "%s", image);
+	if (at == machine->scheduling.image_count)
+		machine->scheduling.image_count++;
+	memmove(machine->scheduling.images[1], machine->scheduling.images[0],
+		(size_t)at * NAME_MAX_LEN);
+	snprintf(machine->scheduling.images[0], NAME_MAX_LEN, "%s", image);
 }
 
 /* The cloud answered 200 to its delete: it and everything on it is gone. */
-void machine_gone(struct core *core, struct machine *machine)
+void machine_note_deleted(struct core *core, struct machine *machine)
 {
-	log_info("machine_gone", "machine=%s bound=%d", machine->id, machine->nbindings);
-	machine->gone = machine->deleting = true;
+	log_info("machine_gone", "machine=%s bound=%d", machine->id, machine->binding_count);
+	machine->cloud.deleted = machine->cloud.deleting = true;
 	while (machine->bindings)
-		binding_end(core, machine->bindings, WHY_NONE);
+		binding_end(core, machine->bindings, END_NONE);
 }
 
 static bool boot_overdue(const struct core *core, const struct machine *machine)
 {
 	double boot = machine->type ? machine->type->boot_s : 0;
 
-	return machine->last_word < 0 &&
-	       core->now - machine->rented_at > MACHINE_BOOT_FACTOR * boot + MACHINE_BOOT_EXTRA_S;
+	return machine->agent.last_message_at < 0 &&
+	       core->now - machine->cloud.rented_at >
+		   MACHINE_BOOT_FACTOR * boot + MACHINE_BOOT_EXTRA_S;
 }
 
 static bool silent_too_long(const struct core *core, const struct machine *machine)
 {
-	double since =
-	    machine->last_beat >= 0 ? machine->last_beat : fmax(machine->up_at, core->lead_since);
+	double since = machine->agent.last_heartbeat_at >= 0
+			   ? machine->agent.last_heartbeat_at
+			   : fmax(machine->agent.up_at, core->leading_since);
 	double most = core->conf->lease_s * (1 + CLOCK_DRIFT) + MACHINE_DEAD_MARGIN_S;
 
-	if (machine->last_word < 0 && !machine->bindings)
+	if (machine->agent.last_message_at < 0 && !machine->bindings)
 		return boot_overdue(core, machine);
 	return core->now - since > most;
 }
@@ -180,105 +189,108 @@
  * Asks a machine that has not been heard of in this term. All report to a new leader by themselves
  * within two intervals; a question to each before that would cost it as much again.
  */
-void machine_show(struct core *core, struct machine *machine)
+void probe_unseen_machine(struct core *core, struct machine *machine)
 {
-	if (machine->last_word < 0 && core->now - machine->asked_at > MACHINE_SHOW_S &&
-	    core->now - core->lead_since > MACHINE_SHOW_REPORTS * core->conf->report_s)
-		workers_ask(core, machine);
+	if (machine->agent.last_message_at < 0 &&
+	    core->now - machine->probes.sent_at > PROBE_UNSEEN_S &&
+	    core->now - core->leading_since > PROBE_UNSEEN_REPORTS * core->conf->report_s)
+		probe_machine(core, machine);
 }
 
-void machine_lost(struct core *core, struct machine *machine)
+void machine_give_up(struct core *core, struct machine *machine)
 {
 	log_info("machine_lost", "machine=%s failed=%d missing=%d last_word=%.1f bound=%d",
-		 machine->id, machine->failed, machine->missing,
-		 machine->last_word < 0 ? -1.0 : core->now - machine->last_word,
-		 machine->nbindings);
-	machine->deleting = true;
-	core->rentals.next = core->now; /* its delete proves the ends of its tasks */
+		 machine->id, machine->cloud.failed, machine->cloud.missed_inventories,
+		 machine->agent.last_message_at < 0 ? -1.0
+						    : core->now - machine->agent.last_message_at,
+		 machine->binding_count);
+	machine->cloud.deleting = true;
+	core->autoscale.next_scan_at = core->now; /* its delete proves the ends of its tasks */
 }
 
-static void machine_look(struct core *core, struct machine *machine)
+static void check_machine(struct core *core, struct machine *machine)
 {
-	bool vanished = machine->missing >= MACHINE_GONE_LISTS && !machine_fresh(core, machine);
+	bool vanished = machine->cloud.missed_inventories >= MACHINE_MISSED_INVENTORIES &&
+			!machine_is_responsive(core, machine);
 
 	/* Held room that can't be used any more. */
-	if (machine->hold_job && !machine_usable(core, machine))
-		machine->hold_job = NULL;
-	if (machine->deleting)
+	if (machine->scheduling.reserved_for && !machine_is_usable(core, machine))
+		machine->scheduling.reserved_for = NULL;
+	if (machine->cloud.deleting)
 		return;
-	if (machine->failed || vanished || silent_too_long(core, machine)) {
-		machine_lost(core, machine);
+	if (machine->cloud.failed || vanished || silent_too_long(core, machine)) {
+		machine_give_up(core, machine);
 		return;
 	}
 	/* Known from a record or the list, but not heard of under this leader. */
-	if (machine->nbindings)
-		machine_show(core, machine);
+	if (machine->binding_count)
+		probe_unseen_machine(core, machine);
 	/* Deaf since long, while the lease must have taken its tasks: it is replaced. */
-	if (!machine->hears && !machine->nbindings &&
-	    core->now - machine->deaf_since > MACHINE_DEAF_S) {
+	if (!machine->agent.reachable && !machine->binding_count &&
+	    core->now - machine->agent.unreachable_since > MACHINE_UNREACHABLE_S) {
 		log_info("machine_deaf_returned", "machine=%s", machine->id);
-		machine->deleting = true;
+		machine->cloud.deleting = true;
 	}
 }
 
-int fleet_words_since(const struct fleet_words *words, double age_s)
+int contact_ages_within(const struct contact_ages *words, double age_s)
 {
 	int heard = 0;
 
-	for (int age = 0; age < FLEET_WORD_AGES && (age + 1) * FLEET_WORD_AGE_S <= age_s; age++)
+	for (int age = 0; age < CONTACT_AGES && (age + 1) * CONTACT_AGE_S <= age_s; age++)
 		heard += words->by_age[age];
 	return heard;
 }
 
-static void word_count(struct core *core, const struct machine *machine)
+static void count_contact(struct core *core, const struct machine *machine)
 {
-	struct fleet_words *words = &core->fleet.words;
-	double age = (core->now - machine->last_word) / FLEET_WORD_AGE_S;
+	struct contact_ages *words = &core->fleet.contact_ages;
+	double age = (core->now - machine->agent.last_message_at) / CONTACT_AGE_S;
 
-	if (machine->last_word < 0 && !machine->nbindings)
+	if (machine->agent.last_message_at < 0 && !machine->binding_count)
 		return;
-	words->known++;
-	if (machine->last_word >= 0 && age < FLEET_WORD_AGES)
+	words->expected++;
+	if (machine->agent.last_message_at >= 0 && age < CONTACT_AGES)
 		words->by_age[(int)age]++;
 }
 
 /* If nearly all fall silent at once, it is this controller that is cut off. */
-static bool looks_cut(struct core *core)
+static bool is_partitioned(struct core *core)
 {
 	int heard = 0, silent = 0;
 	bool leave = false;
 	struct machine *machine, *tmp;
 
-	memset(&core->fleet.words, 0, sizeof(core->fleet.words));
+	memset(&core->fleet.contact_ages, 0, sizeof(core->fleet.contact_ages));
 	HASH_ITER (hh, core->fleet.machines, machine, tmp) {
-		if (machine->deleting)
+		if (machine->cloud.deleting)
 			continue;
-		word_count(core, machine);
-		leave |= machine->nreplicas && replica_watch_leaves(core, machine);
-		if (machine->last_word < 0)
+		count_contact(core, machine);
+		leave |= machine->replica_count && replica_must_move(core, machine);
+		if (machine->agent.last_message_at < 0)
 			continue;
 		heard++;
-		silent += !machine_fresh(core, machine);
+		silent += !machine_is_responsive(core, machine);
 	}
-	core->fleet.replicas_leave = leave;
-	return heard >= CUT_MACHINES && silent > CUT_SHARE * heard;
+	core->fleet.replicas_must_move = leave;
+	return heard >= PARTITION_MACHINES && silent > PARTITION_SHARE * heard;
 }
 
-void machine_tick(struct core *core)
+void machines_tick(struct core *core)
 {
 	struct machine *machine, *tmp;
 
-	if (core->now < core->fleet.next_look)
+	if (core->now < core->fleet.next_scan_at)
 		return;
-	core->fleet.next_look = core->now + MACHINES_EVERY_S;
-	if (looks_cut(core)) {
-		election_yield(core, "no_worker_heard");
+	core->fleet.next_scan_at = core->now + MACHINES_EVERY_S;
+	if (is_partitioned(core)) {
+		election_resign(core, "no_worker_heard");
 		return;
 	}
 	HASH_ITER (hh, core->fleet.machines, machine, tmp) {
-		machine_look(core, machine);
-		if (machine->gone && !machine->bindings) {
-			commands_unwanted(core, machine);
+		check_machine(core, machine);
+		if (machine->cloud.deleted && !machine->bindings) {
+			commands_withdraw(core, machine);
 			machine_free(core, machine);
 		}
 	}
--- a/src/core/pair.c
+++ b/src/core/pair.c
@@ -17,7 +17,7 @@
 #include "peer.pb-c.h"
 #include "util/log.h"
 
-struct pair_count {
+struct job_share {
 	char id[ID_MAX];
 	double slots;
 	bool open;
@@ -25,19 +25,19 @@
 };
 
 /* A part under way in this controller: counts are being written, then read. */
-struct pair_work {
+struct partition_work {
 	uint64_t conn; /* the leader's request; 0: the leader's own part */
 	Peer__Part *part;
-	struct pair_count *own; /* our counts, as far as they are still to be written */
-	int written;		/* values of them */
-	uint64_t own_quantum;	/* that they are counts of */
-	struct pair_count *counts;
+	struct job_share *own; /* our counts, as far as they are still to be written */
+	int written;	       /* values of them */
+	uint64_t own_quantum;  /* that they are counts of */
+	struct job_share *counts;
 	json_int_t quantum; /* of the controller whose values are read */
 };
 
-static void counts_free(struct pair_count **counts)
+static void counts_free(struct job_share **counts)
 {
-	struct pair_count *count, *tmp;
+	struct job_share *count, *tmp;
 
 	HASH_ITER (hh, *counts, count, tmp) {
 		HASH_DEL(*counts, count);
@@ -47,7 +47,7 @@
 
 static void work_free(void *arg)
 {
-	struct pair_work *work = arg;
+	struct partition_work *work = arg;
 
 	counts_free(&work->own);
 	counts_free(&work->counts);
@@ -55,9 +55,9 @@
 	free(work);
 }
 
-static struct pair_count *count_get(struct pair_count **counts, const char *id)
+static struct job_share *count_get(struct job_share **counts, const char *id)
 {
-	struct pair_count *count;
+	struct job_share *count;
 
 	HASH_FIND_STR(*counts, id, count);
 	if (count)
@@ -71,7 +71,7 @@
 }
 
 /* The chance that a slot of a job with m_b slots goes over to one with m_a, if m_a < m_b. */
-double pair_rho(double m_a, double m_b)
+double share_switch_probability(double m_a, double m_b)
 {
 	if (m_a <= 0 || m_a >= m_b)
 		return 0;
@@ -79,10 +79,10 @@
 }
 
 /* A partner other than the slot's own job, drawn in proportion to its count. */
-static struct pair_count *draw(struct core *core, struct pair_work *work, double total)
+static struct job_share *draw(struct core *core, struct partition_work *work, double total)
 {
 	double at = core_random(core) * total;
-	struct pair_count *count, *tmp;
+	struct job_share *count, *tmp;
 
 	HASH_ITER (hh, work->counts, count, tmp) {
 		at -= count->slots;
@@ -92,7 +92,7 @@
 	return NULL;
 }
 
-static void switches_send(struct core *core, struct pair_work *work, Peer__Switches *out)
+static void switches_send(struct core *core, struct partition_work *work, Peer__Switches *out)
 {
 	size_t n;
 	uint8_t *buf = peers_pack(&out->base, &n);
@@ -101,16 +101,16 @@
 		core_reply_packed(core, work->conn, buf, n);
 		return;
 	}
-	pair_take_switches(core, core->conf->npeers, buf, n);
+	share_switching_take(core, core->conf->npeers, buf, n);
 	free(buf);
 }
 
-static void pair_decide(struct core *core, struct pair_work *work)
+static void pair_decide(struct core *core, struct partition_work *work)
 {
 	size_t n = work->part->n_slots;
 	Peer__Switch *all = calloc(n + 1, sizeof(*all)), **list = calloc(n + 1, sizeof(*list));
 	Peer__Switches out = PEER__SWITCHES__INIT;
-	struct pair_count *count, *tmp;
+	struct job_share *count, *tmp;
 	double total = 0;
 
 	if (!all || !list)
@@ -119,10 +119,11 @@
 		total += count->slots;
 	for (size_t i = 0; i < n; i++) {
 		Peer__Slot *s = work->part->slots[i];
-		struct pair_count *b = count_get(&work->counts, s->job),
-				  *a = draw(core, work, total);
+		struct job_share *b = count_get(&work->counts, s->job),
+				 *a = draw(core, work, total);
 
-		if (!a || a == b || !a->open || core_random(core) >= pair_rho(a->slots, b->slots))
+		if (!a || a == b || !a->open ||
+		    core_random(core) >= share_switch_probability(a->slots, b->slots))
 			continue;
 		peer__switch__init(&all[i]);
 		all[i].slot = s;
@@ -141,7 +142,7 @@
  * A controller that had more to say some quanta ago left further values behind. Its first value,
  * which comes before them, tells its newest quantum.
  */
-static bool counts_left_over(struct pair_work *work, const struct kv_item *it)
+static bool counts_left_over(struct partition_work *work, const struct kv_item *it)
 {
 	json_int_t quantum = json_integer_value(json_object_get(it->value, "quantum"));
 	const char *name = it->key + strlen("p/");
@@ -156,7 +157,7 @@
 
 static void sum_item(void *ctx, const struct kv_item *it)
 {
-	struct pair_work *work = ctx;
+	struct partition_work *work = ctx;
 	const char *job;
 	json_t *v;
 
@@ -174,10 +175,10 @@
 static void on_counts(struct core *core, struct call *call, int status, const char *body,
 		      size_t len)
 {
-	struct pair_work *work = call->arg;
+	struct partition_work *work = call->arg;
 	json_t *o;
 
-	store_heard(core, status);
+	store_note_answer(core, status);
 	if (status == 200) {
 		o = wire_parse(body, len);
 		wire_items(o, sum_item, work);
@@ -192,7 +193,7 @@
 #define COUNTS_FRAME_BYTES 64 /* of a value beside its entries: names, token, quantum */
 #define COUNT_FRAME_BYTES 16  /* of an entry beside the job's id */
 
-static void add_counts_value(const struct core *core, struct txn *txn, struct pair_work *work,
+static void add_counts_value(const struct core *core, struct txn *txn, struct partition_work *work,
 			     json_t *counts)
 {
 	char key[CONF_NAME_MAX + 16];
@@ -209,11 +210,11 @@
 }
 
 /* One value, of as many of our counts as fit; they are taken off those still to be written. */
-static void add_counts(const struct core *core, struct txn *txn, struct pair_work *work)
+static void add_counts(const struct core *core, struct txn *txn, struct partition_work *work)
 {
 	size_t most = limits_job_record_bytes(core), bytes = COUNTS_FRAME_BYTES;
 	json_t *counts = json_object();
-	struct pair_count *count, *tmp;
+	struct job_share *count, *tmp;
 
 	HASH_ITER (hh, work->own, count, tmp) {
 		bytes += strlen(count->id) + COUNT_FRAME_BYTES;
@@ -226,22 +227,22 @@
 	add_counts_value(core, txn, work, counts);
 }
 
-static void write_counts(struct core *core, struct pair_work *work);
+static void write_counts(struct core *core, struct partition_work *work);
 
 static void on_written(struct core *core, struct call *call, int status, const char *body,
 		       size_t len)
 {
-	struct pair_work *work = call->arg;
+	struct partition_work *work = call->arg;
 
 	(void)body;
 	(void)len;
-	store_heard(core, status);
+	store_note_answer(core, status);
 	if (status == 200 && work->own) {
 		write_counts(core, work);
 		return;
 	}
 	if (status == 200) {
-		store_range(core, "p/", "", on_counts, work)->drop = work_free;
+		store_range(core, "p/", "", on_counts, work)->free_arg = work_free;
 		return;
 	}
 	if (work->conn)
@@ -250,22 +251,22 @@
 }
 
 /* Our counts, in as many values and transactions as they need. */
-static void write_counts(struct core *core, struct pair_work *work)
+static void write_counts(struct core *core, struct partition_work *work)
 {
 	struct txn txn;
 
 	txn_begin(&txn);
 	do
 		add_counts(core, &txn, work);
-	while (work->own && txn.nops < limits_txn_ops(core));
-	store_commit(core, txn_finish(&txn), on_written, work)->drop = work_free;
+	while (work->own && txn.op_count < limits_txn_ops(core));
+	store_commit(core, txn_finish(&txn), on_written, work)->free_arg = work_free;
 }
 
 /* Starts on a part: the own counts are written. */
 static void pair_begin(struct core *core, uint64_t conn, const uint8_t *data, size_t len)
 {
 	Peer__Part *part = peer__part__unpack(NULL, len, data);
-	struct pair_work *work;
+	struct partition_work *work;
 
 	if (!part) {
 		core_reply_error(core, conn, 400, 0, "part");
@@ -280,18 +281,18 @@
 		count_get(&work->counts, part->open[i]->job)->open = true;
 	for (size_t i = 0; i < part->n_slots; i++)
 		count_get(&work->own, part->slots[i]->job)->slots++;
-	work->own_quantum = ++core->pairing.quantum;
+	work->own_quantum = ++core->share_switching.quantum;
 	write_counts(core, work);
 }
 
-void pair_request(struct core *core, const struct core_request *request)
+void share_switching_request(struct core *core, const struct core_request *request)
 {
 	pair_begin(core, request->conn, (const uint8_t *)request->body, request->len);
 }
 
 /* --- the leader --- */
 
-void pair_take_switches(struct core *core, size_t peer, const uint8_t *data, size_t len)
+void share_switching_take(struct core *core, size_t peer, const uint8_t *data, size_t len)
 {
 	Peer__Switches *in = peer__switches__unpack(NULL, len, data);
 
@@ -305,13 +306,13 @@
 		struct job *to = job_find(core, in->switches[i]->to);
 		struct binding *binding;
 
-		if (!m || !to || !job_waiting(to))
+		if (!m || !to || !job_waiting_count(to))
 			continue;
-		DL_FOREACH2 (m->bindings, binding, mnext) {
+		DL_FOREACH2 (m->bindings, binding, machine_next) {
 			if (binding->task != s->task || strcmp(binding->job->spec.id, s->job) ||
 			    *binding->switched_to)
 				continue;
-			core->pairing.switches++;
+			core->share_switching.switches++;
 			snprintf(binding->switched_to, sizeof(binding->switched_to), "%s",
 				 to->spec.id);
 			log_info("switch", "job=%s machine=%s task=%u to=%s", s->job, m->id,
@@ -326,11 +327,11 @@
 {
 	size_t i = (size_t)(uintptr_t)call->arg;
 
-	if (election_stale(core, call))
+	if (election_call_is_stale(core, call))
 		return;
-	core->pairing.peer_live[i] = status == 200;
+	core->share_switching.peer_live[i] = status == 200;
 	if (status == 200)
-		pair_take_switches(core, i, (const uint8_t *)body, len);
+		share_switching_take(core, i, (const uint8_t *)body, len);
 }
 
 /* Rendezvous: of the live controllers, the one whose hash with the machine is highest. */
@@ -345,7 +346,7 @@
 		XXH64_hash_t h =
 		    XXH3_64bits_withSeed(machine, strlen(machine), XXH3_64bits(name, strlen(name)));
 
-		if (core->pairing.peer_live[i] && h > top) {
+		if (core->share_switching.peer_live[i] && h > top) {
 			top = h;
 			best = i;
 		}
@@ -366,7 +367,7 @@
 	size_t cap = 0;
 
 	HASH_ITER (hh, core->fleet.machines, machine, tmp)
-		cap += (size_t)machine->nbindings;
+		cap += (size_t)machine->binding_count;
 	build->slots = calloc(cap + 1, sizeof(*build->slots));
 	build->slot_list = calloc(cap + 1, sizeof(*build->slot_list));
 	if (!build->slots || !build->slot_list)
@@ -374,7 +375,7 @@
 	HASH_ITER (hh, core->fleet.machines, machine, tmp) {
 		if (owner_of(core, machine->id) != owner)
 			continue;
-		DL_FOREACH2 (machine->bindings, binding, mnext) {
+		DL_FOREACH2 (machine->bindings, binding, machine_next) {
 			Peer__Slot *s = &build->slots[build->nslots];
 
 			if (binding->job->spec.kind != JOB_ARRAY || binding->job->orphan ||
@@ -399,7 +400,7 @@
 		abort();
 	HASH_ITER (hh, core->jobs, job, tmp) {
 		/* A job whose team is at its limit, or with nothing waiting, is not drawn. */
-		if (job->spec.kind != JOB_ARRAY || !job_waiting(job) ||
+		if (job->spec.kind != JOB_ARRAY || !job_waiting_count(job) ||
 		    !team_has_room(core, &job->spec, 1))
 			continue;
 		peer__open__init(&build->open[build->nopen]);
@@ -438,13 +439,13 @@
 }
 
 /* Nothing is paired after a take-over until workers have had the time to report. */
-void pair_tick(struct core *core)
+void share_switching_tick(struct core *core)
 {
-	if (core->now < core->pairing.next || core->now - core->lead_since < RENT_SETTLE_S ||
-	    core->state_down)
+	if (core->now < core->share_switching.next_at ||
+	    core->now - core->leading_since < AUTOSCALE_SETTLE_S || core->store_unavailable)
 		return;
-	core->pairing.next =
-	    core->now + PAIR_QUANTUM_S * (1 + PAIR_JITTER * (core_random(core) - 0.5));
+	core->share_switching.next_at =
+	    core->now + SWITCH_QUANTUM_S * (1 + SWITCH_JITTER * (core_random(core) - 0.5));
 	for (size_t i = 0; i <= core->conf->npeers; i++)
 		send_part(core, i);
 }
--- a/src/core/peers.c
+++ b/src/core/peers.c
@@ -29,7 +29,7 @@
 static void peer_answered(struct core *core, size_t i, int status)
 {
 	if (status > 0)
-		core->peers.list[i].answered = core->now;
+		core->peers.list[i].answered_at = core->now;
 }
 
 /* --- counts of tasks --- */
@@ -47,12 +47,12 @@
 	HASH_ITER (hh, core->jobs, job, tmp) {
 		Peer__Count *x = &all[out.n_counts];
 
-		if (job->orphan || (!job->ndone && !job->nrunning))
+		if (job->orphan || (!job->done_count && !job->running_count))
 			continue;
 		peer__count__init(x);
 		x->job = job->spec.id;
-		x->done = job->ndone;
-		x->running = job->nrunning;
+		x->done = job->done_count;
+		x->running = job->running_count;
 		list[out.n_counts++] = x;
 	}
 	out.token = core->election.token;
@@ -66,21 +66,21 @@
 static void counts_take(struct core *core, const uint8_t *data, size_t len)
 {
 	Peer__Counts *in = peer__counts__unpack(NULL, len, data);
-	struct known *known, *tmp;
+	struct indexed_job *known, *tmp;
 
 	/* What a deposed leader still believes is no news. */
-	if (in && in->token >= core->users.counts_token) {
-		core->users.counts_token = in->token;
-		core->users.counts_at = core->now;
-		HASH_ITER (hh, core->users.known, known, tmp)
+	if (in && in->token >= core->api.counts_token) {
+		core->api.counts_token = in->token;
+		core->api.counts_received_at = core->now;
+		HASH_ITER (hh, core->api.index, known, tmp)
 			if (!known->final)
-				known->done = known->running = 0;
+				known->done_count = known->running_count = 0;
 		for (size_t i = 0; i < in->n_counts; i++) {
-			HASH_FIND_STR(core->users.known, in->counts[i]->job, known);
+			HASH_FIND_STR(core->api.index, in->counts[i]->job, known);
 			if (!known || known->final)
 				continue;
-			known->done = in->counts[i]->done;
-			known->running = in->counts[i]->running;
+			known->done_count = in->counts[i]->done;
+			known->running_count = in->counts[i]->running;
 		}
 	}
 	if (in)
@@ -92,7 +92,7 @@
 {
 	size_t i = (size_t)(uintptr_t)call->arg;
 
-	core->users.counts_out = false;
+	core->api.counts_in_flight = false;
 	peer_answered(core, i, status);
 	if (status == 200)
 		counts_take(core, (const uint8_t *)body, len);
@@ -101,21 +101,21 @@
 /* The message is empty: its path says all. */
 static void counts_ask(struct core *core, size_t i)
 {
-	core_call(core, core->conf->peers[i].addr, "POST", fmt_path(COUNTS_PATH), strdup(""),
+	core_call(core, core->conf->peers[i].addr, "POST", format_path(COUNTS_PATH), strdup(""),
 		  CALL_PEER_S, on_counts, (void *)(uintptr_t)i);
 }
 
 static void counts_tick(struct core *core)
 {
-	if (core->election.role == ROLE_LEAD || core->users.counts_out ||
-	    core->now < core->users.counts_next ||
-	    core->now - core->users.counts_wanted > COUNTS_ASKED_S)
+	if (core->election.role == ROLE_LEADER || core->api.counts_in_flight ||
+	    core->now < core->api.next_counts_at ||
+	    core->now - core->api.counts_wanted_at > COUNTS_DEMAND_S)
 		return;
 	for (size_t i = 0; i < core->conf->npeers; i++) {
 		if (strcmp(core->conf->peers[i].name, core->election.leader))
 			continue;
-		core->users.counts_out = true;
-		core->users.counts_next = core->now + COUNTS_EVERY_S;
+		core->api.counts_in_flight = true;
+		core->api.next_counts_at = core->now + COUNTS_EVERY_S;
 		counts_ask(core, i);
 	}
 }
@@ -132,7 +132,7 @@
 	return s;
 }
 
-struct handed {
+struct forward_context {
 	uint64_t conn;
 	size_t peer;
 };
@@ -140,15 +140,15 @@
 static void on_forwarded(struct core *core, struct call *call, int status, const char *body,
 			 size_t len)
 {
-	struct handed *handed = call->arg;
-	struct peer_view *peer = &core->peers.list[handed->peer];
+	struct forward_context *handed = call->arg;
+	struct peer *peer = &core->peers.list[handed->peer];
 	Peer__Forwarded *in =
 	    status == 200 ? peer__forwarded__unpack(NULL, len, (const uint8_t *)body) : NULL;
 
 	peer_answered(core, handed->peer, status);
 	/* It can't serve either, or is not there: the outage is everybody's for now. */
 	if (!in || in->status == 503)
-		peer->no_forward = core->now + PEER_BACKOFF_S;
+		peer->no_forward_before = core->now + PEER_BACKOFF_S;
 	if (in)
 		core_reply(core, handed->conn, (int)in->status, (int)in->retry_after,
 			   text_of(&in->body));
@@ -159,10 +159,10 @@
 	free(handed);
 }
 
-static void forward_to(struct core *core, size_t i, const struct user_req *request)
+static void forward_to(struct core *core, size_t i, const struct user_request *request)
 {
 	Peer__Forward out = PEER__FORWARD__INIT;
-	struct handed *handed = calloc(1, sizeof(*handed));
+	struct forward_context *handed = calloc(1, sizeof(*handed));
 	char path[HTTP_PATH_MAX];
 	struct call *call;
 	uint8_t *buf;
@@ -184,22 +184,22 @@
 	handed->peer = i;
 	call = core_call_packed(core, core->conf->peers[i].addr, FORWARD_PATH, buf, len,
 				on_forwarded, handed);
-	call->drop = free;
+	call->free_arg = free;
 }
 
 /* Hands the request to a controller that the state service may serve; false if there is none. */
-bool forward_user(struct core *core, struct user_req *request)
+bool forward_user_request(struct core *core, struct user_request *request)
 {
 	size_t best = core->conf->npeers;
-	struct wrapped *wrapped;
+	struct forwarded_request *wrapped;
 
-	HASH_FIND(hh, core->peers.wrapped, &request->conn, sizeof(request->conn), wrapped);
+	HASH_FIND(hh, core->peers.forwarded, &request->conn, sizeof(request->conn), wrapped);
 	if (wrapped)
 		return false; /* handed on once already */
 	for (size_t i = 0; i < core->conf->npeers; i++)
-		if (core->now >= core->peers.list[i].no_forward &&
+		if (core->now >= core->peers.list[i].no_forward_before &&
 		    (best == core->conf->npeers ||
-		     core->peers.list[i].answered > core->peers.list[best].answered))
+		     core->peers.list[i].answered_at > core->peers.list[best].answered_at))
 			best = i;
 	if (best == core->conf->npeers)
 		return false;
@@ -211,7 +211,7 @@
 {
 	Peer__Forward *in = peer__forward__unpack(NULL, r->len, (const uint8_t *)r->body);
 	struct core_request q = {r->conn, CORE_BACK, NULL, NULL, NULL, 0};
-	struct wrapped *wrapped;
+	struct forwarded_request *wrapped;
 	char *body;
 
 	if (!in) {
@@ -223,27 +223,27 @@
 	if (!wrapped)
 		abort();
 	wrapped->conn = r->conn;
-	HASH_ADD(hh, core->peers.wrapped, conn, sizeof(wrapped->conn), wrapped);
+	HASH_ADD(hh, core->peers.forwarded, conn, sizeof(wrapped->conn), wrapped);
 	q.method = in->method;
 	q.path = in->path;
 	q.body = body;
 	q.len = strlen(body);
-	users_request(core, &q);
+	api_request(core, &q);
 	free(body);
 	peer__forward__free_unpacked(in, NULL);
 }
 
-bool peers_wrap(struct core *core, uint64_t conn, int *status, int retry_after, char **body,
-		size_t *len)
+bool peers_wrap_answer(struct core *core, uint64_t conn, int *status, int retry_after, char **body,
+		       size_t *len)
 {
 	Peer__Forwarded out = PEER__FORWARDED__INIT;
-	struct wrapped *wrapped;
+	struct forwarded_request *wrapped;
 	uint8_t *buf;
 
-	HASH_FIND(hh, core->peers.wrapped, &conn, sizeof(conn), wrapped);
+	HASH_FIND(hh, core->peers.forwarded, &conn, sizeof(conn), wrapped);
 	if (!wrapped)
 		return false;
-	HASH_DEL(core->peers.wrapped, wrapped);
+	HASH_DEL(core->peers.forwarded, wrapped);
 	free(wrapped);
 	out.status = (uint32_t)*status;
 	out.retry_after = (uint32_t)retry_after;
@@ -270,7 +270,7 @@
  * The leader may be refused by the state service alone, or be cut from it and deposed without
  * knowing, while workers still report to it: a cancellation goes to all, whoever leads.
  */
-void peers_cancelled(struct core *core, const char *id, uint64_t version)
+void peers_announce_cancelled(struct core *core, const char *id, uint64_t version)
 {
 	for (size_t i = 0; i < core->conf->npeers; i++) {
 		Peer__Cancelled out = PEER__CANCELLED__INIT;
@@ -306,7 +306,8 @@
 	struct confirmed_cancel *told, *tmp;
 
 	HASH_ITER (hh, core->peers.confirmed, told, tmp) {
-		bool old = core->now - told->at > CONFIRMED_KEEP_CANCELS * core->conf->cancel_s;
+		bool old =
+		    core->now - told->confirmed_at > CONFIRMED_KEEP_CANCELS * core->conf->cancel_s;
 
 		if (!old && HASH_COUNT(core->peers.confirmed) < CONFIRMED_MAX)
 			break; /* oldest first */
@@ -323,7 +324,7 @@
 		abort();
 	snprintf(told->id, sizeof(told->id), "%s", id);
 	told->version = version;
-	told->at = core->now;
+	told->confirmed_at = core->now;
 	HASH_ADD_STR(core->peers.confirmed, id, told);
 }
 
@@ -346,7 +347,7 @@
 		list[out.n_cancelled++] = x;
 	}
 	out.incarnation = core->peers.incarnation;
-	out.token = core->election.role == ROLE_LEAD ? core->election.token : 0;
+	out.token = core->election.role == ROLE_LEADER ? core->election.token : 0;
 	out.cancelled = list;
 	buf = peers_pack(&out.base, &len);
 	core_reply_packed(core, conn, buf, len);
@@ -356,12 +357,12 @@
 
 void peers_note_incarnation(struct core *core, size_t peer, uint64_t incarnation)
 {
-	struct peer_view *p = &core->peers.list[peer];
+	struct peer *p = &core->peers.list[peer];
 
-	if (p->incarnation == incarnation && p->since > 0)
+	if (p->incarnation == incarnation && p->incarnation_since > 0)
 		return;
 	p->incarnation = incarnation;
-	p->since = core->now;
+	p->incarnation_since = core->now;
 }
 
 /*
@@ -371,14 +372,15 @@
  */
 static void confirmed_take(struct core *core, size_t i, double asked, const Peer__Confirmed *in)
 {
-	struct peer_view *peer = &core->peers.list[i];
+	struct peer *peer = &core->peers.list[i];
 
 	peers_note_incarnation(core, i, in->incarnation);
 	if (in->token > core->election.token)
 		election_deposed(core, core->conf->peers[i].name);
 	for (size_t k = 0; k < in->n_cancelled; k++)
 		job_cancel_committed(core, in->cancelled[k]->job, in->cancelled[k]->version);
-	if (core->election.role == ROLE_LEAD && peer->since <= core->jobs_watch.read_at)
+	if (core->election.role == ROLE_LEADER &&
+	    peer->incarnation_since <= core->jobs_watch.read_at)
 		peer->confirmed_until = asked;
 }
 
@@ -392,7 +394,7 @@
 	peer_answered(core, i, status);
 	if (!in)
 		return;
-	confirmed_take(core, i, call->sent, in);
+	confirmed_take(core, i, call->sent_at, in);
 	peer__confirmed__free_unpacked(in, NULL);
 }
 
@@ -419,7 +421,7 @@
 		confirmed_reply(core, request->conn);
 	else if (strcmp(request->path, COUNTS_PATH))
 		core_reply_error(core, request->conn, 404, 0, "no such path");
-	else if (core->election.role == ROLE_LEAD)
+	else if (core->election.role == ROLE_LEADER)
 		counts_reply(core, request->conn);
 	else
 		core_reply_error(core, request->conn, 421, 0, "not leading");
@@ -429,11 +431,11 @@
  * life too. */
 static void ping_tick(struct core *core)
 {
-	if (!core->state_down || core->now < core->peers.ping_next)
+	if (!core->store_unavailable || core->now < core->peers.next_ping_at)
 		return;
-	core->peers.ping_next = core->now + PEER_PING_S;
+	core->peers.next_ping_at = core->now + PEER_PING_S;
 	for (size_t i = 0; i < core->conf->npeers; i++)
-		core_call(core, core->conf->peers[i].addr, "POST", fmt_path(CONFIRMED_PATH),
+		core_call(core, core->conf->peers[i].addr, "POST", format_path(CONFIRMED_PATH),
 			  strdup(""), CALL_PEER_S, on_confirmed, (void *)(uintptr_t)i);
 }
 
@@ -450,21 +452,21 @@
  */
 bool peers_ready(const struct core *core)
 {
-	if (!core->conf->npeers || core->now - core->state_heard < PEER_ALONE_S)
+	if (!core->conf->npeers || core->now - core->store_answered_at < PEER_ALONE_S)
 		return true;
 	for (size_t i = 0; i < core->conf->npeers; i++)
-		if (core->now - core->peers.list[i].answered < PEER_ALONE_S)
+		if (core->now - core->peers.list[i].answered_at < PEER_ALONE_S)
 			return true;
 	return false;
 }
 
 void peers_clear(struct core *core)
 {
-	struct wrapped *wrapped, *tmp;
+	struct forwarded_request *wrapped, *tmp;
 	struct confirmed_cancel *told, *ttmp;
 
-	HASH_ITER (hh, core->peers.wrapped, wrapped, tmp) {
-		HASH_DEL(core->peers.wrapped, wrapped);
+	HASH_ITER (hh, core->peers.forwarded, wrapped, tmp) {
+		HASH_DEL(core->peers.forwarded, wrapped);
 		free(wrapped);
 	}
 	HASH_ITER (hh, core->peers.confirmed, told, ttmp) {
