--- a/src/core/place.c
+++ b/src/core/place.c
@@ -11,23 +11,23 @@
 #include "core/state.h"
 #include "util/log.h"
 
-void round_wanted(struct core *core)
+void cycle_request(struct core *core)
 {
-	if (core->rounds.due)
+	if (core->cycles.requested)
 		return;
-	core->rounds.due = true;
-	core->rounds.next = core->now + ROUND_MIN_S + ROUND_JOB_S * HASH_COUNT(core->jobs);
+	core->cycles.requested = true;
+	core->cycles.next_at = core->now + CYCLE_MIN_S + CYCLE_JOB_S * HASH_COUNT(core->jobs);
 }
 
 static bool job_bad_on(const struct job *job, const struct machine *machine)
 {
-	for (int i = 0; i < job->nbad && i < ERROR_JOB_MACHINES; i++)
-		if (!strcmp(job->bad[i], machine->id))
+	for (int i = 0; i < job->scheduling.failed_machine_count && i < ERROR_JOB_MACHINES; i++)
+		if (!strcmp(job->scheduling.failed_machines[i], machine->id))
 			return true;
 	return false;
 }
 
-double place_cost(const struct machine *machine, const struct job *job)
+double placement_cost(const struct machine *machine, const struct job *job)
 {
 	const struct job_spec *spec = &job->spec;
 	double cost = 0;
@@ -35,8 +35,8 @@
 	if (!machine_has_image(machine, spec->image) && machine->type->fetch_gb_per_s > 0)
 		cost += spec->image_gb / machine->type->fetch_gb_per_s;
 	if (machine->type->cpus > 0)
-		cost += FIT_WEIGHT_S * (machine->cpus - spec->cpus) / machine->type->cpus;
-	if (!machine->nbindings)
+		cost += FIT_WEIGHT_S * (machine->free_cpus - spec->cpus) / machine->type->cpus;
+	if (!machine->binding_count)
 		cost += FIT_WEIGHT_S;
 	if (job_bad_on(job, machine))
 		cost += ERROR_BACKOFF_MAX_S;
@@ -45,11 +45,11 @@
 
 /* --- room --- */
 
-static uint32_t slots_for(const struct spot_room *room, const struct job *j)
+static uint32_t slots_for(const struct machine_room *room, const struct job *j)
 {
-	const struct job *h = room->machine->hold_job;
+	const struct job *h = room->machine->scheduling.reserved_for;
 	const struct job_spec *spec = &j->spec;
-	double n = room->machine->hold_tasks;
+	double n = room->machine->scheduling.reserved_tasks;
 
 	if (room->cpus + ROOM_SLACK < spec->cpus || room->gpus + ROOM_SLACK < spec->gpus ||
 	    room->mem_gb + ROOM_SLACK < spec->mem_gb)
@@ -63,46 +63,48 @@
 /* A job with room held, or with tasks somewhere, sees other room than its shape alone tells. */
 static bool shape_known(const struct job *job)
 {
-	return !job->hold_until && !job->bindings;
+	return !job->scheduling.reserved_until && !job->bindings;
 }
 
-static bool no_room_for(const struct round *round, const struct job *job, uint32_t tasks)
+static bool no_fit_for(const struct scheduling_cycle *round, const struct job *job, uint32_t tasks)
 {
-	for (size_t i = 0; i < round->nno; i++)
-		if (tasks >= round->no[i].tasks && same_shape(round->no[i].spec, &job->spec))
+	for (size_t i = 0; i < round->no_fit_count; i++)
+		if (tasks >= round->no_fits[i].tasks &&
+		    same_shape(round->no_fits[i].spec, &job->spec))
 			return shape_known(job);
 	return false;
 }
 
-static void note_no_room(struct round *round, const struct job *job, uint32_t tasks)
+static void note_no_fit(struct scheduling_cycle *round, const struct job *job, uint32_t tasks)
 {
-	if (round->nno == ROUND_NO_MAX || !shape_known(job))
+	if (round->no_fit_count == CYCLE_NO_FITS_MAX || !shape_known(job))
 		return;
-	round->no[round->nno].spec = &job->spec;
-	round->no[round->nno++].tasks = tasks;
+	round->no_fits[round->no_fit_count].spec = &job->spec;
+	round->no_fits[round->no_fit_count++].tasks = tasks;
 }
 
 /* Called right after the pools that the gang may use were marked. */
-static void note_wanted(struct round *round, const struct job *job)
+static void note_gang_shape(struct scheduling_cycle *round, const struct job *job)
 {
-	for (size_t i = 0; i < round->nwanted; i++)
-		if (same_shape(round->wanted[i], &job->spec))
+	for (size_t i = 0; i < round->gang_shape_count; i++)
+		if (same_shape(round->gang_shapes[i], &job->spec))
 			return;
-	if (round->nwanted == ROUND_WANTED_MAX)
+	if (round->gang_shape_count == CYCLE_GANG_SHAPES_MAX)
 		return;
-	for (size_t i = 0; i < round->npools; i++)
-		round->pools[i].wanted |= (uint32_t)round->pools[i].allowed << round->nwanted;
-	round->wanted[round->nwanted++] = &job->spec;
+	for (size_t i = 0; i < round->pool_count; i++)
+		round->pools[i].gang_shapes |= (uint32_t)round->pools[i].allowed
+					       << round->gang_shape_count;
+	round->gang_shapes[round->gang_shape_count++] = &job->spec;
 }
 
 /* Whether a task here would take room that a waiting gang of higher priority could use. */
-static bool takes_wanted(const struct round *round, const struct spot_room *room,
-			 const struct job_spec *s)
+static bool takes_gang_room(const struct scheduling_cycle *round, const struct machine_room *room,
+			    const struct job_spec *s)
 {
-	for (size_t i = 0; i < round->nwanted; i++) {
-		const struct job_spec *w = round->wanted[i];
+	for (size_t i = 0; i < round->gang_shape_count; i++) {
+		const struct job_spec *w = round->gang_shapes[i];
 
-		if (w->priority < s->priority && (round->pools[room->pool].wanted >> i & 1) &&
+		if (w->priority < s->priority && (round->pools[room->pool].gang_shapes >> i & 1) &&
 		    room_slots(room->cpus - s->cpus, room->gpus - s->gpus, room->mem_gb - s->mem_gb,
 			       w) < room_slots(room->cpus, room->gpus, room->mem_gb, w))
 			return true;
@@ -115,7 +117,7 @@
 	const struct binding *binding;
 	uint32_t n = 0;
 
-	DL_FOREACH2 (job->bindings, binding, jnext)
+	DL_FOREACH2 (job->bindings, binding, job_next)
 		n += !strcmp(binding->machine->zone, zone);
 	return n;
 }
@@ -123,10 +125,10 @@
 /* How many more tasks of a spread job the zone may hold. */
 uint32_t job_zone_rest(const struct job *job, const char *zone)
 {
-	uint32_t most = (job->spec.ntasks + 1) / 2, n;
+	uint32_t most = (job->spec.task_count + 1) / 2, n;
 
 	if (!job->spec.spread)
-		return job->spec.ntasks;
+		return job->spec.task_count;
 	n = in_zone(job, zone);
 	return n < most ? most - n : 0;
 }
@@ -139,50 +141,50 @@
 
 static uint64_t new_attempt(struct core *core)
 {
-	return (core->election.token << ATTEMPT_SHIFT) + ++core->rounds.attempts;
+	return (core->election.token << ATTEMPT_SHIFT) + ++core->cycles.attempt_counter;
 }
 
 /*
  * Tasks of arrays and services tell starts apart by it, and none starts twice in a round: they
  * share the round's, so that a record names it once.
  */
-static uint64_t round_attempt(struct round *round)
+static uint64_t cycle_attempt(struct scheduling_cycle *round)
 {
 	if (!round->attempt)
 		round->attempt = new_attempt(round->core);
 	return round->attempt;
 }
 
-static void place(struct round *round, struct job *job, struct machine *machine, uint32_t task,
-		  uint64_t attempt)
+static void place(struct scheduling_cycle *round, struct job *job, struct machine *machine,
+		  uint32_t task, uint64_t attempt)
 {
 	struct core *core = round->core;
 
 	if (job->spec.kind != JOB_SERVICE)
-		plan_release(core, job); /* it has what room was held for */
-	else if (machine->hold_job == job && !--machine->hold_tasks)
-		machine->hold_job = NULL;
+		reservation_release(core, job); /* it has what room was held for */
+	else if (machine->scheduling.reserved_for == job && !--machine->scheduling.reserved_tasks)
+		machine->scheduling.reserved_for = NULL;
 	binding_add(core, machine, job, task, attempt);
-	round_take(round, machine, &job->spec);
+	cycle_take_room(round, machine, &job->spec);
 	log_info("place", "job=%s task=%u attempt=%llu machine=%s waited=%.2f", job->spec.id, task,
-		 (unsigned long long)attempt, machine->id, core->wall - job->submitted);
-	commit_chunk(core, job, task, 0);
+		 (unsigned long long)attempt, machine->id, core->wall - job->submitted_at);
+	write_queue_add_chunk(core, job, task, 0);
 }
 
 /* --- gangs --- */
 
-static void find_candidates(struct round *round, struct job *job)
+static void find_candidates(struct scheduling_cycle *round, struct job *job)
 {
-	round_allow(round, &job->spec);
-	round->ncands = 0;
-	for (size_t i = 0; i < round->nopen; i++) {
-		struct spot_room *room = &round->rooms[round->open[i]];
+	cycle_mark_allowed(round, &job->spec);
+	round->candidate_count = 0;
+	for (size_t i = 0; i < round->open_count; i++) {
+		struct machine_room *room = &round->rooms[round->open_rooms[i]];
 		struct candidate *candidate;
 		uint32_t slots;
 
 		if (!round->pools[room->pool].allowed || !(slots = slots_for(room, job)))
 			continue;
-		candidate = &round->cands[round->ncands++];
+		candidate = &round->candidates[round->candidate_count++];
 		candidate->room = room;
 		candidate->slots = slots;
 		candidate->cost = INFINITY;
@@ -197,52 +199,54 @@
 }
 
 /* Slots that a gang could use in the zone, or anywhere. */
-static uint32_t zone_slots(const struct round *round, const struct job *job, const char *zone)
+static uint32_t zone_slots(const struct scheduling_cycle *round, const struct job *job,
+			   const char *zone)
 {
 	uint32_t n = 0;
 
-	for (size_t i = 0; i < round->ncands && n < job->spec.ntasks; i++)
-		if (!zone || !strcmp(round->cands[i].room->machine->zone, zone))
-			n += round->cands[i].slots;
+	for (size_t i = 0; i < round->candidate_count && n < job->spec.task_count; i++)
+		if (!zone || !strcmp(round->candidates[i].room->machine->zone, zone))
+			n += round->candidates[i].slots;
 	return n;
 }
 
-static void cost_candidates(struct round *round, const struct job *job)
+static void cost_candidates(struct scheduling_cycle *round, const struct job *job)
 {
-	for (size_t i = 0; i < round->ncands; i++) {
-		struct spot_room *room = round->cands[i].room;
+	for (size_t i = 0; i < round->candidate_count; i++) {
+		struct machine_room *room = round->candidates[i].room;
 
-		if (!isfinite(round->cands[i].cost))
-			round->cands[i].cost =
-			    round->pools[room->pool].pool_cost + place_cost(room->machine, job);
+		if (!isfinite(round->candidates[i].cost))
+			round->candidates[i].cost =
+			    round->pools[room->pool].pool_cost + placement_cost(room->machine, job);
 	}
-	qsort(round->cands, round->ncands, sizeof(*round->cands), by_cost);
+	qsort(round->candidates, round->candidate_count, sizeof(*round->candidates), by_cost);
 }
 
-static bool bind_gang(struct round *round, struct job *job, const char *zone)
+static bool bind_gang(struct scheduling_cycle *round, struct job *job, const char *zone)
 {
 	uint64_t attempt = new_attempt(round->core);
 	uint32_t t = 0;
 
-	for (size_t i = 0; i < round->ncands && t < job->spec.ntasks; i++) {
-		struct machine *machine = round->cands[i].room->machine;
+	for (size_t i = 0; i < round->candidate_count && t < job->spec.task_count; i++) {
+		struct machine *machine = round->candidates[i].room->machine;
 
 		if (zone && strcmp(machine->zone, zone))
 			continue;
-		for (uint32_t k = 0; k < round->cands[i].slots && t < job->spec.ntasks; k++)
+		for (uint32_t k = 0; k < round->candidates[i].slots && t < job->spec.task_count;
+		     k++)
 			if (job_zone_rest(job, machine->zone))
 				place(round, job, machine, t++, attempt);
 	}
-	job->attempt = attempt;
+	job->gang_attempt = attempt;
 	return true;
 }
 
 /* Whether a spread gang can be had at all: half of it in any one zone at most. */
-static bool spread_fits(const struct round *round, const struct job *job)
+static bool spread_fits(const struct scheduling_cycle *round, const struct job *job)
 {
 	uint32_t n = 0;
 
-	for (size_t p = 0; p < round->npools; p++) {
+	for (size_t p = 0; p < round->pool_count; p++) {
 		const char *zone = round->pools[p].zone;
 		bool again = false;
 
@@ -251,27 +255,27 @@
 		if (!again)
 			n += (uint32_t)fmin(zone_slots(round, job, zone), job_zone_rest(job, zone));
 	}
-	return n >= job->spec.ntasks;
+	return n >= job->spec.task_count;
 }
 
 /* Of the zones that can take it, the one where its tasks would begin soonest. */
-static const char *best_zone(const struct round *round, const struct job *job)
+static const char *best_zone(const struct scheduling_cycle *round, const struct job *job)
 {
 	const char *best = NULL;
 	double best_cost = INFINITY;
 
-	for (size_t p = 0; p < round->npools; p++) {
+	for (size_t p = 0; p < round->pool_count; p++) {
 		const char *zone = round->pools[p].zone;
 		double cost = 0;
 		uint32_t n = 0;
 
-		if (!round->pools[p].allowed || zone_slots(round, job, zone) < job->spec.ntasks)
+		if (!round->pools[p].allowed || zone_slots(round, job, zone) < job->spec.task_count)
 			continue;
-		for (size_t i = 0; i < round->ncands && n < job->spec.ntasks; i++) {
-			if (strcmp(round->cands[i].room->machine->zone, zone))
+		for (size_t i = 0; i < round->candidate_count && n < job->spec.task_count; i++) {
+			if (strcmp(round->candidates[i].room->machine->zone, zone))
 				continue;
-			cost = fmax(cost, round->cands[i].cost);
-			n += round->cands[i].slots;
+			cost = fmax(cost, round->candidates[i].cost);
+			n += round->candidates[i].slots;
 		}
 		if (cost < best_cost) {
 			best_cost = cost;
@@ -281,24 +285,24 @@
 	return best;
 }
 
-static bool place_gang(struct round *round, struct job *job)
+static bool place_gang(struct scheduling_cycle *round, struct job *job)
 {
-	bool together = job->spec.one_zone && job->spec.ntasks > 1;
+	bool together = job->spec.one_zone && job->spec.task_count > 1;
 	const char *zone = NULL;
 
 	/* Tasks of an old attempt keep their places and zones until they exit. */
-	if (job->bindings || !team_has_room(round->core, &job->spec, job->spec.ntasks))
+	if (job->bindings || !team_has_room(round->core, &job->spec, job->spec.task_count))
 		return false;
-	if (no_room_for(round, job, job->spec.ntasks))
+	if (no_fit_for(round, job, job->spec.task_count))
 		return false;
 	find_candidates(round, job);
-	if (zone_slots(round, job, NULL) >= job->spec.ntasks && spread_fits(round, job)) {
+	if (zone_slots(round, job, NULL) >= job->spec.task_count && spread_fits(round, job)) {
 		cost_candidates(round, job);
 		if (!together || (zone = best_zone(round, job)))
 			return bind_gang(round, job, zone);
 	}
-	note_no_room(round, job, job->spec.ntasks);
-	note_wanted(round, job);
+	note_no_fit(round, job, job->spec.task_count);
+	note_gang_shape(round, job);
 	return false;
 }
 
@@ -317,40 +321,41 @@
 
 	if (job->spec.kind != JOB_SERVICE)
 		return 0;
-	DL_FOREACH2 (job->bindings, binding, jnext) {
+	DL_FOREACH2 (job->bindings, binding, job_next) {
 		if (binding->machine == machine)
 			cost += REPLICA_MACHINE_S;
 		else if (!strcmp(binding->machine->zone, machine->zone))
 			cost += REPLICA_ZONE_S;
 	}
-	cost += REPLICA_CROWD_S * machine->nreplicas;
+	cost += REPLICA_CROWD_S * machine->replica_count;
 	/* It may be gone without anyone knowing yet. */
-	if (core->now - machine->last_word > REPLICA_OVERDUE_REPORTS * core->conf->report_s)
+	if (core->now - machine->agent.last_message_at >
+	    REPLICA_OVERDUE_REPORTS * core->conf->report_s)
 		cost += REPLICA_OVERDUE_S;
 	return cost + (machine->spot ? REPLICA_SPOT_S : 0) +
-	       machine->nfailed_jobs * REPLICA_MACHINE_S;
+	       machine->scheduling.failed_job_count * REPLICA_MACHINE_S;
 }
 
 /* `spare`: only room that no waiting gang could use. */
-static struct machine *best_machine(struct round *round, struct job *job, bool spare)
+static struct machine *best_machine(struct scheduling_cycle *round, struct job *job, bool spare)
 {
 	const char *held = job_held_zone(job);
 	struct machine *best = NULL;
 	double best_cost = INFINITY;
 
-	round_allow(round, &job->spec);
-	round->visits -= (double)round->nopen;
-	for (size_t i = 0; i < round->nopen; i++) {
-		struct spot_room *room = &round->rooms[round->open[i]];
+	cycle_mark_allowed(round, &job->spec);
+	round->visit_budget -= (double)round->open_count;
+	for (size_t i = 0; i < round->open_count; i++) {
+		struct machine_room *room = &round->rooms[round->open_rooms[i]];
 		const struct pool *pool = &round->pools[room->pool];
 		double cost = pool->pool_cost;
 
 		if (!pool->allowed || cost >= best_cost || !slots_for(room, job) ||
 		    (held && strcmp(held, pool->zone)) ||
-		    (spare && takes_wanted(round, room, &job->spec)))
+		    (spare && takes_gang_room(round, room, &job->spec)))
 			continue;
-		cost +=
-		    place_cost(room->machine, job) + replica_cost(round->core, job, room->machine);
+		cost += placement_cost(room->machine, job) +
+			replica_cost(round->core, job, room->machine);
 		if (cost < best_cost && job_zone_rest(job, pool->zone)) {
 			best_cost = cost;
 			best = room->machine;
@@ -362,62 +367,64 @@
 /* The next waiting task whose record has room for one more binding. */
 static uint32_t next_task(const struct core *core, struct job *job)
 {
-	uint32_t t = job_next_waiting(job);
+	uint32_t t = job_first_waiting(job);
 
-	while (t < job->spec.ntasks &&
-	       (job_bit(job->done, t) || job_bit(job->bound, t) || job_chunk_full(core, job, t)))
-		t = job_chunk_full(core, job, t) ? (t / job->chunk_tasks + 1) * job->chunk_tasks
-						 : t + 1;
+	while (t < job->spec.task_count &&
+	       (task_bit_test(job->done, t) || task_bit_test(job->bound, t) ||
+		job_chunk_full(core, job, t)))
+		t = job_chunk_full(core, job, t)
+			? (t / job->records.tasks_per_chunk + 1) * job->records.tasks_per_chunk
+			: t + 1;
 	return t;
 }
 
-static bool place_task(struct round *round, struct job *job, bool spare)
+static bool place_task(struct scheduling_cycle *round, struct job *job, bool spare)
 {
 	struct machine *machine;
 	uint32_t task;
 
-	if (!job_waiting(job) || !team_has_room(round->core, &job->spec, 1) ||
-	    no_room_for(round, job, 1))
+	if (!job_waiting_count(job) || !team_has_room(round->core, &job->spec, 1) ||
+	    no_fit_for(round, job, 1))
 		return false;
 	task = next_task(round->core, job);
-	if (task >= job->spec.ntasks)
+	if (task >= job->spec.task_count)
 		return false;
 	/* A turn must not last so long that renewals are late. */
-	round->cut |= round->visits <= 0;
-	if (round->cut)
+	round->budget_exhausted |= round->visit_budget <= 0;
+	if (round->budget_exhausted)
 		return false;
 	machine = best_machine(round, job, spare);
 	if (!machine) {
 		if (!spare)
-			note_no_room(round, job, 1);
+			note_no_fit(round, job, 1);
 		return false;
 	}
-	place(round, job, machine, task, round_attempt(round));
+	place(round, job, machine, task, cycle_attempt(round));
 	return true;
 }
 
 /* Replicas are independent, and each that runs serves: they start one by one. */
-static bool place_service(struct round *round, struct job *job)
+static bool place_service(struct scheduling_cycle *round, struct job *job)
 {
 	while (place_task(round, job, false))
 		;
-	if (!job_waiting(job))
-		plan_release(round->core, job);
-	return job_waiting(job) == 0;
+	if (!job_waiting_count(job))
+		reservation_release(round->core, job);
+	return job_waiting_count(job) == 0;
 }
 
 /* --- the round --- */
 
 /* Seconds within which a job's tasks should start, by the first aim that it can still meet; 0:
  * none. */
-double wait_aim(const struct core *core, const struct job *job)
+double wait_objective_s(const struct core *core, const struct job *job)
 {
-	double waited = core->wall - job->submitted, best = 0;
+	double waited = core->wall - job->submitted_at, best = 0;
 
 	for (size_t i = 0; i < core->conf->nobjectives; i++) {
 		const struct conf_objective *objective = &core->conf->objectives[i];
 
-		if (objective->kind == OBJ_WAIT && objective->within_s > waited &&
+		if (objective->kind == OBJECTIVE_WAIT && objective->within_s > waited &&
 		    !strcmp(objective->class_name, job->spec.class_name) &&
 		    (best <= 0 || objective->within_s < best))
 			best = objective->within_s;
@@ -437,17 +444,19 @@
 	double aim;
 
 	if (job->spec.kind == JOB_ARRAY)
-		return job->submitted + (job->spec.deadline_s >= 0 ? job->spec.deadline_s : 0);
-	if (job->gathering || core->wall - job->submitted > LATE_FIRST_S)
+		return job->submitted_at + (job->spec.deadline_s >= 0 ? job->spec.deadline_s : 0);
+	if (job->scheduling.reserving || core->wall - job->submitted_at > LATE_FIRST_S)
 		return -ORDER_FAR_S;
-	aim = wait_aim(core, job);
+	aim = wait_objective_s(core, job);
 	return aim > 0 ? aim : ORDER_FAR_S;
 }
 
 /* What a gang takes, for comparison with others alike; an array is served task by task. */
 static double size_of(const struct job *job)
 {
-	return job->spec.kind == JOB_ARRAY || job->due < 0 ? 0 : job->spec.ntasks * job->spec.cpus;
+	return job->spec.kind == JOB_ARRAY || job->scheduling.order_key < 0
+		   ? 0
+		   : job->spec.task_count * job->spec.cpus;
 }
 
 static int by_order(const void *a, const void *b)
@@ -456,46 +465,49 @@
 
 	if (x->spec.priority != y->spec.priority)
 		return x->spec.priority < y->spec.priority ? -1 : 1;
-	if (x->due != y->due)
-		return x->due < y->due ? -1 : 1;
+	if (x->scheduling.order_key != y->scheduling.order_key)
+		return x->scheduling.order_key < y->scheduling.order_key ? -1 : 1;
 	if (size_of(x) != size_of(y))
 		return size_of(x) < size_of(y) ? -1 : 1;
-	if (x->submitted != y->submitted)
-		return x->submitted < y->submitted ? -1 : 1;
+	if (x->submitted_at != y->submitted_at)
+		return x->submitted_at < y->submitted_at ? -1 : 1;
 	return strcmp(x->spec.id, y->spec.id);
 }
 
 /* The job whose freed slot, kept for it or switched to it, this is; NULL if it can't use it. */
-static struct job *turn_of(struct round *round, struct machine *machine)
+static struct job *turn_of(struct scheduling_cycle *round, struct machine *machine)
 {
 	struct core *core = round->core;
-	struct job *j = *machine->turn ? job_find(core, machine->turn) : NULL;
-	struct spot_room *room = &round->rooms[machine->round_at];
+	struct job *j = *machine->scheduling.freed_slot_job
+			    ? job_find(core, machine->scheduling.freed_slot_job)
+			    : NULL;
+	struct machine_room *room = &round->rooms[machine->scheduling.room_index];
 	const char *zone;
 
-	machine->turn[0] = 0;
-	if (!j || core->now > machine->turn_until || !job_waiting(j) || core->now < j->not_before ||
-	    j->spec.kind != JOB_ARRAY || job_bad_on(j, machine) ||
-	    !team_has_room(core, &j->spec, 1))
+	machine->scheduling.freed_slot_job[0] = 0;
+	if (!j || core->now > machine->scheduling.freed_slot_until || !job_waiting_count(j) ||
+	    core->now < j->scheduling.retry_at || j->spec.kind != JOB_ARRAY ||
+	    job_bad_on(j, machine) || !team_has_room(core, &j->spec, 1))
 		return NULL;
-	round_allow(round, &j->spec);
+	cycle_mark_allowed(round, &j->spec);
 	zone = job_held_zone(j);
 	if (!round->pools[room->pool].allowed || !slots_for(room, j) ||
 	    !job_zone_rest(j, machine->zone) || (zone && strcmp(zone, machine->zone)) ||
-	    takes_wanted(round, room, &j->spec))
+	    takes_gang_room(round, room, &j->spec))
 		return NULL;
 	return j;
 }
 
-static void serve_turns(struct round *round)
+static void serve_turns(struct scheduling_cycle *round)
 {
-	for (size_t i = 0; i < round->nrooms; i++) {
+	for (size_t i = 0; i < round->room_count; i++) {
 		struct machine *machine = round->rooms[i].machine;
-		struct job *job = *machine->turn ? turn_of(round, machine) : NULL;
+		struct job *job =
+		    *machine->scheduling.freed_slot_job ? turn_of(round, machine) : NULL;
 		uint32_t task = job ? next_task(round->core, job) : 0;
 
-		if (job && task < job->spec.ntasks)
-			place(round, job, machine, task, round_attempt(round));
+		if (job && task < job->spec.task_count)
+			place(round, job, machine, task, cycle_attempt(round));
 	}
 }
 
@@ -509,9 +521,9 @@
  */
 static uint32_t slots_needed(const struct core *core, const struct job *job, double times)
 {
-	double left = job->submitted + times * job->spec.deadline_s - core->wall - NEED_START_S;
+	double left = job->submitted_at + times * job->spec.deadline_s - core->wall - NEED_START_S;
 	double run = fmax(job->spec.estimate_s, 1);
-	uint32_t rest = job->spec.ntasks - job->ndone;
+	uint32_t rest = job->spec.task_count - job->done_count;
 
 	return left < run ? 0 : (uint32_t)ceil(rest / floor(left / run));
 }
@@ -526,7 +538,7 @@
 	out->slots = job->spec.deadline_s < 0 ? 0 : slots_needed(core, job, 1);
 	out->times = 1;
 	for (size_t i = 0; i < core->conf->nobjectives && job->spec.deadline_s >= 0; i++) {
-		if (objective[i].kind != OBJ_DEADLINE ||
+		if (objective[i].kind != OBJECTIVE_DEADLINE ||
 		    strcmp(objective[i].class_name, job->spec.class_name) ||
 		    objective[i].times <= 1 || (out->slots && objective[i].times >= out->times))
 			continue;
@@ -538,7 +550,7 @@
 	}
 }
 
-uint32_t array_need(const struct core *core, struct job *job)
+uint32_t array_slots_needed(const struct core *core, struct job *job)
 {
 	struct need need;
 
@@ -561,7 +573,7 @@
  * When not all can be done by their deadlines, equal shares would make all of them late. Who needs
  * least is served first, up to what it needs; what is left is shared equally.
  */
-static void serve_needs(struct round *round, struct job **jobs, size_t n)
+static void serve_needs(struct scheduling_cycle *round, struct job **jobs, size_t n)
 {
 	struct need *all = calloc(n + 1, sizeof(*all));
 	size_t k = 0;
@@ -574,21 +586,22 @@
 	}
 	qsort(all, k, sizeof(*all), by_need);
 	for (size_t i = 0; i < k; i++)
-		while (all[i].job->nbound < all[i].slots && place_task(round, all[i].job, false))
+		while (all[i].job->bound_count < all[i].slots &&
+		       place_task(round, all[i].job, false))
 			;
 	free(all);
 }
 
 /* Arrays that hold nothing: the leader grants one slot to each. */
-static void serve_grants(struct round *round, struct job **jobs, size_t n)
+static void serve_grants(struct scheduling_cycle *round, struct job **jobs, size_t n)
 {
 	for (size_t i = 0; i < n; i++)
-		if (!jobs[i]->nbound && !place_task(round, jobs[i], false))
-			plan_room(round, jobs[i]);
+		if (!jobs[i]->bound_count && !place_task(round, jobs[i], false))
+			preemption_make_room(round, jobs[i]);
 }
 
 /* Arrays of one priority: whoever holds least is served first, one task at a time. */
-static void serve_arrays(struct round *round, struct job **jobs, size_t n)
+static void serve_arrays(struct scheduling_cycle *round, struct job **jobs, size_t n)
 {
 	uint32_t level = 0;
 	size_t open;
@@ -599,7 +612,7 @@
 		for (size_t i = 0; i < n; i++) {
 			if (!jobs[i])
 				continue;
-			if (jobs[i]->nbound > level) {
+			if (jobs[i]->bound_count > level) {
 				open++;
 				continue;
 			}
@@ -619,35 +632,36 @@
  * A replica on a machine that is about to go is stopped once there is room for it elsewhere, which
  * is held: it can't run in both places.
  */
-static void move_replica(struct round *round, struct binding *binding)
+static void move_replica(struct scheduling_cycle *round, struct binding *binding)
 {
 	struct job *job = binding->job;
 	struct machine *target;
 
-	if (binding->stopping || !binding->seen || job->spec.kind != JOB_SERVICE || job->orphan ||
-	    job->cancelled)
+	if (binding->stopping || !binding->observed || job->spec.kind != JOB_SERVICE ||
+	    job->orphan || job->cancelled)
 		return;
 	target = best_machine(round, job, false);
-	if (!target || (target->hold_job && target->hold_job != job))
+	if (!target || (target->scheduling.reserved_for && target->scheduling.reserved_for != job))
 		return;
-	target->hold_tasks = target->hold_job == job ? target->hold_tasks + 1 : 1;
-	target->hold_job = job;
-	job->hold_until = round->core->now + PREEMPT_HOLD_S;
-	round_take(round, target, &job->spec);
+	target->scheduling.reserved_tasks =
+	    target->scheduling.reserved_for == job ? target->scheduling.reserved_tasks + 1 : 1;
+	target->scheduling.reserved_for = job;
+	job->scheduling.reserved_until = round->core->now + PREEMPT_RESERVE_S;
+	cycle_take_room(round, target, &job->spec);
 	log_info("replica_moves", "job=%s task=%u machine=%s to=%s", job->spec.id, binding->task,
 		 binding->machine->id, target->id);
 	binding_stop(round->core, binding, 0);
 }
 
-static void move_replicas(struct round *round)
+static void move_replicas(struct scheduling_cycle *round)
 {
 	struct machine *machine, *tmp;
 	struct binding *binding;
 
 	HASH_ITER (hh, round->core->fleet.machines, machine, tmp) {
-		if (!machine->nreplicas || !replica_watch_leaves(round->core, machine))
+		if (!machine->replica_count || !replica_must_move(round->core, machine))
 			continue;
-		DL_FOREACH2 (machine->bindings, binding, mnext)
+		DL_FOREACH2 (machine->bindings, binding, machine_next)
 			move_replica(round, binding);
 	}
 }
@@ -661,16 +675,16 @@
 	if (!*out)
 		abort();
 	HASH_ITER (hh, core->jobs, job, tmp) {
-		if (!job_waiting(job) || core->now < job->not_before)
+		if (!job_waiting_count(job) || core->now < job->scheduling.retry_at)
 			continue;
-		job->due = due(core, job);
+		job->scheduling.order_key = due(core, job);
 		(*out)[n++] = job;
 	}
 	qsort(*out, n, sizeof(**out), by_order);
 	return n;
 }
 
-static void serve_priority(struct round *round, struct job **jobs, size_t n)
+static void serve_priority(struct scheduling_cycle *round, struct job **jobs, size_t n)
 {
 	size_t narrays = 0;
 	struct job **arrays = calloc(n + 1, sizeof(*arrays));
@@ -682,7 +696,7 @@
 			arrays[narrays++] = jobs[i];
 		else if (!(jobs[i]->spec.kind == JOB_GANG ? place_gang : place_service)(round,
 											jobs[i]))
-			plan_room(round, jobs[i]);
+			preemption_make_room(round, jobs[i]);
 	}
 	serve_grants(round, arrays, narrays);
 	serve_needs(round, arrays, narrays);
@@ -692,12 +706,12 @@
 	free(arrays);
 }
 
-static void round_run(struct core *core, struct job **jobs, size_t n)
+static void cycle_run(struct core *core, struct job **jobs, size_t n)
 {
-	struct round round;
+	struct scheduling_cycle round;
 	size_t first = 0;
 
-	round_begin(core, &round, jobs, core->fleet.replicas_leave ? 0 : n);
+	cycle_begin(core, &round, jobs, core->fleet.replicas_must_move ? 0 : n);
 	while (first < n) {
 		size_t last = first;
 
@@ -706,28 +720,28 @@
 		serve_priority(&round, jobs + first, last - first);
 		first = last;
 	}
-	if (core->fleet.replicas_leave)
+	if (core->fleet.replicas_must_move)
 		move_replicas(&round);
-	if (round.cut)
-		round_wanted(core);
-	round_end(&round);
+	if (round.budget_exhausted)
+		cycle_request(core);
+	cycle_end(&round);
 }
 
-void round_tick(struct core *core)
+void cycle_tick(struct core *core)
 {
 	struct job **jobs;
 	size_t n;
 
-	if (core->now >= core->rounds.again)
-		round_wanted(core); /* backoffs and freshness pass without an event */
-	if (!core->rounds.due || core->now < core->rounds.next)
+	if (core->now >= core->cycles.next_periodic_at)
+		cycle_request(core); /* backoffs and freshness pass without an event */
+	if (!core->cycles.requested || core->now < core->cycles.next_at)
 		return;
-	core->rounds.due = false;
-	core->rounds.again = core->now + ROUND_AGAIN_S;
-	if (core->now - core->election.renewed > LEADER_TTL_MS / 1000.0 * 2)
+	core->cycles.requested = false;
+	core->cycles.next_periodic_at = core->now + CYCLE_PERIOD_S;
+	if (core->now - core->election.renewed_at > LEADER_TTL_MS / 1000.0 * 2)
 		return; /* without the state service nothing can be committed */
 	n = waiting_jobs(core, &jobs);
-	if (n || core->fleet.replicas_leave)
-		round_run(core, jobs, n);
+	if (n || core->fleet.replicas_must_move)
+		cycle_run(core, jobs, n);
 	free(jobs);
 }
--- a/src/core/plan.c
+++ b/src/core/plan.c
@@ -12,20 +12,20 @@
 #include "core/round.h"
 #include "util/log.h"
 
-void plan_release(struct core *core, struct job *job)
+void reservation_release(struct core *core, struct job *job)
 {
 	struct machine *machine, *tmp;
 
-	if (!job->hold_until)
+	if (!job->scheduling.reserved_until)
 		return;
-	job->hold_until = 0;
-	job->gathering = false;
-	job->hold_zone[0] = 0;
+	job->scheduling.reserved_until = 0;
+	job->scheduling.reserving = false;
+	job->scheduling.reserved_zone[0] = 0;
 	HASH_ITER (hh, core->fleet.machines, machine, tmp) {
-		if (machine->hold_job != job)
+		if (machine->scheduling.reserved_for != job)
 			continue;
-		machine->hold_job = NULL;
-		machine->hold_tasks = 0;
+		machine->scheduling.reserved_for = NULL;
+		machine->scheduling.reserved_tasks = 0;
 	}
 }
 
@@ -34,8 +34,8 @@
 static uint32_t plan_tasks(const struct job *job)
 {
 	if (job->spec.kind == JOB_SERVICE)
-		return job_waiting(job);
-	return job->spec.kind == JOB_ARRAY ? 1 : job->spec.ntasks;
+		return job_waiting_count(job);
+	return job->spec.kind == JOB_ARRAY ? 1 : job->spec.task_count;
 }
 
 /* --- what may be stopped --- */
@@ -70,8 +70,8 @@
 static bool needs_its_time(const struct core *core, const struct binding *binding)
 {
 	const struct job_spec *spec = &binding->job->spec;
-	double left = binding->job->submitted + spec->deadline_s - core->wall;
-	double again = spec->estimate_s * AGAIN_FACTOR + AGAIN_START_S;
+	double left = binding->job->submitted_at + spec->deadline_s - core->wall;
+	double again = spec->estimate_s * RESTART_FACTOR + RESTART_S;
 
 	return spec->deadline_s >= 0 && left > 0 && left < again;
 }
@@ -84,7 +84,8 @@
 	if (job->spec.kind == JOB_SERVICE && binding->job->spec.priority > job->spec.priority)
 		return true;
 	/* A gang that has missed all aims for its wait gathers room instead. */
-	if (wait_aim(core, job) <= 0 && binding->job->nbound <= array_need(core, binding->job) &&
+	if (wait_objective_s(core, job) <= 0 &&
+	    binding->job->bound_count <= array_slots_needed(core, binding->job) &&
 	    !borrowed(core, binding, job))
 		return false;
 	return binding->job->spec.priority > job->spec.priority || borrowed(core, binding, job);
@@ -120,9 +121,9 @@
 
 /* At its limit, a team makes room among its own tasks only. */
 struct demand {
-	const struct core *c;
-	const struct job *j;
-	bool own;
+	const struct core *core;
+	const struct job *job;
+	bool own_team_only;
 	uint32_t tasks;
 };
 
@@ -130,26 +131,26 @@
 {
 	if (binding->stopping)
 		return true;
-	return may_stop(demand->c, demand->j, binding) &&
-	       (!demand->own || !strcmp(binding->job->spec.team, demand->j->spec.team));
+	return may_stop(demand->core, demand->job, binding) &&
+	       (!demand->own_team_only || !strcmp(binding->job->spec.team, demand->job->spec.team));
 }
 
 /* The slots that the machine would have, and what they cost. */
 static uint32_t machine_offer(const struct demand *demand, const struct machine *machine,
 			      double *cost)
 {
-	struct room r = {machine->cpus, machine->gpus, machine->mem_gb};
-	uint32_t now = slots_of(&r, demand->j), all;
+	struct room r = {machine->free_cpus, machine->free_gpus, machine->free_mem_gb};
+	uint32_t now = slots_of(&r, demand->job), all;
 	const struct binding *binding;
 
 	*cost = 0;
-	DL_FOREACH2 (machine->bindings, binding, mnext) {
+	DL_FOREACH2 (machine->bindings, binding, machine_next) {
 		if (!frees(demand, binding))
 			continue;
 		room_grow(&r, binding);
-		*cost += binding->stopping ? 0 : stop_cost(demand->c, binding);
+		*cost += binding->stopping ? 0 : stop_cost(demand->core, binding);
 	}
-	all = slots_of(&r, demand->j);
+	all = slots_of(&r, demand->job);
 	if (all > now)
 		return all;
 	*cost = 0;
@@ -180,33 +181,36 @@
 	return (!held || !strcmp(held, zone)) && job_zone_rest(job, zone) > 0;
 }
 
-static void offers(struct round *round, const struct demand *demand)
+static void offers(struct scheduling_cycle *round, const struct demand *demand)
 {
-	round_allow(round, &demand->j->spec);
-	round->ncands = 0;
-	for (size_t i = 0; i < round->nrooms; i++) {
-		struct spot_room *room = &round->rooms[i];
-		struct candidate *candidate = &round->cands[round->ncands];
+	cycle_mark_allowed(round, &demand->job->spec);
+	round->candidate_count = 0;
+	for (size_t i = 0; i < round->room_count; i++) {
+		struct machine_room *room = &round->rooms[i];
+		struct candidate *candidate = &round->candidates[round->candidate_count];
 
 		if (!round->pools[room->pool].allowed ||
-		    (room->machine->hold_job && room->machine->hold_job != demand->j) ||
-		    !zone_open(demand->j, room->machine->zone))
+		    (room->machine->scheduling.reserved_for &&
+		     room->machine->scheduling.reserved_for != demand->job) ||
+		    !zone_open(demand->job, room->machine->zone))
 			continue;
 		candidate->room = room;
 		candidate->slots = machine_offer(demand, room->machine, &candidate->cost);
-		round->ncands += candidate->slots > 0;
+		round->candidate_count += candidate->slots > 0;
 	}
-	qsort(round->cands, round->ncands, sizeof(*round->cands), by_cost_per_slot);
+	qsort(round->candidates, round->candidate_count, sizeof(*round->candidates),
+	      by_cost_per_slot);
 }
 
 /* The cost of the gang's room in the zone, or anywhere; INFINITY if it can't be had. */
-static double zone_offer(const struct round *round, const struct demand *demand, const char *zone)
+static double zone_offer(const struct scheduling_cycle *round, const struct demand *demand,
+			 const char *zone)
 {
 	uint32_t n = 0;
 	double cost = 0;
 
-	for (size_t i = 0; i < round->ncands && n < demand->tasks; i++) {
-		const struct candidate *candidate = &round->cands[i];
+	for (size_t i = 0; i < round->candidate_count && n < demand->tasks; i++) {
+		const struct candidate *candidate = &round->candidates[i];
 
 		if (zone && strcmp(zone, candidate->room->machine->zone))
 			continue;
@@ -216,9 +220,9 @@
 	return n >= demand->tasks ? cost : INFINITY;
 }
 
-static bool choose(struct round *round, const struct demand *demand, struct choice *out)
+static bool choose(struct scheduling_cycle *round, const struct demand *demand, struct choice *out)
 {
-	const struct job *job = demand->j;
+	const struct job *job = demand->job;
 
 	offers(round, demand);
 	out->zone = NULL;
@@ -227,7 +231,7 @@
 		out->cost = zone_offer(round, demand, NULL);
 		return isfinite(out->cost);
 	}
-	for (size_t p = 0; p < round->npools; p++) {
+	for (size_t p = 0; p < round->pool_count; p++) {
 		double cost = round->pools[p].allowed
 				  ? zone_offer(round, demand, round->pools[p].zone)
 				  : INFINITY;
@@ -246,9 +250,9 @@
 {
 	struct binding *binding, *best = NULL;
 
-	DL_FOREACH2 (machine->bindings, binding, mnext)
+	DL_FOREACH2 (machine->bindings, binding, machine_next)
 		if (!binding->stopping && frees(demand, binding) &&
-		    (!best || stop_cost(demand->c, binding) < stop_cost(demand->c, best)))
+		    (!best || stop_cost(demand->core, binding) < stop_cost(demand->core, best)))
 			best = binding;
 	return best;
 }
@@ -256,50 +260,50 @@
 static void stop_for(struct core *core, const struct demand *demand, struct machine *machine,
 		     uint32_t want)
 {
-	struct room r = {machine->cpus, machine->gpus, machine->mem_gb};
+	struct room r = {machine->free_cpus, machine->free_gpus, machine->free_mem_gb};
 	struct binding *binding;
 
-	DL_FOREACH2 (machine->bindings, binding, mnext)
+	DL_FOREACH2 (machine->bindings, binding, machine_next)
 		if (binding->stopping)
 			room_grow(&r, binding);
-	while (slots_of(&r, demand->j) < want && (binding = cheapest(demand, machine))) {
+	while (slots_of(&r, demand->job) < want && (binding = cheapest(demand, machine))) {
 		log_info("preempt", "job=%s for=%s machine=%s", binding->job->spec.id,
-			 demand->j->spec.id, machine->id);
+			 demand->job->spec.id, machine->id);
 		room_grow(&r, binding);
 		binding_stop(core, binding, grace_of(binding));
 	}
 }
 
-static void carry_out(struct round *round, const struct demand *demand, struct job *job,
+static void carry_out(struct scheduling_cycle *round, const struct demand *demand, struct job *job,
 		      const struct choice *ch)
 {
 	uint32_t left = demand->tasks;
 
-	for (size_t i = 0; i < round->ncands && left; i++) {
-		struct candidate *candidate = &round->cands[i];
+	for (size_t i = 0; i < round->candidate_count && left; i++) {
+		struct candidate *candidate = &round->candidates[i];
 		struct machine *machine = candidate->room->machine;
 		uint32_t n = candidate->slots < left ? candidate->slots : left;
 
 		if (ch->zone && strcmp(ch->zone, machine->zone))
 			continue;
-		machine->hold_job = job;
-		machine->hold_tasks = n;
+		machine->scheduling.reserved_for = job;
+		machine->scheduling.reserved_tasks = n;
 		left -= n;
 		stop_for(round->core, demand, machine, n);
 	}
 }
 
-static bool stop_lower(struct round *round, struct job *job, struct demand *demand)
+static bool stop_lower(struct scheduling_cycle *round, struct job *job, struct demand *demand)
 {
 	struct choice ch;
 
 	if (!choose(round, demand, &ch))
 		return false;
 	carry_out(round, demand, job, &ch);
-	job->hold_until = round->core->now + PREEMPT_HOLD_S;
+	job->scheduling.reserved_until = round->core->now + PREEMPT_RESERVE_S;
 	log_info("hold", "job=%s tasks=%u zone=%s cost=%.0f waited=%.1f", job->spec.id,
 		 demand->tasks, ch.zone ? ch.zone : "", ch.cost,
-		 round->core->wall - job->submitted);
+		 round->core->wall - job->submitted_at);
 	return true;
 }
 
@@ -311,48 +315,49 @@
  */
 static bool may_gather(struct core *core, const struct job *next, double waited)
 {
-	bool late = waited >= GATHER_LATE_S;
-	uint32_t most = late ? GATHER_MOST_LATE : GATHER_MOST, n = 0;
-	double held = next->spec.ntasks * next->spec.cpus, all = 0;
+	bool late = waited >= RESERVE_LATE_S;
+	uint32_t most = late ? RESERVE_MAX_GANGS_LATE : RESERVE_MAX_GANGS, n = 0;
+	double held = next->spec.task_count * next->spec.cpus, all = 0;
 	struct machine *machine, *mtmp;
 	struct job *job, *tmp;
 
 	HASH_ITER (hh, core->jobs, job, tmp) {
-		n += job->gathering;
-		held += job->gathering ? job->spec.ntasks * job->spec.cpus : 0;
+		n += job->scheduling.reserving;
+		held += job->scheduling.reserving ? job->spec.task_count * job->spec.cpus : 0;
 	}
 	HASH_ITER (hh, core->fleet.machines, machine, mtmp)
-		all += machine->type && machine_usable(core, machine) ? machine->type->cpus : 0;
-	return n < most || held <= (late ? GATHER_SHARE_LATE : GATHER_SHARE) * all;
+		all += machine->type && machine_is_usable(core, machine) ? machine->type->cpus : 0;
+	return n < most || held <= (late ? RESERVE_SHARE_LATE : RESERVE_SHARE) * all;
 }
 
-static bool may_hold(const struct round *round, const struct spot_room *room, const struct job *job,
-		     const char *zone)
+static bool may_hold(const struct scheduling_cycle *round, const struct machine_room *room,
+		     const struct job *job, const char *zone)
 {
 	const struct pool *pool = &round->pools[room->pool];
 
 	return pool->allowed && (!*zone || !strcmp(zone, pool->zone)) &&
-	       (!room->machine->hold_job || room->machine->hold_job == job);
+	       (!room->machine->scheduling.reserved_for ||
+		room->machine->scheduling.reserved_for == job);
 }
 
 /* The zone with most room for it, free or in use: there it falls free soonest. */
-static const char *gather_zone(const struct round *round, const struct job *job)
+static const char *gather_zone(const struct scheduling_cycle *round, const struct job *job)
 {
 	const char *best = NULL;
 	double most = 0;
 
-	for (size_t p = 0; p < round->npools; p++) {
+	for (size_t p = 0; p < round->pool_count; p++) {
 		const char *zone = round->pools[p].zone;
 		double n = 0;
 
-		for (size_t i = 0; i < round->nrooms; i++) {
-			const struct spot_room *room = &round->rooms[i];
+		for (size_t i = 0; i < round->room_count; i++) {
+			const struct machine_room *room = &round->rooms[i];
 			const struct machine_type *type = room->machine->type;
 
 			if (!may_hold(round, room, job, zone))
 				continue;
 			n += room_slots(room->cpus, room->gpus, room->mem_gb, &job->spec) +
-			     GATHER_USED_SHARE *
+			     RESERVE_USED_SHARE *
 				 room_slots(type->cpus, type->gpus, type->mem_gb, &job->spec);
 		}
 		if (n > most) {
@@ -364,39 +369,42 @@
 }
 
 /* Holds what is free now, anew in each round: what was lost or is not needed goes back. */
-static void gather(struct round *round, struct job *job)
+static void gather(struct scheduling_cycle *round, struct job *job)
 {
-	uint32_t left = job->spec.ntasks;
+	uint32_t left = job->spec.task_count;
 
-	round_allow(round, &job->spec);
-	for (size_t i = 0; i < round->nrooms; i++) {
-		struct spot_room *room = &round->rooms[i];
+	cycle_mark_allowed(round, &job->spec);
+	for (size_t i = 0; i < round->room_count; i++) {
+		struct machine_room *room = &round->rooms[i];
 		uint32_t n;
 
-		if (!may_hold(round, room, job, job->hold_zone))
+		if (!may_hold(round, room, job, job->scheduling.reserved_zone))
 			continue;
 		n = room_slots(room->cpus, room->gpus, room->mem_gb, &job->spec);
-		room->machine->hold_tasks = n < left ? n : left;
-		room->machine->hold_job = room->machine->hold_tasks ? job : NULL;
-		left -= room->machine->hold_tasks;
+		room->machine->scheduling.reserved_tasks = n < left ? n : left;
+		room->machine->scheduling.reserved_for =
+		    room->machine->scheduling.reserved_tasks ? job : NULL;
+		left -= room->machine->scheduling.reserved_tasks;
 	}
-	job->hold_until = round->core->now + GATHER_HOLD_S;
+	job->scheduling.reserved_until = round->core->now + RESERVE_EXTEND_S;
 }
 
-static void gather_begin(struct round *round, struct job *job)
+static void gather_begin(struct scheduling_cycle *round, struct job *job)
 {
 	const char *zone;
 
-	round_allow(round, &job->spec);
+	cycle_mark_allowed(round, &job->spec);
 	zone = gather_zone(round, job);
 	if (!zone)
 		return;
 	if (job->spec.one_zone)
-		snprintf(job->hold_zone, sizeof(job->hold_zone), "%s", zone);
-	job->gathering = true;
+		snprintf(job->scheduling.reserved_zone, sizeof(job->scheduling.reserved_zone), "%s",
+			 zone);
+	job->scheduling.reserving = true;
 	gather(round, job);
-	log_info("gather", "job=%s tasks=%u zone=%s waited=%.1f", job->spec.id, job->spec.ntasks,
-		 job->hold_zone, round->core->wall - job->submitted);
+	log_info("gather", "job=%s tasks=%u zone=%s waited=%.1f", job->spec.id,
+		 job->spec.task_count, job->scheduling.reserved_zone,
+		 round->core->wall - job->submitted_at);
 }
 
 /* Seconds of waiting before lower work is stopped: room may fall free while the aim is not at risk.
@@ -408,7 +416,7 @@
 	for (size_t i = 0; i < core->conf->nobjectives; i++) {
 		const struct conf_objective *objective = &core->conf->objectives[i];
 
-		if (objective->kind == OBJ_WAIT &&
+		if (objective->kind == OBJECTIVE_WAIT &&
 		    !strcmp(objective->class_name, job->spec.class_name) &&
 		    (within <= 0 || objective->within_s < within))
 			within = objective->within_s;
@@ -422,7 +430,8 @@
  */
 static double gather_after(const struct core *core, const struct job *job)
 {
-	return fmin(LATE_FIRST_S, fmax(GATHER_AFTER_S, wait_aim(core, job) - GATHER_LEAD_S));
+	return fmin(LATE_FIRST_S,
+		    fmax(RESERVE_AFTER_S, wait_objective_s(core, job) - RESERVE_LEAD_S));
 }
 
 /* Tasks of a gang keep their places, and a scattered one's zones are not weighed against each
@@ -433,26 +442,26 @@
 }
 
 /* Called in a round for each gang, service, and array that holds nothing, that found no room. */
-bool plan_room(struct round *round, struct job *job)
+bool preemption_make_room(struct scheduling_cycle *round, struct job *job)
 {
 	struct core *core = round->core;
-	double waited = core->now - job->waiting_since;
+	double waited = core->now - job->scheduling.waiting_since;
 	struct demand demand = {core, job, false, plan_tasks(job)};
 
-	if (job->gathering) {
+	if (job->scheduling.reserving) {
 		gather(round, job);
 		return true;
 	}
-	if (job->hold_until && core->now > job->hold_until)
-		plan_release(core, job);
+	if (job->scheduling.reserved_until && core->now > job->scheduling.reserved_until)
+		reservation_release(core, job);
 	/* There may be room that was not looked at. */
-	if (round->cut && job->spec.kind != JOB_GANG)
+	if (round->budget_exhausted && job->spec.kind != JOB_GANG)
 		return false;
-	if (!plan_possible(job) || job->hold_until || waited < patience(core, job) ||
-	    core->now < job->next_plan)
+	if (!plan_possible(job) || job->scheduling.reserved_until || waited < patience(core, job) ||
+	    core->now < job->scheduling.next_preemption_at)
 		return false;
-	job->next_plan = core->now + PLAN_AGAIN_S;
-	demand.own = !team_has_room(core, &job->spec, demand.tasks);
+	job->scheduling.next_preemption_at = core->now + PREEMPT_RETRY_S;
+	demand.own_team_only = !team_has_room(core, &job->spec, demand.tasks);
 	if (stop_lower(round, job, &demand))
 		return true;
 	if (job->spec.kind == JOB_SERVICE) {
@@ -460,9 +469,9 @@
 		demand.tasks = 1;
 		return stop_lower(round, job, &demand);
 	}
-	waited = core->wall - job->submitted;
-	if (demand.own || job->spec.kind == JOB_ARRAY || waited < gather_after(core, job) ||
-	    !may_gather(core, job, waited))
+	waited = core->wall - job->submitted_at;
+	if (demand.own_team_only || job->spec.kind == JOB_ARRAY ||
+	    waited < gather_after(core, job) || !may_gather(core, job, waited))
 		return false;
 	gather_begin(round, job);
 	return true;
--- a/src/core/rent.c
+++ b/src/core/rent.c
@@ -13,29 +13,30 @@
 #include "wire/names.h"
 
 /* The cloud's rate is shared by lists, returns and rentals, whichever comes first in a look. */
-bool cloud_take(struct core *core)
+bool cloud_request_allowed(struct core *core)
 {
-	allowance_fill(core, &core->rentals.requests, core->conf->cloud_rps * CLOUD_SHARE);
-	if (core->rentals.requests.left < 1)
+	rate_limiter_refill(core, &core->autoscale.request_limiter,
+			    core->conf->cloud_rps * CLOUD_SHARE);
+	if (core->autoscale.request_limiter.tokens < 1)
 		return false;
-	core->rentals.requests.left -= 1;
+	core->autoscale.request_limiter.tokens -= 1;
 	return true;
 }
 
-void cloud_trouble(struct core *core, int status)
+void cloud_note_answer(struct core *core, int status)
 {
 	if (status != 200)
-		core->rentals.again = core->now + CLOUD_BACKOFF_S;
+		core->autoscale.retry_at = core->now + CLOUD_BACKOFF_S;
 }
 
 /*
  * A guarantee is a standing promise of room, so room is kept standing for it. Without one, or
  * with an aim in money, machines are rented for work and returned after it.
  */
-bool rent_thrifty(const struct core *core)
+bool autoscale_minimises_cost(const struct core *core)
 {
-	return !conf_has(core->conf, OBJ_GUARANTEE) || conf_has(core->conf, OBJ_PRICE) ||
-	       conf_has(core->conf, OBJ_USEFUL);
+	return !conf_has(core->conf, OBJECTIVE_GUARANTEE) ||
+	       conf_has(core->conf, OBJECTIVE_PRICE) || conf_has(core->conf, OBJECTIVE_USEFUL);
 }
 
 struct refusal_key {
@@ -50,13 +51,13 @@
 	return key;
 }
 
-static struct refusal *refusal_find(struct core *core, const char *type, const char *zone,
-				    bool spot)
+static struct capacity_refusal *capacity_refusal_find(struct core *core, const char *type,
+						      const char *zone, bool spot)
 {
 	struct refusal_key key = refusal_key(type, zone, spot);
-	struct refusal *refusal;
+	struct capacity_refusal *refusal;
 
-	HASH_FIND_STR(core->rentals.refusals, key.text, refusal);
+	HASH_FIND_STR(core->autoscale.refusals, key.text, refusal);
 	return refusal;
 }
 
@@ -64,13 +65,13 @@
  * What is returned can be rented again at once. When many machines of a kind that was refused are
  * lost together, waiting for the refusal's end would leave their work without room meanwhile.
  */
-void refusal_lift(struct core *core, const struct machine *machine)
+void capacity_refusal_lift(struct core *core, const struct machine *machine)
 {
-	struct refusal *refusal =
-	    refusal_find(core, machine->type_name, machine->zone, machine->spot);
+	struct capacity_refusal *refusal =
+	    capacity_refusal_find(core, machine->type_name, machine->zone, machine->spot);
 
 	if (refusal)
-		refusal->until = refusal->wait = 0;
+		refusal->retry_at = refusal->backoff_s = 0;
 }
 
 /* --- what is missing --- */
@@ -80,8 +81,8 @@
 	const struct machine_type *type;
 	const char *zone;
 	bool spot;
-	bool wanted; /* to be rented now */
-	bool live;
+	bool to_rent; /* to be rented now */
+	bool running;
 	double cpus, gpus, mem_gb;
 };
 
@@ -89,16 +90,16 @@
 struct fit_from {
 	const struct job_spec *spec;
 	const char *zone; /* NULL: anywhere */
-	bool live;
-	size_t at;
+	bool running;
+	size_t index;
 };
 
 struct plan {
-	struct vroom *v;
-	size_t n, cap;
-	size_t nwanted;
-	struct fit_from from[RENT_SHAPES_MAX];
-	size_t nfrom;
+	struct vroom *rooms;
+	size_t room_count, capacity;
+	size_t to_rent_count;
+	struct fit_from from[SCALE_OUT_SHAPES_MAX];
+	size_t from_count;
 };
 
 static struct vroom *plan_add(struct plan *plan, const struct machine_type *type, const char *zone,
@@ -106,13 +107,13 @@
 {
 	struct vroom *room;
 
-	if (plan->n == plan->cap) {
-		plan->cap = plan->cap ? plan->cap * 2 : 64;
-		plan->v = realloc(plan->v, plan->cap * sizeof(*plan->v));
-		if (!plan->v)
+	if (plan->room_count == plan->capacity) {
+		plan->capacity = plan->capacity ? plan->capacity * 2 : 64;
+		plan->rooms = realloc(plan->rooms, plan->capacity * sizeof(*plan->rooms));
+		if (!plan->rooms)
 			abort();
 	}
-	room = &plan->v[plan->n++];
+	room = &plan->rooms[plan->room_count++];
 	memset(room, 0, sizeof(*room));
 	room->type = type;
 	room->zone = zone;
@@ -127,7 +128,7 @@
 {
 	if (room->cpus + 1e-6 < spec->cpus || room->gpus + 1e-6 < spec->gpus ||
 	    room->mem_gb + 1e-6 < spec->mem_gb ||
-	    !machine_allowed(room->type, room->zone, room->spot, spec))
+	    !machine_type_allowed(room->type, room->zone, room->spot, spec))
 		return false;
 	room->cpus -= spec->cpus;
 	room->gpus -= spec->gpus;
@@ -141,43 +142,45 @@
 {
 	struct fit_from *start;
 
-	for (size_t i = 0; i < plan->nfrom; i++) {
+	for (size_t i = 0; i < plan->from_count; i++) {
 		start = &plan->from[i];
-		if (start->live == live && !start->zone == !zone &&
+		if (start->running == live && !start->zone == !zone &&
 		    (!zone || !strcmp(start->zone, zone)) && same_shape(start->spec, spec))
 			return start;
 	}
-	if (plan->nfrom == RENT_SHAPES_MAX)
+	if (plan->from_count == SCALE_OUT_SHAPES_MAX)
 		return NULL;
-	start = &plan->from[plan->nfrom++];
-	*start = (struct fit_from){.spec = spec, .zone = zone, .live = live};
+	start = &plan->from[plan->from_count++];
+	*start = (struct fit_from){.spec = spec, .zone = zone, .running = live};
 	return start;
 }
 
 static bool plan_fit(struct plan *plan, const struct job_spec *spec, bool live, const char *zone)
 {
 	struct fit_from *start = fit_from(plan, spec, live, zone);
-	size_t i = start ? start->at : 0;
+	size_t i = start ? start->index : 0;
 
-	for (; i < plan->n; i++)
-		if ((live || !plan->v[i].live) && (!zone || !strcmp(zone, plan->v[i].zone)) &&
-		    vroom_take(&plan->v[i], spec))
+	for (; i < plan->room_count; i++)
+		if ((live || !plan->rooms[i].running) &&
+		    (!zone || !strcmp(zone, plan->rooms[i].zone)) &&
+		    vroom_take(&plan->rooms[i], spec))
 			break;
 	if (start)
-		start->at = i;
-	return i < plan->n;
+		start->index = i;
+	return i < plan->room_count;
 }
 
 static bool refused(struct core *core, const char *type, const char *zone, bool spot)
 {
-	struct refusal *refusal = refusal_find(core, type, zone, spot);
+	struct capacity_refusal *refusal = capacity_refusal_find(core, type, zone, spot);
 
-	return refusal && core->now < refusal->until;
+	return refusal && core->now < refusal->retry_at;
 }
 
-static void note_refusal(struct core *core, const struct rent_req *rental, bool no)
+static void note_refusal(struct core *core, const struct rental_request *rental, bool no)
 {
-	struct refusal *refusal = refusal_find(core, rental->type, rental->zone, rental->spot);
+	struct capacity_refusal *refusal =
+	    capacity_refusal_find(core, rental->type, rental->zone, rental->spot);
 
 	if (!refusal) {
 		refusal = calloc(1, sizeof(*refusal));
@@ -185,17 +188,17 @@
 			abort();
 		memcpy(refusal->key, refusal_key(rental->type, rental->zone, rental->spot).text,
 		       sizeof(refusal->key));
-		HASH_ADD_STR(core->rentals.refusals, key, refusal);
+		HASH_ADD_STR(core->autoscale.refusals, key, refusal);
 	}
 	if (!no) {
-		refusal->wait = 0;
-		refusal->until = 0;
+		refusal->backoff_s = 0;
+		refusal->retry_at = 0;
 		return;
 	}
-	refusal->wait = refusal->wait ? refusal->wait * 2 : RENT_REFUSED_S;
-	if (refusal->wait > RENT_REFUSED_MAX_S)
-		refusal->wait = RENT_REFUSED_MAX_S;
-	refusal->until = core->now + refusal->wait;
+	refusal->backoff_s = refusal->backoff_s ? refusal->backoff_s * 2 : SCALE_OUT_REFUSED_S;
+	if (refusal->backoff_s > SCALE_OUT_REFUSED_MAX_S)
+		refusal->backoff_s = SCALE_OUT_REFUSED_MAX_S;
+	refusal->retry_at = core->now + refusal->backoff_s;
 }
 
 static uint32_t per_machine(const struct machine_type *type, const struct job_spec *spec)
@@ -219,10 +222,10 @@
 
 	if (!fit)
 		return INFINITY;
-	if (rent_thrifty(core))
+	if (autoscale_minimises_cost(core))
 		return (spot ? type->spot_price : type->price) / (tasks < fit ? tasks : fit);
-	return type->boot_s + (spot ? RENT_SPOT_S : 0) +
-	       (spec->gpus <= 0 && type->gpus > 0 ? RENT_GPU_WASTE_S : 0);
+	return type->boot_s + (spot ? SCALE_OUT_SPOT_S : 0) +
+	       (spec->gpus <= 0 && type->gpus > 0 ? SCALE_OUT_GPU_WASTE_S : 0);
 }
 
 /*
@@ -237,9 +240,9 @@
 	const char *zone = NULL;
 	bool spot = false;
 
-	if (plan->nwanted >= RENT_BATCH_MAX * core->conf->cloud_rps)
+	if (plan->to_rent_count >= SCALE_OUT_BATCH_MAX * core->conf->cloud_rps)
 		return false;
-	for (size_t i = 0; i < core->catalog.ntypes; i++) {
+	for (size_t i = 0; i < core->catalog.type_count; i++) {
 		const struct machine_type *type = &core->catalog.types[i];
 
 		for (int z = 0; z < type->zones.count; z++)
@@ -248,11 +251,11 @@
 
 				if ((only_spot && !k) ||
 				    (only && strcmp(only, type->zones.names[z])) ||
-				    !machine_allowed(type, type->zones.names[z], k, spec) ||
+				    !machine_type_allowed(type, type->zones.names[z], k, spec) ||
 				    refused(core, type->name, type->zones.names[z], k))
 					continue;
 				cost = rent_cost(core, type, k, spec, tasks) *
-				       (1 + RENT_JITTER * core_random(core));
+				       (1 + SCALE_OUT_JITTER * core_random(core));
 				if (cost < best_cost) {
 					best_cost = cost;
 					best = type;
@@ -263,35 +266,36 @@
 	}
 	if (!best)
 		return false;
-	plan_add(plan, best, zone, spot)->wanted = true;
-	plan->nwanted++;
+	plan_add(plan, best, zone, spot)->to_rent = true;
+	plan->to_rent_count++;
 	return plan_fit(plan, spec, false, only);
 }
 
 static void plan_known(struct core *core, struct plan *plan)
 {
 	struct machine *machine, *tmp;
-	struct rent_req *rental;
+	struct rental_request *rental;
 
 	HASH_ITER (hh, core->fleet.machines, machine, tmp) {
 		struct vroom *room;
 
-		if (!machine->type || machine->deleting || machine->draining || machine->failed ||
-		    machine->notice_s >= 0)
+		if (!machine->type || machine->cloud.deleting || machine->cloud.draining ||
+		    machine->cloud.failed || machine->agent.notice_s >= 0)
 			continue;
 		/* Neither one known only from a late copy nor one that does not hear us is room. */
-		if (machine->last_word < 0 ? !machine->expected : !machine->hears)
+		if (machine->agent.last_message_at < 0 ? !machine->cloud.expected
+						       : !machine->agent.reachable)
 			continue;
 		room = plan_add(plan, machine->type, machine->zone, machine->spot);
-		if (machine->last_word < 0)
+		if (machine->agent.last_message_at < 0)
 			continue;
-		room->live = true;
-		room->cpus = machine->cpus;
-		room->gpus = machine->gpus;
-		room->mem_gb = machine->mem_gb;
+		room->running = true;
+		room->cpus = machine->free_cpus;
+		room->gpus = machine->free_gpus;
+		room->mem_gb = machine->free_mem_gb;
 	}
-	DL_FOREACH (core->rentals.requested, rental) {
-		for (size_t i = 0; i < core->catalog.ntypes; i++)
+	DL_FOREACH (core->autoscale.rental_requests, rental) {
+		for (size_t i = 0; i < core->catalog.type_count; i++)
 			for (int k = 0; k < rental->count &&
 					!strcmp(core->catalog.types[i].name, rental->type);
 			     k++)
@@ -305,10 +309,10 @@
  */
 static bool can_wait(const struct core *core, const struct job *job)
 {
-	double left = job->submitted + job->spec.deadline_s - core->wall;
+	double left = job->submitted_at + job->spec.deadline_s - core->wall;
 
-	return rent_thrifty(core) && job->spec.spot && job->spec.deadline_s >= 0 &&
-	       left > RENT_ESTIMATE_FACTOR * job->spec.estimate_s + RENT_LEAD_S;
+	return autoscale_minimises_cost(core) && job->spec.spot && job->spec.deadline_s >= 0 &&
+	       left > SCALE_OUT_ESTIMATE_FACTOR * job->spec.estimate_s + SCALE_OUT_LEAD_S;
 }
 
 /* Tasks of the job that the rooms of the zone that are to come would take, up to `most`. */
@@ -318,11 +322,11 @@
 	const struct fit_from *start = fit_from(plan, spec, false, zone);
 	uint32_t n = 0;
 
-	for (size_t i = start ? start->at : 0; i < plan->n && n < most; i++) {
-		const struct vroom *room = &plan->v[i];
+	for (size_t i = start ? start->index : 0; i < plan->room_count && n < most; i++) {
+		const struct vroom *room = &plan->rooms[i];
 
-		if (!room->live && !strcmp(room->zone, zone) &&
-		    machine_allowed(room->type, room->zone, room->spot, spec))
+		if (!room->running && !strcmp(room->zone, zone) &&
+		    machine_type_allowed(room->type, room->zone, room->spot, spec))
 			n += room_slots(room->cpus, room->gpus, room->mem_gb, spec);
 	}
 	return n < most ? n : most;
@@ -337,15 +341,15 @@
 	const char *best = NULL;
 	uint32_t most = 0, n;
 
-	if (!spec->one_zone || spec->ntasks == 1 || spec->kind == JOB_ARRAY)
+	if (!spec->one_zone || spec->task_count == 1 || spec->kind == JOB_ARRAY)
 		return NULL;
-	for (size_t i = 0; i < core->catalog.ntypes; i++) {
+	for (size_t i = 0; i < core->catalog.type_count; i++) {
 		const struct machine_type *type = &core->catalog.types[i];
 
 		for (int z = 0; z < type->zones.count; z++) {
 			if (best && !strcmp(best, type->zones.names[z]))
 				continue;
-			n = zone_coming(plan, spec, type->zones.names[z], spec->ntasks);
+			n = zone_coming(plan, spec, type->zones.names[z], spec->task_count);
 			if (n > most) {
 				most = n;
 				best = type->zones.names[z];
@@ -359,7 +363,7 @@
 {
 	const struct job_spec *spec = &job->spec;
 	const char *zone = plan_zone(core, plan, spec);
-	uint32_t n = job_waiting(job);
+	uint32_t n = job_waiting_count(job);
 
 	for (uint32_t k = 0; k < n && team_has_room(core, spec, k + 1); k++) {
 		if (plan_fit(plan, spec, false, zone))
@@ -368,7 +372,7 @@
 		    !(zone && plan_rent(core, plan, spec, n - k, can_wait(core, job), NULL)))
 			break;
 		if (!zone && spec->one_zone && spec->kind != JOB_ARRAY)
-			zone = plan->v[plan->n - 1].zone;
+			zone = plan->rooms[plan->room_count - 1].zone;
 	}
 }
 
@@ -378,9 +382,9 @@
 	struct job *job, *tmp;
 
 	HASH_ITER (hh, core->jobs, job, tmp) {
-		if (!job_waiting(job) || core->now < job->not_before ||
+		if (!job_waiting_count(job) || core->now < job->scheduling.retry_at ||
 		    (job->bindings && job->spec.kind == JOB_GANG) ||
-		    core->wall - job->submitted < RENT_AFTER_S)
+		    core->wall - job->submitted_at < SCALE_OUT_AFTER_S)
 			continue;
 		plan_job(core, plan, job);
 	}
@@ -415,21 +419,21 @@
 
 	HASH_ITER (hh, core->jobs, job, tmp)
 		if (!job->orphan)
-			class_get(classes, &job->spec)->tasks += job->nbound;
+			class_get(classes, &job->spec)->tasks += job->bound_count;
 }
 
 /* Where money is no aim, room is kept for what comes next. */
 static void plan_headroom(struct core *core, struct plan *plan)
 {
-	double share = core->conf->headroom >= 0 ? core->conf->headroom : HEADROOM_LAVISH;
+	double share = core->conf->headroom >= 0 ? core->conf->headroom : HEADROOM_GUARANTEE;
 	struct class_list classes = {NULL, 0};
 
-	if (rent_thrifty(core) && core->conf->headroom < 0)
+	if (autoscale_minimises_cost(core) && core->conf->headroom < 0)
 		return;
 	classes_in_use(core, &classes);
 	for (size_t i = 0; i < classes.count; i++) {
 		const struct class_use *use = &classes.items[i];
-		uint32_t want = (uint32_t)(share * use->tasks) + HEADROOM_LAVISH_MIN;
+		uint32_t want = (uint32_t)(share * use->tasks) + HEADROOM_GUARANTEE_MIN;
 
 		for (uint32_t k = 0; k < want; k++)
 			if (!plan_fit(plan, use->spec, true, NULL) &&
@@ -443,28 +447,28 @@
 
 static void on_rent(struct core *core, struct call *call, int status, const char *body, size_t len)
 {
-	struct rent_req *rental;
+	struct rental_request *rental;
 	char **ids;
 	size_t n;
 
-	if (election_stale(core, call))
+	if (election_call_is_stale(core, call))
 		return;
-	DL_FOREACH (core->rentals.requested, rental)
+	DL_FOREACH (core->autoscale.rental_requests, rental)
 		if (!strcmp(rental->name, call->key))
 			break;
 	if (!rental)
 		return;
-	rental->out = false;
+	rental->in_flight = false;
 	if (status == 200 && !wire_rented(body, len, &ids, &n)) {
 		log_info("rented", "request=%s type=%s zone=%s spot=%d asked=%d got=%zu",
 			 rental->name, rental->type, rental->zone, rental->spot, rental->count, n);
 		for (size_t i = 0; i < n; i++) {
 			if (!machine_has_tombstone(core, ids[i])) {
-				struct machine *machine = machine_get(core, ids[i]);
+				struct machine *machine = machine_find_or_add(core, ids[i]);
 
-				machine_describe(core, machine, "", rental->type, rental->zone,
-						 rental->spot);
-				machine->expected = true;
+				machine_set_identity(core, machine, "", rental->type, rental->zone,
+						     rental->spot);
+				machine->cloud.expected = true;
 			}
 			free(ids[i]);
 		}
@@ -475,24 +479,24 @@
 			 rental->spot);
 		note_refusal(core, rental, true);
 	} else {
-		cloud_trouble(core, status);
-		if (status != 400 && core->now - rental->since < RENT_GIVE_UP_S) {
-			rental->again =
+		cloud_note_answer(core, status);
+		if (status != 400 && core->now - rental->requested_at < SCALE_OUT_GIVE_UP_S) {
+			rental->retry_at =
 			    core->now + CLOUD_BACKOFF_S; /* the same name: it rents once */
 			return;
 		}
 	}
-	DL_DELETE(core->rentals.requested, rental);
+	DL_DELETE(core->autoscale.rental_requests, rental);
 	free(rental);
 }
 
-static void rent_send(struct core *core, struct rent_req *rental)
+static void rent_send(struct core *core, struct rental_request *rental)
 {
 	struct call *call;
 
-	rental->out = true;
+	rental->in_flight = true;
 	call = core_call(
-	    core, core->conf->cloud, "POST", fmt_path(W_PATH_MACHINES),
+	    core, core->conf->cloud, "POST", format_path(W_PATH_MACHINES),
 	    wire_rental(rental->name, rental->type, rental->zone, rental->spot, rental->count),
 	    CALL_CLOUD_S, on_rent, NULL);
 	snprintf(call->key, sizeof(call->key), "%s", rental->name);
@@ -502,31 +506,31 @@
 static void rent_first(struct core *core, struct plan *plan)
 {
 	struct vroom *first = NULL;
-	struct rent_req *rental = calloc(1, sizeof(*rental));
+	struct rental_request *rental = calloc(1, sizeof(*rental));
 
 	if (!rental)
 		abort();
-	for (size_t i = 0; i < plan->n && rental->count < RENT_BATCH_MAX; i++) {
-		struct vroom *room = &plan->v[i];
+	for (size_t i = 0; i < plan->room_count && rental->count < SCALE_OUT_BATCH_MAX; i++) {
+		struct vroom *room = &plan->rooms[i];
 
-		if (!room->wanted)
+		if (!room->to_rent)
 			continue;
 		if (!first)
 			first = room;
 		if (room->type != first->type || strcmp(room->zone, first->zone) ||
 		    room->spot != first->spot)
 			continue;
-		room->wanted = false;
-		plan->nwanted--;
+		room->to_rent = false;
+		plan->to_rent_count--;
 		rental->count++;
 	}
 	snprintf(rental->name, sizeof(rental->name), "r-%llu-%u",
-		 (unsigned long long)core->election.token, ++core->rentals.counter);
+		 (unsigned long long)core->election.token, ++core->autoscale.request_counter);
 	snprintf(rental->type, sizeof(rental->type), "%s", first->type->name);
 	snprintf(rental->zone, sizeof(rental->zone), "%s", first->zone);
 	rental->spot = first->spot;
-	rental->since = core->now;
-	DL_APPEND(core->rentals.requested, rental);
+	rental->requested_at = core->now;
+	DL_APPEND(core->autoscale.rental_requests, rental);
 	rent_send(core, rental);
 }
 
@@ -537,55 +541,57 @@
 	plan_known(core, &plan);
 	plan_waiting(core, &plan);
 	plan_headroom(core, &plan);
-	while (plan.nwanted && cloud_take(core))
+	while (plan.to_rent_count && cloud_request_allowed(core))
 		rent_first(core, &plan);
-	free(plan.v);
+	free(plan.rooms);
 }
 
 static void rent_again(struct core *core)
 {
-	struct rent_req *rental;
+	struct rental_request *rental;
 
-	DL_FOREACH (core->rentals.requested, rental)
-		if (!rental->out && core->now >= rental->again && cloud_take(core))
+	DL_FOREACH (core->autoscale.rental_requests, rental)
+		if (!rental->in_flight && core->now >= rental->retry_at &&
+		    cloud_request_allowed(core))
 			rent_send(core, rental);
 }
 
-void rent_tick(struct core *core)
+void autoscale_tick(struct core *core)
 {
-	if (core->now < core->rentals.next)
+	if (core->now < core->autoscale.next_scan_at)
 		return;
-	core->rentals.next = core->now + RENT_EVERY_S;
-	returns_look(core);
-	if (core->now < core->rentals.again || !core->catalog.types)
+	core->autoscale.next_scan_at = core->now + AUTOSCALE_EVERY_S;
+	scale_in_scan(core);
+	if (core->now < core->autoscale.retry_at || !core->catalog.types)
 		return;
-	list_tick(core);
-	returns_send(core);
+	inventory_tick(core);
+	scale_in_send_deletes(core);
 	rent_again(core);
-	if (core->now - core->lead_since > RENT_SETTLE_S)
+	if (core->now - core->leading_since > AUTOSCALE_SETTLE_S)
 		rent_look(core);
 }
 
-void rent_clear(struct core *core)
+void autoscale_clear(struct core *core)
 {
-	struct rent_req *rental, *tmp;
-	struct refusal *refusal, *rtmp;
+	struct rental_request *rental, *tmp;
+	struct capacity_refusal *refusal, *rtmp;
 	struct tombstone *tombstone, *ttmp;
 
-	DL_FOREACH_SAFE (core->rentals.requested, rental, tmp) {
-		DL_DELETE(core->rentals.requested, rental);
+	DL_FOREACH_SAFE (core->autoscale.rental_requests, rental, tmp) {
+		DL_DELETE(core->autoscale.rental_requests, rental);
 		free(rental);
 	}
-	HASH_ITER (hh, core->rentals.refusals, refusal, rtmp) {
-		HASH_DEL(core->rentals.refusals, refusal);
+	HASH_ITER (hh, core->autoscale.refusals, refusal, rtmp) {
+		HASH_DEL(core->autoscale.refusals, refusal);
 		free(refusal);
 	}
-	HASH_ITER (hh, core->rentals.tombstones, tombstone, ttmp) {
-		HASH_DEL(core->rentals.tombstones, tombstone);
+	HASH_ITER (hh, core->autoscale.tombstones, tombstone, ttmp) {
+		HASH_DEL(core->autoscale.tombstones, tombstone);
 		free(tombstone);
 	}
-	core->rentals.list_out = false;
-	core->rentals.list_after[0] = 0;
-	core->rentals.next_list = core->rentals.next = core->rentals.again = 0;
-	core->rentals.requests = (struct allowance){.filled = core->now};
+	core->autoscale.inventory_in_flight = false;
+	core->autoscale.inventory_cursor[0] = 0;
+	core->autoscale.next_inventory_at = core->autoscale.next_scan_at =
+	    core->autoscale.retry_at = 0;
+	core->autoscale.request_limiter = (struct rate_limiter){.refilled_at = core->now};
 }
--- a/src/core/replica_watch.c
+++ b/src/core/replica_watch.c
@@ -4,23 +4,25 @@
 
 #include "core/state.h"
 
-void replica_watch_remove(struct core *core, struct machine *machine)
+void replica_supervision_remove(struct core *core, struct machine *machine)
 {
-	if (!machine->watched)
+	if (!machine->probes.supervised)
 		return;
-	machine->watched = false;
-	core->replica_watch.count--;
-	DL_DELETE2(core->replica_watch.machines, machine, watch_prev, watch_next);
+	machine->probes.supervised = false;
+	core->replica_supervision.count--;
+	DL_DELETE2(core->replica_supervision.machines, machine, probes.supervised_prev,
+		   probes.supervised_next);
 }
 
-void replica_watch_update(struct core *core, struct machine *machine)
+void replica_supervision_update(struct core *core, struct machine *machine)
 {
-	if (!machine->nreplicas) {
-		replica_watch_remove(core, machine);
-	} else if (!machine->watched) {
-		machine->watched = true;
-		core->replica_watch.count++;
-		DL_APPEND2(core->replica_watch.machines, machine, watch_prev, watch_next);
+	if (!machine->replica_count) {
+		replica_supervision_remove(core, machine);
+	} else if (!machine->probes.supervised) {
+		machine->probes.supervised = true;
+		core->replica_supervision.count++;
+		DL_APPEND2(core->replica_supervision.machines, machine, probes.supervised_prev,
+			   probes.supervised_next);
 	}
 }
 
@@ -29,28 +31,30 @@
 {
 	double reports_per_s = HASH_COUNT(core->fleet.machines) / core->conf->report_s;
 
-	return fmax(REPLICA_ASKS_PER_S, REPLICA_ASK_SHARE * reports_per_s);
+	return fmax(REPLICA_PROBES_PER_S, REPLICA_PROBE_SHARE * reports_per_s);
 }
 
 static bool question_due(const struct core *core, const struct machine *machine)
 {
-	return !machine->deleting && core->now - machine->last_word >= REPLICA_ASK_S &&
-	       core->now - machine->asked_at >= REPLICA_ASK_S;
+	return !machine->cloud.deleting &&
+	       core->now - machine->agent.last_message_at >= REPLICA_PROBE_S &&
+	       core->now - machine->probes.sent_at >= REPLICA_PROBE_S;
 }
 
 /* Most other machines with replicas, which are asked all the time, were heard of since then. */
-static bool watched_heard(const struct core *core, const struct machine *silent, double since)
+static bool supervised_responsive(const struct core *core, const struct machine *silent,
+				  double since)
 {
 	const struct machine *machine;
 	int known = 0, heard = 0;
 
-	DL_FOREACH2 (core->replica_watch.machines, machine, watch_next) {
-		if (machine == silent || machine->deleting)
+	DL_FOREACH2 (core->replica_supervision.machines, machine, probes.supervised_next) {
+		if (machine == silent || machine->cloud.deleting)
 			continue;
 		known++;
-		heard += machine->last_word > since;
+		heard += machine->agent.last_message_at > since;
 	}
-	return known + 1 >= CUT_MACHINES && heard >= (1 - SILENT_SHARE) * known;
+	return known + 1 >= PARTITION_MACHINES && heard >= (1 - SILENT_SHARE) * known;
 }
 
 /*
@@ -58,63 +62,68 @@
  * those with replicas are lost together, the reports of all machines tell it as well, within an
  * interval.
  */
-static bool others_heard(const struct core *core, const struct machine *silent, double since)
+static bool others_responsive(const struct core *core, const struct machine *silent, double since)
 {
-	const struct fleet_words *words = &core->fleet.words;
+	const struct contact_ages *words = &core->fleet.contact_ages;
 
-	return watched_heard(core, silent, since) ||
-	       (words->known >= CUT_MACHINES &&
-		fleet_words_since(words, core->now - since) >= (1 - SILENT_SHARE) * words->known);
+	return supervised_responsive(core, silent, since) ||
+	       (words->expected >= PARTITION_MACHINES &&
+		contact_ages_within(words, core->now - since) >=
+		    (1 - SILENT_SHARE) * words->expected);
 }
 
 /*
  * Whether the machine is to be deleted before its worker's lease ends: it is silent while most
  * others are heard.
  */
-static bool unreachable(const struct core *core, const struct machine *machine)
+static bool presumed_lost(const struct core *core, const struct machine *machine)
 {
-	if (machine->deleting || machine->unanswered < REPLICA_UNANSWERED)
+	if (machine->cloud.deleting || machine->probes.unanswered < REPLICA_UNANSWERED_PROBES)
 		return false;
 	/* Another may lead by now, and may have given the machine more work. */
-	if (core->now - core->election.renewed > LEADER_TTL_MS / 1000.0 * (1 - CLOCK_DRIFT))
+	if (core->now - core->election.renewed_at > LEADER_TTL_MS / 1000.0 * (1 - CLOCK_DRIFT))
 		return false;
-	return others_heard(core, machine, machine->unanswered_since);
+	return others_responsive(core, machine, machine->probes.unanswered_since);
 }
 
 /* It answers questions, but its reports reach nobody. */
 static bool reports_lost(const struct core *core, const struct machine *machine)
 {
-	double since = fmax(machine->reported, fmax(machine->up_at, core->lead_since));
+	double since =
+	    fmax(machine->agent.last_report_at, fmax(machine->agent.up_at, core->leading_since));
 
-	return machine->session && !machine->deleting && machine_fresh(core, machine) &&
+	return machine->agent.incarnation && !machine->cloud.deleting &&
+	       machine_is_responsive(core, machine) &&
 	       core->now - since > REPLICA_MOVE_LEASES * core->conf->lease_s;
 }
 
-bool replica_watch_leaves(const struct core *core, const struct machine *machine)
+bool replica_must_move(const struct core *core, const struct machine *machine)
 {
-	return machine_leaves(machine) || reports_lost(core, machine);
+	return machine_is_leaving(machine) || reports_lost(core, machine);
 }
 
-void replica_watch_tick(struct core *core)
+void replica_supervision_tick(struct core *core)
 {
-	struct replica_watch *watch = &core->replica_watch;
-	bool late = core->now - watch->next > REPLICA_WATCH_LATE_S;
+	struct replica_supervision *watch = &core->replica_supervision;
+	bool late = core->now - watch->next_at > REPLICA_SUPERVISION_LATE_S;
 
-	if (core->now < watch->next)
+	if (core->now < watch->next_at)
 		return;
-	watch->next = core->now + TICK_S;
+	watch->next_at = core->now + TICK_S;
 	/* A controller that falls behind has more urgent things to do. */
 	if (late)
 		return;
-	allowance_fill(core, &watch->questions, questions_per_s(core));
-	for (int i = watch->count; i && watch->questions.left >= 1; i--) {
+	rate_limiter_refill(core, &watch->probe_limiter, questions_per_s(core));
+	for (int i = watch->count; i && watch->probe_limiter.tokens >= 1; i--) {
 		struct machine *machine = watch->machines;
 
-		DL_DELETE2(watch->machines, machine, watch_prev, watch_next);
-		DL_APPEND2(watch->machines, machine, watch_prev, watch_next);
-		if (unreachable(core, machine))
-			machine_lost(core, machine);
-		else if (question_due(core, machine) && workers_probe(core, machine))
-			watch->questions.left -= 1;
+		DL_DELETE2(watch->machines, machine, probes.supervised_prev,
+			   probes.supervised_next);
+		DL_APPEND2(watch->machines, machine, probes.supervised_prev,
+			   probes.supervised_next);
+		if (presumed_lost(core, machine))
+			machine_give_up(core, machine);
+		else if (question_due(core, machine) && probe_replica_machine(core, machine))
+			watch->probe_limiter.tokens -= 1;
 	}
 }
--- a/src/core/replica_watch.h
+++ b/src/core/replica_watch.h
@@ -11,23 +11,23 @@
 
 struct machine;
 
-struct replica_watch {
+struct replica_supervision {
 	struct machine *machines; /* that hold replicas, in the order of their turns */
 	int count;
-	struct allowance questions;
-	double next; /* steady; the next turn */
+	struct rate_limiter probe_limiter;
+	double next_at; /* steady; the next turn */
 };
 
 /* The number of replicas that the machine holds has changed. */
-void replica_watch_update(struct core *core, struct machine *machine);
+void replica_supervision_update(struct core *core, struct machine *machine);
 /* The machine is forgotten. */
-void replica_watch_remove(struct core *core, struct machine *machine);
+void replica_supervision_remove(struct core *core, struct machine *machine);
 /* Asks the machines whose turn it is, and has those deleted that are gone. */
-void replica_watch_tick(struct core *core);
+void replica_supervision_tick(struct core *core);
 /*
  * Whether replicas are to be moved off the machine while they still run: it has a notice, is to be
  * returned, or its reports reach nobody, so that its worker's lease will end.
  */
-bool replica_watch_leaves(const struct core *core, const struct machine *machine);
+bool replica_must_move(const struct core *core, const struct machine *machine);
 
 #endif
--- a/src/core/report_cache.c
+++ b/src/core/report_cache.c
@@ -9,7 +9,7 @@
 #include "constants.h"
 #include "wire/names.h"
 
-static const char sequence_field[] = "\"" W_SEQ "\":";
+static const char sequence_field[] = "\"" W_SEQUENCE "\":";
 
 #define SEQUENCE_FIELD_LEN (sizeof(sequence_field) - 1)
 
@@ -78,7 +78,7 @@
 	HASH_FIND(hh, cache->entries, &hash, sizeof(hash), entry);
 	if (!entry || !same_text(entry, &text))
 		return NULL;
-	entry->report.seq = text.sequence;
+	entry->report.sequence = text.sequence;
 	return &entry->report;
 }
 
@@ -97,7 +97,7 @@
 
 	report_cache_remove(cache, slot);
 	if (len > REPORT_CACHE_TEXT_MAX || text_split(body, len, &text) ||
-	    !sequence_is_unique(&text, report->seq))
+	    !sequence_is_unique(&text, report->sequence))
 		return;
 	entry = calloc(1, sizeof(*entry));
 	if (!entry)
--- a/src/core/returns.c
+++ b/src/core/returns.c
@@ -13,17 +13,17 @@
 {
 	if (core->conf->idle_patience_s >= 0)
 		return core->conf->idle_patience_s;
-	if (!rent_thrifty(core))
-		return IDLE_LAVISH_S;
-	return machine->type && machine->type->gpus > 0 ? IDLE_DEAR_S : IDLE_THRIFTY_S;
+	if (!autoscale_minimises_cost(core))
+		return IDLE_GUARANTEE_S;
+	return machine->type && machine->type->gpus > 0 ? IDLE_GPU_S : IDLE_COST_S;
 }
 
 static void notice_look(struct core *core, struct machine *machine)
 {
-	double left = machine->notice_s - (core->now - machine->notice_heard);
+	double left = machine->agent.notice_s - (core->now - machine->agent.notice_received_at);
 	struct binding *binding;
 
-	DL_FOREACH2 (machine->bindings, binding, mnext) {
+	DL_FOREACH2 (machine->bindings, binding, machine_next) {
 		double save = binding->job->spec.save_s;
 
 		if (binding->stopping || binding->job->spec.checkpoint_s <= 0 || left < save)
@@ -44,39 +44,40 @@
 		if (!job->orphan && job->spec.cpus <= machine->type->cpus &&
 		    job->spec.gpus <= machine->type->gpus &&
 		    job->spec.mem_gb <= machine->type->mem_gb &&
-		    machine_allowed(machine->type, machine->zone, machine->spot, &job->spec))
+		    machine_type_allowed(machine->type, machine->zone, machine->spot, &job->spec))
 			return true;
 	return false;
 }
 
-void returns_look(struct core *core)
+void scale_in_scan(struct core *core)
 {
 	struct machine *machine, *tmp;
 	double idle;
 
 	HASH_ITER (hh, core->fleet.machines, machine, tmp) {
-		if (machine->deleting)
+		if (machine->cloud.deleting)
 			continue;
-		if (machine->notice_s >= 0)
+		if (machine->agent.notice_s >= 0)
 			notice_look(core, machine);
 		/* Room held for a gang is not idle, and a machine lost to it would undo the hold.
 		 */
-		if (machine->bindings || machine->last_word < 0 || machine->hold_job)
+		if (machine->bindings || machine->agent.last_message_at < 0 ||
+		    machine->scheduling.reserved_for)
 			continue;
-		idle = core->now - machine->idle_since;
+		idle = core->now - machine->cloud.idle_since;
 		/* Its reports cost the leader as much as those of a machine that works. */
-		if (machine->draining || idle > patience(core, machine) ||
-		    (idle > IDLE_USELESS_S && !type_of_use(core, machine))) {
+		if (machine->cloud.draining || idle > patience(core, machine) ||
+		    (idle > IDLE_UNUSABLE_S && !type_of_use(core, machine))) {
 			log_info("machine_return", "machine=%s type=%s idle=%.1f", machine->id,
-				 machine->type_name, core->now - machine->idle_since);
-			machine->deleting = true;
+				 machine->type_name, core->now - machine->cloud.idle_since);
+			machine->cloud.deleting = true;
 		}
 	}
 }
 
 struct delete_req {
 	char ids[DELETE_BATCH_MAX][ID_MAX];
-	size_t n;
+	size_t count;
 };
 
 static void on_delete(struct core *core, struct call *call, int status, const char *body,
@@ -86,19 +87,19 @@
 
 	(void)body;
 	(void)len;
-	if (!election_stale(core, call)) {
-		cloud_trouble(core, status);
-		for (size_t i = 0; i < batch->n; i++) {
+	if (!election_call_is_stale(core, call)) {
+		cloud_note_answer(core, status);
+		for (size_t i = 0; i < batch->count; i++) {
 			struct machine *machine = machine_find(core, batch->ids[i]);
 
 			if (!machine)
 				continue;
-			machine->delete_out = false;
+			machine->cloud.delete_in_flight = false;
 			if (status != 200)
 				continue;
 			tombstone_add(core, machine->id);
-			refusal_lift(core, machine);
-			machine_gone(core, machine);
+			capacity_refusal_lift(core, machine);
+			machine_note_deleted(core, machine);
 		}
 	}
 	free(batch);
@@ -106,7 +107,8 @@
 
 static bool delete_due(const struct machine *machine)
 {
-	return machine->deleting && !machine->delete_out && !machine->gone;
+	return machine->cloud.deleting && !machine->cloud.delete_in_flight &&
+	       !machine->cloud.deleted;
 }
 
 static bool deletes_due(const struct core *core)
@@ -128,20 +130,20 @@
 	if (!batch)
 		abort();
 	HASH_ITER (hh, core->fleet.machines, machine, tmp) {
-		if (!delete_due(machine) || batch->n == DELETE_BATCH_MAX)
+		if (!delete_due(machine) || batch->count == DELETE_BATCH_MAX)
 			continue;
-		machine->delete_out = true;
-		snprintf(batch->ids[batch->n], ID_MAX, "%s", machine->id);
-		ids[batch->n] = batch->ids[batch->n];
-		batch->n++;
+		machine->cloud.delete_in_flight = true;
+		snprintf(batch->ids[batch->count], ID_MAX, "%s", machine->id);
+		ids[batch->count] = batch->ids[batch->count];
+		batch->count++;
 	}
-	core_call(core, core->conf->cloud, "POST", fmt_path(W_PATH_DELETE),
-		  wire_delete(ids, batch->n), CALL_CLOUD_S, on_delete, batch)
-	    ->drop = free;
+	core_call(core, core->conf->cloud, "POST", format_path(W_PATH_DELETE),
+		  wire_delete(ids, batch->count), CALL_CLOUD_S, on_delete, batch)
+	    ->free_arg = free;
 }
 
-void returns_send(struct core *core)
+void scale_in_send_deletes(struct core *core)
 {
-	while (deletes_due(core) && cloud_take(core))
+	while (deletes_due(core) && cloud_request_allowed(core))
 		send_deletes(core);
 }
--- a/src/core/state.h
+++ b/src/core/state.h
@@ -29,15 +29,15 @@
 struct jobs_watch {
 	uint64_t revision;
 	double read_at; /* when the newest read of changes that came back was sent */
-	bool watching;
-	double again; /* steady; no read before */
+	bool in_flight;
+	double retry_at; /* steady; no read before */
 };
 
 /* When decisions are made. */
-struct rounds {
-	bool due;
-	double next, again; /* steady */
-	uint32_t attempts;  /* numbers given to starts under this token */
+struct scheduling_cycles {
+	bool requested;
+	double next_at, next_periodic_at; /* steady */
+	uint32_t attempt_counter;	  /* numbers given to starts under this token */
 };
 
 struct core {
@@ -49,39 +49,39 @@
 	uint64_t next_call;
 
 	struct election election;
-	struct format_watch format;
-	struct limits_learned limits;
-	bool state_down;    /* the state service's last answer was a refusal or none */
-	double state_heard; /* steady; when it last served us */
+	struct format_gate format;
+	struct learned_limits limits;
+	bool store_unavailable;	  /* the state service's last answer was a refusal or none */
+	double store_answered_at; /* steady; when it last served us */
 	struct catalog catalog;
-	struct users users;
+	struct job_api api;
 	struct peers peers;
 
 	/* the leader's */
-	double lead_since;
+	double leading_since;
 	struct jobs_watch jobs_watch;
 	struct job *jobs;
-	double next_jobs; /* steady; a look at all jobs */
+	double next_job_scan_at; /* steady; a look at all jobs */
 	struct team *teams;
 	struct fleet fleet;
-	struct replica_watch replica_watch;
-	struct commits commits;
-	struct rounds rounds;
-	struct pairing pairing;
-	struct rentals rentals;
+	struct replica_supervision replica_supervision;
+	struct write_queue write_queue;
+	struct scheduling_cycles cycles;
+	struct share_switching share_switching;
+	struct autoscale autoscale;
 };
 
 /* load.c: take-over */
-void load_start(struct core *core);
-void load_tick(struct core *core);
+void recovery_start(struct core *core);
+void jobs_watch_tick(struct core *core);
 /* Takes an open job's record, or a newer version of it. */
-void load_job_record(struct core *core, const char *id, json_t *value, uint64_t version);
+void recovery_take_job_record(struct core *core, const char *id, json_t *value, uint64_t version);
 /* Forgets all that only a leader knows. */
-void leader_clear(struct core *core);
+void leader_state_clear(struct core *core);
 
 /* place.c */
 /* Something happened that decisions may follow from. */
-void round_wanted(struct core *core);
-void round_tick(struct core *core);
+void cycle_request(struct core *core);
+void cycle_tick(struct core *core);
 
 #endif
--- a/src/core/store.c
+++ b/src/core/store.c
@@ -5,47 +5,48 @@
 #include "wire/names.h"
 
 /* Notes whether the state service serves us; a 503 may concern this controller alone. */
-void store_heard(struct core *core, int status)
+void store_note_answer(struct core *core, int status)
 {
-	core->state_down = status <= 0 || status == 503;
-	if (!core->state_down)
-		core->state_heard = core->now;
+	core->store_unavailable = status <= 0 || status == 503;
+	if (!core->store_unavailable)
+		core->store_answered_at = core->now;
 }
 
-struct call *store_get(struct core *core, const char *key, call_fn fn, void *arg)
+struct call *store_get(struct core *core, const char *key, answer_fn fn, void *arg)
 {
 	struct call *call =
-	    core_call(core, core->conf->state, "GET", fmt_path(W_PATH_KEYS "/%s", key), NULL,
+	    core_call(core, core->conf->state, "GET", format_path(W_PATH_KEYS "/%s", key), NULL,
 		      CALL_STATE_S, fn, arg);
 
 	snprintf(call->key, sizeof(call->key), "%s", key);
 	return call;
 }
 
-struct call *store_range(struct core *core, const char *prefix, const char *after, call_fn fn,
+struct call *store_range(struct core *core, const char *prefix, const char *after, answer_fn fn,
 			 void *arg)
 {
 	char *path;
 
 	if (after && *after)
-		path = fmt_path(W_PATH_KEYS "?" W_PREFIX "=%s&" W_AFTER "=%s&" W_LIMIT "=%d",
-				prefix, after, RANGE_LIMIT);
+		path = format_path(W_PATH_KEYS "?" W_PREFIX "=%s&" W_AFTER "=%s&" W_LIMIT "=%d",
+				   prefix, after, RANGE_LIMIT);
 	else
-		path = fmt_path(W_PATH_KEYS "?" W_PREFIX "=%s&" W_LIMIT "=%d", prefix, RANGE_LIMIT);
+		path =
+		    format_path(W_PATH_KEYS "?" W_PREFIX "=%s&" W_LIMIT "=%d", prefix, RANGE_LIMIT);
 	return core_call(core, core->conf->state, "GET", path, NULL, CALL_STATE_S, fn, arg);
 }
 
-struct call *store_commit(struct core *core, char *body, call_fn fn, void *arg)
+struct call *store_commit(struct core *core, char *body, answer_fn fn, void *arg)
 {
-	return core_call(core, core->conf->state, "POST", fmt_path(W_PATH_TXN), body, CALL_STATE_S,
-			 fn, arg);
+	return core_call(core, core->conf->state, "POST", format_path(W_PATH_TXN), body,
+			 CALL_STATE_S, fn, arg);
 }
 
 struct call *store_watch(struct core *core, const char *prefix, uint64_t from, int wait_ms,
-			 call_fn fn, void *arg)
+			 answer_fn fn, void *arg)
 {
-	char *path = fmt_path(W_PATH_WATCH "?" W_PREFIX "=%s&" W_AFTER "=%llu&" W_WAIT "=%d",
-			      prefix, (unsigned long long)from, wait_ms);
+	char *path = format_path(W_PATH_WATCH "?" W_PREFIX "=%s&" W_AFTER "=%llu&" W_WAIT "=%d",
+				 prefix, (unsigned long long)from, wait_ms);
 
 	return core_call(core, core->conf->state, "GET", path, NULL,
 			 wait_ms / 1000.0 + LEADER_WATCH_SLACK_S, fn, arg);
--- a/src/core/store.h
+++ b/src/core/store.h
@@ -7,17 +7,17 @@
 #include "core/call.h"
 
 /* All that users may ask about lies under one prefix, so that one read of changes tells it. */
-#define JOBS_ALL "u/"
-#define JOBS_OPEN "u/j/"
-#define JOBS_OVER "u/f/"
+#define KEY_JOBS "u/"
+#define KEY_OPEN_JOBS "u/j/"
+#define KEY_FINAL_JOBS "u/f/"
 
-struct call *store_get(struct core *core, const char *key, call_fn fn, void *arg);
-struct call *store_range(struct core *core, const char *prefix, const char *after, call_fn fn,
+struct call *store_get(struct core *core, const char *key, answer_fn fn, void *arg);
+struct call *store_range(struct core *core, const char *prefix, const char *after, answer_fn fn,
 			 void *arg);
-struct call *store_commit(struct core *core, char *body, call_fn fn, void *arg);
+struct call *store_commit(struct core *core, char *body, answer_fn fn, void *arg);
 struct call *store_watch(struct core *core, const char *prefix, uint64_t from, int wait_ms,
-			 call_fn fn, void *arg);
+			 answer_fn fn, void *arg);
 /* Notes whether the state service serves this controller, by the status of an answer. */
-void store_heard(struct core *core, int status);
+void store_note_answer(struct core *core, int status);
 
 #endif
--- a/src/core/submissions.c
+++ b/src/core/submissions.c
@@ -9,7 +9,7 @@
 #include "util/log.h"
 #include "wire/names.h"
 
-json_t *users_record(const struct job_spec *spec, double submitted, bool cancelled)
+json_t *job_record_value(const struct job_spec *spec, double submitted, bool cancelled)
 {
 	json_t *o = json_pack("{s:o,s:f}", "spec", wire_job_encode(spec), "at", submitted);
 
@@ -21,9 +21,9 @@
 #define RECORD_TOO_LARGE "description too long to be kept"
 
 /* What a job's record takes at most: a cancellation is noted in it. */
-static size_t record_bytes(const struct user_req *request)
+static size_t record_bytes(const struct user_request *request)
 {
-	json_t *record = users_record(request->spec, request->wall, true);
+	json_t *record = job_record_value(request->spec, request->received_wall, true);
 	size_t bytes = wire_value_bytes(record);
 
 	json_decref(record);
@@ -32,42 +32,43 @@
 
 /* --- batches --- */
 
-static struct user_req *take_submitted(struct core *core)
+static struct user_request *take_submitted(struct core *core)
 {
-	struct user_req *list = core->users.submits_in_flight;
+	struct user_request *list = core->api.submissions_in_flight;
 
-	core->users.submits_in_flight = NULL;
+	core->api.submissions_in_flight = NULL;
 	return list;
 }
 
-static void submit_accepted(struct core *core, struct user_req *list)
+static void submit_accepted(struct core *core, struct user_request *list)
 {
-	struct user_req *request, *tmp;
+	struct user_request *request, *tmp;
 
 	DL_FOREACH_SAFE (list, request, tmp) {
 		DL_DELETE(list, request);
 		log_info("accepted", "job=%s class=%s team=%s tasks=%u", request->id,
-			 request->spec->class_name, request->spec->team, request->spec->ntasks);
-		user_state(core, request, 201, JS_QUEUED, 0, 0);
+			 request->spec->class_name, request->spec->team, request->spec->task_count);
+		user_request_answer_state(core, request, 201, JOB_STATE_QUEUED, 0, 0);
 	}
 }
 
-static void submit_conflict(struct core *core, struct user_req *list, const char *body, size_t len)
+static void submit_conflict(struct core *core, struct user_request *list, const char *body,
+			    size_t len)
 {
 	json_t *o = wire_parse(body, len);
-	struct user_req *request, *tmp;
+	struct user_request *request, *tmp;
 
 	DL_FOREACH_SAFE (list, request, tmp) {
 		char j[ID_MAX + 8], f[ID_MAX + 8];
 
 		DL_DELETE(list, request);
-		snprintf(j, sizeof(j), JOBS_OPEN "%s", request->id);
-		snprintf(f, sizeof(f), JOBS_OVER "%s", request->id);
+		snprintf(j, sizeof(j), KEY_OPEN_JOBS "%s", request->id);
+		snprintf(f, sizeof(f), KEY_FINAL_JOBS "%s", request->id);
 		if (wire_failed_has(o, j) || wire_failed_has(o, f)) {
-			user_lookup(core, request);
+			user_request_lookup(core, request);
 		} else {
-			DL_PREPEND(core->users.submits, request);
-			core->users.nsubmits++;
+			DL_PREPEND(core->api.submissions, request);
+			core->api.submission_count++;
 		}
 	}
 	json_decref(o);
@@ -77,30 +78,30 @@
  * A 400 is definite: too many jobs for one transaction, which are sent in smaller ones, or a record
  * that is too large.
  */
-static void submit_too_large(struct core *core, struct user_req *list)
+static void submit_too_large(struct core *core, struct user_request *list)
 {
-	struct user_req *request, *tmp;
+	struct user_request *request, *tmp;
 	int count;
 
 	DL_COUNT(list, request, count);
-	limits_refused(core, count, core->users.submit_largest);
+	limits_note_refusal(core, count, core->api.largest_submission);
 	DL_FOREACH_SAFE (list, request, tmp) {
 		DL_DELETE(list, request);
 		if (count <= LIMITS_TXN_OPS_MIN &&
 		    record_bytes(request) > limits_value_bytes(core)) {
-			user_fail(core, request, 422, 0, RECORD_TOO_LARGE);
+			user_request_fail(core, request, 422, 0, RECORD_TOO_LARGE);
 		} else if (count == 1) {
-			user_fail(core, request, 503, RETRY_AFTER_S, "state");
+			user_request_fail(core, request, 503, RETRY_AFTER_S, "state");
 		} else {
-			DL_PREPEND(core->users.submits, request);
-			core->users.nsubmits++;
+			DL_PREPEND(core->api.submissions, request);
+			core->api.submission_count++;
 		}
 	}
 }
 
-static void submit_refused(struct core *core, struct user_req *list, int status)
+static void submit_refused(struct core *core, struct user_request *list, int status)
 {
-	struct user_req *request, *tmp;
+	struct user_request *request, *tmp;
 
 	if (status == 400) {
 		submit_too_large(core, list);
@@ -111,10 +112,10 @@
 		if (status == 0) {
 			/* It may have been committed, or may yet be: look before saying anything.
 			 */
-			request->settled = true;
-			user_lookup(core, request);
+			request->outcome_unknown = true;
+			user_request_lookup(core, request);
 		} else {
-			user_unserved(core, request, status);
+			user_request_unserved(core, request, status);
 		}
 	}
 }
@@ -122,10 +123,10 @@
 static void on_submit(struct core *core, struct call *call, int status, const char *body,
 		      size_t len)
 {
-	struct user_req *list = take_submitted(core);
+	struct user_request *list = take_submitted(core);
 
 	(void)call;
-	store_heard(core, status);
+	store_note_answer(core, status);
 	if (status == 200)
 		submit_accepted(core, list);
 	else if (status == 409)
@@ -134,22 +135,22 @@
 		submit_refused(core, list, status);
 }
 
-static void add_submit(struct txn *txn, const struct user_req *request)
+static void add_submit(struct txn *txn, const struct user_request *request)
 {
 	char key[ID_MAX + 8];
 
-	snprintf(key, sizeof(key), JOBS_OVER "%s", request->id);
+	snprintf(key, sizeof(key), KEY_FINAL_JOBS "%s", request->id);
 	txn_guard(txn, key, 0);
-	snprintf(key, sizeof(key), JOBS_OPEN "%s", request->id);
+	snprintf(key, sizeof(key), KEY_OPEN_JOBS "%s", request->id);
 	txn_guard(txn, key, 0);
-	txn_put(txn, key, users_record(request->spec, request->wall, false), 0);
+	txn_put(txn, key, job_record_value(request->spec, request->received_wall, false), 0);
 }
 
-static bool in_flight(const struct core *core, const struct user_req *u)
+static bool in_flight(const struct core *core, const struct user_request *u)
 {
-	const struct user_req *o;
+	const struct user_request *o;
 
-	DL_FOREACH (core->users.submits_in_flight, o)
+	DL_FOREACH (core->api.submissions_in_flight, o)
 		if (!strcmp(o->id, u->id))
 			return true;
 	return false;
@@ -157,29 +158,29 @@
 
 void submissions_tick(struct core *core)
 {
-	struct user_req *request, *tmp;
+	struct user_request *request, *tmp;
 	struct txn_mark mark;
 	struct txn txn;
 
-	if (core->users.submits_in_flight || !core->users.submits)
+	if (core->api.submissions_in_flight || !core->api.submissions)
 		return;
 	txn_begin(&txn);
-	DL_FOREACH_SAFE (core->users.submits, request, tmp) {
-		if (txn.nops >= limits_txn_ops(core))
+	DL_FOREACH_SAFE (core->api.submissions, request, tmp) {
+		if (txn.op_count >= limits_txn_ops(core))
 			break;
 		if (in_flight(core, request))
 			continue; /* the same job twice in one batch would fight itself */
 		mark = txn_mark(&txn);
 		add_submit(&txn, request);
-		if (mark.nops && txn_bytes(&txn) > SUBMIT_BATCH_BYTES) {
+		if (mark.op_count && txn_bytes(&txn) > SUBMIT_BATCH_BYTES) {
 			txn_rollback(&txn, &mark);
 			break;
 		}
-		DL_DELETE(core->users.submits, request);
-		core->users.nsubmits--;
-		DL_APPEND(core->users.submits_in_flight, request);
+		DL_DELETE(core->api.submissions, request);
+		core->api.submission_count--;
+		DL_APPEND(core->api.submissions_in_flight, request);
 	}
-	core->users.submit_largest = txn.largest;
+	core->api.largest_submission = txn.largest_value;
 	store_commit(core, txn_finish(&txn), on_submit, NULL);
 }
 
@@ -195,13 +196,13 @@
 
 static bool type_fits(const struct machine_type *type, const struct job_spec *spec)
 {
-	return zone_fits(type, spec) && machine_allowed(type, spec->zone, false, spec) &&
+	return zone_fits(type, spec) && machine_type_allowed(type, spec->zone, false, spec) &&
 	       spec->cpus <= type->cpus && spec->gpus <= type->gpus && spec->mem_gb <= type->mem_gb;
 }
 
 static bool fits_some_type(const struct core *core, const struct job_spec *spec)
 {
-	for (size_t i = 0; i < core->catalog.ntypes; i++)
+	for (size_t i = 0; i < core->catalog.type_count; i++)
 		if (type_fits(&core->catalog.types[i], spec))
 			return true;
 	return false;
@@ -212,11 +213,11 @@
 {
 	const char *first = NULL;
 
-	if (!spec->spread || spec->kind == JOB_ARRAY || spec->ntasks < 2)
+	if (!spec->spread || spec->kind == JOB_ARRAY || spec->task_count < 2)
 		return true;
 	if (spec->one_zone || *spec->zone)
 		return false;
-	for (size_t i = 0; i < core->catalog.ntypes; i++) {
+	for (size_t i = 0; i < core->catalog.type_count; i++) {
 		const struct machine_type *type = &core->catalog.types[i];
 
 		for (int k = 0; k < type->zones.count && type_fits(type, spec); k++) {
@@ -228,26 +229,26 @@
 	return false;
 }
 
-static void judge(struct core *core, struct user_req *request)
+static void judge(struct core *core, struct user_request *request)
 {
 	if (!team_find(core, request->spec->team)) {
-		request->verdict = 422;
-		request->why = "unknown team";
+		request->rejection = 422;
+		request->reason = "unknown team";
 	} else if (!team_ever_fits(core->conf, request->spec)) {
-		request->verdict = 422;
-		request->why = "beyond the team's limit";
+		request->rejection = 422;
+		request->reason = "beyond the team's limit";
 	} else if (!core->catalog.types) {
-		request->verdict = 503;
-		request->why = "machine types not known yet";
+		request->rejection = 503;
+		request->reason = "machine types not known yet";
 	} else if (!fits_some_type(core, request->spec)) {
-		request->verdict = 422;
-		request->why = "fits no allowed machine";
+		request->rejection = 422;
+		request->reason = "fits no allowed machine";
 	} else if (!zones_suffice(core, request->spec)) {
-		request->verdict = 422;
-		request->why = "scattered, and no two zones allowed";
+		request->rejection = 422;
+		request->reason = "scattered, and no two zones allowed";
 	} else if (record_bytes(request) > limits_job_record_bytes(core)) {
-		request->verdict = 422;
-		request->why = RECORD_TOO_LARGE;
+		request->rejection = 422;
+		request->reason = RECORD_TOO_LARGE;
 	}
 }
 
@@ -261,7 +262,7 @@
 {
 	json_t *o = wire_parse(r->body, r->len);
 	const char *id = json_string_value(json_object_get(o, W_ID)), *why;
-	struct user_req *u;
+	struct user_request *u;
 
 	/* Without a valid id it can't be a job that was accepted. */
 	if (!id || !wire_job_id_ok(id)) {
@@ -270,24 +271,24 @@
 		return;
 	}
 	log_debug("submission", "body=%.600s", r->body);
-	u = user_req_new(core, r->conn, USER_SUBMIT, id);
+	u = user_request_new(core, r->conn, USER_SUBMIT, id);
 	u->spec = calloc(1, sizeof(*u->spec));
 	u->body = strndup(r->body, r->len);
 	if (!u->spec || !u->body)
 		abort();
 	if (wire_job_decode(o, u->spec, &why)) {
-		u->verdict = 400;
-		u->why = why;
+		u->rejection = 400;
+		u->reason = why;
 	} else {
 		judge(core, u);
 	}
 	json_decref(o);
-	if (u->verdict) {
-		user_lookup(core, u);
-	} else if (core->users.nsubmits >= queue_max(core)) {
-		user_fail(core, u, 429, RETRY_AFTER_BUSY_S, "busy");
-	} else if (!user_answer_final(core, u)) {
-		DL_APPEND(core->users.submits, u);
-		core->users.nsubmits++;
+	if (u->rejection) {
+		user_request_lookup(core, u);
+	} else if (core->api.submission_count >= queue_max(core)) {
+		user_request_fail(core, u, 429, RETRY_AFTER_BUSY_S, "busy");
+	} else if (!user_request_answer_final(core, u)) {
+		DL_APPEND(core->api.submissions, u);
+		core->api.submission_count++;
 	}
 }
--- a/src/core/teams.c
+++ b/src/core/teams.c
@@ -28,7 +28,7 @@
 
 bool team_ever_fits(const struct conf *conf, const struct job_spec *spec)
 {
-	uint32_t n = spec->kind == JOB_ARRAY ? 1 : spec->ntasks;
+	uint32_t n = spec->kind == JOB_ARRAY ? 1 : spec->task_count;
 
 	for (size_t i = 0; i < conf->nteams; i++) {
 		const struct conf_team *team = &conf->teams[i];
--- a/src/core/users.c
+++ b/src/core/users.c
@@ -11,9 +11,9 @@
 #include "util/log.h"
 #include "wire/names.h"
 
-void user_free(void *arg)
+void user_request_free(void *arg)
 {
-	struct user_req *request = arg;
+	struct user_request *request = arg;
 
 	if (request->spec)
 		wire_job_free(request->spec);
@@ -22,43 +22,44 @@
 	free(request);
 }
 
-void user_fail(struct core *core, struct user_req *request, int status, int retry, const char *why)
+void user_request_fail(struct core *core, struct user_request *request, int status, int retry,
+		       const char *why)
 {
 	core_reply_error(core, request->conn, status, retry, why);
-	user_free(request);
+	user_request_free(request);
 }
 
 /* The state service does not serve us: another controller may be served, else the user is told. */
-void user_unserved(struct core *core, struct user_req *request, int status)
+void user_request_unserved(struct core *core, struct user_request *request, int status)
 {
-	if (status != 429 && forward_user(core, request))
-		user_free(request);
+	if (status != 429 && forward_user_request(core, request))
+		user_request_free(request);
 	else
-		user_fail(core, request, status == 429 ? 429 : 503, RETRY_AFTER_S, "state");
+		user_request_fail(core, request, status == 429 ? 429 : 503, RETRY_AFTER_S, "state");
 }
 
-void user_state(struct core *core, struct user_req *request, int status, enum job_state s,
-		uint32_t done, uint32_t running)
+void user_request_answer_state(struct core *core, struct user_request *request, int status,
+			       enum job_state s, uint32_t done, uint32_t running)
 {
-	if (s == JS_CANCELLED)
+	if (s == JOB_STATE_CANCELLED)
 		peers_note_confirmed(core, request->id, 0);
 	core_reply(core, request->conn, status, 0, wire_job_answer(request->id, s, done, running));
-	user_free(request);
+	user_request_free(request);
 }
 
 /* --- what is known of jobs: all that are open, and the final states of the latest --- */
 
-static struct known *known_find(struct core *core, const char *id)
+static struct indexed_job *index_find(struct core *core, const char *id)
 {
-	struct known *known;
+	struct indexed_job *known;
 
-	HASH_FIND_STR(core->users.known, id, known);
+	HASH_FIND_STR(core->api.index, id, known);
 	return known;
 }
 
-static struct known *known_get(struct core *core, const char *id)
+static struct indexed_job *index_find_or_add(struct core *core, const char *id)
 {
-	struct known *known = known_find(core, id);
+	struct indexed_job *known = index_find(core, id);
 
 	if (known || strlen(id) >= ID_MAX)
 		return known;
@@ -66,58 +67,59 @@
 	if (!known)
 		abort();
 	snprintf(known->id, sizeof(known->id), "%s", id);
-	HASH_ADD_STR(core->users.known, id, known);
+	HASH_ADD_STR(core->api.index, id, known);
 	return known;
 }
 
-static void known_drop(struct core *core, struct known *known)
+static void index_remove(struct core *core, struct indexed_job *known)
 {
 	if (known->final) {
-		DL_DELETE(core->users.finals, known);
-		core->users.nfinals--;
+		DL_DELETE(core->api.finals, known);
+		core->api.final_count--;
 	}
-	HASH_DEL(core->users.known, known);
+	HASH_DEL(core->api.index, known);
 	free(known);
 }
 
 /* The oldest final states go first; they can be read again. */
 static void finals_trim(struct core *core)
 {
-	while (core->users.nfinals > FINAL_CACHE_MAX)
-		known_drop(core, core->users.finals);
+	while (core->api.final_count > FINAL_CACHE_MAX)
+		index_remove(core, core->api.finals);
 }
 
-void users_note_final(struct core *core, const char *id, enum job_state s, uint32_t ntasks)
+void job_index_note_final(struct core *core, const char *id, enum job_state s, uint32_t ntasks)
 {
-	struct known *known = known_get(core, id);
+	struct indexed_job *known = index_find_or_add(core, id);
 
 	if (!known || known->final)
 		return;
 	known->final = true;
 	known->state = s;
-	known->done = s == JS_DONE ? ntasks : 0;
-	known->running = 0;
-	DL_APPEND(core->users.finals, known);
-	core->users.nfinals++;
+	known->done_count = s == JOB_STATE_DONE ? ntasks : 0;
+	known->running_count = 0;
+	DL_APPEND(core->api.finals, known);
+	core->api.final_count++;
 	finals_trim(core);
 }
 
-static void known_open(struct core *core, const char *id, json_t *value)
+static void index_note_open(struct core *core, const char *id, json_t *value)
 {
-	struct known *known = known_get(core, id);
+	struct indexed_job *known = index_find_or_add(core, id);
 
 	if (!known || known->final)
 		return;
-	known->state = json_is_true(json_object_get(value, "cancelled")) ? JS_CANCELLED : JS_QUEUED;
+	known->state = json_is_true(json_object_get(value, "cancelled")) ? JOB_STATE_CANCELLED
+									 : JOB_STATE_QUEUED;
 }
 
-bool user_answer_final(struct core *core, struct user_req *request)
+bool user_request_answer_final(struct core *core, struct user_request *request)
 {
-	struct known *k = known_find(core, request->id);
+	struct indexed_job *k = index_find(core, request->id);
 
 	if (!k || !k->final)
 		return false;
-	user_state(core, request, 200, k->state, k->done, 0);
+	user_request_answer_state(core, request, 200, k->state, k->done_count, 0);
 	return true;
 }
 
@@ -126,29 +128,29 @@
 static void on_cancelled(struct core *core, struct call *call, int status, const char *body,
 			 size_t len)
 {
-	struct user_req *request = call->arg;
+	struct user_request *request = call->arg;
 	json_t *o;
 
-	store_heard(core, status);
+	store_note_answer(core, status);
 	if (status == 200) {
 		o = wire_parse(body, len);
 		log_info("cancel", "job=%s", request->id);
 		job_cancel_committed(core, request->id, wire_revision(o));
-		peers_cancelled(core, request->id, wire_revision(o));
+		peers_announce_cancelled(core, request->id, wire_revision(o));
 		peers_note_confirmed(core, request->id, wire_revision(o));
 		json_decref(o);
-		user_state(core, request, 200, JS_CANCELLED, 0, 0);
+		user_request_answer_state(core, request, 200, JOB_STATE_CANCELLED, 0, 0);
 	} else if (status == 409) {
-		user_lookup(core, request);
+		user_request_lookup(core, request);
 	} else if (status == 0) {
-		request->settled = true;
-		user_lookup(core, request);
+		request->outcome_unknown = true;
+		user_request_lookup(core, request);
 	} else {
-		user_unserved(core, request, status);
+		user_request_unserved(core, request, status);
 	}
 }
 
-static void user_cancel(struct core *core, struct user_req *request, const struct kv_item *it)
+static void user_cancel(struct core *core, struct user_request *request, const struct kv_item *it)
 {
 	json_t *v = json_copy(it->value);
 	struct txn txn;
@@ -161,62 +163,65 @@
 	txn_begin(&txn);
 	txn_guard(&txn, it->key, it->version);
 	txn_put(&txn, it->key, v, 0);
-	store_commit(core, txn_finish(&txn), on_cancelled, request)->drop = user_free;
+	store_commit(core, txn_finish(&txn), on_cancelled, request)->free_arg = user_request_free;
 }
 
 /* The leader knows how its tasks stand; another controller, what the leader told it of late. */
-static void answer_live(struct core *core, struct user_req *request, const struct known *known)
+static void answer_live(struct core *core, struct user_request *request,
+			const struct indexed_job *known)
 {
-	struct job *j = core->election.role == ROLE_LEAD ? job_find(core, request->id) : NULL;
-	bool fresh = core->now - core->users.counts_at < COUNTS_KEEP_S;
-	uint32_t done = j ? j->ndone : fresh && known ? known->done : 0;
-	uint32_t running = j ? j->nrunning : fresh && known ? known->running : 0;
+	struct job *j = core->election.role == ROLE_LEADER ? job_find(core, request->id) : NULL;
+	bool fresh = core->now - core->api.counts_received_at < COUNTS_KEEP_S;
+	uint32_t done = j ? j->done_count : fresh && known ? known->done_count : 0;
+	uint32_t running = j ? j->running_count : fresh && known ? known->running_count : 0;
 
-	core->users.counts_wanted = core->now;
-	user_state(core, request, 200, running ? JS_RUNNING : JS_QUEUED, done, running);
+	core->api.counts_wanted_at = core->now;
+	user_request_answer_state(core, request, 200,
+				  running ? JOB_STATE_RUNNING : JOB_STATE_QUEUED, done, running);
 }
 
-static void answer_open(struct core *core, struct user_req *request, const struct kv_item *it)
+static void answer_open(struct core *core, struct user_request *request, const struct kv_item *it)
 {
 	if (json_is_true(json_object_get(it->value, "cancelled")))
-		user_state(core, request, 200, JS_CANCELLED, 0, 0);
+		user_request_answer_state(core, request, 200, JOB_STATE_CANCELLED, 0, 0);
 	else if (request->kind != USER_CANCEL)
-		answer_live(core, request, known_find(core, request->id));
-	else if (request->settled || core->now - request->since > USER_WAIT_S)
-		user_fail(core, request, 503, RETRY_AFTER_S, "unknown outcome");
+		answer_live(core, request, index_find(core, request->id));
+	else if (request->outcome_unknown || core->now - request->received_at > USER_WAIT_S)
+		user_request_fail(core, request, 503, RETRY_AFTER_S, "unknown outcome");
 	else
 		user_cancel(core, request, it);
 }
 
-static void answer_absent(struct core *core, struct user_req *request)
+static void answer_absent(struct core *core, struct user_request *request)
 {
 	if (request->kind != USER_SUBMIT)
-		user_fail(core, request, 404, 0, "no such job");
-	else if (request->verdict == 503)
-		user_fail(core, request, 503, RETRY_AFTER_S, request->why);
-	else if (request->verdict)
-		user_fail(core, request, request->verdict, 0, request->why);
+		user_request_fail(core, request, 404, 0, "no such job");
+	else if (request->rejection == 503)
+		user_request_fail(core, request, 503, RETRY_AFTER_S, request->reason);
+	else if (request->rejection)
+		user_request_fail(core, request, request->rejection, 0, request->reason);
 	else
-		user_fail(core, request, 503, RETRY_AFTER_S, "unknown outcome");
+		user_request_fail(core, request, 503, RETRY_AFTER_S, "unknown outcome");
 }
 
 static void note_final_value(struct core *core, const char *id, json_t *value)
 {
 	const char *s = json_string_value(json_object_get(value, "state"));
 
-	users_note_final(core, id, s && !strcmp(s, W_ST_DONE) ? JS_DONE : JS_CANCELLED,
-			 (uint32_t)json_integer_value(json_object_get(value, "tasks")));
+	job_index_note_final(core, id,
+			     s && !strcmp(s, W_JOB_DONE) ? JOB_STATE_DONE : JOB_STATE_CANCELLED,
+			     (uint32_t)json_integer_value(json_object_get(value, "tasks")));
 }
 
 static void on_final_read(struct core *core, struct call *call, int status, const char *body,
 			  size_t len)
 {
-	struct user_req *request = call->arg;
+	struct user_request *request = call->arg;
 	struct kv_item it;
 	json_t *o;
 
-	core->users.nreads--;
-	store_heard(core, status);
+	core->api.lookup_count--;
+	store_note_answer(core, status);
 	if (status == 404) {
 		answer_absent(core, request);
 		return;
@@ -224,40 +229,41 @@
 	o = status == 200 ? wire_parse(body, len) : NULL;
 	if (!o || wire_kv(o, &it)) {
 		json_decref(o);
-		user_unserved(core, request, status);
+		user_request_unserved(core, request, status);
 		return;
 	}
 	note_final_value(core, request->id, it.value);
 	json_decref(o);
-	if (!user_answer_final(core, request))
-		user_fail(core, request, 503, RETRY_AFTER_S, "state");
+	if (!user_request_answer_final(core, request))
+		user_request_fail(core, request, 503, RETRY_AFTER_S, "state");
 }
 
-static void user_read(struct core *core, struct user_req *request, const char *prefix, call_fn fn)
+static void user_read(struct core *core, struct user_request *request, const char *prefix,
+		      answer_fn fn)
 {
 	char key[ID_MAX + 8];
 
 	snprintf(key, sizeof(key), "%s%s", prefix, request->id);
-	core->users.nreads++;
-	store_get(core, key, fn, request)->drop = user_free;
+	core->api.lookup_count++;
+	store_get(core, key, fn, request)->free_arg = user_request_free;
 }
 
 static void on_open_read(struct core *core, struct call *call, int status, const char *body,
 			 size_t len)
 {
-	struct user_req *request = call->arg;
+	struct user_request *request = call->arg;
 	struct kv_item it;
 	json_t *o;
 
-	core->users.nreads--;
-	store_heard(core, status);
+	core->api.lookup_count--;
+	store_note_answer(core, status);
 	if (status == 404) {
-		user_read(core, request, JOBS_OVER, on_final_read);
+		user_read(core, request, KEY_FINAL_JOBS, on_final_read);
 		return;
 	}
 	o = status == 200 ? wire_parse(body, len) : NULL;
 	if (!o || wire_kv(o, &it))
-		user_unserved(core, request, status);
+		user_request_unserved(core, request, status);
 	else
 		answer_open(core, request, &it);
 	json_decref(o);
@@ -267,20 +273,20 @@
  * A cancellation needs the record itself. All others wait for one read of changes that leaves after
  * they came: it tells of all of them at once, and is as new as their questions.
  */
-void user_lookup(struct core *core, struct user_req *request)
+void user_request_lookup(struct core *core, struct user_request *request)
 {
-	if (user_answer_final(core, request))
+	if (user_request_answer_final(core, request))
 		return;
-	if (core->users.nreads >= USER_READS_SHARE * core->conf->max_connections) {
-		user_fail(core, request, 429, RETRY_AFTER_BUSY_S, "busy");
+	if (core->api.lookup_count >= USER_READS_SHARE * core->conf->max_connections) {
+		user_request_fail(core, request, 429, RETRY_AFTER_BUSY_S, "busy");
 		return;
 	}
 	if (request->kind == USER_CANCEL) {
-		user_read(core, request, JOBS_OPEN, on_open_read);
+		user_read(core, request, KEY_OPEN_JOBS, on_open_read);
 		return;
 	}
-	DL_APPEND(core->users.asking, request);
-	core->users.nreads++;
+	DL_APPEND(core->api.lookups_waiting, request);
+	core->api.lookup_count++;
 }
 
 /* --- the index: one read of changes answers all who ask --- */
@@ -288,75 +294,76 @@
 static void index_item(void *ctx, const struct kv_item *it)
 {
 	struct core *core = ctx;
-	struct known *known;
+	struct indexed_job *known;
 
-	if (!strncmp(it->key, JOBS_OVER, strlen(JOBS_OVER)) && it->value) {
-		note_final_value(core, it->key + strlen(JOBS_OVER), it->value);
-	} else if (!strncmp(it->key, JOBS_OPEN, strlen(JOBS_OPEN)) && it->value) {
-		known_open(core, it->key + strlen(JOBS_OPEN), it->value);
-	} else if (!strncmp(it->key, JOBS_OPEN, strlen(JOBS_OPEN))) {
+	if (!strncmp(it->key, KEY_FINAL_JOBS, strlen(KEY_FINAL_JOBS)) && it->value) {
+		note_final_value(core, it->key + strlen(KEY_FINAL_JOBS), it->value);
+	} else if (!strncmp(it->key, KEY_OPEN_JOBS, strlen(KEY_OPEN_JOBS)) && it->value) {
+		index_note_open(core, it->key + strlen(KEY_OPEN_JOBS), it->value);
+	} else if (!strncmp(it->key, KEY_OPEN_JOBS, strlen(KEY_OPEN_JOBS))) {
 		/* Its final record comes with the same transaction; without one, nothing is known.
 		 */
-		known = known_find(core, it->key + strlen(JOBS_OPEN));
+		known = index_find(core, it->key + strlen(KEY_OPEN_JOBS));
 		if (known && !known->final)
-			known_drop(core, known);
+			index_remove(core, known);
 	}
 }
 
-static void answer_asked(struct core *core, struct user_req *request)
+static void answer_asked(struct core *core, struct user_request *request)
 {
-	struct known *k = known_find(core, request->id);
+	struct indexed_job *k = index_find(core, request->id);
 
-	core->users.nreads--;
+	core->api.lookup_count--;
 	if (!k)
-		user_read(core, request, JOBS_OVER, on_final_read);
-	else if (k->final || k->state == JS_CANCELLED)
-		user_state(core, request, 200, k->state, k->final ? k->done : 0, 0);
+		user_read(core, request, KEY_FINAL_JOBS, on_final_read);
+	else if (k->final || k->state == JOB_STATE_CANCELLED)
+		user_request_answer_state(core, request, 200, k->state,
+					  k->final ? k->done_count : 0, 0);
 	else
 		answer_live(core, request, k);
 }
 
-static void asked_failed(struct core *core, struct user_req **list, int status)
+static void asked_failed(struct core *core, struct user_request **list, int status)
 {
-	struct user_req *request, *tmp;
+	struct user_request *request, *tmp;
 
 	DL_FOREACH_SAFE (*list, request, tmp) {
 		DL_DELETE(*list, request);
-		core->users.nreads--;
-		user_unserved(core, request, status);
+		core->api.lookup_count--;
+		user_request_unserved(core, request, status);
 	}
 }
 
 /* Too much has happened since: an open job may be over by now, so none is known to be open. */
 static void index_forget(struct core *core)
 {
-	struct known *known, *tmp;
+	struct indexed_job *known, *tmp;
 
-	core->users.index_known = false;
-	HASH_ITER (hh, core->users.known, known, tmp)
+	core->api.index_valid = false;
+	HASH_ITER (hh, core->api.index, known, tmp)
 		if (!known->final)
-			known_drop(core, known);
+			index_remove(core, known);
 }
 
 static void on_changes(struct core *core, struct call *call, int status, const char *body,
 		       size_t len)
 {
-	struct user_req *request, *tmp, *list = core->users.asked;
+	struct user_request *request, *tmp, *list = core->api.lookups_in_flight;
 	json_t *o;
 
 	(void)call;
-	core->users.asked = NULL;
-	core->users.index_out = false;
-	store_heard(core, status);
+	core->api.lookups_in_flight = NULL;
+	core->api.index_in_flight = false;
+	store_note_answer(core, status);
 	if (status != 200) {
 		if (status == 410)
 			index_forget(core);
 		/* The limit of requests, or too old: the next read may tell. */
 		if (status == 410 ||
-		    (status == 429 && list && core->now - list->since < ASK_WAIT_S)) {
-			DL_CONCAT(list, core->users.asking);
-			core->users.asking = list;
-			core->users.index_next = core->now + ASK_AGAIN_S;
+		    (status == 429 && list && core->now - list->received_at < LOOKUP_MAX_WAIT_S)) {
+			DL_CONCAT(list, core->api.lookups_waiting);
+			core->api.lookups_waiting = list;
+			core->api.index_retry_at = core->now + INDEX_RETRY_S;
 		} else {
 			asked_failed(core, &list, status);
 		}
@@ -364,9 +371,9 @@
 	}
 	o = wire_parse(body, len);
 	wire_items(o, index_item, core);
-	core->users.index_read_at = core->users.index_sent;
-	if (wire_revision(o) > core->users.index_revision)
-		core->users.index_revision = wire_revision(o);
+	core->api.index_read_at = core->api.index_sent_at;
+	if (wire_revision(o) > core->api.index_revision)
+		core->api.index_revision = wire_revision(o);
 	json_decref(o);
 	DL_FOREACH_SAFE (list, request, tmp) {
 		DL_DELETE(list, request);
@@ -377,86 +384,87 @@
 static void on_index_page(struct core *core, struct call *call, int status, const char *body,
 			  size_t len)
 {
-	bool first = !*core->users.index_last;
+	bool first = !*core->api.index_cursor;
 	json_t *o, *last;
 	size_t n;
 
 	(void)call;
-	core->users.index_out = false;
-	store_heard(core, status);
-	core->users.index_next = core->now + ASK_AGAIN_S;
+	core->api.index_in_flight = false;
+	store_note_answer(core, status);
+	core->api.index_retry_at = core->now + INDEX_RETRY_S;
 	if (status != 200) {
-		asked_failed(core, &core->users.asking, status);
+		asked_failed(core, &core->api.lookups_waiting, status);
 		return;
 	}
 	o = wire_parse(body, len);
 	if (first) {
-		core->users.index_revision = wire_revision(o);
-		core->users.index_read_at = call->sent;
+		core->api.index_revision = wire_revision(o);
+		core->api.index_read_at = call->sent_at;
 	}
 	wire_items(o, index_item, core);
 	n = json_array_size(json_object_get(o, W_ITEMS));
 	last = json_object_get(json_array_get(json_object_get(o, W_ITEMS), n ? n - 1 : 0), W_KEY);
-	snprintf(core->users.index_last, sizeof(core->users.index_last), "%s",
+	snprintf(core->api.index_cursor, sizeof(core->api.index_cursor), "%s",
 		 last ? json_string_value(last) : "");
 	if (!wire_more(o)) {
-		core->users.index_known = true;
-		core->users.index_last[0] = 0;
+		core->api.index_valid = true;
+		core->api.index_cursor[0] = 0;
 	}
-	core->users.index_next = core->now;
+	core->api.index_retry_at = core->now;
 	json_decref(o);
 }
 
 /* Nobody has asked for a while: what has changed since is read before it is much. */
 static bool index_idle(const struct core *core)
 {
-	return core->users.index_known && !core->state_down &&
-	       core->now - core->users.index_sent > INDEX_IDLE_S;
+	return core->api.index_valid && !core->store_unavailable &&
+	       core->now - core->api.index_sent_at > INDEX_IDLE_S;
 }
 
 /* One answer with all that may have changed since would be too large: the pages are read again. */
 static bool index_far_behind(const struct core *core)
 {
-	double changes = (core->now - core->users.index_read_at) * core->conf->limits.write_rps;
+	double changes = (core->now - core->api.index_read_at) * core->conf->limits.write_rps;
 
 	return changes > INDEX_CHANGES_MAX;
 }
 
 static void index_tick(struct core *core)
 {
-	if (core->users.index_out || core->now < core->users.index_next ||
-	    !(core->users.asking || index_idle(core)))
+	if (core->api.index_in_flight || core->now < core->api.index_retry_at ||
+	    !(core->api.lookups_waiting || index_idle(core)))
 		return;
-	if (core->users.index_known && index_far_behind(core))
+	if (core->api.index_valid && index_far_behind(core))
 		index_forget(core);
-	core->users.index_out = true;
-	if (!core->users.index_known) {
-		store_range(core, JOBS_OPEN, core->users.index_last, on_index_page, NULL);
+	core->api.index_in_flight = true;
+	if (!core->api.index_valid) {
+		store_range(core, KEY_OPEN_JOBS, core->api.index_cursor, on_index_page, NULL);
 		return;
 	}
-	core->users.index_next = core->now + ASK_GATHER_S;
-	core->users.index_sent = core->now;
-	core->users.asked = core->users.asking;
-	core->users.asking = NULL;
-	store_watch(core, JOBS_ALL, core->users.index_revision, 0, on_changes, NULL);
+	core->api.index_retry_at = core->now + INDEX_BATCH_S;
+	core->api.index_sent_at = core->now;
+	core->api.lookups_in_flight = core->api.lookups_waiting;
+	core->api.lookups_waiting = NULL;
+	store_watch(core, KEY_JOBS, core->api.index_revision, 0, on_changes, NULL);
 }
 
-void users_tick(struct core *core)
+void api_tick(struct core *core)
 {
 	submissions_tick(core);
 	index_tick(core);
 }
 
-struct user_req *user_req_new(struct core *core, uint64_t conn, enum user_kind kind, const char *id)
+struct user_request *user_request_new(struct core *core, uint64_t conn, enum user_kind kind,
+				      const char *id)
 {
-	struct user_req *request = calloc(1, sizeof(*request));
+	struct user_request *request = calloc(1, sizeof(*request));
 
 	if (!request)
 		abort();
 	request->conn = conn;
 	request->kind = kind;
-	request->since = core->now;
-	request->wall = core->wall;
+	request->received_at = core->now;
+	request->received_wall = core->wall;
 	memcpy(request->id, id, strnlen(id, sizeof(request->id) - 1));
 	return request;
 }
@@ -478,11 +486,11 @@
 	else if (!wire_job_id_ok(id))
 		core_reply_error(core, request->conn, 404, 0, "no such job");
 	else
-		user_lookup(core,
-			    user_req_new(core, request->conn, slash ? USER_CANCEL : USER_POLL, id));
+		user_request_lookup(core, user_request_new(core, request->conn,
+							   slash ? USER_CANCEL : USER_POLL, id));
 }
 
-void users_request(struct core *core, const struct core_request *request)
+void api_request(struct core *core, const struct core_request *request)
 {
 	size_t n = strlen(W_PATH_JOBS);
 
@@ -504,21 +512,21 @@
 	}
 }
 
-void users_clear(struct core *core)
+void api_clear(struct core *core)
 {
-	struct user_req *request, *tmp;
-	struct known *known, *ktmp;
+	struct user_request *request, *tmp;
+	struct indexed_job *known, *ktmp;
 
-	DL_FOREACH_SAFE (core->users.submits, request, tmp)
-		user_free(request);
-	DL_FOREACH_SAFE (core->users.submits_in_flight, request, tmp)
-		user_free(request);
-	DL_FOREACH_SAFE (core->users.asking, request, tmp)
-		user_free(request);
-	DL_FOREACH_SAFE (core->users.asked, request, tmp)
-		user_free(request);
-	HASH_ITER (hh, core->users.known, known, ktmp) {
-		HASH_DEL(core->users.known, known);
+	DL_FOREACH_SAFE (core->api.submissions, request, tmp)
+		user_request_free(request);
+	DL_FOREACH_SAFE (core->api.submissions_in_flight, request, tmp)
+		user_request_free(request);
+	DL_FOREACH_SAFE (core->api.lookups_waiting, request, tmp)
+		user_request_free(request);
+	DL_FOREACH_SAFE (core->api.lookups_in_flight, request, tmp)
+		user_request_free(request);
+	HASH_ITER (hh, core->api.index, known, ktmp) {
+		HASH_DEL(core->api.index, known);
 		free(known);
 	}
 }
--- a/src/core/workers.c
+++ b/src/core/workers.c
@@ -21,7 +21,7 @@
 {
 	struct binding *binding;
 
-	DL_FOREACH2 (machine->bindings, binding, mnext)
+	DL_FOREACH2 (machine->bindings, binding, machine_next)
 		if (binding->task == listed->task && binding->attempt == listed->attempt &&
 		    !strcmp(binding->job->spec.id, listed->job))
 			return binding;
@@ -32,51 +32,53 @@
 
 static void note_running(struct core *core, struct binding *binding, enum task_state st)
 {
-	bool running = st == TS_RUNNING || st == TS_SAVING;
+	bool running = st == TASK_RUNNING || st == TASK_SAVING;
 
-	if (st != TS_FETCHING)
+	if (st != TASK_FETCHING)
 		machine_note_image(binding->machine, binding->job->spec.image);
 	if (running && binding->running_since <= 0) {
 		binding->running_since = core->now;
-		binding->job->nrunning++;
+		binding->job->running_count++;
 		log_info("task_running", "job=%s task=%u attempt=%llu machine=%s after=%.2f",
 			 binding->job->spec.id, binding->task, (unsigned long long)binding->attempt,
-			 binding->machine->id, core->wall - binding->job->submitted);
+			 binding->machine->id, core->wall - binding->job->submitted_at);
 	}
 	binding->state = st;
 }
 
 static void add_leftover(struct machine *machine, const struct report_task *listed)
 {
-	struct leftover *leftover;
+	struct unbound_task *leftover;
 
-	machine->left = realloc(machine->left, (machine->nleft + 1) * sizeof(*machine->left));
-	if (!machine->left)
+	machine->agent.leftovers =
+	    realloc(machine->agent.leftovers,
+		    (machine->agent.leftover_count + 1) * sizeof(*machine->agent.leftovers));
+	if (!machine->agent.leftovers)
 		abort();
-	leftover = &machine->left[machine->nleft++];
+	leftover = &machine->agent.leftovers[machine->agent.leftover_count++];
 	snprintf(leftover->job, sizeof(leftover->job), "%s", listed->job);
 	leftover->task = listed->task;
 	leftover->attempt = listed->attempt;
-	leftover->ended = listed->state == TS_EXITED;
+	leftover->ended = listed->state == TASK_EXITED;
 }
 
 static void take_task(struct core *core, struct machine *machine, const struct report_task *listed)
 {
 	struct binding *binding = binding_find(machine, listed);
 
-	if (binding && listed->state != TS_EXITED) {
-		binding->seen = true;
-		binding->listed_at = machine->seq;
+	if (binding && listed->state != TASK_EXITED) {
+		binding->observed = true;
+		binding->listed_sequence = machine->agent.sequence;
 		note_running(core, binding, listed->state);
 		return;
 	}
 	add_leftover(machine, listed);
 	if (binding) {
-		if (listed->why == WHY_DONE)
+		if (listed->end_reason == END_DONE)
 			machine_note_image(machine, binding->job->spec.image);
-		binding_end(core, binding, listed->why);
-	} else if (listed->state == TS_EXITED && listed->why == WHY_DONE) {
-		job_done_unbound(core, listed->job, listed->task);
+		binding_end(core, binding, listed->end_reason);
+	} else if (listed->state == TASK_EXITED && listed->end_reason == END_DONE) {
+		job_note_done_unbound(core, listed->job, listed->task);
 	}
 }
 
@@ -84,22 +86,22 @@
 static void take_absent(struct core *core, struct machine *machine, struct binding *binding,
 			bool beat)
 {
-	if (!binding->committed || binding_unsent(binding))
+	if (!binding->committed || binding_start_never_sent(binding))
 		return;
 	/* The session that was told to start it is over. */
-	if (binding->sent_session && machine->session > binding->sent_session) {
-		binding_end(core, binding, WHY_NONE);
+	if (binding->start_incarnation && machine->agent.incarnation > binding->start_incarnation) {
+		binding_end(core, binding, END_NONE);
 		return;
 	}
-	if (!beat || machine->token < binding->floor_token || !machine_fenced(machine) ||
-	    machine->seq <= binding->beat_seq) {
-		if (beat && !machine_fenced(machine) && !machine->commands_out &&
-		    (binding->stopping || binding->loaded))
-			core->commits.fence_wanted = true;
+	if (!beat || machine->agent.token < binding->min_token || !machine_fenced(machine) ||
+	    machine->agent.sequence <= binding->start_sequence) {
+		if (beat && !machine_fenced(machine) && !machine->commands.in_flight &&
+		    (binding->stopping || binding->recovered))
+			core->write_queue.new_token_wanted = true;
 		return;
 	}
-	if (binding->loaded || binding->seen || binding->stopping)
-		binding_end(core, binding, WHY_NONE);
+	if (binding->recovered || binding->observed || binding->stopping)
+		binding_end(core, binding, END_NONE);
 	/* else its start was lost on the way: it is sent again */
 }
 
@@ -109,21 +111,21 @@
 	struct binding *binding;
 	bool again;
 
-	free(machine->left);
-	machine->left = NULL;
-	machine->nleft = 0;
-	for (size_t i = 0; i < report->ntasks; i++)
+	free(machine->agent.leftovers);
+	machine->agent.leftovers = NULL;
+	machine->agent.leftover_count = 0;
+	for (size_t i = 0; i < report->task_count; i++)
 		take_task(core, machine, &report->tasks[i]);
 	/* Ending a binding may end others of its gang, so the walk starts anew after each. */
 	do {
 		again = false;
-		DL_FOREACH2 (machine->bindings, binding, mnext) {
-			int before = machine->nbindings;
+		DL_FOREACH2 (machine->bindings, binding, machine_next) {
+			int before = machine->binding_count;
 
-			if (binding->listed_at == machine->seq)
+			if (binding->listed_sequence == machine->agent.sequence)
 				continue;
 			take_absent(core, machine, binding, beat);
-			if (machine->nbindings != before) {
+			if (machine->binding_count != before) {
 				again = true;
 				break;
 			}
@@ -140,14 +142,15 @@
 static bool report_counts(const struct core *core, const struct machine *machine,
 			  const struct report *report)
 {
-	return report->token >= core->election.first_token && report->token >= machine->inc_token &&
-	       !machine->restarted;
+	return report->token >= core->election.first_token &&
+	       report->token >= machine->agent.min_token && !machine->agent.restarted;
 }
 
 /* True unless the report is newer than the message that (session, seq) names. */
 static bool report_older(const struct report *report, uint64_t session, uint64_t seq)
 {
-	return report->session < session || (report->session == session && report->seq <= seq);
+	return report->incarnation < session ||
+	       (report->incarnation == session && report->sequence <= seq);
 }
 
 /*
@@ -155,83 +158,83 @@
  * rises while we answered all along, and starts are ignored. It gets no work until the answer to
  * a question shows that it hears us.
  */
-static void note_deaf(struct core *core, struct machine *machine, const char *why)
+static void mark_unreachable(struct core *core, struct machine *machine, const char *why)
 {
-	if (machine->hears) {
+	if (machine->agent.reachable) {
 		log_info("machine_deaf", "machine=%s why=%s", machine->id, why);
-		machine->deaf_since = core->now;
+		machine->agent.unreachable_since = core->now;
 	}
-	machine->hears = false;
-	machine->unheeded = 0;
+	machine->agent.reachable = false;
+	machine->agent.ignored_starts = 0;
 }
 
-static void note_hears(struct core *core, struct machine *machine)
+static void mark_reachable(struct core *core, struct machine *machine)
 {
-	if (!machine->hears)
-		round_wanted(core);
-	machine->hears = true;
-	machine->unheeded = machine->unproven = 0;
+	if (!machine->agent.reachable)
+		cycle_request(core);
+	machine->agent.reachable = true;
+	machine->agent.ignored_starts = machine->agent.stale_reports = 0;
 }
 
 /* A start that went with the answer to an earlier report is not on this one. */
-static void look_heeded(struct core *core, struct machine *machine)
+static void check_ignored_starts(struct core *core, struct machine *machine)
 {
 	const struct binding *binding;
 	bool ignored = false;
 
-	DL_FOREACH2 (machine->bindings, binding, mnext)
-		ignored |=
-		    binding->beat_seq && !binding->seen && binding->listed_at != machine->seq;
+	DL_FOREACH2 (machine->bindings, binding, machine_next)
+		ignored |= binding->start_sequence && !binding->observed &&
+			   binding->listed_sequence != machine->agent.sequence;
 	if (!ignored)
-		machine->unheeded = 0;
-	else if (++machine->unheeded >= MACHINE_UNHEEDED)
-		note_deaf(core, machine, "starts_ignored");
+		machine->agent.ignored_starts = 0;
+	else if (++machine->agent.ignored_starts >= MACHINE_IGNORED_STARTS)
+		mark_unreachable(core, machine, "starts_ignored");
 }
 
 /* False if older than what is known: it says nothing new. */
 static bool take_report(struct core *core, struct machine *machine, const struct report *report,
 			bool beat)
 {
-	bool first = machine->last_word < 0;
+	bool first = machine->agent.last_message_at < 0;
 
-	if (report_older(report, machine->session, machine->seq))
+	if (report_older(report, machine->agent.incarnation, machine->agent.sequence))
 		return false;
-	if (beat && machine->session && report->session > machine->session)
-		note_deaf(core, machine, "lease_ran_out");
+	if (beat && machine->agent.incarnation && report->incarnation > machine->agent.incarnation)
+		mark_unreachable(core, machine, "lease_ran_out");
 	else if (!beat || first)
-		note_hears(core, machine);
-	machine->session = report->session;
-	machine->seq = report->seq;
-	if (report->token > machine->token)
-		machine->token = report->token;
-	machine->last_word = core->now;
-	machine->unanswered = 0;
+		mark_reachable(core, machine);
+	machine->agent.incarnation = report->incarnation;
+	machine->agent.sequence = report->sequence;
+	if (report->token > machine->agent.token)
+		machine->agent.token = report->token;
+	machine->agent.last_message_at = core->now;
+	machine->probes.unanswered = 0;
 	if (beat)
-		machine->last_beat = core->now;
+		machine->agent.last_heartbeat_at = core->now;
 	if (first) {
-		machine->idle_since = machine->up_at = core->now;
+		machine->cloud.idle_since = machine->agent.up_at = core->now;
 		log_info("machine_up", "machine=%s type=%s zone=%s spot=%d after=%.1f", machine->id,
 			 machine->type_name, machine->zone, machine->spot,
-			 core->now - machine->rented_at);
-		round_wanted(core);
+			 core->now - machine->cloud.rented_at);
+		cycle_request(core);
 	}
-	if (report->notice_s >= 0 && machine->notice_s < 0) {
+	if (report->notice_s >= 0 && machine->agent.notice_s < 0) {
 		log_info("machine_notice", "machine=%s seconds=%.1f", machine->id,
 			 report->notice_s);
-		core->fleet.replicas_leave |= machine->nreplicas > 0;
-		round_wanted(core);
+		core->fleet.replicas_must_move |= machine->replica_count > 0;
+		cycle_request(core);
 	}
-	if (!beat && machine->last_beat < 0 && report->token < core->election.token) {
-		machine->announce_token = true;
-		commands_wanted(core, machine);
+	if (!beat && machine->agent.last_heartbeat_at < 0 && report->token < core->election.token) {
+		machine->commands.announce_token = true;
+		commands_request(core, machine);
 	}
-	machine->notice_s = report->notice_s;
-	machine->notice_heard = core->now;
+	machine->agent.notice_s = report->notice_s;
+	machine->agent.notice_received_at = core->now;
 	take_list(core, machine, report, beat);
 	if (beat)
-		look_heeded(core, machine);
-	if (!machine->hears)
-		workers_ask(core, machine);
+		check_ignored_starts(core, machine);
+	if (!machine->agent.reachable)
+		probe_machine(core, machine);
 	return true;
 }
 
@@ -244,45 +247,46 @@
  */
 static void machine_restarted(struct core *core, struct machine *machine)
 {
-	if (machine->restarted)
+	if (machine->agent.restarted)
 		return;
 	log_info("machine_restarted", "machine=%s session=%llu seq=%llu bound=%d", machine->id,
-		 (unsigned long long)machine->session, (unsigned long long)machine->seq,
-		 machine->nbindings);
-	machine->restarted = true;
-	machine->hears = false;
-	machine->deaf_since = core->now;
-	core->commits.fence_wanted = true;
+		 (unsigned long long)machine->agent.incarnation,
+		 (unsigned long long)machine->agent.sequence, machine->binding_count);
+	machine->agent.restarted = true;
+	machine->agent.reachable = false;
+	machine->agent.unreachable_since = core->now;
+	core->write_queue.new_token_wanted = true;
 }
 
-static void machine_anew(struct core *core, struct machine *machine)
+static void reset_incarnation(struct core *core, struct machine *machine)
 {
 	struct binding *binding;
 
-	machine->restarted = false;
-	machine->inc_token = core->election.token;
-	machine->session = machine->seq = machine->token = 0;
-	machine->last_word = machine->last_beat = machine->reported = -1;
-	machine->rented_at = machine->up_at = core->now;
-	free(machine->left);
-	machine->left = NULL;
-	machine->nleft = 0;
+	machine->agent.restarted = false;
+	machine->agent.min_token = core->election.token;
+	machine->agent.incarnation = machine->agent.sequence = machine->agent.token = 0;
+	machine->agent.last_message_at = machine->agent.last_heartbeat_at =
+	    machine->agent.last_report_at = -1;
+	machine->cloud.rented_at = machine->agent.up_at = core->now;
+	free(machine->agent.leftovers);
+	machine->agent.leftovers = NULL;
+	machine->agent.leftover_count = 0;
 	/* Their ends are proved by a report under the new token that lacks them. */
-	DL_FOREACH2 (machine->bindings, binding, mnext) {
-		binding->loaded = true;
-		binding->seen = false;
-		binding->sent_session = binding->beat_seq = binding->listed_at = 0;
-		binding->floor_token = core->election.token;
+	DL_FOREACH2 (machine->bindings, binding, machine_next) {
+		binding->recovered = true;
+		binding->observed = false;
+		binding->start_incarnation = binding->start_sequence = binding->listed_sequence = 0;
+		binding->min_token = core->election.token;
 	}
 }
 
-void workers_fenced(struct core *core)
+void agents_token_renewed(struct core *core)
 {
 	struct machine *machine, *tmp;
 
 	HASH_ITER (hh, core->fleet.machines, machine, tmp)
-		if (machine->restarted)
-			machine_anew(core, machine);
+		if (machine->agent.restarted)
+			reset_incarnation(core, machine);
 }
 
 static void misdirect(struct core *core, uint64_t conn)
@@ -290,21 +294,22 @@
 	const char *leader =
 	    strcmp(core->election.leader, core->conf->name) ? core->election.leader : "";
 
-	core_reply(core, conn, 421, 0, wire_misdirected(leader));
+	core_reply(core, conn, 421, 0, wire_redirect(leader));
 }
 
 /*
  * A copy of an old report says nothing as long as newer ones come; a machine that began anew sends
  * none. With a fleet's copies a question to each would cost more than the reports themselves.
  */
-static bool news_overdue(const struct core *core, const struct machine *machine)
+static bool heartbeat_overdue(const struct core *core, const struct machine *machine)
 {
-	return core->now - machine->last_beat > MACHINE_NEWS_REPORTS * core->conf->report_s &&
-	       core->now - machine->asked_at > MACHINE_ASK_S;
+	return core->now - machine->agent.last_heartbeat_at >
+		   MACHINE_STALE_REPORTS * core->conf->report_s &&
+	       core->now - machine->probes.sent_at > PROBE_INTERVAL_S;
 }
 
 /* True if the report is news of its machine, which then may get commands with the answer. */
-static bool beat_counts(struct core *core, const struct report *report)
+static bool take_heartbeat(struct core *core, const struct report *report)
 {
 	struct machine *machine = machine_find(core, report->machine);
 
@@ -312,36 +317,37 @@
 	if (!machine && machine_has_tombstone(core, report->machine))
 		return false;
 	if (!machine)
-		machine = machine_get(core, report->machine);
-	machine_describe(core, machine, report->addr, report->type, report->zone, report->spot);
-	machine->reported = core->now;
+		machine = machine_find_or_add(core, report->machine);
+	machine_set_identity(core, machine, report->addr, report->type, report->zone, report->spot);
+	machine->agent.last_report_at = core->now;
 	if (!report_counts(core, machine, report)) {
 		/* A new machine, or one that began anew, has seen no token and is asked at once;
 		 * others show theirs by their next report. */
-		if ((!report->token && core->now - machine->asked_at > MACHINE_ASK_S) ||
-		    (machine->unproven++ && news_overdue(core, machine)))
-			workers_ask(core, machine);
+		if ((!report->token && core->now - machine->probes.sent_at > PROBE_INTERVAL_S) ||
+		    (machine->agent.stale_reports++ && heartbeat_overdue(core, machine)))
+			probe_machine(core, machine);
 		return false;
 	}
-	if (!report_older(report, machine->session, machine->seq))
+	if (!report_older(report, machine->agent.incarnation, machine->agent.sequence))
 		return take_report(core, machine, report, true);
-	if (news_overdue(core, machine))
-		workers_ask(core, machine);
+	if (heartbeat_overdue(core, machine))
+		probe_machine(core, machine);
 	return false;
 }
 
 /* A report that counts, answered with the commands for its machine. */
-static void answer_beat(struct core *core, uint64_t conn, const struct report *report)
+static void answer_heartbeat(struct core *core, uint64_t conn, const struct report *report)
 {
 	struct command_list commands;
 
-	if (!beat_counts(core, report)) {
-		core_reply(core, conn, 200, 0, wire_beat_answer(core->election.token, NULL, 0));
+	if (!take_heartbeat(core, report)) {
+		core_reply(core, conn, 200, 0,
+			   wire_heartbeat_answer(core->election.token, NULL, 0));
 		return;
 	}
-	commands_gather(core, machine_find(core, report->machine), &commands, true);
+	commands_collect(core, machine_find(core, report->machine), &commands, true);
 	core_reply(core, conn, 200, 0,
-		   wire_beat_answer(core->election.token, commands.items, commands.n));
+		   wire_heartbeat_answer(core->election.token, commands.items, commands.count));
 }
 
 /* False, with an answer sent, if the report shows that another controller leads. */
@@ -350,31 +356,31 @@
 	if (report->token <= core->election.token)
 		return true;
 	/* A higher token than ours: another leads, and a 200 would hold the worker here in vain. */
-	if (!(core->commits.in_flight && core->commits.transaction.fence))
+	if (!(core->write_queue.in_flight && core->write_queue.transaction.renews_token))
 		election_step_down(core, "worker_saw_higher_token");
 	core_reply_error(core, conn, 503, 0, "not leading");
 	return false;
 }
 
-void workers_beat(struct core *core, const struct core_request *request)
+void agent_heartbeat(struct core *core, const struct core_request *request)
 {
 	const struct report *known;
 	struct machine *machine;
 	struct report rep;
 
-	election_look(core);
-	if (core->election.role == ROLE_FOLLOW) {
+	election_check_deadline(core);
+	if (core->election.role == ROLE_FOLLOWER) {
 		misdirect(core, request->conn);
 		return;
 	}
-	if (core->election.role == ROLE_LOADING) {
+	if (core->election.role == ROLE_RECOVERING) {
 		core_reply_error(core, request->conn, 503, 0, "taking over");
 		return;
 	}
-	known = report_cache_find(&core->fleet.reports, request->body, request->len);
+	known = report_cache_find(&core->fleet.report_cache, request->body, request->len);
 	if (known) {
 		if (token_allows(core, request->conn, known))
-			answer_beat(core, request->conn, known);
+			answer_heartbeat(core, request->conn, known);
 		return;
 	}
 	if (wire_report_decode(request->body, request->len, &rep)) {
@@ -382,16 +388,17 @@
 		return;
 	}
 	if (token_allows(core, request->conn, &rep)) {
-		answer_beat(core, request->conn, &rep);
+		answer_heartbeat(core, request->conn, &rep);
 		machine = machine_find(core, rep.machine);
 		if (machine)
-			report_cache_store(&core->fleet.reports, &machine->last_report,
+			report_cache_store(&core->fleet.report_cache, &machine->agent.cached_report,
 					   request->body, request->len, &rep);
 	}
 	wire_report_free(&rep);
 }
 
-void workers_take_answer(struct core *core, const struct call *call, const char *body, size_t len)
+void agent_take_probe_answer(struct core *core, const struct call *call, const char *body,
+			     size_t len)
 {
 	struct report rep;
 	struct machine *machine;
@@ -401,9 +408,9 @@
 		return;
 	machine = machine_find(core, rep.machine);
 	same = machine && !strcmp(machine->id, call->key);
-	if (same && !machine->restarted && machine->inc_token <= call->token) {
-		machine_describe(core, machine, rep.addr, rep.type, rep.zone, rep.spot);
-		if (report_older(&rep, call->session, call->seq))
+	if (same && !machine->agent.restarted && machine->agent.min_token <= call->token) {
+		machine_set_identity(core, machine, rep.addr, rep.type, rep.zone, rep.spot);
+		if (report_older(&rep, call->incarnation, call->sequence))
 			machine_restarted(core, machine);
 		else
 			take_report(core, machine, &rep, false);
--- a/src/core/workers.h
+++ b/src/core/workers.h
@@ -6,10 +6,11 @@
 #include "core/machine.h"
 
 /* A worker's report, or its re-sent copy: it is answered with the commands that are due. */
-void workers_beat(struct core *core, const struct core_request *request);
+void agent_heartbeat(struct core *core, const struct core_request *request);
 /* A worker's report in the answer to a question or to a direct command. */
-void workers_take_answer(struct core *core, const struct call *call, const char *body, size_t len);
+void agent_take_probe_answer(struct core *core, const struct call *call, const char *body,
+			     size_t len);
 /* A new token is held: machines that began anew count from now on. */
-void workers_fenced(struct core *core);
+void agents_token_renewed(struct core *core);
 
 #endif
--- a/src/wire/json.c
+++ b/src/wire/json.c
@@ -11,14 +11,14 @@
 static const char *const priority_names[] = {W_PRIO_PRODUCTION, W_PRIO_HIGH, W_PRIO_NORMAL,
 					     W_PRIO_LOW};
 static const char *const kind_names[] = {W_KIND_ARRAY, W_KIND_GANG, W_KIND_SERVICE};
-static const char *const job_states[] = {W_ST_QUEUED, W_ST_RUNNING, W_ST_DONE, W_ST_CANCELLED};
-static const char *const task_states[] = {W_TS_FETCHING, W_TS_WAITING, W_TS_RUNNING, W_TS_SAVING,
-					  W_TS_EXITED};
-static const char *const task_whys[] = {"",	      W_WHY_DONE,  W_WHY_STOPPED, W_WHY_PEERS,
-					W_WHY_ALONE,  W_WHY_ERROR, W_WHY_NO_ROOM, W_WHY_BUSY,
-					W_WHY_UNKNOWN};
+static const char *const job_states[] = {W_JOB_QUEUED, W_JOB_RUNNING, W_JOB_DONE, W_JOB_CANCELLED};
+static const char *const task_states[] = {W_TASK_FETCHING, W_TASK_WAITING, W_TASK_RUNNING,
+					  W_TASK_SAVING, W_TASK_EXITED};
+static const char *const task_whys[] = {
+    "",		 W_END_DONE,	W_END_STOPPED, W_END_PEERS_LOST, W_END_ALONE,
+    W_END_ERROR, W_END_NO_ROOM, W_END_BUSY,    W_END_UNKNOWN_JOB};
 static const char *const ops[] = {W_OP_START, W_OP_STOP, W_OP_FORGET};
-static const char *const listed_states[] = {W_MS_BOOTING, W_MS_RUNNING, W_MS_FAILED};
+static const char *const listed_states[] = {W_CLOUD_BOOTING, W_CLOUD_RUNNING, W_CLOUD_FAILED};
 
 #define LEN(a) (sizeof(a) / sizeof((a)[0]))
 
@@ -217,7 +217,7 @@
 	*why = W_TASKS;
 	if (get_count(o, W_TASKS, &n) || n == 0 || n > JOB_TASKS_MAX)
 		return -1;
-	j->ntasks = (uint32_t)n;
+	j->task_count = (uint32_t)n;
 	if (decode_amounts(o, j, why))
 		return -1;
 	return decode_optional(o, j, why);
@@ -237,7 +237,7 @@
 	json_object_set_new(o, W_TEAM, json_string(j->team));
 	json_object_set_new(o, W_KIND, json_string(kind_names[j->kind]));
 	json_object_set_new(o, W_PRIORITY, json_string(priority_names[j->priority]));
-	json_object_set_new(o, W_TASKS, json_integer(j->ntasks));
+	json_object_set_new(o, W_TASKS, json_integer(j->task_count));
 	json_object_set_new(o, W_CPUS, json_real(j->cpus));
 	json_object_set_new(o, W_GPUS, json_real(j->gpus));
 	json_object_set_new(o, W_MEMORY, json_real(j->mem_gb));
@@ -301,14 +301,14 @@
 {
 	int st = name_index(task_states, LEN(task_states),
 			    json_string_value(json_object_get(o, W_STATE)));
-	int why =
-	    name_index(task_whys, LEN(task_whys), json_string_value(json_object_get(o, W_WHY)));
+	int why = name_index(task_whys, LEN(task_whys),
+			     json_string_value(json_object_get(o, W_END_REASON)));
 
 	if (decode_task_name(json_string_value(json_object_get(o, W_TASK)), t->job, &t->task) ||
 	    get_count(o, W_ATTEMPT, &t->attempt) || st < 0)
 		return -1;
 	t->state = (enum task_state)st;
-	t->why = why < 0 ? WHY_NONE : (enum task_why)why;
+	t->end_reason = why < 0 ? END_NONE : (enum task_end_reason)why;
 	t->saved = json_is_true(json_object_get(o, W_SAVED));
 	return 0;
 }
@@ -322,12 +322,12 @@
 	    get_text(o, W_ADDR, r->addr, sizeof(r->addr)) ||
 	    get_text(o, W_TYPE, r->type, sizeof(r->type)) ||
 	    get_text(o, W_ZONE, r->zone, sizeof(r->zone)) || get_bool(o, W_SPOT, &r->spot) ||
-	    get_count(o, W_SESSION, &r->session) || get_count(o, W_SEQ, &r->seq) ||
-	    get_count(o, W_TOKEN, &r->token))
+	    get_count(o, W_INCARNATION, &r->incarnation) ||
+	    get_count(o, W_SEQUENCE, &r->sequence) || get_count(o, W_TOKEN, &r->token))
 		return -1;
 	r->notice_s = -1;
-	if (json_is_number(json_object_get(o, W_NOTICE)))
-		r->notice_s = json_number_value(json_object_get(o, W_NOTICE));
+	if (json_is_number(json_object_get(o, W_PREEMPTION_NOTICE)))
+		r->notice_s = json_number_value(json_object_get(o, W_PREEMPTION_NOTICE));
 	if (tasks && !json_is_array(tasks))
 		return -1;
 	r->tasks = calloc(json_array_size(tasks) + 1, sizeof(*r->tasks));
@@ -335,9 +335,9 @@
 		abort();
 	json_array_foreach (tasks, i, e) {
 		/* A report half understood would make absence of proof look like proof. */
-		if (decode_report_task(e, &r->tasks[r->ntasks]))
+		if (decode_report_task(e, &r->tasks[r->task_count]))
 			return -1;
-		r->ntasks++;
+		r->task_count++;
 	}
 	return 0;
 }
@@ -359,7 +359,7 @@
 {
 	free(r->tasks);
 	r->tasks = NULL;
-	r->ntasks = 0;
+	r->task_count = 0;
 }
 
 static json_t *encode_commands(const struct command *cmds, size_t n)
@@ -380,7 +380,7 @@
 }
 
 /* What most reports are answered with: nothing in it needs quoting. */
-static char *beat_answer_empty(uint64_t token)
+static char *heartbeat_answer_empty(uint64_t token)
 {
 	char *text;
 
@@ -390,12 +390,12 @@
 	return text;
 }
 
-char *wire_beat_answer(uint64_t token, const struct command *cmds, size_t n)
+char *wire_heartbeat_answer(uint64_t token, const struct command *cmds, size_t n)
 {
 	json_t *o;
 
 	if (!n)
-		return beat_answer_empty(token);
+		return heartbeat_answer_empty(token);
 	o = json_object();
 
 	json_object_set_new(o, W_TOKEN, json_integer((json_int_t)token));
@@ -408,12 +408,12 @@
 	json_t *o = json_object();
 
 	json_object_set_new(o, W_TOKEN, json_integer((json_int_t)token));
-	json_object_set_new(o, W_SESSION, json_integer((json_int_t)session));
+	json_object_set_new(o, W_INCARNATION, json_integer((json_int_t)session));
 	json_object_set_new(o, W_COMMANDS, encode_commands(cmds, n));
 	return dump(o);
 }
 
-char *wire_misdirected(const char *leader)
+char *wire_redirect(const char *leader)
 {
 	json_t *o = json_object();
 
--- a/src/wire/txn.c
+++ b/src/wire/txn.c
@@ -57,9 +57,9 @@
 		buf_addf(&t->ops, ",\"" W_LEASE "\":%llu", (unsigned long long)lease);
 	buf_add(&t->ops, "}", 1);
 	free(text);
-	t->nops++;
-	if (len > t->largest)
-		t->largest = len;
+	t->op_count++;
+	if (len > t->largest_value)
+		t->largest_value = len;
 	return len;
 }
 
@@ -69,7 +69,7 @@
 	buf_addf(&t->ops, "{\"" W_DROP "\":");
 	add_quoted(&t->ops, key);
 	buf_add(&t->ops, "}", 1);
-	t->nops++;
+	t->op_count++;
 }
 
 size_t txn_bytes(const struct txn *t)
@@ -79,7 +79,7 @@
 
 struct txn_mark txn_mark(const struct txn *t)
 {
-	struct txn_mark mark = {t->guards.len, t->ops.len, t->largest, t->nops};
+	struct txn_mark mark = {t->guards.len, t->ops.len, t->largest_value, t->op_count};
 
 	return mark;
 }
@@ -88,8 +88,8 @@
 {
 	t->guards.len = mark->guards_len;
 	t->ops.len = mark->ops_len;
-	t->largest = mark->largest;
-	t->nops = mark->nops;
+	t->largest_value = mark->largest_value;
+	t->op_count = mark->op_count;
 }
 
 static void add_list(struct buf *out, const struct buf *list)
--- a/src/wire/wire.h
+++ b/src/wire/wire.h
@@ -27,7 +27,7 @@
 /* A service's tasks run until its user cancels it: one that ends is started again. */
 enum job_kind { JOB_ARRAY, JOB_GANG, JOB_SERVICE };
 enum job_priority { PRIO_PRODUCTION, PRIO_HIGH, PRIO_NORMAL, PRIO_LOW };
-enum job_state { JS_QUEUED, JS_RUNNING, JS_DONE, JS_CANCELLED };
+enum job_state { JOB_STATE_QUEUED, JOB_STATE_RUNNING, JOB_STATE_DONE, JOB_STATE_CANCELLED };
 
 struct job_spec {
 	char id[ID_MAX];
@@ -38,7 +38,7 @@
 	struct name_list types;	 /* allowed types of machines; none: any */
 	enum job_kind kind;
 	enum job_priority priority;
-	uint32_t ntasks;
+	uint32_t task_count;
 	double cpus, gpus, mem_gb;
 	double image_gb;
 	double estimate_s, checkpoint_s, save_s;
@@ -46,17 +46,17 @@
 	int one_zone, spread, spot;
 };
 
-enum task_state { TS_FETCHING, TS_WAITING, TS_RUNNING, TS_SAVING, TS_EXITED };
-enum task_why {
-	WHY_NONE,
-	WHY_DONE,
-	WHY_STOPPED,
-	WHY_PEERS,
-	WHY_ALONE,
-	WHY_ERROR,
-	WHY_NO_ROOM,
-	WHY_BUSY,
-	WHY_UNKNOWN
+enum task_state { TASK_FETCHING, TASK_WAITING, TASK_RUNNING, TASK_SAVING, TASK_EXITED };
+enum task_end_reason {
+	END_NONE,
+	END_DONE,
+	END_STOPPED,
+	END_PEERS_LOST,
+	END_ALONE,
+	END_ERROR,
+	END_NO_ROOM,
+	END_BUSY,
+	END_UNKNOWN_JOB
 };
 
 struct report_task {
@@ -64,7 +64,7 @@
 	uint32_t task;
 	uint64_t attempt;
 	enum task_state state;
-	enum task_why why;
+	enum task_end_reason end_reason;
 	int saved;
 };
 
@@ -74,10 +74,10 @@
 	char type[NAME_MAX_LEN];
 	char zone[NAME_MAX_LEN];
 	int spot;
-	uint64_t session, seq, token;
+	uint64_t incarnation, sequence, token;
 	double notice_s; /* < 0: none */
 	struct report_task *tasks;
-	size_t ntasks;
+	size_t task_count;
 };
 
 enum command_op { OP_START, OP_STOP, OP_FORGET };
@@ -96,7 +96,7 @@
 	struct name_list zones;
 };
 
-enum listed_state { LS_BOOTING, LS_RUNNING, LS_FAILED };
+enum listed_state { CLOUD_BOOTING, CLOUD_RUNNING, CLOUD_FAILED };
 
 struct listed_machine {
 	char id[ID_MAX];
@@ -123,9 +123,9 @@
 
 int wire_report_decode(const char *body, size_t len, struct report *out);
 void wire_report_free(struct report *r);
-char *wire_beat_answer(uint64_t token, const struct command *cmds, size_t n);
+char *wire_heartbeat_answer(uint64_t token, const struct command *cmds, size_t n);
 char *wire_direct_commands(uint64_t token, uint64_t session, const struct command *cmds, size_t n);
-char *wire_misdirected(const char *leader);
+char *wire_redirect(const char *leader);
 
 int wire_types_decode(json_t *o, struct machine_type **out, size_t *n);
 void wire_types_free(struct machine_type *types, size_t n);
@@ -140,14 +140,14 @@
 /* A transaction in the making: its text, and what the state service limits. */
 struct txn {
 	struct buf guards, ops;
-	int nops;
-	size_t largest; /* bytes of its largest value, as sent */
+	int op_count;
+	size_t largest_value; /* bytes of its largest value, as sent */
 };
 
 /* A moment of a transaction in the making, to which it can be taken back. */
 struct txn_mark {
-	size_t guards_len, ops_len, largest;
-	int nops;
+	size_t guards_len, ops_len, largest_value;
+	int op_count;
 };
 
 void txn_begin(struct txn *t);
--- a/tests/behaviour_trace.c
+++ b/tests/behaviour_trace.c
@@ -13,8 +13,9 @@
 #include <xxhash.h>
 
 #define DIGEST_SEED 0
-#define LINE_MAX_BYTES 1024 /* bytes of a line without its body: addresses and paths are shorter   \
-			     */
+#define LINE_MAX_BYTES                                                                             \
+	1024 /* bytes of a line without its body: addresses and paths are shorter                  \
+	      */
 
 struct behaviour_trace {
 	XXH64_state_t *digest;
--- a/tests/bench_report.c
+++ b/tests/bench_report.c
@@ -63,7 +63,7 @@
 					"%s{\"" W_ID "\":\"vm-%06d\",\"" W_ADDR
 					"\":\"10.1.%d.%d:9000\",\"" W_TYPE "\":\"g\",\"" W_ZONE
 					"\":\"a\",\"" W_SPOT "\":false,\"" W_STATE
-					"\":\"" W_MS_RUNNING "\",\"" W_AGE "\":60}",
+					"\":\"" W_CLOUD_RUNNING "\",\"" W_AGE "\":60}",
 					i > first ? "," : "", i, i / 250, i % 250 + 1);
 	snprintf(b->page + len, cap - len, "],\"" W_MORE "\":%s}",
 		 last < b->listed ? "true" : "false");
@@ -103,7 +103,7 @@
 	json_array_foreach (json_object_get(o, W_THEN), i, e) {
 		const char *key = json_string_value(json_object_get(e, W_PUT));
 
-		if (!key || strncmp(key, JOBS_OPEN, strlen(JOBS_OPEN)))
+		if (!key || strncmp(key, KEY_OPEN_JOBS, strlen(KEY_OPEN_JOBS)))
 			continue;
 		json_object_set_new(e, W_VERSION, json_integer((json_int_t)b->revision));
 		json_array_append(events, e);
@@ -133,7 +133,7 @@
 		    a->kind == ACT_SEND ? answer(b, a, &status, buf, sizeof(buf)) : NULL;
 		struct core_answer r = {a->id, 0, body, body ? strlen(body) : 0};
 
-		if (!body && a->kind == ACT_SEND && strstr(a->path, "=" JOBS_OPEN))
+		if (!body && a->kind == ACT_SEND && strstr(a->path, "=" KEY_OPEN_JOBS))
 			b->watch = a->id;
 		if (body) {
 			r.status = status;
@@ -218,10 +218,11 @@
 
 	snprintf(body, sizeof(body),
 		 "{\"" W_MACHINE "\":\"vm-%06d\",\"" W_ADDR "\":\"10.1.%d.%d:9000\",\"" W_TYPE
-		 "\":\"g\",\"" W_ZONE "\":\"a\",\"" W_SPOT "\":false,\"" W_SESSION "\":1,\"" W_SEQ
-		 "\":%d,\"" W_TOKEN "\":%llu,\"" W_NOTICE "\":null,\"" W_TASKS "\":[%s]}",
+		 "\":\"g\",\"" W_ZONE "\":\"a\",\"" W_SPOT "\":false,\"" W_INCARNATION
+		 "\":1,\"" W_SEQUENCE "\":%d,\"" W_TOKEN "\":%llu,\"" W_PREEMPTION_NOTICE
+		 "\":null,\"" W_TASKS "\":[%s]}",
 		 machine, machine / 250, machine % 250 + 1, seq, b->token, tasks);
-	ask(b, "POST", W_PATH_BEAT, body);
+	ask(b, "POST", W_PATH_HEARTBEAT, body);
 }
 
 static double reports(struct bench *b, const char *what, int machines, int first, int rounds,
@@ -291,8 +292,8 @@
 	unchanged = reports(&b, "an unchanged report, no tasks", machines, 2, rounds, "");
 	reports(&b, "an unchanged report of two unknown tasks", machines, 100, 5,
 		"{\"" W_TASK "\":\"job-900000/1\",\"" W_ATTEMPT "\":1,\"" W_STATE
-		"\":\"" W_TS_RUNNING "\"},{\"" W_TASK "\":\"job-900000/2\",\"" W_ATTEMPT
-		"\":1,\"" W_STATE "\":\"" W_TS_RUNNING "\"}");
+		"\":\"" W_TASK_RUNNING "\"},{\"" W_TASK "\":\"job-900000/2\",\"" W_ATTEMPT
+		"\":1,\"" W_STATE "\":\"" W_TASK_RUNNING "\"}");
 	reports(&b, "unchanged again, with what other work there is", machines, 200, 2, "");
 	ticks(&b, "a second at rest", 60);
 	m = begin();
--- a/tests/connections.c
+++ b/tests/connections.c
@@ -56,12 +56,13 @@
 	char body[512], text[1024];
 	int len = snprintf(body, sizeof(body),
 			   "{\"" W_MACHINE "\":\"vm-%06d\",\"" W_ADDR "\":\"127.0.0.1:9\",\"" W_TYPE
-			   "\":\"g\",\"" W_ZONE "\":\"a\",\"" W_SPOT "\":false,\"" W_SESSION
-			   "\":1,\"" W_SEQ "\":%d,\"" W_TOKEN "\":0,\"" W_TASKS "\":[]}",
+			   "\":\"g\",\"" W_ZONE "\":\"a\",\"" W_SPOT "\":false,\"" W_INCARNATION
+			   "\":1,\"" W_SEQUENCE "\":%d,\"" W_TOKEN "\":0,\"" W_TASKS "\":[]}",
 			   worker + 1000, sequence);
 
 	len = snprintf(text, sizeof(text),
-		       "POST " W_PATH_BEAT " HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s", len, body);
+		       "POST " W_PATH_HEARTBEAT " HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s", len,
+		       body);
 	return send(fd, text, (size_t)len, MSG_NOSIGNAL) == len ? 0 : -1;
 }
 
--- a/tests/loopback.c
+++ b/tests/loopback.c
@@ -88,7 +88,7 @@
 	struct net_call call = {(uint64_t)CALL_REPORT << 56 | (uint64_t)machine << 40 | m->seq,
 				s->front[node],
 				"POST",
-				W_PATH_BEAT,
+				W_PATH_HEARTBEAT,
 				body,
 				strlen(body),
 				4};
@@ -125,7 +125,7 @@
 	case CALL_POLL:
 		si_told_state(&s->si, name, status, text, s->si.now);
 		s->done[id & 0xff] |=
-		    strstr(text, "\"" W_ST_DONE "\"}") || strstr(text, ":\"" W_ST_DONE "\"");
+		    strstr(text, "\"" W_JOB_DONE "\"}") || strstr(text, ":\"" W_JOB_DONE "\"");
 		break;
 	}
 	if (status > 0 && status < 600)
@@ -259,7 +259,7 @@
 	snprintf(j->spec.image, sizeof(j->spec.image), "img");
 	j->spec.kind = kind;
 	j->spec.priority = PRIO_NORMAL;
-	j->spec.ntasks = tasks;
+	j->spec.task_count = tasks;
 	j->spec.cpus = j->spec.mem_gb = 1;
 	j->spec.estimate_s = j->run_s = run_s;
 	j->spec.deadline_s = -1;
--- a/tests/rollout.c
+++ b/tests/rollout.c
@@ -60,7 +60,7 @@
 
 	for (int i = 0; i < s->si.nmachines; i++)
 		for (struct si_task *t = s->si.machines[i].tasks; t; t = t->next)
-			n += t->state == TS_RUNNING && !strcmp(t->job, job_of(s, job)->spec.id);
+			n += t->state == TASK_RUNNING && !strcmp(t->job, job_of(s, job)->spec.id);
 	return n;
 }
 
--- a/tests/runner.c
+++ b/tests/runner.c
@@ -464,9 +464,9 @@
 
 	if (!e || w->crash_left <= 0)
 		return;
-	if ((!strcmp(w->crash_step, "lease") && e->claiming && e->lease) ||
-	    (!strcmp(w->crash_step, "loading") && e->role == ROLE_LOADING) ||
-	    (!strcmp(w->crash_step, "lead") && e->role == ROLE_LEAD)) {
+	if ((!strcmp(w->crash_step, "lease") && e->claim_in_flight && e->lease) ||
+	    (!strcmp(w->crash_step, "loading") && e->role == ROLE_RECOVERING) ||
+	    (!strcmp(w->crash_step, "lead") && e->role == ROLE_LEADER)) {
 		w->crash_left--;
 		node_crash(w, i, w->crash_back);
 	}
@@ -476,7 +476,7 @@
 {
 	struct node *n = m->to < SI_NODES ? &w->nodes[m->to] : NULL;
 	struct core_answer a = {m->id, m->status, m->body ? m->body : "", 0};
-	struct core_request r = {0, CORE_FRONT, "POST", W_PATH_BEAT, m->body, 0};
+	struct core_request r = {0, CORE_FRONT, "POST", W_PATH_HEARTBEAT, m->body, 0};
 
 	a.len = m->len ? m->len : strlen(a.body);
 	if (n &&
@@ -590,7 +590,7 @@
 static int leader_index(struct world *w)
 {
 	for (int i = 0; i < w->nnodes; i++)
-		if (w->nodes[i].up && w->nodes[i].core->election.role == ROLE_LEAD)
+		if (w->nodes[i].up && w->nodes[i].core->election.role == ROLE_LEADER)
 			return i;
 	return -1;
 }
@@ -669,7 +669,7 @@
 
 	snprintf(id, sizeof(id), W_JOB_PREFIX "%06d", w->cancel_at_end);
 	j = w->cancel_at_end ? si_job(&w->si, id) : NULL;
-	if (!j || j->ndone < j->spec.ntasks)
+	if (!j || j->ndone < j->spec.task_count)
 		return;
 	w->cancel_at_end = 0;
 	user_new(w, USER_CANCEL, id, -1);
@@ -751,7 +751,7 @@
 	for (int i = 0; i < 4; i++)
 		if (!strcmp(prios[i], prio))
 			s->priority = (enum job_priority)i;
-	s->ntasks = (uint32_t)num(x, "tasks", 1);
+	s->task_count = (uint32_t)num(x, "tasks", 1);
 	s->cpus = num(x, "cpus", 1);
 	s->gpus = num(x, "gpus", 0);
 	s->mem_gb = num(x, "mem", 1);
@@ -766,10 +766,10 @@
 	j->run_s = s->estimate_s;
 	j->accepted_at = j->answered_at = j->began_at = j->room_since = -1;
 	j->bad = num(x, "bad", 0) > 0;
-	j->ends = !strcmp(opt(x, "ends", ""), "done")	 ? WHY_DONE
-		  : !strcmp(opt(x, "ends", ""), "error") ? WHY_ERROR
-							 : WHY_NONE;
-	j->done = calloc(1, s->ntasks / 8 + 1);
+	j->ends = !strcmp(opt(x, "ends", ""), "done")	 ? END_DONE
+		  : !strcmp(opt(x, "ends", ""), "error") ? END_ERROR
+							 : END_NONE;
+	j->done = calloc(1, s->task_count / 8 + 1);
 	HASH_ADD_STR(w->si.jobs, spec.id, j);
 	return j;
 }
@@ -1141,7 +1141,7 @@
 	if (!strcmp(what, "running")) {
 		for (int i = 0; i < w->si.nmachines; i++)
 			for (struct si_task *t = w->si.machines[i].tasks; t; t = t->next)
-				n += t->state == TS_RUNNING && !strcmp(t->job, id);
+				n += t->state == TASK_RUNNING && !strcmp(t->job, id);
 		return n;
 	}
 	return UNKNOWN_MEASURE;
@@ -1156,7 +1156,7 @@
 	n = 0;
 	if (!strcmp(what, "directs")) {
 		for (int i = 0; i < w->nnodes; i++)
-			n += w->nodes[i].up ? w->nodes[i].core->fleet.directs : 0;
+			n += w->nodes[i].up ? w->nodes[i].core->fleet.direct_in_flight : 0;
 		return n;
 	}
 	if (!strcmp(what, "rented"))
@@ -1183,7 +1183,7 @@
 		return (double)w->si.starts_total;
 	if (!strcmp(what, "leaders")) {
 		for (int i = 0; i < w->nnodes; i++)
-			n += w->nodes[i].up && w->nodes[i].core->election.role == ROLE_LEAD;
+			n += w->nodes[i].up && w->nodes[i].core->election.role == ROLE_LEADER;
 		return n;
 	}
 	if (!strcmp(what, "machines")) {
@@ -1194,7 +1194,7 @@
 	}
 	if (!strcmp(what, "switches")) {
 		for (int i = 0; i < w->nnodes; i++)
-			n += w->nodes[i].up ? w->nodes[i].core->pairing.switches : 0;
+			n += w->nodes[i].up ? w->nodes[i].core->share_switching.switches : 0;
 		return n;
 	}
 	if (!strcmp(what, "broken")) {
@@ -1308,9 +1308,9 @@
 		abort();
 	o = &w->conf.objectives[w->conf.nobjectives++];
 	memset(o, 0, sizeof(*o));
-	o->kind = !strcmp(x->w[1], "guarantee") ? OBJ_GUARANTEE
-		  : !strcmp(x->w[1], "wait")	? OBJ_WAIT
-						: OBJ_PRICE;
+	o->kind = !strcmp(x->w[1], "guarantee") ? OBJECTIVE_GUARANTEE
+		  : !strcmp(x->w[1], "wait")	? OBJECTIVE_WAIT
+						: OBJECTIVE_PRICE;
 	snprintf(o->class_name, sizeof(o->class_name), "%s", opt(x, "class", ""));
 	o->within_s = num(x, "within", 0);
 	o->share = num(x, "share", 0);
--- a/tests/standin.h
+++ b/tests/standin.h
@@ -53,8 +53,8 @@
 	struct job_spec spec;
 	double run_s;
 	bool bad; /* submitted with a mistake: fails everywhere */
-	enum task_why
-	    ends; /* a service: what its tasks say when run_s is over; WHY_NONE: they go on */
+	enum task_end_reason
+	    ends; /* a service: what its tasks say when run_s is over; END_NONE: they go on */
 	double replica_s,
 	    served_s; /* a service: replica time from 5 s after its acceptance; of it, run */
 	bool asked, accepted, cancel_asked, told_cancelled, told_done;
@@ -130,7 +130,7 @@
 	uint32_t task;
 	uint64_t attempt;
 	enum task_state state;
-	enum task_why why;
+	enum task_end_reason why;
 	bool kept;
 	double image_at, progress, since, save_until, stopped_at;
 	struct si_task *next;
--- a/tests/standin_cloud.c
+++ b/tests/standin_cloud.c
@@ -80,9 +80,9 @@
 
 	for (int i = 0; i < s->nmachines; i++) {
 		struct si_machine *m = &s->machines[i];
-		const char *st = m->power == SI_OFF	    ? W_MS_FAILED
-				 : s->now - lag >= m->up_at ? W_MS_RUNNING
-							    : W_MS_BOOTING;
+		const char *st = m->power == SI_OFF	    ? W_CLOUD_FAILED
+				 : s->now - lag >= m->up_at ? W_CLOUD_RUNNING
+							    : W_CLOUD_BOOTING;
 
 		if (s->now - lag < m->rented_at && s->now > lag)
 			continue;
--- a/tests/standin_rules.c
+++ b/tests/standin_rules.c
@@ -19,7 +19,7 @@
 
 static bool holds(const struct si_machine *m, const struct si_task *t)
 {
-	return m->power == SI_UP && t->state != TS_EXITED && t->state != TS_FETCHING;
+	return m->power == SI_UP && t->state != TASK_EXITED && t->state != TASK_FETCHING;
 }
 
 static bool team_limited(const struct standin *s, const char *team)
@@ -61,7 +61,7 @@
 
 static void check_place(struct standin *s, const struct si_machine *m, const struct si_job *j)
 {
-	uint32_t here = 0, most = (j->spec.ntasks + 1) / 2;
+	uint32_t here = 0, most = (j->spec.task_count + 1) / 2;
 	bool type_ok = j->spec.types.count == 0;
 	const struct si_task *t;
 
@@ -96,7 +96,8 @@
 	s->starts_cancelled += j->told_cancelled;
 	if (j->told_cancelled && s->now > j->cancelled_at + s->conf->cancel_s)
 		si_broken(s, RULE_RAN_CANCELLED, "%s started", t->job);
-	if (j->began_at < 0 && ++j->starts_seen >= (j->spec.kind == JOB_GANG ? j->spec.ntasks : 1))
+	if (j->began_at < 0 &&
+	    ++j->starts_seen >= (j->spec.kind == JOB_GANG ? j->spec.task_count : 1))
 		j->began_at = s->now;
 	j->starts++;
 	m->used_at = s->now;
@@ -145,7 +146,7 @@
 
 static bool under_limit(const struct conf_team *t, const struct si_job *j, double cpus, double gpus)
 {
-	uint32_t n = j->spec.kind == JOB_ARRAY ? 1 : j->spec.ntasks;
+	uint32_t n = j->spec.kind == JOB_ARRAY ? 1 : j->spec.task_count;
 
 	return (t->cpus_max <= 0 || cpus + n * j->spec.cpus <= t->cpus_max + 1e-6) &&
 	       (t->gpus_max <= 0 || gpus + n * j->spec.gpus <= t->gpus_max + 1e-6);
@@ -156,7 +157,7 @@
 {
 	const char *first = NULL;
 
-	if (j->spec.kind == JOB_ARRAY || !j->spec.spread || j->spec.ntasks < 2)
+	if (j->spec.kind == JOB_ARRAY || !j->spec.spread || j->spec.task_count < 2)
 		return true;
 	if (j->spec.one_zone || *j->spec.zone)
 		return false;
@@ -197,7 +198,7 @@
 		for (const struct si_task *t = m->tasks; t; t = t->next) {
 			j = t->of;
 			j->held++;
-			if (t->state == TS_EXITED)
+			if (t->state == TASK_EXITED)
 				continue;
 			m->cpus -= j->spec.cpus;
 			m->gpus -= j->spec.gpus;
@@ -228,7 +229,7 @@
 	    m->notice_until >= 0 || !fits_type(j, m->type) || (m->spot && !j->spec.spot) ||
 	    (*j->spec.zone && strcmp(j->spec.zone, m->zone)))
 		return 0;
-	while (n < j->spec.ntasks && m->cpus + 1e-6 >= (n + 1) * j->spec.cpus &&
+	while (n < j->spec.task_count && m->cpus + 1e-6 >= (n + 1) * j->spec.cpus &&
 	       m->gpus + 1e-6 >= (n + 1) * j->spec.gpus &&
 	       m->mem_gb + 1e-6 >= (n + 1) * j->spec.mem_gb)
 		n++;
@@ -250,7 +251,7 @@
 
 static bool has_room(struct standin *s, const struct si_job *j)
 {
-	uint32_t need = j->spec.kind == JOB_ARRAY ? 1 : j->spec.ntasks;
+	uint32_t need = j->spec.kind == JOB_ARRAY ? 1 : j->spec.task_count;
 
 	if (!j->spec.one_zone || need == 1)
 		return room_for(s, j, NULL) >= need;
@@ -275,7 +276,7 @@
 	HASH_ITER (hh, s->jobs, j, tmp) {
 		const struct conf_team *team = team_of(s, j);
 		bool waits = j->accepted && !j->cancel_asked && !j->bad && !j->held && team &&
-			     j->ndone < j->spec.ntasks;
+			     j->ndone < j->spec.task_count;
 		double cpus, gpus;
 
 		if (waits)
@@ -313,11 +314,11 @@
  */
 static void told(struct standin *s, struct si_job *j, const char *state, double asked_at)
 {
-	bool done = !strcmp(state, W_ST_DONE), cancelled = !strcmp(state, W_ST_CANCELLED);
+	bool done = !strcmp(state, W_JOB_DONE), cancelled = !strcmp(state, W_JOB_CANCELLED);
 
-	if (done && j->ndone < j->spec.ntasks)
+	if (done && j->ndone < j->spec.task_count)
 		si_broken(s, RULE_NOT_DONE, "%s has %u of %u", j->spec.id, j->ndone,
-			  j->spec.ntasks);
+			  j->spec.task_count);
 	if ((j->told_done && !done && asked_at >= j->done_at) ||
 	    (j->told_cancelled && !cancelled && asked_at >= j->cancelled_at) ||
 	    (cancelled && !j->cancel_asked))
@@ -384,8 +385,8 @@
 
 	HASH_ITER (hh, s->jobs, j, tmp)
 		if (counts(j) && !strcmp(j->spec.class_name, of->spec.class_name) &&
-		    j->spec.ntasks > n)
-			n = j->spec.ntasks;
+		    j->spec.task_count > n)
+			n = j->spec.task_count;
 	return n;
 }
 
@@ -394,7 +395,7 @@
 	if (g == BY_TEAM)
 		return !strcmp(a->spec.team, b->spec.team);
 	return !strcmp(a->spec.class_name, b->spec.class_name) &&
-	       (g == BY_CLASS || a->spec.ntasks == b->spec.ntasks);
+	       (g == BY_CLASS || a->spec.task_count == b->spec.task_count);
 }
 
 static void check_group(struct standin *s, const struct si_job *of, enum group g)
@@ -421,7 +422,7 @@
 	struct si_job *j, *tmp;
 
 	HASH_ITER (hh, s->jobs, j, tmp) {
-		bool large = counts(j) && j->spec.ntasks == largest(s, j);
+		bool large = counts(j) && j->spec.task_count == largest(s, j);
 		double began = j->began_at >= 0 ? j->began_at : s->now;
 
 		if (!counts(j))
--- a/tests/standin_workers.c
+++ b/tests/standin_workers.c
@@ -100,32 +100,33 @@
 
 	m->seq++;
 	for (struct si_task *t = m->tasks; t; t = t->next) {
-		static const char *const states[] = {W_TS_FETCHING, W_TS_WAITING, W_TS_RUNNING,
-						     W_TS_SAVING, W_TS_EXITED};
+		static const char *const states[] = {W_TASK_FETCHING, W_TASK_WAITING,
+						     W_TASK_RUNNING, W_TASK_SAVING, W_TASK_EXITED};
 		static const char *const whys[] = {
-		    "",		 W_WHY_DONE,	W_WHY_STOPPED, W_WHY_PEERS,  W_WHY_ALONE,
-		    W_WHY_ERROR, W_WHY_NO_ROOM, W_WHY_BUSY,    W_WHY_UNKNOWN};
+		    "",		 W_END_DONE,	W_END_STOPPED, W_END_PEERS_LOST, W_END_ALONE,
+		    W_END_ERROR, W_END_NO_ROOM, W_END_BUSY,    W_END_UNKNOWN_JOB};
 
 		o = json_pack("{s:o,s:I,s:s}", W_TASK, json_sprintf("%s/%u", t->job, t->task),
 			      W_ATTEMPT, (json_int_t)t->attempt, W_STATE, states[t->state]);
-		if (t->state == TS_EXITED)
-			json_object_set_new(o, W_WHY, json_string(whys[t->why]));
+		if (t->state == TASK_EXITED)
+			json_object_set_new(o, W_END_REASON, json_string(whys[t->why]));
 		if (t->kept)
 			json_object_set_new(o, W_SAVED, json_true());
 		json_array_append_new(tasks, o);
 	}
 	o = json_pack("{s:s,s:s,s:s,s:s,s:b,s:I,s:I,s:I,s:o}", W_MACHINE, m->id, W_ADDR, m->addr,
-		      W_TYPE, m->type->name, W_ZONE, m->zone, W_SPOT, (int)m->spot, W_SESSION,
-		      (json_int_t)m->session, W_SEQ, (json_int_t)m->seq, W_TOKEN,
+		      W_TYPE, m->type->name, W_ZONE, m->zone, W_SPOT, (int)m->spot, W_INCARNATION,
+		      (json_int_t)m->session, W_SEQUENCE, (json_int_t)m->seq, W_TOKEN,
 		      (json_int_t)m->token, W_TASKS, tasks);
-	json_object_set_new(
-	    o, W_NOTICE, m->notice_until >= 0 ? json_real(m->notice_until - s->now) : json_null());
+	json_object_set_new(o, W_PREEMPTION_NOTICE,
+			    m->notice_until >= 0 ? json_real(m->notice_until - s->now)
+						 : json_null());
 	return o;
 }
 
-static void exit_task(struct si_machine *m, struct si_task *t, enum task_why why)
+static void exit_task(struct si_machine *m, struct si_task *t, enum task_end_reason why)
 {
-	t->state = TS_EXITED;
+	t->state = TASK_EXITED;
 	t->why = why;
 	m->changed = true;
 }
@@ -143,40 +144,41 @@
 	j->ndone++;
 }
 
-static enum task_why refuse(struct standin *s, struct si_machine *m, const char *job, uint32_t task)
+static enum task_end_reason refuse(struct standin *s, struct si_machine *m, const char *job,
+				   uint32_t task)
 {
 	struct si_job *j = si_job(s, job);
 	double cpus = m->type->cpus, gpus = m->type->gpus, mem = m->type->mem_gb;
 
-	if (!j || !j->asked || task >= j->spec.ntasks)
-		return WHY_UNKNOWN;
+	if (!j || !j->asked || task >= j->spec.task_count)
+		return END_UNKNOWN_JOB;
 	for (struct si_task *t = m->tasks; t; t = t->next) {
 		struct si_job *o = t->of;
 
-		if (t->state == TS_EXITED)
+		if (t->state == TASK_EXITED)
 			continue;
 		if (t->task == task && !strcmp(t->job, job))
-			return WHY_BUSY;
+			return END_BUSY;
 		cpus -= o->spec.cpus;
 		gpus -= o->spec.gpus;
 		mem -= o->spec.mem_gb;
 	}
 	if (j->spec.cpus > cpus + 1e-6 || j->spec.gpus > gpus + 1e-6 || j->spec.mem_gb > mem + 1e-6)
-		return WHY_NO_ROOM;
-	return WHY_NONE;
+		return END_NO_ROOM;
+	return END_NONE;
 }
 
 static void start_task(struct standin *s, struct si_machine *m, const char *job, uint32_t task,
 		       uint64_t attempt)
 {
 	struct si_task *t;
-	enum task_why no;
+	enum task_end_reason no;
 
 	for (t = m->tasks; t; t = t->next)
 		if (t->task == task && t->attempt == attempt && !strcmp(t->job, job))
 			return;
 	no = refuse(s, m, job, task);
-	if (no == WHY_UNKNOWN && !si_job(s, job))
+	if (no == END_UNKNOWN_JOB && !si_job(s, job))
 		return;
 	t = zalloc(sizeof(*t));
 	snprintf(t->job, sizeof(t->job), "%s", job);
@@ -190,7 +192,7 @@
 	if (t->of)
 		DL_APPEND2(t->of->tasks, t, jprev, jnext);
 	m->changed = true;
-	if (no != WHY_NONE) {
+	if (no != END_NONE) {
 		exit_task(m, t, no);
 		return;
 	}
@@ -200,7 +202,7 @@
 void si_force_start(struct standin *s, struct si_machine *m, const char *job, uint32_t task)
 {
 	start_task(s, m, job, task, 999999999u + (uint64_t)task);
-	m->tasks->state = TS_RUNNING;
+	m->tasks->state = TASK_RUNNING;
 	check_start(s, m, m->tasks);
 }
 
@@ -208,15 +210,15 @@
 {
 	struct si_job *j = t->of;
 
-	if (t->state == TS_EXITED || (t->state == TS_SAVING && grace > 0))
+	if (t->state == TASK_EXITED || (t->state == TASK_SAVING && grace > 0))
 		return;
-	if (t->state == TS_RUNNING && j->spec.checkpoint_s > 0 && grace >= j->spec.save_s) {
-		t->state = TS_SAVING;
+	if (t->state == TASK_RUNNING && j->spec.checkpoint_s > 0 && grace >= j->spec.save_s) {
+		t->state = TASK_SAVING;
 		t->save_until = s->now + j->spec.save_s;
 		m->changed = true;
 		return;
 	}
-	exit_task(m, t, WHY_STOPPED);
+	exit_task(m, t, END_STOPPED);
 }
 
 static void forget_task(struct si_machine *m, const char *job, uint32_t task, uint64_t attempt)
@@ -224,7 +226,7 @@
 	for (struct si_task **p = &m->tasks; *p; p = &(*p)->next) {
 		struct si_task *t = *p;
 
-		if (t->state != TS_EXITED || t->task != task || t->attempt != attempt ||
+		if (t->state != TASK_EXITED || t->task != task || t->attempt != attempt ||
 		    strcmp(t->job, job))
 			continue;
 		*p = t->next;
@@ -277,18 +279,18 @@
 
 	if (m->power != SI_UP)
 		return;
-	s->shows += !strcmp(path, W_PATH_STATUS);
+	s->shows += !strcmp(path, W_PATH_PROBE);
 	s->directs += !strcmp(path, W_PATH_COMMANDS);
-	if (!strcmp(path, W_PATH_STATUS)) {
+	if (!strcmp(path, W_PATH_PROBE)) {
 		answer(s, handle, 200, report(s, m));
 		return;
 	}
 	o = wire_parse(body, strlen(body));
 	token = (uint64_t)json_integer_value(json_object_get(o, W_TOKEN));
-	if (!json_object_get(o, W_TOKEN) || !json_object_get(o, W_SESSION))
+	if (!json_object_get(o, W_TOKEN) || !json_object_get(o, W_INCARNATION))
 		status = 400;
 	else if (token < m->token ||
-		 (uint64_t)json_integer_value(json_object_get(o, W_SESSION)) != m->session)
+		 (uint64_t)json_integer_value(json_object_get(o, W_INCARNATION)) != m->session)
 		status = 409;
 	else
 		run_commands(s, m, o, token);
@@ -339,8 +341,8 @@
 
 	DL_FOREACH2 (j->tasks, t, jnext)
 		n += t->attempt == attempt && t->state >= least &&
-		     (t->state != TS_EXITED || t->why == WHY_DONE || t->why == WHY_STOPPED);
-	return n == j->spec.ntasks;
+		     (t->state != TASK_EXITED || t->why == END_DONE || t->why == END_STOPPED);
+	return n == j->spec.task_count;
 }
 
 static void task_step(struct standin *s, struct si_machine *m, struct si_task *t, double dt)
@@ -348,48 +350,48 @@
 	struct si_job *j = t->of;
 	bool gang = j->spec.kind == JOB_GANG;
 
-	if (t->state == TS_FETCHING && s->now >= t->image_at) {
-		t->state = gang ? TS_WAITING : TS_RUNNING;
+	if (t->state == TASK_FETCHING && s->now >= t->image_at) {
+		t->state = gang ? TASK_WAITING : TASK_RUNNING;
 		t->since = s->now;
 		check_start(s, m, t);
 		m->changed = true;
 		if (m->faulty || j->bad)
-			exit_task(m, t, WHY_ERROR);
+			exit_task(m, t, END_ERROR);
 		else if (done_before(j, t->task) && j->spec.kind != JOB_SERVICE)
-			exit_task(m, t, WHY_DONE);
+			exit_task(m, t, END_DONE);
 		return;
 	}
-	if (t->state == TS_WAITING) {
-		if (gang_complete(j, t->attempt, TS_WAITING)) {
-			t->state = TS_RUNNING;
+	if (t->state == TASK_WAITING) {
+		if (gang_complete(j, t->attempt, TASK_WAITING)) {
+			t->state = TASK_RUNNING;
 			m->changed = true;
 		} else if (s->now - t->since > s->conf->gang_wait_s) {
-			exit_task(m, t, WHY_ALONE);
+			exit_task(m, t, END_ALONE);
 		}
 		return;
 	}
-	if (t->state == TS_SAVING && s->now >= t->save_until) {
+	if (t->state == TASK_SAVING && s->now >= t->save_until) {
 		t->kept = true;
-		exit_task(m, t, WHY_STOPPED);
+		exit_task(m, t, END_STOPPED);
 		return;
 	}
-	if (t->state != TS_RUNNING)
+	if (t->state != TASK_RUNNING)
 		return;
-	if (gang && !gang_complete(j, t->attempt, TS_RUNNING)) {
+	if (gang && !gang_complete(j, t->attempt, TASK_RUNNING)) {
 		if (t->stopped_at <= 0)
 			t->stopped_at = s->now;
 		if (s->now - t->stopped_at > s->conf->gang_peer_s)
-			exit_task(m, t, WHY_PEERS);
+			exit_task(m, t, END_PEERS_LOST);
 		return;
 	}
 	t->progress += dt;
-	if (t->progress >= j->run_s && j->spec.kind == JOB_SERVICE && j->ends != WHY_NONE)
+	if (t->progress >= j->run_s && j->spec.kind == JOB_SERVICE && j->ends != END_NONE)
 		exit_task(m, t, j->ends);
 	if (t->progress >= j->run_s && j->spec.kind != JOB_SERVICE) {
-		for (uint32_t k = 0; k < j->spec.ntasks; k++)
+		for (uint32_t k = 0; k < j->spec.task_count; k++)
 			if (k == t->task || gang) /* a gang completes together */
 				mark_done(j, k);
-		exit_task(m, t, WHY_DONE);
+		exit_task(m, t, END_DONE);
 	}
 }
 
@@ -407,9 +409,9 @@
 
 		if (!counts)
 			continue;
-		j->replica_s += j->spec.ntasks * dt;
+		j->replica_s += j->spec.task_count * dt;
 		DL_FOREACH2 (j->tasks, t, jnext)
-			if (t->state == TS_RUNNING && !t->on->hanging)
+			if (t->state == TASK_RUNNING && !t->on->hanging)
 				j->served_s += dt;
 	}
 }
--- a/tests/unit.c
+++ b/tests/unit.c
@@ -296,9 +296,12 @@
 /* The thesis's formula: nothing towards the larger, certain where the gap is wide. */
 static void test_rho(void)
 {
-	check(pair_rho(3, 3) == 0 && pair_rho(4, 3) == 0 && pair_rho(0, 5) == 0, "rho", "none");
-	check(pair_rho(1, 5) == 1, "rho", "capped at one");
-	check(pair_rho(3, 4) > 0.2916 && pair_rho(3, 4) < 0.2917, "rho", "(16-9)/24");
+	check(share_switch_probability(3, 3) == 0 && share_switch_probability(4, 3) == 0 &&
+		  share_switch_probability(0, 5) == 0,
+	      "rho", "none");
+	check(share_switch_probability(1, 5) == 1, "rho", "capped at one");
+	check(share_switch_probability(3, 4) > 0.2916 && share_switch_probability(3, 4) < 0.2917,
+	      "rho", "(16-9)/24");
 }
 
 /* --- sockets running short --- */
@@ -658,7 +661,8 @@
 
 #define REPORT_HEAD                                                                                \
 	"{\"" W_MACHINE "\":\"vm-000001\",\"" W_ADDR "\":\"10.1.0.1:9000\",\"" W_TYPE              \
-	"\":\"g\",\"" W_ZONE "\":\"a\",\"" W_SPOT "\":false,\"" W_SESSION "\":1,\"" W_SEQ "\":"
+	"\":\"g\",\"" W_ZONE "\":\"a\",\"" W_SPOT "\":false,\"" W_INCARNATION "\":1,\"" W_SEQUENCE \
+	"\":"
 #define REPORT_TAIL ",\"" W_TOKEN "\":41,\"" W_TASKS "\":[]}"
 
 /* Stores the first text and looks for the second: the sequence number found, or 0. */
@@ -676,7 +680,7 @@
 	}
 	found = report_cache_find(&cache, second, strlen(second));
 	if (found)
-		sequence = found->seq;
+		sequence = found->sequence;
 	report_cache_remove(&cache, &slot);
 	return sequence;
 }
@@ -684,7 +688,7 @@
 static void test_report_cache(void)
 {
 	static const char first[] = REPORT_HEAD "88" REPORT_TAIL;
-	static const char nested[] = REPORT_HEAD "88,\"x\":{\"" W_SEQ "\":5}" REPORT_TAIL;
+	static const char nested[] = REPORT_HEAD "88,\"x\":{\"" W_SEQUENCE "\":5}" REPORT_TAIL;
 	char large[REPORT_CACHE_TEXT_MAX + 400];
 
 	check(recognised(first, REPORT_HEAD "89" REPORT_TAIL) == 89, "report cache", "next");
