--- a/src/constants.h
+++ b/src/constants.h
@@ -115,8 +115,9 @@
 #define FORMAT_NEWEST FORMAT_SMALL_CHUNKS
 #define FORMAT_REGISTER_S 1.0 /* seconds before our own version is written again */
 #define FORMAT_LOOK_S 1.0     /* seconds between the leader's looks at all versions */
-#define SMALL_CHUNK_TASKS 32  /* tasks whose bindings fit a value of 2 KiB, each of another start  \
-			       */
+#define SMALL_CHUNK_TASKS                                                                          \
+	32 /* tasks whose bindings fit a value of 2 KiB, each of another start                     \
+	    */
 
 /* --- load --- */
 #define RANGE_LIMIT 500	  /* items per page: pages stay below 512 KiB */
@@ -130,7 +131,8 @@
 #define PROBES_PER_S 40.0 /* questions a second to all at least: each costs as much as a report */
 #define PROBE_ALL_LEASES 0.5 /* leases within which all machines can be asked */
 #define DIRECT_SHARE 0.125   /* share of the sockets that direct commands and questions may hold */
-#define MACHINE_IGNORED_STARTS 2   /* reports in a row that ignore a start: one answer may be lost \
+#define MACHINE_IGNORED_STARTS                                                                     \
+	2			   /* reports in a row that ignore a start: one answer may be lost \
 				    */
 #define MACHINE_STALE_REPORTS 1.5  /* report intervals without news: one may be a quarter late */
 #define MACHINE_UNREACHABLE_S 60.0 /* seconds a machine that does not hear us is kept */
@@ -214,9 +216,10 @@
 #define ROOM_SLACK 1e-6	    /* CPUs, GPUs, GB: sums of decimal amounts */
 /* rooms looked at for single tasks in one round, at a whole core: 0.2 s of work */
 #define CYCLE_VISITS_PER_CORE 2e7
-#define CYCLE_GANG_SHAPES_MAX 32 /* shapes of waiting gangs whose room is left to them in a round  \
-				  */
-#define CYCLE_NO_FITS_MAX 32	 /* shapes without room remembered in a round */
+#define CYCLE_GANG_SHAPES_MAX                                                                      \
+	32		     /* shapes of waiting gangs whose room is left to them in a round      \
+			      */
+#define CYCLE_NO_FITS_MAX 32 /* shapes without room remembered in a round */
 
 /* --- rentals --- */
 #define AUTOSCALE_EVERY_S 0.5  /* seconds between looks at what is missing */
--- a/src/core/commands.c
+++ b/src/core/agents/commands.c
@@ -1,4 +1,4 @@
-#include "core/commands.h"
+#include "core/agents/commands.h"
 
 #include <stdio.h>
 #include <string.h>
--- a/src/core/commands.h
+++ b/src/core/agents/commands.h
@@ -4,7 +4,7 @@
 
 #include <stdbool.h>
 
-#include "core/machine.h"
+#include "core/model/machine.h"
 
 struct command_list {
 	struct command items[COMMANDS_MAX];
--- a/src/core/directs.c
+++ b/src/core/agents/direct_commands.c
@@ -1,10 +1,10 @@
-#include "core/directs.h"
+#include "core/agents/direct_commands.h"
 
 #include <math.h>
 #include <stdio.h>
 #include <string.h>
 
-#include "core/commands.h"
+#include "core/agents/commands.h"
 #include "core/state.h"
 #include "util/log.h"
 #include "wire/names.h"
@@ -41,7 +41,7 @@
 		command_queue_add(core, machine); /* what has gathered meanwhile */
 	if (status == 0 && call->has_start && call->token > machine->commands.unanswered_token) {
 		machine->commands.unanswered_token = call->token;
-		log_debug("do_unanswered", "machine=%s", machine->id);
+		log_debug("commands_unanswered", "machine=%s", machine->id);
 	}
 	if (status == 200 || status == 409)
 		agent_take_probe_answer(core, call, body, len);
--- a/src/core/directs.h
+++ b/src/core/agents/direct_commands.h
@@ -1,11 +1,11 @@
 /* Messages to workers that are not answers to their reports: questions, and commands sent directly.
  */
-#ifndef PLOVERLOFT_DIRECTS_H
-#define PLOVERLOFT_DIRECTS_H
+#ifndef PLOVERLOFT_DIRECT_COMMANDS_H
+#define PLOVERLOFT_DIRECT_COMMANDS_H
 
 #include <stdbool.h>
 
-#include "core/machine.h"
+#include "core/model/machine.h"
 
 /* Commands are due for the machine: they are sent in turn. */
 void commands_request(struct core *core, struct machine *machine);
--- a/src/core/workers.c
+++ b/src/core/agents/heartbeats.c
@@ -12,7 +12,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "core/commands.h"
+#include "core/agents/commands.h"
 #include "core/state.h"
 #include "util/log.h"
 #include "wire/names.h"
@@ -161,7 +161,7 @@
 static void mark_unreachable(struct core *core, struct machine *machine, const char *why)
 {
 	if (machine->agent.reachable) {
-		log_info("machine_deaf", "machine=%s why=%s", machine->id, why);
+		log_info("machine_unreachable", "machine=%s reason=%s", machine->id, why);
 		machine->agent.unreachable_since = core->now;
 	}
 	machine->agent.reachable = false;
@@ -200,7 +200,7 @@
 	if (report_older(report, machine->agent.incarnation, machine->agent.sequence))
 		return false;
 	if (beat && machine->agent.incarnation && report->incarnation > machine->agent.incarnation)
-		mark_unreachable(core, machine, "lease_ran_out");
+		mark_unreachable(core, machine, "lease_expired");
 	else if (!beat || first)
 		mark_reachable(core, machine);
 	machine->agent.incarnation = report->incarnation;
@@ -249,8 +249,8 @@
 {
 	if (machine->agent.restarted)
 		return;
-	log_info("machine_restarted", "machine=%s session=%llu seq=%llu bound=%d", machine->id,
-		 (unsigned long long)machine->agent.incarnation,
+	log_info("machine_restarted", "machine=%s incarnation=%llu sequence=%llu bound=%d",
+		 machine->id, (unsigned long long)machine->agent.incarnation,
 		 (unsigned long long)machine->agent.sequence, machine->binding_count);
 	machine->agent.restarted = true;
 	machine->agent.reachable = false;
--- a/src/core/workers.h
+++ b/src/core/agents/heartbeats.h
@@ -1,9 +1,9 @@
 /* Reports of workers, and what they prove of the tasks that are bound to them. */
-#ifndef PLOVERLOFT_WORKERS_H
-#define PLOVERLOFT_WORKERS_H
+#ifndef PLOVERLOFT_HEARTBEATS_H
+#define PLOVERLOFT_HEARTBEATS_H
 
 #include "core/core.h"
-#include "core/machine.h"
+#include "core/model/machine.h"
 
 /* A worker's report, or its re-sent copy: it is answered with the commands that are due. */
 void agent_heartbeat(struct core *core, const struct core_request *request);
--- a/src/core/replica_watch.c
+++ b/src/core/agents/replica_supervision.c
@@ -1,4 +1,4 @@
-#include "core/replica_watch.h"
+#include "core/agents/replica_supervision.h"
 
 #include <math.h>
 
--- a/src/core/replica_watch.h
+++ b/src/core/agents/replica_supervision.h
@@ -2,12 +2,12 @@
  * Supervision of the machines that hold replicas of services: each is asked every second whether it
  * still answers, so that a lost replica starts elsewhere long before its worker's lease has ended.
  */
-#ifndef PLOVERLOFT_REPLICA_WATCH_H
-#define PLOVERLOFT_REPLICA_WATCH_H
+#ifndef PLOVERLOFT_REPLICA_SUPERVISION_H
+#define PLOVERLOFT_REPLICA_SUPERVISION_H
 
 #include <stdbool.h>
 
-#include "core/call.h"
+#include "core/runtime/call.h"
 
 struct machine;
 
--- a/src/core/report_cache.c
+++ b/src/core/agents/report_cache.c
@@ -1,4 +1,4 @@
-#include "core/report_cache.h"
+#include "core/agents/report_cache.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/src/core/users.c
+++ b/src/core/api/api.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 #include "core/state.h"
-#include "core/submissions.h"
+#include "core/api/submissions.h"
 #include "util/log.h"
 #include "wire/names.h"
 
@@ -134,7 +134,7 @@
 	store_note_answer(core, status);
 	if (status == 200) {
 		o = wire_parse(body, len);
-		log_info("cancel", "job=%s", request->id);
+		log_info("cancel_committed", "job=%s", request->id);
 		job_cancel_committed(core, request->id, wire_revision(o));
 		peers_announce_cancelled(core, request->id, wire_revision(o));
 		peers_note_confirmed(core, request->id, wire_revision(o));
--- a/src/core/users.h
+++ b/src/core/api/api.h
@@ -1,11 +1,11 @@
 /*
  * Users' requests: submissions, polls and cancellations.
  */
-#ifndef PLOVERLOFT_USERS_H
-#define PLOVERLOFT_USERS_H
+#ifndef PLOVERLOFT_API_H
+#define PLOVERLOFT_API_H
 
-#include "core/call.h"
-#include "core/job.h"
+#include "core/runtime/call.h"
+#include "core/model/job.h"
 
 enum user_kind { USER_SUBMIT, USER_POLL, USER_CANCEL };
 
--- a/src/core/submissions.c
+++ b/src/core/api/submissions.c
@@ -1,4 +1,4 @@
-#include "core/submissions.h"
+#include "core/api/submissions.h"
 
 #include <math.h>
 #include <stdio.h>
@@ -46,7 +46,7 @@
 
 	DL_FOREACH_SAFE (list, request, tmp) {
 		DL_DELETE(list, request);
-		log_info("accepted", "job=%s class=%s team=%s tasks=%u", request->id,
+		log_info("job_accepted", "job=%s class=%s team=%s tasks=%u", request->id,
 			 request->spec->class_name, request->spec->team, request->spec->task_count);
 		user_request_answer_state(core, request, 201, JOB_STATE_QUEUED, 0, 0);
 	}
--- a/src/core/cloud.h
+++ b/src/core/autoscale/autoscale.h
@@ -1,11 +1,11 @@
 /*
  * What is rented from the cloud, what it lists, and what goes back.
  */
-#ifndef PLOVERLOFT_CLOUD_H
-#define PLOVERLOFT_CLOUD_H
+#ifndef PLOVERLOFT_AUTOSCALE_H
+#define PLOVERLOFT_AUTOSCALE_H
 
-#include "core/call.h"
-#include "core/machine.h"
+#include "core/runtime/call.h"
+#include "core/model/machine.h"
 
 /* A type, zone and kind that the cloud has refused of late. */
 struct capacity_refusal {
--- a/src/core/returns.c
+++ b/src/core/autoscale/scale_in.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "core/round.h"
+#include "core/scheduling/cycle.h"
 #include "util/log.h"
 #include "wire/names.h"
 
@@ -68,7 +68,7 @@
 		/* Its reports cost the leader as much as those of a machine that works. */
 		if (machine->cloud.draining || idle > patience(core, machine) ||
 		    (idle > IDLE_UNUSABLE_S && !type_of_use(core, machine))) {
-			log_info("machine_return", "machine=%s type=%s idle=%.1f", machine->id,
+			log_info("scale_in", "machine=%s type=%s idle=%.1f", machine->id,
 				 machine->type_name, core->now - machine->cloud.idle_since);
 			machine->cloud.deleting = true;
 		}
--- a/src/core/rent.c
+++ b/src/core/autoscale/scale_out.c
@@ -7,7 +7,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "core/round.h"
+#include "core/scheduling/cycle.h"
 #include "core/state.h"
 #include "util/log.h"
 #include "wire/names.h"
@@ -460,7 +460,7 @@
 		return;
 	rental->in_flight = false;
 	if (status == 200 && !wire_rented(body, len, &ids, &n)) {
-		log_info("rented", "request=%s type=%s zone=%s spot=%d asked=%d got=%zu",
+		log_info("scale_out", "request=%s type=%s zone=%s spot=%d asked=%d got=%zu",
 			 rental->name, rental->type, rental->zone, rental->spot, rental->count, n);
 		for (size_t i = 0; i < n; i++) {
 			if (!machine_has_tombstone(core, ids[i])) {
@@ -475,7 +475,7 @@
 		free(ids);
 		note_refusal(core, rental, (int)n < rental->count);
 	} else if (status == 503 && body && strstr(body, "capacity")) {
-		log_info("rent_refused", "type=%s zone=%s spot=%d", rental->type, rental->zone,
+		log_info("scale_out_refused", "type=%s zone=%s spot=%d", rental->type, rental->zone,
 			 rental->spot);
 		note_refusal(core, rental, true);
 	} else {
--- a/src/core/election.c
+++ b/src/core/election/election.c
@@ -155,7 +155,7 @@
 	if (core->election.role == ROLE_FOLLOWER && !core->election.claim_in_flight &&
 	    !strcmp(core->election.leader, core->conf->name))
 		core->election.leader[0] = 0;
-	log_debug("leader", "name=%s revision=%llu", core->election.leader,
+	log_debug("leader_key", "name=%s revision=%llu", core->election.leader,
 		  (unsigned long long)core->election.key_revision);
 	if (core->election.role != ROLE_FOLLOWER &&
 	    core->election.key_revision != core->election.token)
@@ -297,7 +297,7 @@
 	core->election.role = ROLE_RECOVERING;
 	core->election.term++;
 	log_token(core->election.token);
-	log_info("lead", "state=loading");
+	log_info("leader", "state=recovering");
 	recovery_start(core);
 }
 
--- a/src/core/election.h
+++ b/src/core/election/election.h
@@ -4,7 +4,7 @@
 #ifndef PLOVERLOFT_ELECTION_H
 #define PLOVERLOFT_ELECTION_H
 
-#include "core/call.h"
+#include "core/runtime/call.h"
 
 #define LEADER_KEY "leader"
 
--- a/src/core/format.h
+++ b/src/core/election/format_gate.h
@@ -1,8 +1,8 @@
 /*
  * The cluster's format version: which layout of records all controllers read.
  */
-#ifndef PLOVERLOFT_FORMAT_H
-#define PLOVERLOFT_FORMAT_H
+#ifndef PLOVERLOFT_FORMAT_GATE_H
+#define PLOVERLOFT_FORMAT_GATE_H
 
 #include <stdbool.h>
 
--- a/src/core/jobs.c
+++ b/src/core/model/job.c
@@ -2,7 +2,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "core/round.h"
+#include "core/scheduling/cycle.h"
 #include "core/state.h"
 #include "util/log.h"
 
@@ -433,8 +433,9 @@
 	struct machine *machine = binding->machine;
 	struct job *job = binding->job;
 
-	log_info("task_end", "job=%s task=%u attempt=%llu machine=%s why=%d", job->spec.id,
-		 binding->task, (unsigned long long)binding->attempt, machine->id, why);
+	log_info("binding_ended", "job=%s task=%u attempt=%llu machine=%s end_reason=%d",
+		 job->spec.id, binding->task, (unsigned long long)binding->attempt, machine->id,
+		 why);
 	binding_account(core, binding, why);
 	binding_remove(core, binding);
 	if (job->spec.kind == JOB_GANG && why != END_DONE && !job->cancelled)
--- a/src/core/machines.c
+++ b/src/core/model/machine.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "core/round.h"
+#include "core/scheduling/cycle.h"
 #include "core/state.h"
 #include "util/log.h"
 
@@ -158,7 +158,7 @@
 /* The cloud answered 200 to its delete: it and everything on it is gone. */
 void machine_note_deleted(struct core *core, struct machine *machine)
 {
-	log_info("machine_gone", "machine=%s bound=%d", machine->id, machine->binding_count);
+	log_info("machine_deleted", "machine=%s bound=%d", machine->id, machine->binding_count);
 	machine->cloud.deleted = machine->cloud.deleting = true;
 	while (machine->bindings)
 		binding_end(core, machine->bindings, END_NONE);
@@ -199,7 +199,8 @@
 
 void machine_give_up(struct core *core, struct machine *machine)
 {
-	log_info("machine_lost", "machine=%s failed=%d missing=%d last_word=%.1f bound=%d",
+	log_info("machine_lost",
+		 "machine=%s failed=%d missed_inventories=%d last_message_age=%.1f bound=%d",
 		 machine->id, machine->cloud.failed, machine->cloud.missed_inventories,
 		 machine->agent.last_message_at < 0 ? -1.0
 						    : core->now - machine->agent.last_message_at,
@@ -228,7 +229,7 @@
 	/* Deaf since long, while the lease must have taken its tasks: it is replaced. */
 	if (!machine->agent.reachable && !machine->binding_count &&
 	    core->now - machine->agent.unreachable_since > MACHINE_UNREACHABLE_S) {
-		log_info("machine_deaf_returned", "machine=%s", machine->id);
+		log_info("machine_unreachable_deleted", "machine=%s", machine->id);
 		machine->cloud.deleting = true;
 	}
 }
@@ -284,7 +285,7 @@
 		return;
 	core->fleet.next_scan_at = core->now + MACHINES_EVERY_S;
 	if (is_partitioned(core)) {
-		election_resign(core, "no_worker_heard");
+		election_resign(core, "partitioned_from_agents");
 		return;
 	}
 	HASH_ITER (hh, core->fleet.machines, machine, tmp) {
--- a/src/core/machine.h
+++ b/src/core/model/machine.h
@@ -10,8 +10,8 @@
 #include <uthash.h>
 
 #include "constants.h"
-#include "core/call.h"
-#include "core/report_cache.h"
+#include "core/runtime/call.h"
+#include "core/agents/report_cache.h"
 #include "wire/wire.h"
 
 struct core;
--- a/src/core/peers.h
+++ b/src/core/peers/peers.h
@@ -4,8 +4,8 @@
 #ifndef PLOVERLOFT_PEERS_H
 #define PLOVERLOFT_PEERS_H
 
-#include "core/call.h"
-#include "core/users.h"
+#include "core/runtime/call.h"
+#include "core/api/api.h"
 
 /* Another controller, as this one has found it. */
 struct peer {
--- a/src/core/limits.c
+++ b/src/core/records/limits.c
@@ -1,4 +1,4 @@
-#include "core/limits.h"
+#include "core/records/limits.h"
 
 #include <math.h>
 
@@ -65,6 +65,6 @@
 	else if (largest > LIMITS_VALUE_FLOOR)
 		*learned = (struct learned_limits){.value_bytes = largest - 1};
 	learned->expires_at = core->now + LIMITS_LEARNED_S;
-	log_info("limits", "learned_ops=%d learned_bytes=%zu", learned->txn_ops,
+	log_info("limits_learned", "learned_ops=%d learned_bytes=%zu", learned->txn_ops,
 		 learned->value_bytes);
 }
--- a/src/core/load.c
+++ b/src/core/records/recovery.c
@@ -100,7 +100,7 @@
 	core->leading_since = core->now;
 	core->write_queue.put_limiter.refilled_at = core->now;
 	core->write_queue.put_limiter.tokens = limits_write_rps(core) * WRITE_SHARE_LEADER;
-	log_info("lead", "state=leading jobs=%u machines=%u", HASH_COUNT(core->jobs),
+	log_info("leader", "state=leading jobs=%u machines=%u", HASH_COUNT(core->jobs),
 		 HASH_COUNT(core->fleet.machines));
 	cycle_request(core);
 }
--- a/src/core/commit.c
+++ b/src/core/records/write_queue.c
@@ -346,8 +346,8 @@
 		free(item);
 	}
 	if (core->write_queue.transaction.renews_token) {
-		log_info("fence", "old=%llu new=%llu", (unsigned long long)core->election.token,
-			 (unsigned long long)revision);
+		log_info("token_renewed", "old=%llu new=%llu",
+			 (unsigned long long)core->election.token, (unsigned long long)revision);
 		core->election.token = core->election.key_revision = revision;
 		if (tombstones_need_new_token(core))
 			forget_deleted(core);
@@ -530,7 +530,7 @@
 	bool small = core->write_queue.transaction.op_count <= LIMITS_TXN_OPS_MIN &&
 		     core->write_queue.transaction.largest_value <= LIMITS_VALUE_FLOOR;
 
-	log_error("commit_refused", "nops=%d largest=%zu body=%.*s",
+	log_error("transaction_refused", "nops=%d largest=%zu body=%.*s",
 		  core->write_queue.transaction.op_count,
 		  core->write_queue.transaction.largest_value, (int)(len < 200 ? len : 200), body);
 	if (core->write_queue.transaction.renews_token) {
@@ -559,7 +559,7 @@
 	}
 	if (status == 409) {
 		o = wire_parse(body, len);
-		log_info("commit_conflict", "body=%.*s", (int)(len < 200 ? len : 200), body);
+		log_info("transaction_conflict", "body=%.*s", (int)(len < 200 ? len : 200), body);
 		if (core->write_queue.transaction.renews_token)
 			store_get(core, fence_key(core), on_fence_read, NULL);
 		else if (wire_failed_has(o, election_key(core->election.format)))
@@ -753,7 +753,7 @@
 		batch_chunks(core, &txn, &core->write_queue.migrations, true);
 	if (!txn.op_count)
 		batch_all(core, &txn, &core->write_queue.deletes);
-	log_debug("commit", "nops=%d largest=%zu tokens=%.1f kind=%d", txn.op_count,
+	log_debug("transaction", "nops=%d largest=%zu tokens=%.1f kind=%d", txn.op_count,
 		  txn.largest_value, core->write_queue.put_limiter.tokens,
 		  core->write_queue.transaction.writes
 		      ? (int)core->write_queue.transaction.writes->kind
--- a/src/core/commit.h
+++ b/src/core/records/write_queue.h
@@ -1,12 +1,12 @@
 /*
  * The leader's transactions, and the records of jobs' tasks.
  */
-#ifndef PLOVERLOFT_COMMIT_H
-#define PLOVERLOFT_COMMIT_H
+#ifndef PLOVERLOFT_WRITE_QUEUE_H
+#define PLOVERLOFT_WRITE_QUEUE_H
 
-#include "core/call.h"
-#include "core/job.h"
-#include "core/machine.h"
+#include "core/runtime/call.h"
+#include "core/model/job.h"
+#include "core/model/machine.h"
 
 enum pending_write_kind { WRITE_CHUNK, WRITE_FINAL, WRITE_DELETE };
 
--- a/src/core/round.h
+++ b/src/core/scheduling/cycle.h
@@ -1,10 +1,10 @@
 /*
- * The room of usable machines as one round of decisions sees it: a compact copy, so that looking
- * for room does not touch every machine's own memory. Built when a round begins, kept true by
- * cycle_take_room; nothing else binds or frees while a round lasts.
+ * The room of usable machines as one cycle of decisions sees it: a compact copy, so that looking
+ * for room does not touch every machine's own memory. Built when a cycle begins, kept true by
+ * cycle_take_room; nothing else binds or frees while a cycle lasts.
  */
-#ifndef PLOVERLOFT_ROUND_H
-#define PLOVERLOFT_ROUND_H
+#ifndef PLOVERLOFT_CYCLE_H
+#define PLOVERLOFT_CYCLE_H
 
 #include "core/state.h"
 
@@ -14,7 +14,7 @@
 	const char *zone;
 	bool spot;
 	bool allowed;	      /* for the job last given to cycle_mark_allowed */
-	uint32_t gang_shapes; /* a bit for each of the round's wanted shapes that may use it */
+	uint32_t gang_shapes; /* a bit for each of the cycle's wanted shapes that may use it */
 	double pool_cost;     /* seconds, of what all machines of the pool share */
 };
 
@@ -30,7 +30,7 @@
 	double cost;
 };
 
-/* A shape and size that found no room in this round; room only shrinks while it lasts. */
+/* A shape and size that found no room in this cycle; room only shrinks while it lasts. */
 struct no_fit {
 	const struct job_spec *spec;
 	uint32_t tasks;
@@ -38,34 +38,34 @@
 
 struct scheduling_cycle {
 	struct core *core;
-	uint64_t attempt; /* of the starts of this round, gangs aside; 0: none yet */
+	uint64_t attempt; /* of the starts of this cycle, gangs aside; 0: none yet */
 	struct machine_room *rooms;
 	size_t room_count;
 	uint32_t *open_rooms; /* of them, those that a waiting task may fit in, in order */
 	size_t open_count;
 	double least_cpus, least_mem_gb; /* of the waiting tasks */
 	double visit_budget;		 /* of rooms that single tasks may still cost */
-	bool budget_exhausted;		 /* they were used up: the rest follows in another round */
+	bool budget_exhausted;		 /* they were used up: the rest follows in another cycle */
 	struct pool *pools;
 	size_t pool_count;
 	struct candidate *candidates;
 	size_t candidate_count;
 	struct no_fit no_fits[CYCLE_NO_FITS_MAX];
 	size_t no_fit_count;
-	/* Shapes of gangs that wait in this round: they could use more room. */
+	/* Shapes of gangs that wait in this cycle: they could use more room. */
 	const struct job_spec *gang_shapes[CYCLE_GANG_SHAPES_MAX];
 	size_t gang_shape_count;
 	bool on_demand_wanted; /* some job may not use spot machines */
 };
 
 /* For these jobs; none: any room may be of use. */
-void cycle_begin(struct core *core, struct scheduling_cycle *round, struct job **jobs,
+void cycle_begin(struct core *core, struct scheduling_cycle *cycle, struct job **jobs,
 		 size_t njobs);
-void cycle_end(struct scheduling_cycle *round);
-void cycle_take_room(struct scheduling_cycle *round, const struct machine *machine,
+void cycle_end(struct scheduling_cycle *cycle);
+void cycle_take_room(struct scheduling_cycle *cycle, const struct machine *machine,
 		     const struct job_spec *spec);
 /* Marks the pools that the job may use. */
-void cycle_mark_allowed(struct scheduling_cycle *round, const struct job_spec *spec);
+void cycle_mark_allowed(struct scheduling_cycle *cycle, const struct job_spec *spec);
 /* Whether what suits one suits the other. */
 bool same_shape(const struct job_spec *a, const struct job_spec *b);
 uint32_t room_slots(double cpus, double gpus, double mem_gb, const struct job_spec *spec);
@@ -82,7 +82,7 @@
 uint32_t array_slots_needed(const struct core *core, struct job *job);
 
 /* plan.c: room for gangs that find none */
-bool preemption_make_room(struct scheduling_cycle *round, struct job *job);
+bool preemption_make_room(struct scheduling_cycle *cycle, struct job *job);
 void reservation_release(struct core *core, struct job *job);
 
 #endif
--- a/src/core/place.c
+++ b/src/core/scheduling/placement.c
@@ -1,13 +1,13 @@
 /*
- * Rounds of decisions: gangs first-fit, all or nothing; arrays level by level, so that the one
- * that holds least is served first. A round comes soon after an event, later the more jobs wait.
+ * Cycles of decisions: gangs first-fit, all or nothing; arrays level by level, so that the one
+ * that holds least is served first. A cycle comes soon after an event, later the more jobs wait.
  */
 #include <math.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
-#include "core/round.h"
+#include "core/scheduling/cycle.h"
 #include "core/state.h"
 #include "util/log.h"
 
@@ -66,45 +66,45 @@
 	return !job->scheduling.reserved_until && !job->bindings;
 }
 
-static bool no_fit_for(const struct scheduling_cycle *round, const struct job *job, uint32_t tasks)
+static bool no_fit_for(const struct scheduling_cycle *cycle, const struct job *job, uint32_t tasks)
 {
-	for (size_t i = 0; i < round->no_fit_count; i++)
-		if (tasks >= round->no_fits[i].tasks &&
-		    same_shape(round->no_fits[i].spec, &job->spec))
+	for (size_t i = 0; i < cycle->no_fit_count; i++)
+		if (tasks >= cycle->no_fits[i].tasks &&
+		    same_shape(cycle->no_fits[i].spec, &job->spec))
 			return shape_known(job);
 	return false;
 }
 
-static void note_no_fit(struct scheduling_cycle *round, const struct job *job, uint32_t tasks)
+static void note_no_fit(struct scheduling_cycle *cycle, const struct job *job, uint32_t tasks)
 {
-	if (round->no_fit_count == CYCLE_NO_FITS_MAX || !shape_known(job))
+	if (cycle->no_fit_count == CYCLE_NO_FITS_MAX || !shape_known(job))
 		return;
-	round->no_fits[round->no_fit_count].spec = &job->spec;
-	round->no_fits[round->no_fit_count++].tasks = tasks;
+	cycle->no_fits[cycle->no_fit_count].spec = &job->spec;
+	cycle->no_fits[cycle->no_fit_count++].tasks = tasks;
 }
 
 /* Called right after the pools that the gang may use were marked. */
-static void note_gang_shape(struct scheduling_cycle *round, const struct job *job)
+static void note_gang_shape(struct scheduling_cycle *cycle, const struct job *job)
 {
-	for (size_t i = 0; i < round->gang_shape_count; i++)
-		if (same_shape(round->gang_shapes[i], &job->spec))
+	for (size_t i = 0; i < cycle->gang_shape_count; i++)
+		if (same_shape(cycle->gang_shapes[i], &job->spec))
 			return;
-	if (round->gang_shape_count == CYCLE_GANG_SHAPES_MAX)
+	if (cycle->gang_shape_count == CYCLE_GANG_SHAPES_MAX)
 		return;
-	for (size_t i = 0; i < round->pool_count; i++)
-		round->pools[i].gang_shapes |= (uint32_t)round->pools[i].allowed
-					       << round->gang_shape_count;
-	round->gang_shapes[round->gang_shape_count++] = &job->spec;
+	for (size_t i = 0; i < cycle->pool_count; i++)
+		cycle->pools[i].gang_shapes |= (uint32_t)cycle->pools[i].allowed
+					       << cycle->gang_shape_count;
+	cycle->gang_shapes[cycle->gang_shape_count++] = &job->spec;
 }
 
 /* Whether a task here would take room that a waiting gang of higher priority could use. */
-static bool takes_gang_room(const struct scheduling_cycle *round, const struct machine_room *room,
+static bool takes_gang_room(const struct scheduling_cycle *cycle, const struct machine_room *room,
 			    const struct job_spec *s)
 {
-	for (size_t i = 0; i < round->gang_shape_count; i++) {
-		const struct job_spec *w = round->gang_shapes[i];
+	for (size_t i = 0; i < cycle->gang_shape_count; i++) {
+		const struct job_spec *w = cycle->gang_shapes[i];
 
-		if (w->priority < s->priority && (round->pools[room->pool].gang_shapes >> i & 1) &&
+		if (w->priority < s->priority && (cycle->pools[room->pool].gang_shapes >> i & 1) &&
 		    room_slots(room->cpus - s->cpus, room->gpus - s->gpus, room->mem_gb - s->mem_gb,
 			       w) < room_slots(room->cpus, room->gpus, room->mem_gb, w))
 			return true;
@@ -145,46 +145,47 @@
 }
 
 /*
- * Tasks of arrays and services tell starts apart by it, and none starts twice in a round: they
- * share the round's, so that a record names it once.
+ * Tasks of arrays and services tell starts apart by it, and none starts twice in a cycle: they
+ * share the cycle's, so that a record names it once.
  */
-static uint64_t cycle_attempt(struct scheduling_cycle *round)
+static uint64_t cycle_attempt(struct scheduling_cycle *cycle)
 {
-	if (!round->attempt)
-		round->attempt = new_attempt(round->core);
-	return round->attempt;
+	if (!cycle->attempt)
+		cycle->attempt = new_attempt(cycle->core);
+	return cycle->attempt;
 }
 
-static void place(struct scheduling_cycle *round, struct job *job, struct machine *machine,
+static void place(struct scheduling_cycle *cycle, struct job *job, struct machine *machine,
 		  uint32_t task, uint64_t attempt)
 {
-	struct core *core = round->core;
+	struct core *core = cycle->core;
 
 	if (job->spec.kind != JOB_SERVICE)
 		reservation_release(core, job); /* it has what room was held for */
 	else if (machine->scheduling.reserved_for == job && !--machine->scheduling.reserved_tasks)
 		machine->scheduling.reserved_for = NULL;
 	binding_add(core, machine, job, task, attempt);
-	cycle_take_room(round, machine, &job->spec);
-	log_info("place", "job=%s task=%u attempt=%llu machine=%s waited=%.2f", job->spec.id, task,
-		 (unsigned long long)attempt, machine->id, core->wall - job->submitted_at);
+	cycle_take_room(cycle, machine, &job->spec);
+	log_info("binding_created", "job=%s task=%u attempt=%llu machine=%s waited=%.2f",
+		 job->spec.id, task, (unsigned long long)attempt, machine->id,
+		 core->wall - job->submitted_at);
 	write_queue_add_chunk(core, job, task, 0);
 }
 
 /* --- gangs --- */
 
-static void find_candidates(struct scheduling_cycle *round, struct job *job)
+static void find_candidates(struct scheduling_cycle *cycle, struct job *job)
 {
-	cycle_mark_allowed(round, &job->spec);
-	round->candidate_count = 0;
-	for (size_t i = 0; i < round->open_count; i++) {
-		struct machine_room *room = &round->rooms[round->open_rooms[i]];
+	cycle_mark_allowed(cycle, &job->spec);
+	cycle->candidate_count = 0;
+	for (size_t i = 0; i < cycle->open_count; i++) {
+		struct machine_room *room = &cycle->rooms[cycle->open_rooms[i]];
 		struct candidate *candidate;
 		uint32_t slots;
 
-		if (!round->pools[room->pool].allowed || !(slots = slots_for(room, job)))
+		if (!cycle->pools[room->pool].allowed || !(slots = slots_for(room, job)))
 			continue;
-		candidate = &round->candidates[round->candidate_count++];
+		candidate = &cycle->candidates[cycle->candidate_count++];
 		candidate->room = room;
 		candidate->slots = slots;
 		candidate->cost = INFINITY;
@@ -199,83 +200,83 @@
 }
 
 /* Slots that a gang could use in the zone, or anywhere. */
-static uint32_t zone_slots(const struct scheduling_cycle *round, const struct job *job,
+static uint32_t zone_slots(const struct scheduling_cycle *cycle, const struct job *job,
 			   const char *zone)
 {
 	uint32_t n = 0;
 
-	for (size_t i = 0; i < round->candidate_count && n < job->spec.task_count; i++)
-		if (!zone || !strcmp(round->candidates[i].room->machine->zone, zone))
-			n += round->candidates[i].slots;
+	for (size_t i = 0; i < cycle->candidate_count && n < job->spec.task_count; i++)
+		if (!zone || !strcmp(cycle->candidates[i].room->machine->zone, zone))
+			n += cycle->candidates[i].slots;
 	return n;
 }
 
-static void cost_candidates(struct scheduling_cycle *round, const struct job *job)
+static void cost_candidates(struct scheduling_cycle *cycle, const struct job *job)
 {
-	for (size_t i = 0; i < round->candidate_count; i++) {
-		struct machine_room *room = round->candidates[i].room;
+	for (size_t i = 0; i < cycle->candidate_count; i++) {
+		struct machine_room *room = cycle->candidates[i].room;
 
-		if (!isfinite(round->candidates[i].cost))
-			round->candidates[i].cost =
-			    round->pools[room->pool].pool_cost + placement_cost(room->machine, job);
+		if (!isfinite(cycle->candidates[i].cost))
+			cycle->candidates[i].cost =
+			    cycle->pools[room->pool].pool_cost + placement_cost(room->machine, job);
 	}
-	qsort(round->candidates, round->candidate_count, sizeof(*round->candidates), by_cost);
+	qsort(cycle->candidates, cycle->candidate_count, sizeof(*cycle->candidates), by_cost);
 }
 
-static bool bind_gang(struct scheduling_cycle *round, struct job *job, const char *zone)
+static bool bind_gang(struct scheduling_cycle *cycle, struct job *job, const char *zone)
 {
-	uint64_t attempt = new_attempt(round->core);
+	uint64_t attempt = new_attempt(cycle->core);
 	uint32_t t = 0;
 
-	for (size_t i = 0; i < round->candidate_count && t < job->spec.task_count; i++) {
-		struct machine *machine = round->candidates[i].room->machine;
+	for (size_t i = 0; i < cycle->candidate_count && t < job->spec.task_count; i++) {
+		struct machine *machine = cycle->candidates[i].room->machine;
 
 		if (zone && strcmp(machine->zone, zone))
 			continue;
-		for (uint32_t k = 0; k < round->candidates[i].slots && t < job->spec.task_count;
+		for (uint32_t k = 0; k < cycle->candidates[i].slots && t < job->spec.task_count;
 		     k++)
 			if (job_zone_rest(job, machine->zone))
-				place(round, job, machine, t++, attempt);
+				place(cycle, job, machine, t++, attempt);
 	}
 	job->gang_attempt = attempt;
 	return true;
 }
 
 /* Whether a spread gang can be had at all: half of it in any one zone at most. */
-static bool spread_fits(const struct scheduling_cycle *round, const struct job *job)
+static bool spread_fits(const struct scheduling_cycle *cycle, const struct job *job)
 {
 	uint32_t n = 0;
 
-	for (size_t p = 0; p < round->pool_count; p++) {
-		const char *zone = round->pools[p].zone;
+	for (size_t p = 0; p < cycle->pool_count; p++) {
+		const char *zone = cycle->pools[p].zone;
 		bool again = false;
 
 		for (size_t q = 0; q < p; q++)
-			again |= !strcmp(round->pools[q].zone, zone);
+			again |= !strcmp(cycle->pools[q].zone, zone);
 		if (!again)
-			n += (uint32_t)fmin(zone_slots(round, job, zone), job_zone_rest(job, zone));
+			n += (uint32_t)fmin(zone_slots(cycle, job, zone), job_zone_rest(job, zone));
 	}
 	return n >= job->spec.task_count;
 }
 
 /* Of the zones that can take it, the one where its tasks would begin soonest. */
-static const char *best_zone(const struct scheduling_cycle *round, const struct job *job)
+static const char *best_zone(const struct scheduling_cycle *cycle, const struct job *job)
 {
 	const char *best = NULL;
 	double best_cost = INFINITY;
 
-	for (size_t p = 0; p < round->pool_count; p++) {
-		const char *zone = round->pools[p].zone;
+	for (size_t p = 0; p < cycle->pool_count; p++) {
+		const char *zone = cycle->pools[p].zone;
 		double cost = 0;
 		uint32_t n = 0;
 
-		if (!round->pools[p].allowed || zone_slots(round, job, zone) < job->spec.task_count)
+		if (!cycle->pools[p].allowed || zone_slots(cycle, job, zone) < job->spec.task_count)
 			continue;
-		for (size_t i = 0; i < round->candidate_count && n < job->spec.task_count; i++) {
-			if (strcmp(round->candidates[i].room->machine->zone, zone))
+		for (size_t i = 0; i < cycle->candidate_count && n < job->spec.task_count; i++) {
+			if (strcmp(cycle->candidates[i].room->machine->zone, zone))
 				continue;
-			cost = fmax(cost, round->candidates[i].cost);
-			n += round->candidates[i].slots;
+			cost = fmax(cost, cycle->candidates[i].cost);
+			n += cycle->candidates[i].slots;
 		}
 		if (cost < best_cost) {
 			best_cost = cost;
@@ -285,24 +286,24 @@
 	return best;
 }
 
-static bool place_gang(struct scheduling_cycle *round, struct job *job)
+static bool place_gang(struct scheduling_cycle *cycle, struct job *job)
 {
 	bool together = job->spec.one_zone && job->spec.task_count > 1;
 	const char *zone = NULL;
 
 	/* Tasks of an old attempt keep their places and zones until they exit. */
-	if (job->bindings || !team_has_room(round->core, &job->spec, job->spec.task_count))
+	if (job->bindings || !team_has_room(cycle->core, &job->spec, job->spec.task_count))
 		return false;
-	if (no_fit_for(round, job, job->spec.task_count))
+	if (no_fit_for(cycle, job, job->spec.task_count))
 		return false;
-	find_candidates(round, job);
-	if (zone_slots(round, job, NULL) >= job->spec.task_count && spread_fits(round, job)) {
-		cost_candidates(round, job);
-		if (!together || (zone = best_zone(round, job)))
-			return bind_gang(round, job, zone);
+	find_candidates(cycle, job);
+	if (zone_slots(cycle, job, NULL) >= job->spec.task_count && spread_fits(cycle, job)) {
+		cost_candidates(cycle, job);
+		if (!together || (zone = best_zone(cycle, job)))
+			return bind_gang(cycle, job, zone);
 	}
-	note_no_fit(round, job, job->spec.task_count);
-	note_gang_shape(round, job);
+	note_no_fit(cycle, job, job->spec.task_count);
+	note_gang_shape(cycle, job);
 	return false;
 }
 
@@ -337,25 +338,25 @@
 }
 
 /* `spare`: only room that no waiting gang could use. */
-static struct machine *best_machine(struct scheduling_cycle *round, struct job *job, bool spare)
+static struct machine *best_machine(struct scheduling_cycle *cycle, struct job *job, bool spare)
 {
 	const char *held = job_held_zone(job);
 	struct machine *best = NULL;
 	double best_cost = INFINITY;
 
-	cycle_mark_allowed(round, &job->spec);
-	round->visit_budget -= (double)round->open_count;
-	for (size_t i = 0; i < round->open_count; i++) {
-		struct machine_room *room = &round->rooms[round->open_rooms[i]];
-		const struct pool *pool = &round->pools[room->pool];
+	cycle_mark_allowed(cycle, &job->spec);
+	cycle->visit_budget -= (double)cycle->open_count;
+	for (size_t i = 0; i < cycle->open_count; i++) {
+		struct machine_room *room = &cycle->rooms[cycle->open_rooms[i]];
+		const struct pool *pool = &cycle->pools[room->pool];
 		double cost = pool->pool_cost;
 
 		if (!pool->allowed || cost >= best_cost || !slots_for(room, job) ||
 		    (held && strcmp(held, pool->zone)) ||
-		    (spare && takes_gang_room(round, room, &job->spec)))
+		    (spare && takes_gang_room(cycle, room, &job->spec)))
 			continue;
 		cost += placement_cost(room->machine, job) +
-			replica_cost(round->core, job, room->machine);
+			replica_cost(cycle->core, job, room->machine);
 		if (cost < best_cost && job_zone_rest(job, pool->zone)) {
 			best_cost = cost;
 			best = room->machine;
@@ -378,42 +379,42 @@
 	return t;
 }
 
-static bool place_task(struct scheduling_cycle *round, struct job *job, bool spare)
+static bool place_task(struct scheduling_cycle *cycle, struct job *job, bool spare)
 {
 	struct machine *machine;
 	uint32_t task;
 
-	if (!job_waiting_count(job) || !team_has_room(round->core, &job->spec, 1) ||
-	    no_fit_for(round, job, 1))
+	if (!job_waiting_count(job) || !team_has_room(cycle->core, &job->spec, 1) ||
+	    no_fit_for(cycle, job, 1))
 		return false;
-	task = next_task(round->core, job);
+	task = next_task(cycle->core, job);
 	if (task >= job->spec.task_count)
 		return false;
 	/* A turn must not last so long that renewals are late. */
-	round->budget_exhausted |= round->visit_budget <= 0;
-	if (round->budget_exhausted)
+	cycle->budget_exhausted |= cycle->visit_budget <= 0;
+	if (cycle->budget_exhausted)
 		return false;
-	machine = best_machine(round, job, spare);
+	machine = best_machine(cycle, job, spare);
 	if (!machine) {
 		if (!spare)
-			note_no_fit(round, job, 1);
+			note_no_fit(cycle, job, 1);
 		return false;
 	}
-	place(round, job, machine, task, cycle_attempt(round));
+	place(cycle, job, machine, task, cycle_attempt(cycle));
 	return true;
 }
 
 /* Replicas are independent, and each that runs serves: they start one by one. */
-static bool place_service(struct scheduling_cycle *round, struct job *job)
+static bool place_service(struct scheduling_cycle *cycle, struct job *job)
 {
-	while (place_task(round, job, false))
+	while (place_task(cycle, job, false))
 		;
 	if (!job_waiting_count(job))
-		reservation_release(round->core, job);
+		reservation_release(cycle->core, job);
 	return job_waiting_count(job) == 0;
 }
 
-/* --- the round --- */
+/* --- the cycle --- */
 
 /* Seconds within which a job's tasks should start, by the first aim that it can still meet; 0:
  * none. */
@@ -475,13 +476,13 @@
 }
 
 /* The job whose freed slot, kept for it or switched to it, this is; NULL if it can't use it. */
-static struct job *turn_of(struct scheduling_cycle *round, struct machine *machine)
+static struct job *turn_of(struct scheduling_cycle *cycle, struct machine *machine)
 {
-	struct core *core = round->core;
+	struct core *core = cycle->core;
 	struct job *j = *machine->scheduling.freed_slot_job
 			    ? job_find(core, machine->scheduling.freed_slot_job)
 			    : NULL;
-	struct machine_room *room = &round->rooms[machine->scheduling.room_index];
+	struct machine_room *room = &cycle->rooms[machine->scheduling.room_index];
 	const char *zone;
 
 	machine->scheduling.freed_slot_job[0] = 0;
@@ -489,25 +490,25 @@
 	    core->now < j->scheduling.retry_at || j->spec.kind != JOB_ARRAY ||
 	    job_bad_on(j, machine) || !team_has_room(core, &j->spec, 1))
 		return NULL;
-	cycle_mark_allowed(round, &j->spec);
+	cycle_mark_allowed(cycle, &j->spec);
 	zone = job_held_zone(j);
-	if (!round->pools[room->pool].allowed || !slots_for(room, j) ||
+	if (!cycle->pools[room->pool].allowed || !slots_for(room, j) ||
 	    !job_zone_rest(j, machine->zone) || (zone && strcmp(zone, machine->zone)) ||
-	    takes_gang_room(round, room, &j->spec))
+	    takes_gang_room(cycle, room, &j->spec))
 		return NULL;
 	return j;
 }
 
-static void serve_turns(struct scheduling_cycle *round)
+static void serve_turns(struct scheduling_cycle *cycle)
 {
-	for (size_t i = 0; i < round->room_count; i++) {
-		struct machine *machine = round->rooms[i].machine;
+	for (size_t i = 0; i < cycle->room_count; i++) {
+		struct machine *machine = cycle->rooms[i].machine;
 		struct job *job =
-		    *machine->scheduling.freed_slot_job ? turn_of(round, machine) : NULL;
-		uint32_t task = job ? next_task(round->core, job) : 0;
+		    *machine->scheduling.freed_slot_job ? turn_of(cycle, machine) : NULL;
+		uint32_t task = job ? next_task(cycle->core, job) : 0;
 
 		if (job && task < job->spec.task_count)
-			place(round, job, machine, task, cycle_attempt(round));
+			place(cycle, job, machine, task, cycle_attempt(cycle));
 	}
 }
 
@@ -573,7 +574,7 @@
  * When not all can be done by their deadlines, equal shares would make all of them late. Who needs
  * least is served first, up to what it needs; what is left is shared equally.
  */
-static void serve_needs(struct scheduling_cycle *round, struct job **jobs, size_t n)
+static void serve_needs(struct scheduling_cycle *cycle, struct job **jobs, size_t n)
 {
 	struct need *all = calloc(n + 1, sizeof(*all));
 	size_t k = 0;
@@ -581,27 +582,27 @@
 	if (!all)
 		abort();
 	for (size_t i = 0; i < n; i++) {
-		job_need(round->core, jobs[i], &all[k]);
+		job_need(cycle->core, jobs[i], &all[k]);
 		k += all[k].slots > 0;
 	}
 	qsort(all, k, sizeof(*all), by_need);
 	for (size_t i = 0; i < k; i++)
 		while (all[i].job->bound_count < all[i].slots &&
-		       place_task(round, all[i].job, false))
+		       place_task(cycle, all[i].job, false))
 			;
 	free(all);
 }
 
 /* Arrays that hold nothing: the leader grants one slot to each. */
-static void serve_grants(struct scheduling_cycle *round, struct job **jobs, size_t n)
+static void serve_grants(struct scheduling_cycle *cycle, struct job **jobs, size_t n)
 {
 	for (size_t i = 0; i < n; i++)
-		if (!jobs[i]->bound_count && !place_task(round, jobs[i], false))
-			preemption_make_room(round, jobs[i]);
+		if (!jobs[i]->bound_count && !place_task(cycle, jobs[i], false))
+			preemption_make_room(cycle, jobs[i]);
 }
 
 /* Arrays of one priority: whoever holds least is served first, one task at a time. */
-static void serve_arrays(struct scheduling_cycle *round, struct job **jobs, size_t n)
+static void serve_arrays(struct scheduling_cycle *cycle, struct job **jobs, size_t n)
 {
 	uint32_t level = 0;
 	size_t open;
@@ -616,7 +617,7 @@
 				open++;
 				continue;
 			}
-			if (place_task(round, jobs[i], true)) {
+			if (place_task(cycle, jobs[i], true)) {
 				moved = true;
 				open++;
 			} else {
@@ -632,7 +633,7 @@
  * A replica on a machine that is about to go is stopped once there is room for it elsewhere, which
  * is held: it can't run in both places.
  */
-static void move_replica(struct scheduling_cycle *round, struct binding *binding)
+static void move_replica(struct scheduling_cycle *cycle, struct binding *binding)
 {
 	struct job *job = binding->job;
 	struct machine *target;
@@ -640,29 +641,29 @@
 	if (binding->stopping || !binding->observed || job->spec.kind != JOB_SERVICE ||
 	    job->orphan || job->cancelled)
 		return;
-	target = best_machine(round, job, false);
+	target = best_machine(cycle, job, false);
 	if (!target || (target->scheduling.reserved_for && target->scheduling.reserved_for != job))
 		return;
 	target->scheduling.reserved_tasks =
 	    target->scheduling.reserved_for == job ? target->scheduling.reserved_tasks + 1 : 1;
 	target->scheduling.reserved_for = job;
-	job->scheduling.reserved_until = round->core->now + PREEMPT_RESERVE_S;
-	cycle_take_room(round, target, &job->spec);
-	log_info("replica_moves", "job=%s task=%u machine=%s to=%s", job->spec.id, binding->task,
+	job->scheduling.reserved_until = cycle->core->now + PREEMPT_RESERVE_S;
+	cycle_take_room(cycle, target, &job->spec);
+	log_info("replica_moving", "job=%s task=%u machine=%s to=%s", job->spec.id, binding->task,
 		 binding->machine->id, target->id);
-	binding_stop(round->core, binding, 0);
+	binding_stop(cycle->core, binding, 0);
 }
 
-static void move_replicas(struct scheduling_cycle *round)
+static void move_replicas(struct scheduling_cycle *cycle)
 {
 	struct machine *machine, *tmp;
 	struct binding *binding;
 
-	HASH_ITER (hh, round->core->fleet.machines, machine, tmp) {
-		if (!machine->replica_count || !replica_must_move(round->core, machine))
+	HASH_ITER (hh, cycle->core->fleet.machines, machine, tmp) {
+		if (!machine->replica_count || !replica_must_move(cycle->core, machine))
 			continue;
 		DL_FOREACH2 (machine->bindings, binding, machine_next)
-			move_replica(round, binding);
+			move_replica(cycle, binding);
 	}
 }
 
@@ -684,7 +685,7 @@
 	return n;
 }
 
-static void serve_priority(struct scheduling_cycle *round, struct job **jobs, size_t n)
+static void serve_priority(struct scheduling_cycle *cycle, struct job **jobs, size_t n)
 {
 	size_t narrays = 0;
 	struct job **arrays = calloc(n + 1, sizeof(*arrays));
@@ -694,37 +695,37 @@
 	for (size_t i = 0; i < n; i++) {
 		if (jobs[i]->spec.kind == JOB_ARRAY)
 			arrays[narrays++] = jobs[i];
-		else if (!(jobs[i]->spec.kind == JOB_GANG ? place_gang : place_service)(round,
+		else if (!(jobs[i]->spec.kind == JOB_GANG ? place_gang : place_service)(cycle,
 											jobs[i]))
-			preemption_make_room(round, jobs[i]);
+			preemption_make_room(cycle, jobs[i]);
 	}
-	serve_grants(round, arrays, narrays);
-	serve_needs(round, arrays, narrays);
+	serve_grants(cycle, arrays, narrays);
+	serve_needs(cycle, arrays, narrays);
 	if (narrays)
-		serve_turns(round);
-	serve_arrays(round, arrays, narrays);
+		serve_turns(cycle);
+	serve_arrays(cycle, arrays, narrays);
 	free(arrays);
 }
 
 static void cycle_run(struct core *core, struct job **jobs, size_t n)
 {
-	struct scheduling_cycle round;
+	struct scheduling_cycle cycle;
 	size_t first = 0;
 
-	cycle_begin(core, &round, jobs, core->fleet.replicas_must_move ? 0 : n);
+	cycle_begin(core, &cycle, jobs, core->fleet.replicas_must_move ? 0 : n);
 	while (first < n) {
 		size_t last = first;
 
 		while (last < n && jobs[last]->spec.priority == jobs[first]->spec.priority)
 			last++;
-		serve_priority(&round, jobs + first, last - first);
+		serve_priority(&cycle, jobs + first, last - first);
 		first = last;
 	}
 	if (core->fleet.replicas_must_move)
-		move_replicas(&round);
-	if (round.budget_exhausted)
+		move_replicas(&cycle);
+	if (cycle.budget_exhausted)
 		cycle_request(core);
-	cycle_end(&round);
+	cycle_end(&cycle);
 }
 
 void cycle_tick(struct core *core)
--- a/src/core/plan.c
+++ b/src/core/scheduling/preemption.c
@@ -9,7 +9,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "core/round.h"
+#include "core/scheduling/cycle.h"
 #include "util/log.h"
 
 void reservation_release(struct core *core, struct job *job)
@@ -159,7 +159,7 @@
 
 /* --- choosing machines --- */
 
-/* The round's candidates, cheapest first, and where among them room is made. */
+/* The cycle's candidates, cheapest first, and where among them room is made. */
 struct choice {
 	const char *zone; /* NULL: anywhere */
 	double cost;	  /* of all that are needed */
@@ -181,36 +181,36 @@
 	return (!held || !strcmp(held, zone)) && job_zone_rest(job, zone) > 0;
 }
 
-static void offers(struct scheduling_cycle *round, const struct demand *demand)
+static void offers(struct scheduling_cycle *cycle, const struct demand *demand)
 {
-	cycle_mark_allowed(round, &demand->job->spec);
-	round->candidate_count = 0;
-	for (size_t i = 0; i < round->room_count; i++) {
-		struct machine_room *room = &round->rooms[i];
-		struct candidate *candidate = &round->candidates[round->candidate_count];
+	cycle_mark_allowed(cycle, &demand->job->spec);
+	cycle->candidate_count = 0;
+	for (size_t i = 0; i < cycle->room_count; i++) {
+		struct machine_room *room = &cycle->rooms[i];
+		struct candidate *candidate = &cycle->candidates[cycle->candidate_count];
 
-		if (!round->pools[room->pool].allowed ||
+		if (!cycle->pools[room->pool].allowed ||
 		    (room->machine->scheduling.reserved_for &&
 		     room->machine->scheduling.reserved_for != demand->job) ||
 		    !zone_open(demand->job, room->machine->zone))
 			continue;
 		candidate->room = room;
 		candidate->slots = machine_offer(demand, room->machine, &candidate->cost);
-		round->candidate_count += candidate->slots > 0;
+		cycle->candidate_count += candidate->slots > 0;
 	}
-	qsort(round->candidates, round->candidate_count, sizeof(*round->candidates),
+	qsort(cycle->candidates, cycle->candidate_count, sizeof(*cycle->candidates),
 	      by_cost_per_slot);
 }
 
 /* The cost of the gang's room in the zone, or anywhere; INFINITY if it can't be had. */
-static double zone_offer(const struct scheduling_cycle *round, const struct demand *demand,
+static double zone_offer(const struct scheduling_cycle *cycle, const struct demand *demand,
 			 const char *zone)
 {
 	uint32_t n = 0;
 	double cost = 0;
 
-	for (size_t i = 0; i < round->candidate_count && n < demand->tasks; i++) {
-		const struct candidate *candidate = &round->candidates[i];
+	for (size_t i = 0; i < cycle->candidate_count && n < demand->tasks; i++) {
+		const struct candidate *candidate = &cycle->candidates[i];
 
 		if (zone && strcmp(zone, candidate->room->machine->zone))
 			continue;
@@ -220,25 +220,25 @@
 	return n >= demand->tasks ? cost : INFINITY;
 }
 
-static bool choose(struct scheduling_cycle *round, const struct demand *demand, struct choice *out)
+static bool choose(struct scheduling_cycle *cycle, const struct demand *demand, struct choice *out)
 {
 	const struct job *job = demand->job;
 
-	offers(round, demand);
+	offers(cycle, demand);
 	out->zone = NULL;
 	out->cost = INFINITY;
 	if (!job->spec.one_zone || demand->tasks == 1) {
-		out->cost = zone_offer(round, demand, NULL);
+		out->cost = zone_offer(cycle, demand, NULL);
 		return isfinite(out->cost);
 	}
-	for (size_t p = 0; p < round->pool_count; p++) {
-		double cost = round->pools[p].allowed
-				  ? zone_offer(round, demand, round->pools[p].zone)
+	for (size_t p = 0; p < cycle->pool_count; p++) {
+		double cost = cycle->pools[p].allowed
+				  ? zone_offer(cycle, demand, cycle->pools[p].zone)
 				  : INFINITY;
 
 		if (cost < out->cost) {
 			out->cost = cost;
-			out->zone = round->pools[p].zone;
+			out->zone = cycle->pools[p].zone;
 		}
 	}
 	return isfinite(out->cost);
@@ -267,20 +267,20 @@
 		if (binding->stopping)
 			room_grow(&r, binding);
 	while (slots_of(&r, demand->job) < want && (binding = cheapest(demand, machine))) {
-		log_info("preempt", "job=%s for=%s machine=%s", binding->job->spec.id,
+		log_info("task_preempted", "job=%s for=%s machine=%s", binding->job->spec.id,
 			 demand->job->spec.id, machine->id);
 		room_grow(&r, binding);
 		binding_stop(core, binding, grace_of(binding));
 	}
 }
 
-static void carry_out(struct scheduling_cycle *round, const struct demand *demand, struct job *job,
+static void carry_out(struct scheduling_cycle *cycle, const struct demand *demand, struct job *job,
 		      const struct choice *ch)
 {
 	uint32_t left = demand->tasks;
 
-	for (size_t i = 0; i < round->candidate_count && left; i++) {
-		struct candidate *candidate = &round->candidates[i];
+	for (size_t i = 0; i < cycle->candidate_count && left; i++) {
+		struct candidate *candidate = &cycle->candidates[i];
 		struct machine *machine = candidate->room->machine;
 		uint32_t n = candidate->slots < left ? candidate->slots : left;
 
@@ -289,21 +289,21 @@
 		machine->scheduling.reserved_for = job;
 		machine->scheduling.reserved_tasks = n;
 		left -= n;
-		stop_for(round->core, demand, machine, n);
+		stop_for(cycle->core, demand, machine, n);
 	}
 }
 
-static bool stop_lower(struct scheduling_cycle *round, struct job *job, struct demand *demand)
+static bool stop_lower(struct scheduling_cycle *cycle, struct job *job, struct demand *demand)
 {
 	struct choice ch;
 
-	if (!choose(round, demand, &ch))
+	if (!choose(cycle, demand, &ch))
 		return false;
-	carry_out(round, demand, job, &ch);
-	job->scheduling.reserved_until = round->core->now + PREEMPT_RESERVE_S;
-	log_info("hold", "job=%s tasks=%u zone=%s cost=%.0f waited=%.1f", job->spec.id,
-		 demand->tasks, ch.zone ? ch.zone : "", ch.cost,
-		 round->core->wall - job->submitted_at);
+	carry_out(cycle, demand, job, &ch);
+	job->scheduling.reserved_until = cycle->core->now + PREEMPT_RESERVE_S;
+	log_info("reservation_preempting", "job=%s tasks=%u zone=%s cost=%.0f waited=%.1f",
+		 job->spec.id, demand->tasks, ch.zone ? ch.zone : "", ch.cost,
+		 cycle->core->wall - job->submitted_at);
 	return true;
 }
 
@@ -330,10 +330,10 @@
 	return n < most || held <= (late ? RESERVE_SHARE_LATE : RESERVE_SHARE) * all;
 }
 
-static bool may_hold(const struct scheduling_cycle *round, const struct machine_room *room,
+static bool may_hold(const struct scheduling_cycle *cycle, const struct machine_room *room,
 		     const struct job *job, const char *zone)
 {
-	const struct pool *pool = &round->pools[room->pool];
+	const struct pool *pool = &cycle->pools[room->pool];
 
 	return pool->allowed && (!*zone || !strcmp(zone, pool->zone)) &&
 	       (!room->machine->scheduling.reserved_for ||
@@ -341,20 +341,20 @@
 }
 
 /* The zone with most room for it, free or in use: there it falls free soonest. */
-static const char *gather_zone(const struct scheduling_cycle *round, const struct job *job)
+static const char *gather_zone(const struct scheduling_cycle *cycle, const struct job *job)
 {
 	const char *best = NULL;
 	double most = 0;
 
-	for (size_t p = 0; p < round->pool_count; p++) {
-		const char *zone = round->pools[p].zone;
+	for (size_t p = 0; p < cycle->pool_count; p++) {
+		const char *zone = cycle->pools[p].zone;
 		double n = 0;
 
-		for (size_t i = 0; i < round->room_count; i++) {
-			const struct machine_room *room = &round->rooms[i];
+		for (size_t i = 0; i < cycle->room_count; i++) {
+			const struct machine_room *room = &cycle->rooms[i];
 			const struct machine_type *type = room->machine->type;
 
-			if (!may_hold(round, room, job, zone))
+			if (!may_hold(cycle, room, job, zone))
 				continue;
 			n += room_slots(room->cpus, room->gpus, room->mem_gb, &job->spec) +
 			     RESERVE_USED_SHARE *
@@ -368,17 +368,17 @@
 	return best;
 }
 
-/* Holds what is free now, anew in each round: what was lost or is not needed goes back. */
-static void gather(struct scheduling_cycle *round, struct job *job)
+/* Holds what is free now, anew in each cycle: what was lost or is not needed goes back. */
+static void gather(struct scheduling_cycle *cycle, struct job *job)
 {
 	uint32_t left = job->spec.task_count;
 
-	cycle_mark_allowed(round, &job->spec);
-	for (size_t i = 0; i < round->room_count; i++) {
-		struct machine_room *room = &round->rooms[i];
+	cycle_mark_allowed(cycle, &job->spec);
+	for (size_t i = 0; i < cycle->room_count; i++) {
+		struct machine_room *room = &cycle->rooms[i];
 		uint32_t n;
 
-		if (!may_hold(round, room, job, job->scheduling.reserved_zone))
+		if (!may_hold(cycle, room, job, job->scheduling.reserved_zone))
 			continue;
 		n = room_slots(room->cpus, room->gpus, room->mem_gb, &job->spec);
 		room->machine->scheduling.reserved_tasks = n < left ? n : left;
@@ -386,25 +386,25 @@
 		    room->machine->scheduling.reserved_tasks ? job : NULL;
 		left -= room->machine->scheduling.reserved_tasks;
 	}
-	job->scheduling.reserved_until = round->core->now + RESERVE_EXTEND_S;
+	job->scheduling.reserved_until = cycle->core->now + RESERVE_EXTEND_S;
 }
 
-static void gather_begin(struct scheduling_cycle *round, struct job *job)
+static void gather_begin(struct scheduling_cycle *cycle, struct job *job)
 {
 	const char *zone;
 
-	cycle_mark_allowed(round, &job->spec);
-	zone = gather_zone(round, job);
+	cycle_mark_allowed(cycle, &job->spec);
+	zone = gather_zone(cycle, job);
 	if (!zone)
 		return;
 	if (job->spec.one_zone)
 		snprintf(job->scheduling.reserved_zone, sizeof(job->scheduling.reserved_zone), "%s",
 			 zone);
 	job->scheduling.reserving = true;
-	gather(round, job);
-	log_info("gather", "job=%s tasks=%u zone=%s waited=%.1f", job->spec.id,
+	gather(cycle, job);
+	log_info("reservation_started", "job=%s tasks=%u zone=%s waited=%.1f", job->spec.id,
 		 job->spec.task_count, job->scheduling.reserved_zone,
-		 round->core->wall - job->submitted_at);
+		 cycle->core->wall - job->submitted_at);
 }
 
 /* Seconds of waiting before lower work is stopped: room may fall free while the aim is not at risk.
@@ -441,38 +441,38 @@
 	return job->spec.kind == JOB_SERVICE || (!job->bindings && !job->spec.spread);
 }
 
-/* Called in a round for each gang, service, and array that holds nothing, that found no room. */
-bool preemption_make_room(struct scheduling_cycle *round, struct job *job)
+/* Called in a cycle for each gang, service, and array that holds nothing, that found no room. */
+bool preemption_make_room(struct scheduling_cycle *cycle, struct job *job)
 {
-	struct core *core = round->core;
+	struct core *core = cycle->core;
 	double waited = core->now - job->scheduling.waiting_since;
 	struct demand demand = {core, job, false, plan_tasks(job)};
 
 	if (job->scheduling.reserving) {
-		gather(round, job);
+		gather(cycle, job);
 		return true;
 	}
 	if (job->scheduling.reserved_until && core->now > job->scheduling.reserved_until)
 		reservation_release(core, job);
 	/* There may be room that was not looked at. */
-	if (round->budget_exhausted && job->spec.kind != JOB_GANG)
+	if (cycle->budget_exhausted && job->spec.kind != JOB_GANG)
 		return false;
 	if (!plan_possible(job) || job->scheduling.reserved_until || waited < patience(core, job) ||
 	    core->now < job->scheduling.next_preemption_at)
 		return false;
 	job->scheduling.next_preemption_at = core->now + PREEMPT_RETRY_S;
 	demand.own_team_only = !team_has_room(core, &job->spec, demand.tasks);
-	if (stop_lower(round, job, &demand))
+	if (stop_lower(cycle, job, &demand))
 		return true;
 	if (job->spec.kind == JOB_SERVICE) {
 		/* Room for one replica is worth more than none for all. */
 		demand.tasks = 1;
-		return stop_lower(round, job, &demand);
+		return stop_lower(cycle, job, &demand);
 	}
 	waited = core->wall - job->submitted_at;
 	if (demand.own_team_only || job->spec.kind == JOB_ARRAY ||
 	    waited < gather_after(core, job) || !may_gather(core, job, waited))
 		return false;
-	gather_begin(round, job);
+	gather_begin(cycle, job);
 	return true;
 }
--- a/src/core/pair.c
+++ b/src/core/scheduling/share_switching.c
@@ -315,7 +315,7 @@
 			core->share_switching.switches++;
 			snprintf(binding->switched_to, sizeof(binding->switched_to), "%s",
 				 to->spec.id);
-			log_info("switch", "job=%s machine=%s task=%u to=%s", s->job, m->id,
+			log_info("share_switched", "job=%s machine=%s task=%u to=%s", s->job, m->id,
 				 s->task, to->spec.id);
 		}
 	}
--- a/src/core/store.h
+++ b/src/core/store/store_client.h
@@ -1,10 +1,10 @@
 /*
  * Requests to the state service, and the prefixes of its keys.
  */
-#ifndef PLOVERLOFT_STORE_H
-#define PLOVERLOFT_STORE_H
+#ifndef PLOVERLOFT_STORE_CLIENT_H
+#define PLOVERLOFT_STORE_CLIENT_H
 
-#include "core/call.h"
+#include "core/runtime/call.h"
 
 /* All that users may ask about lies under one prefix, so that one read of changes tells it. */
 #define KEY_JOBS "u/"
--- a/tests/compare_versions.sh
+++ b/tests/compare_versions.sh
@@ -38,9 +38,10 @@
 		echo "$name: new, nothing to compare with"
 		return
 	fi
-	"$old/build/runner" --digest "$before" >"$new/$name.old" 2>/dev/null || true
+	# What COMMIT does is the same each time: its digests are kept.
+	[ -s "$old/$name.digest" ] || "$old/build/runner" --digest "$before" >"$old/$name.digest" 2>/dev/null || true
 	"$new/build/runner" --digest "$path" >"$new/$name.new" 2>/dev/null || true
-	if [ -s "$new/$name.new" ] && cmp -s "$new/$name.old" "$new/$name.new"; then
+	if [ -s "$new/$name.new" ] && cmp -s "$old/$name.digest" "$new/$name.new"; then
 		return
 	fi
 	"$old/build/runner" --trace "$new/$name.old" "$before" >/dev/null 2>&1 || true
--- a/tests/unit.c
+++ b/tests/unit.c
@@ -8,7 +8,7 @@
 
 #include "conf/conf.h"
 #include "constants.h"
-#include "core/report_cache.h"
+#include "core/agents/report_cache.h"
 #include "core/state.h"
 #include "net/http.h"
 #include "net/net.h"
--- a/tests/upgrade.c
+++ b/tests/upgrade.c
@@ -6,7 +6,7 @@
 #include <stdio.h>
 #include <string.h>
 
-#include "core/election.h"
+#include "core/election/election.h"
 #include "rollout.h"
 
 static const char *new_program, *old_program;
