--- a/src/core/agents/commands.c
+++ b/src/core/agents/commands.c
@@ -66,7 +66,7 @@
 	struct job *job = job_find(core, leftover->job);
 
 	/* Its end must be on record first: until then this list is the only proof. */
-	if (!machine_fenced(machine) || machine->agent.token < core->election.token)
+	if (!machine_fenced(machine) || machine->agent.token < election_token(core))
 		return false;
 	return !job || leftover->task >= job->spec.task_count ||
 	       write_queue_settled(job, leftover->task);
@@ -89,7 +89,7 @@
 			add_command(list, OP_FORGET, leftover->job, leftover->task,
 				    leftover->attempt, 0);
 		else if (!machine_fenced(machine) && !machine->commands.in_flight)
-			core->write_queue.new_token_wanted = true;
+			write_queue_request_token(core);
 	}
 	if (machine->cloud.deleting)
 		return;
--- a/src/core/agents/direct_commands.c
+++ b/src/core/agents/direct_commands.c
@@ -14,7 +14,7 @@
 	if (machine->commands.queued)
 		return;
 	machine->commands.queued = true;
-	DL_APPEND2(core->fleet.command_queue, machine, commands.queue_prev, commands.queue_next);
+	DL_APPEND2(core->agents.command_queue, machine, commands.queue_prev, commands.queue_next);
 }
 
 static void command_queue_remove(struct core *core, struct machine *machine)
@@ -22,14 +22,14 @@
 	if (!machine->commands.queued)
 		return;
 	machine->commands.queued = false;
-	DL_DELETE2(core->fleet.command_queue, machine, commands.queue_prev, commands.queue_next);
+	DL_DELETE2(core->agents.command_queue, machine, commands.queue_prev, commands.queue_next);
 }
 
 static void on_do(struct core *core, struct call *call, int status, const char *body, size_t len)
 {
 	struct machine *machine;
 
-	core->fleet.direct_in_flight--;
+	core->agents.direct_in_flight--;
 	if (election_call_is_stale(core, call))
 		return;
 	machine = machine_find(core, call->key);
@@ -66,7 +66,7 @@
 {
 	struct machine *machine;
 
-	core->fleet.direct_in_flight--;
+	core->agents.direct_in_flight--;
 	if (election_call_is_stale(core, call))
 		return;
 	machine = machine_find(core, call->key);
@@ -82,7 +82,7 @@
  */
 static bool directs_full(const struct core *core)
 {
-	return core->fleet.direct_in_flight >= core->conf->max_connections * DIRECT_SHARE;
+	return core->agents.direct_in_flight >= core->conf->max_connections * DIRECT_SHARE;
 }
 
 /*
@@ -93,15 +93,14 @@
 {
 	if (core->now - core->leading_since < PROBE_UNSEEN_REPORTS * core->conf->report_s)
 		return PROBES_PER_S;
-	return fmax(PROBES_PER_S,
-		    HASH_COUNT(core->fleet.machines) / (PROBE_ALL_LEASES * core->conf->lease_s));
+	return fmax(PROBES_PER_S, machine_count(core) / (PROBE_ALL_LEASES * core->conf->lease_s));
 }
 
 /* What is known when a question leaves: the answer must be newer. */
 static void call_mark(struct core *core, struct call *call, const struct machine *machine)
 {
 	snprintf(call->key, sizeof(call->key), "%s", machine->id);
-	call->token = core->election.token;
+	call->token = election_token(core);
 	call->incarnation = machine->agent.incarnation;
 	call->sequence = machine->agent.sequence;
 }
@@ -111,18 +110,18 @@
 	struct call *call = core_call(core, machine->addr, "GET", format_path(W_PATH_PROBE), NULL,
 				      timeout_s, on_show, NULL);
 
-	core->fleet.direct_in_flight++;
+	core->agents.direct_in_flight++;
 	machine->probes.sent_at = core->now;
 	call_mark(core, call, machine);
 }
 
 bool probe_machine(struct core *core, struct machine *machine)
 {
-	rate_limiter_refill(core, &core->fleet.probe_limiter, asks_per_s(core));
-	if (!*machine->addr || core->fleet.probe_limiter.tokens < 1 ||
+	rate_limiter_refill(core, &core->agents.probe_limiter, asks_per_s(core));
+	if (!*machine->addr || core->agents.probe_limiter.tokens < 1 ||
 	    core->now - machine->probes.sent_at < PROBE_INTERVAL_S || directs_full(core))
 		return false;
-	core->fleet.probe_limiter.tokens -= 1;
+	core->agents.probe_limiter.tokens -= 1;
 	send_question(core, machine, CALL_WORKER_S);
 	return true;
 }
@@ -176,9 +175,9 @@
 		return;
 	machine->commands.announce_token = false;
 	machine->commands.in_flight++;
-	core->fleet.direct_in_flight++;
+	core->agents.direct_in_flight++;
 	call = core_call(core, machine->addr, "POST", format_path(W_PATH_COMMANDS),
-			 wire_direct_commands(core->election.token, machine->agent.incarnation,
+			 wire_direct_commands(election_token(core), machine->agent.incarnation,
 					      list.items, list.count),
 			 CALL_WORKER_S, on_do, NULL);
 	call_mark(core, call, machine);
@@ -189,7 +188,7 @@
 {
 	struct machine *machine;
 
-	while ((machine = core->fleet.command_queue) && !directs_full(core)) {
+	while ((machine = core->agents.command_queue) && !directs_full(core)) {
 		commands_withdraw(core, machine);
 		drop_unsent(core, machine);
 		if (machine->agent.incarnation && *machine->addr && !machine->cloud.deleted &&
--- a/src/core/agents/heartbeats.c
+++ b/src/core/agents/heartbeats.c
@@ -97,7 +97,7 @@
 	    machine->agent.sequence <= binding->start_sequence) {
 		if (beat && !machine_fenced(machine) && !machine->commands.in_flight &&
 		    (binding->stopping || binding->recovered))
-			core->write_queue.new_token_wanted = true;
+			write_queue_request_token(core);
 		return;
 	}
 	if (binding->recovered || binding->observed || binding->stopping)
@@ -142,7 +142,7 @@
 static bool report_counts(const struct core *core, const struct machine *machine,
 			  const struct report *report)
 {
-	return report->token >= core->election.first_token &&
+	return report->token >= election_first_token(core) &&
 	       report->token >= machine->agent.min_token && !machine->agent.restarted;
 }
 
@@ -171,7 +171,7 @@
 static void mark_reachable(struct core *core, struct machine *machine)
 {
 	if (!machine->agent.reachable)
-		cycle_request(core);
+		core->events->placement_needed(core);
 	machine->agent.reachable = true;
 	machine->agent.ignored_starts = machine->agent.stale_reports = 0;
 }
@@ -216,15 +216,15 @@
 		log_info("machine_up", "machine=%s type=%s zone=%s spot=%d after=%.1f", machine->id,
 			 machine->type_name, machine->zone, machine->spot,
 			 core->now - machine->cloud.rented_at);
-		cycle_request(core);
+		core->events->placement_needed(core);
 	}
 	if (report->notice_s >= 0 && machine->agent.notice_s < 0) {
 		log_info("machine_notice", "machine=%s seconds=%.1f", machine->id,
 			 report->notice_s);
-		core->fleet.replicas_must_move |= machine->replica_count > 0;
-		cycle_request(core);
+		core->agents.replicas_must_move |= machine->replica_count > 0;
+		core->events->placement_needed(core);
 	}
-	if (!beat && machine->agent.last_heartbeat_at < 0 && report->token < core->election.token) {
+	if (!beat && machine->agent.last_heartbeat_at < 0 && report->token < election_token(core)) {
 		machine->commands.announce_token = true;
 		commands_request(core, machine);
 	}
@@ -255,7 +255,7 @@
 	machine->agent.restarted = true;
 	machine->agent.reachable = false;
 	machine->agent.unreachable_since = core->now;
-	core->write_queue.new_token_wanted = true;
+	write_queue_request_token(core);
 }
 
 static void reset_incarnation(struct core *core, struct machine *machine)
@@ -263,7 +263,7 @@
 	struct binding *binding;
 
 	machine->agent.restarted = false;
-	machine->agent.min_token = core->election.token;
+	machine->agent.min_token = election_token(core);
 	machine->agent.incarnation = machine->agent.sequence = machine->agent.token = 0;
 	machine->agent.last_message_at = machine->agent.last_heartbeat_at =
 	    machine->agent.last_report_at = -1;
@@ -276,7 +276,7 @@
 		binding->recovered = true;
 		binding->observed = false;
 		binding->start_incarnation = binding->start_sequence = binding->listed_sequence = 0;
-		binding->min_token = core->election.token;
+		binding->min_token = election_token(core);
 	}
 }
 
@@ -284,7 +284,7 @@
 {
 	struct machine *machine, *tmp;
 
-	HASH_ITER (hh, core->fleet.machines, machine, tmp)
+	MACHINES_FOR_EACH (core, machine, tmp)
 		if (machine->agent.restarted)
 			reset_incarnation(core, machine);
 }
@@ -292,7 +292,7 @@
 static void misdirect(struct core *core, uint64_t conn)
 {
 	const char *leader =
-	    strcmp(core->election.leader, core->conf->name) ? core->election.leader : "";
+	    strcmp(election_leader(core), core->conf->name) ? election_leader(core) : "";
 
 	core_reply(core, conn, 421, 0, wire_redirect(leader));
 }
@@ -342,21 +342,21 @@
 
 	if (!take_heartbeat(core, report)) {
 		core_reply(core, conn, 200, 0,
-			   wire_heartbeat_answer(core->election.token, NULL, 0));
+			   wire_heartbeat_answer(election_token(core), NULL, 0));
 		return;
 	}
 	commands_collect(core, machine_find(core, report->machine), &commands, true);
 	core_reply(core, conn, 200, 0,
-		   wire_heartbeat_answer(core->election.token, commands.items, commands.count));
+		   wire_heartbeat_answer(election_token(core), commands.items, commands.count));
 }
 
 /* False, with an answer sent, if the report shows that another controller leads. */
 static bool token_allows(struct core *core, uint64_t conn, const struct report *report)
 {
-	if (report->token <= core->election.token)
+	if (report->token <= election_token(core))
 		return true;
 	/* A higher token than ours: another leads, and a 200 would hold the worker here in vain. */
-	if (!(core->write_queue.in_flight && core->write_queue.transaction.renews_token))
+	if (!election_is_renewing_token(core))
 		election_step_down(core, "worker_saw_higher_token");
 	core_reply_error(core, conn, 503, 0, "not leading");
 	return false;
@@ -369,15 +369,15 @@
 	struct report rep;
 
 	election_check_deadline(core);
-	if (core->election.role == ROLE_FOLLOWER) {
+	if (election_role(core) == ROLE_FOLLOWER) {
 		misdirect(core, request->conn);
 		return;
 	}
-	if (core->election.role == ROLE_RECOVERING) {
+	if (election_role(core) == ROLE_RECOVERING) {
 		core_reply_error(core, request->conn, 503, 0, "taking over");
 		return;
 	}
-	known = report_cache_find(&core->fleet.report_cache, request->body, request->len);
+	known = report_cache_find(&core->agents.report_cache, request->body, request->len);
 	if (known) {
 		if (token_allows(core, request->conn, known))
 			answer_heartbeat(core, request->conn, known);
@@ -391,8 +391,9 @@
 		answer_heartbeat(core, request->conn, &rep);
 		machine = machine_find(core, rep.machine);
 		if (machine)
-			report_cache_store(&core->fleet.report_cache, &machine->agent.cached_report,
-					   request->body, request->len, &rep);
+			report_cache_store(&core->agents.report_cache,
+					   &machine->agent.cached_report, request->body,
+					   request->len, &rep);
 	}
 	wire_report_free(&rep);
 }
--- a/src/core/agents/replica_supervision.c
+++ b/src/core/agents/replica_supervision.c
@@ -29,7 +29,7 @@
 /* A question costs as much as a report: all together cost a share of what the reports do. */
 static double questions_per_s(const struct core *core)
 {
-	double reports_per_s = HASH_COUNT(core->fleet.machines) / core->conf->report_s;
+	double reports_per_s = machine_count(core) / core->conf->report_s;
 
 	return fmax(REPLICA_PROBES_PER_S, REPLICA_PROBE_SHARE * reports_per_s);
 }
@@ -64,7 +64,7 @@
  */
 static bool others_responsive(const struct core *core, const struct machine *silent, double since)
 {
-	const struct contact_ages *words = &core->fleet.contact_ages;
+	const struct contact_ages *words = &core->agents.contact_ages;
 
 	return supervised_responsive(core, silent, since) ||
 	       (words->expected >= PARTITION_MACHINES &&
@@ -81,7 +81,7 @@
 	if (machine->cloud.deleting || machine->probes.unanswered < REPLICA_UNANSWERED_PROBES)
 		return false;
 	/* Another may lead by now, and may have given the machine more work. */
-	if (core->now - core->election.renewed_at > LEADER_TTL_MS / 1000.0 * (1 - CLOCK_DRIFT))
+	if (election_renewal_age(core) > LEADER_TTL_MS / 1000.0 * (1 - CLOCK_DRIFT))
 		return false;
 	return others_responsive(core, machine, machine->probes.unanswered_since);
 }
@@ -102,6 +102,11 @@
 	return machine_is_leaving(machine) || reports_lost(core, machine);
 }
 
+bool replicas_must_move(const struct core *core)
+{
+	return core->agents.replicas_must_move;
+}
+
 void replica_supervision_tick(struct core *core)
 {
 	struct replica_supervision *watch = &core->replica_supervision;
--- a/src/core/agents/replica_supervision.h
+++ b/src/core/agents/replica_supervision.h
@@ -22,6 +22,8 @@
 void replica_supervision_update(struct core *core, struct machine *machine);
 /* The machine is forgotten. */
 void replica_supervision_remove(struct core *core, struct machine *machine);
+/* At the last scan, some replicas were on machines that they have to leave. */
+bool replicas_must_move(const struct core *core);
 /* Asks the machines whose turn it is, and has those deleted that are gone. */
 void replica_supervision_tick(struct core *core);
 /*
--- a/src/core/api/api.c
+++ b/src/core/api/api.c
@@ -6,6 +6,8 @@
 #include <stdlib.h>
 #include <string.h>
 
+#include "core/api/cancellations.h"
+#include "core/api/forwarding.h"
 #include "core/state.h"
 #include "core/api/submissions.h"
 #include "util/log.h"
@@ -170,7 +172,7 @@
 static void answer_live(struct core *core, struct user_request *request,
 			const struct indexed_job *known)
 {
-	struct job *j = core->election.role == ROLE_LEADER ? job_find(core, request->id) : NULL;
+	struct job *j = election_is_leader(core) ? job_find(core, request->id) : NULL;
 	bool fresh = core->now - core->api.counts_received_at < COUNTS_KEEP_S;
 	uint32_t done = j ? j->done_count : fresh && known ? known->done_count : 0;
 	uint32_t running = j ? j->running_count : fresh && known ? known->running_count : 0;
@@ -417,7 +419,7 @@
 /* Nobody has asked for a while: what has changed since is read before it is much. */
 static bool index_idle(const struct core *core)
 {
-	return core->api.index_valid && !core->store_unavailable &&
+	return core->api.index_valid && !store_is_unavailable(core) &&
 	       core->now - core->api.index_sent_at > INDEX_IDLE_S;
 }
 
--- a/src/core/api/api.h
+++ b/src/core/api/api.h
@@ -54,6 +54,9 @@
 	double counts_received_at, counts_wanted_at, next_counts_at; /* steady */
 	uint64_t counts_token;
 	bool counts_in_flight;
+	struct confirmed_cancel *confirmed; /* oldest first */
+	struct forwarded_request *forwarded;
+	double next_ping_at; /* steady */
 };
 
 /* --- users.c, for submissions too --- */
--- /dev/null
+++ b/src/core/api/peer_requests.c
@@ -0,0 +1,38 @@
+/* Requests of other controllers on the back link, but for those of share switching. */
+#include "core/api/peer_requests.h"
+
+#include <string.h>
+
+#include "core/api/cancellations.h"
+#include "core/api/forwarding.h"
+#include "core/state.h"
+
+void peers_request(struct core *core, const struct core_request *request)
+{
+	if (strcmp(request->method, "POST"))
+		core_reply_error(core, request->conn, 405, 0, "method");
+	else if (!strcmp(request->path, FORWARD_PATH))
+		forward_take(core, request);
+	else if (!strcmp(request->path, CANCELLED_PATH))
+		cancelled_take(core, request);
+	else if (!strcmp(request->path, CONFIRMED_PATH))
+		confirmed_reply(core, request->conn);
+	else if (strcmp(request->path, COUNTS_PATH))
+		core_reply_error(core, request->conn, 404, 0, "no such path");
+	else if (election_is_leader(core))
+		task_counts_reply(core, request->conn);
+	else
+		core_reply_error(core, request->conn, 421, 0, "not leading");
+}
+
+void peers_tick(struct core *core)
+{
+	task_counts_tick(core);
+	cancellations_tick(core);
+}
+
+void peers_clear(struct core *core)
+{
+	forwarding_clear(core);
+	cancellations_clear(core);
+}
--- a/src/core/api/submissions.c
+++ b/src/core/api/submissions.c
@@ -5,6 +5,8 @@
 #include <stdlib.h>
 #include <string.h>
 
+#include "core/api/cancellations.h"
+#include "core/api/forwarding.h"
 #include "core/state.h"
 #include "util/log.h"
 #include "wire/names.h"
@@ -202,8 +204,8 @@
 
 static bool fits_some_type(const struct core *core, const struct job_spec *spec)
 {
-	for (size_t i = 0; i < core->catalog.type_count; i++)
-		if (type_fits(&core->catalog.types[i], spec))
+	for (size_t i = 0; i < catalog_type_count(core); i++)
+		if (type_fits(catalog_type(core, i), spec))
 			return true;
 	return false;
 }
@@ -217,8 +219,8 @@
 		return true;
 	if (spec->one_zone || *spec->zone)
 		return false;
-	for (size_t i = 0; i < core->catalog.type_count; i++) {
-		const struct machine_type *type = &core->catalog.types[i];
+	for (size_t i = 0; i < catalog_type_count(core); i++) {
+		const struct machine_type *type = catalog_type(core, i);
 
 		for (int k = 0; k < type->zones.count && type_fits(type, spec); k++) {
 			if (first && strcmp(first, type->zones.names[k]))
@@ -237,7 +239,7 @@
 	} else if (!team_ever_fits(core->conf, request->spec)) {
 		request->rejection = 422;
 		request->reason = "beyond the team's limit";
-	} else if (!core->catalog.types) {
+	} else if (!catalog_is_known(core)) {
 		request->rejection = 503;
 		request->reason = "machine types not known yet";
 	} else if (!fits_some_type(core, request->spec)) {
--- a/src/core/autoscale/catalog.c
+++ b/src/core/autoscale/catalog_reader.c
@@ -17,10 +17,7 @@
 
 	if (wire_types_decode(o, &types, &n))
 		return false;
-	wire_types_free(core->catalog.types, core->catalog.type_count);
-	core->catalog.types = types;
-	core->catalog.type_count = n;
-	machines_apply_catalog(core);
+	catalog_set(core, types, n);
 	return true;
 }
 
@@ -46,19 +43,19 @@
 /* One value, or where that would be too large one for each type of machine. */
 static void store_catalog(struct core *core)
 {
-	json_t *all = wire_types_encode(core->catalog.types, core->catalog.type_count);
+	json_t *all = wire_types_encode(catalog_type(core, 0), catalog_type_count(core));
 
-	core->catalog.stored = true;
+	core->autoscale.catalog_reader.stored = true;
 	if (wire_value_bytes(all) <= limits_job_record_bytes(core)) {
 		store_catalog_value(core, CATALOG_KEY, all);
 		return;
 	}
 	json_decref(all);
-	for (size_t i = 0; i < core->catalog.type_count; i++) {
+	for (size_t i = 0; i < catalog_type_count(core); i++) {
 		char key[KEY_MAX];
 
-		snprintf(key, sizeof(key), CATALOG_KEY "/%s", core->catalog.types[i].name);
-		store_catalog_value(core, key, wire_types_encode(&core->catalog.types[i], 1));
+		snprintf(key, sizeof(key), CATALOG_KEY "/%s", catalog_type(core, i)->name);
+		store_catalog_value(core, key, wire_types_encode(catalog_type(core, i), 1));
 	}
 }
 
@@ -75,15 +72,15 @@
 	json_t *answer, *types, *all;
 
 	(void)call;
-	if (status != 200 || core->catalog.types)
+	if (status != 200 || catalog_is_known(core))
 		return;
 	answer = wire_parse(body, len);
 	types = json_array();
 	wire_items(answer, merge_types, types);
 	all = json_pack("{s:o}", W_TYPES, types);
 	if (take_catalog(core, all)) {
-		core->catalog.stored = true;
-		log_info("catalog", "from=state types=%zu", core->catalog.type_count);
+		core->autoscale.catalog_reader.stored = true;
+		log_info("catalog", "from=state types=%zu", catalog_type_count(core));
 	}
 	json_decref(all);
 	json_decref(answer);
@@ -92,12 +89,12 @@
 static void on_catalog(struct core *core, struct call *call, int status, const char *body,
 		       size_t len)
 {
-	bool first = !core->catalog.types;
+	bool first = !catalog_is_known(core);
 	json_t *o;
 
 	(void)call;
-	core->catalog.in_flight = false;
-	core->catalog.next_read_at = core->now + CLOUD_BACKOFF_S;
+	core->autoscale.catalog_reader.in_flight = false;
+	core->autoscale.catalog_reader.next_read_at = core->now + CLOUD_BACKOFF_S;
 	if (status != 200) {
 		if (first)
 			store_range(core, CATALOG_KEY, "", on_stored_catalog, NULL);
@@ -105,10 +102,10 @@
 	}
 	o = wire_parse(body, len);
 	if (take_catalog(core, o)) {
-		core->catalog.next_read_at = core->now + CATALOG_EVERY_S;
+		core->autoscale.catalog_reader.next_read_at = core->now + CATALOG_EVERY_S;
 		if (first)
-			log_info("catalog", "from=cloud types=%zu", core->catalog.type_count);
-		if (!core->catalog.stored)
+			log_info("catalog", "from=cloud types=%zu", catalog_type_count(core));
+		if (!core->autoscale.catalog_reader.stored)
 			store_catalog(core);
 	}
 	json_decref(o);
@@ -116,10 +113,11 @@
 
 void catalog_tick(struct core *core)
 {
-	if (core->catalog.in_flight || core->now < core->catalog.next_read_at ||
-	    (core->catalog.types && core->election.role != ROLE_LEADER))
+	if (core->autoscale.catalog_reader.in_flight ||
+	    core->now < core->autoscale.catalog_reader.next_read_at ||
+	    (catalog_is_known(core) && !election_is_leader(core)))
 		return;
-	core->catalog.in_flight = true;
+	core->autoscale.catalog_reader.in_flight = true;
 	core_call(core, core->conf->cloud, "GET", format_path(W_PATH_TYPES), NULL, CALL_CLOUD_S,
 		  on_catalog, NULL);
 }
--- a/src/core/autoscale/inventory.c
+++ b/src/core/autoscale/inventory.c
@@ -10,58 +10,6 @@
 #include "util/log.h"
 #include "wire/names.h"
 
-bool machine_has_tombstone(struct core *core, const char *id)
-{
-	struct tombstone *tombstone;
-
-	HASH_FIND_STR(core->autoscale.tombstones, id, tombstone);
-	return tombstone != NULL;
-}
-
-void tombstone_add(struct core *core, const char *id)
-{
-	struct tombstone *tombstone;
-
-	if (machine_has_tombstone(core, id))
-		return;
-	tombstone = calloc(1, sizeof(*tombstone));
-	if (!tombstone)
-		abort();
-	snprintf(tombstone->id, sizeof(tombstone->id), "%s", id);
-	tombstone->deleted_at = core->now;
-	HASH_ADD_STR(core->autoscale.tombstones, id, tombstone);
-}
-
-/* No list still names a machine that was deleted before this moment. */
-static double lists_name_since(const struct core *core)
-{
-	return core->now - TOMBSTONE_LISTS_S - 2 * core->conf->list_lag_s;
-}
-
-bool tombstones_need_new_token(const struct core *core)
-{
-	const struct tombstone *oldest =
-	    core->autoscale.tombstones; /* in the order of their adding */
-
-	return HASH_COUNT(core->autoscale.tombstones) > TOMBSTONES_MAX &&
-	       core->now - core->autoscale.tombstones_trimmed_at > TOMBSTONE_LISTS_S &&
-	       oldest->deleted_at < lists_name_since(core);
-}
-
-void tombstones_trim(struct core *core, double fenced_at)
-{
-	double before = fmin(fenced_at, lists_name_since(core));
-	struct tombstone *tombstone, *tmp;
-
-	core->autoscale.tombstones_trimmed_at = core->now;
-	HASH_ITER (hh, core->autoscale.tombstones, tombstone, tmp) {
-		if (tombstone->deleted_at >= before)
-			break;
-		HASH_DEL(core->autoscale.tombstones, tombstone);
-		free(tombstone);
-	}
-}
-
 static void take_listed(struct core *core, const struct listed_machine *listed)
 {
 	struct machine *machine = machine_find(core, listed->id);
@@ -89,7 +37,7 @@
 {
 	struct machine *machine, *tmp;
 
-	HASH_ITER (hh, core->fleet.machines, machine, tmp)
+	MACHINES_FOR_EACH (core, machine, tmp)
 		if (machine->cloud.listed &&
 		    machine->cloud.inventory_number != core->autoscale.inventory_number)
 			machine->cloud.missed_inventories++;
--- a/src/core/autoscale/scale_in.c
+++ b/src/core/autoscale/scale_in.c
@@ -38,9 +38,9 @@
 {
 	const struct job *job, *tmp;
 
-	if (!machine->type || !core->jobs)
+	if (!machine->type || !job_count(core))
 		return true;
-	HASH_ITER (hh, core->jobs, job, tmp)
+	JOBS_FOR_EACH (core, job, tmp)
 		if (!job->orphan && job->spec.cpus <= machine->type->cpus &&
 		    job->spec.gpus <= machine->type->gpus &&
 		    job->spec.mem_gb <= machine->type->mem_gb &&
@@ -54,7 +54,7 @@
 	struct machine *machine, *tmp;
 	double idle;
 
-	HASH_ITER (hh, core->fleet.machines, machine, tmp) {
+	MACHINES_FOR_EACH (core, machine, tmp) {
 		if (machine->cloud.deleting)
 			continue;
 		if (machine->agent.notice_s >= 0)
@@ -115,7 +115,7 @@
 {
 	const struct machine *machine, *tmp;
 
-	HASH_ITER (hh, core->fleet.machines, machine, tmp)
+	MACHINES_FOR_EACH (core, machine, tmp)
 		if (delete_due(machine))
 			return true;
 	return false;
@@ -129,7 +129,7 @@
 
 	if (!batch)
 		abort();
-	HASH_ITER (hh, core->fleet.machines, machine, tmp) {
+	MACHINES_FOR_EACH (core, machine, tmp) {
 		if (!delete_due(machine) || batch->count == DELETE_BATCH_MAX)
 			continue;
 		machine->cloud.delete_in_flight = true;
--- a/src/core/autoscale/scale_out.c
+++ b/src/core/autoscale/scale_out.c
@@ -242,8 +242,8 @@
 
 	if (plan->to_rent_count >= SCALE_OUT_BATCH_MAX * core->conf->cloud_rps)
 		return false;
-	for (size_t i = 0; i < core->catalog.type_count; i++) {
-		const struct machine_type *type = &core->catalog.types[i];
+	for (size_t i = 0; i < catalog_type_count(core); i++) {
+		const struct machine_type *type = catalog_type(core, i);
 
 		for (int z = 0; z < type->zones.count; z++)
 			for (int k = 0; k < 2; k++) {
@@ -276,7 +276,7 @@
 	struct machine *machine, *tmp;
 	struct rental_request *rental;
 
-	HASH_ITER (hh, core->fleet.machines, machine, tmp) {
+	MACHINES_FOR_EACH (core, machine, tmp) {
 		struct vroom *room;
 
 		if (!machine->type || machine->cloud.deleting || machine->cloud.draining ||
@@ -295,11 +295,11 @@
 		room->mem_gb = machine->free_mem_gb;
 	}
 	DL_FOREACH (core->autoscale.rental_requests, rental) {
-		for (size_t i = 0; i < core->catalog.type_count; i++)
+		for (size_t i = 0; i < catalog_type_count(core); i++)
 			for (int k = 0; k < rental->count &&
-					!strcmp(core->catalog.types[i].name, rental->type);
+					!strcmp(catalog_type(core, i)->name, rental->type);
 			     k++)
-				plan_add(plan, &core->catalog.types[i], rental->zone, rental->spot);
+				plan_add(plan, catalog_type(core, i), rental->zone, rental->spot);
 	}
 }
 
@@ -343,8 +343,8 @@
 
 	if (!spec->one_zone || spec->task_count == 1 || spec->kind == JOB_ARRAY)
 		return NULL;
-	for (size_t i = 0; i < core->catalog.type_count; i++) {
-		const struct machine_type *type = &core->catalog.types[i];
+	for (size_t i = 0; i < catalog_type_count(core); i++) {
+		const struct machine_type *type = catalog_type(core, i);
 
 		for (int z = 0; z < type->zones.count; z++) {
 			if (best && !strcmp(best, type->zones.names[z]))
@@ -381,7 +381,7 @@
 {
 	struct job *job, *tmp;
 
-	HASH_ITER (hh, core->jobs, job, tmp) {
+	JOBS_FOR_EACH (core, job, tmp) {
 		if (!job_waiting_count(job) || core->now < job->scheduling.retry_at ||
 		    (job->bindings && job->spec.kind == JOB_GANG) ||
 		    core->wall - job->submitted_at < SCALE_OUT_AFTER_S)
@@ -417,7 +417,7 @@
 {
 	struct job *job, *tmp;
 
-	HASH_ITER (hh, core->jobs, job, tmp)
+	JOBS_FOR_EACH (core, job, tmp)
 		if (!job->orphan)
 			class_get(classes, &job->spec)->tasks += job->bound_count;
 }
@@ -525,7 +525,7 @@
 		rental->count++;
 	}
 	snprintf(rental->name, sizeof(rental->name), "r-%llu-%u",
-		 (unsigned long long)core->election.token, ++core->autoscale.request_counter);
+		 (unsigned long long)election_token(core), ++core->autoscale.request_counter);
 	snprintf(rental->type, sizeof(rental->type), "%s", first->type->name);
 	snprintf(rental->zone, sizeof(rental->zone), "%s", first->zone);
 	rental->spot = first->spot;
@@ -556,13 +556,18 @@
 			rent_send(core, rental);
 }
 
+void autoscale_request_scan(struct core *core)
+{
+	core->autoscale.next_scan_at = core->now;
+}
+
 void autoscale_tick(struct core *core)
 {
 	if (core->now < core->autoscale.next_scan_at)
 		return;
 	core->autoscale.next_scan_at = core->now + AUTOSCALE_EVERY_S;
 	scale_in_scan(core);
-	if (core->now < core->autoscale.retry_at || !core->catalog.types)
+	if (core->now < core->autoscale.retry_at || !catalog_is_known(core))
 		return;
 	inventory_tick(core);
 	scale_in_send_deletes(core);
@@ -575,7 +580,6 @@
 {
 	struct rental_request *rental, *tmp;
 	struct capacity_refusal *refusal, *rtmp;
-	struct tombstone *tombstone, *ttmp;
 
 	DL_FOREACH_SAFE (core->autoscale.rental_requests, rental, tmp) {
 		DL_DELETE(core->autoscale.rental_requests, rental);
@@ -585,10 +589,6 @@
 		HASH_DEL(core->autoscale.refusals, refusal);
 		free(refusal);
 	}
-	HASH_ITER (hh, core->autoscale.tombstones, tombstone, ttmp) {
-		HASH_DEL(core->autoscale.tombstones, tombstone);
-		free(tombstone);
-	}
 	core->autoscale.inventory_in_flight = false;
 	core->autoscale.inventory_cursor[0] = 0;
 	core->autoscale.next_inventory_at = core->autoscale.next_scan_at =
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -1,15 +1,71 @@
 #include "core/core.h"
 
-#include <math.h>
-#include <stdarg.h>
-#include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
+#include "core/api/forwarding.h"
+#include "core/api/peer_requests.h"
+#include "core/scheduling/cycle.h"
 #include "core/state.h"
 #include "util/log.h"
 #include "wire/names.h"
 
+/* All that only a leader knows; what the next one needs is in the records. */
+static void leader_state_clear(struct core *core)
+{
+	struct machine *machine, *mtmp;
+	struct job *job, *jtmp;
+
+	write_queue_clear(core);
+	autoscale_clear(core);
+	tombstones_clear(core);
+	format_clear(core);
+	core->agents.command_queue = NULL;
+	MACHINES_FOR_EACH (core, machine, mtmp) {
+		struct binding *binding, *tmp;
+
+		DL_FOREACH_SAFE2 (machine->bindings, binding, tmp, machine_next)
+			free(binding);
+		machine_free(core, machine);
+	}
+	JOBS_FOR_EACH (core, job, jtmp)
+		job_free(core, job);
+	for (size_t i = 0; i < core->conf->nteams; i++)
+		core->teams[i].cpus = core->teams[i].gpus = 0;
+	core->jobs_watch.in_flight = false;
+	core->cycles.requested = false;
+	core->write_queue.new_token_wanted = false;
+	core->cycles.attempt_counter = 0;
+}
+
+static void on_machine_forgotten(struct core *core, struct machine *machine)
+{
+	replica_supervision_remove(core, machine);
+	report_cache_remove(&core->agents.report_cache, &machine->agent.cached_report);
+}
+
+static void on_token_renewed(struct core *core)
+{
+	core->cycles.attempt_counter = 0;
+	agents_token_renewed(core);
+}
+
+static const struct core_events events = {
+    .task_record_changed = write_queue_add_chunk,
+    .job_over = write_queue_add_final,
+    .leadership_won = recovery_start,
+    .leadership_lost = leader_state_clear,
+    .token_renewed = on_token_renewed,
+    .job_finished = job_index_note_final,
+    .placement_needed = cycle_request,
+    .commands_due = commands_request,
+    .replicas_changed = replica_supervision_update,
+    .machine_forgotten = on_machine_forgotten,
+    .job_forgotten = reservation_release,
+    .machine_given_up = autoscale_request_scan,
+    .wrap_forwarded_answer = peers_wrap_answer,
+};
+
 struct core *core_new(const struct conf *conf, uint64_t seed, struct core_time now)
 {
 	struct core *core = calloc(1, sizeof(*core));
@@ -17,10 +73,12 @@
 	if (!core)
 		abort();
 	core->conf = conf;
+	core->events = &events;
 	core->now = now.steady;
 	core->wall = now.wall;
 	core->next_call = 1;
 	core->election.format = FORMAT_LARGE_CHUNKS;
+	core->election.peers_confirmed_at = -1;
 	core->peers.incarnation = seed;
 	core->rand48[0] = (unsigned short)seed;
 	core->rand48[1] = (unsigned short)(seed >> 16);
@@ -44,108 +102,6 @@
 	return core;
 }
 
-double core_random(struct core *core)
-{
-	return erand48(core->rand48);
-}
-
-void rate_limiter_refill(const struct core *core, struct rate_limiter *a, double rate)
-{
-	a->tokens = fmin(rate, a->tokens + (core->now - a->refilled_at) * rate);
-	a->refilled_at = core->now;
-}
-
-char *format_path(const char *fmt, ...)
-{
-	char *s = malloc(HTTP_PATH_MAX);
-	va_list ap;
-
-	if (!s)
-		abort();
-	va_start(ap, fmt);
-	vsnprintf(s, HTTP_PATH_MAX, fmt, ap);
-	va_end(ap);
-	return s;
-}
-
-static struct core_action *action_add(struct core *core, enum core_action_kind kind, uint64_t id)
-{
-	struct core_action *action = calloc(1, sizeof(*action));
-
-	if (!action)
-		abort();
-	action->kind = kind;
-	action->id = id;
-	DL_APPEND(core->actions, action);
-	return action;
-}
-
-struct call *core_call(struct core *core, const char *addr, const char *method, char *path,
-		       char *body, double timeout_s, answer_fn fn, void *arg)
-{
-	struct call *call = calloc(1, sizeof(*call));
-	struct core_action *action;
-
-	if (!call)
-		abort();
-	call->id = core->next_call++;
-	call->on_answer = fn;
-	call->arg = arg;
-	call->term = core->election.term;
-	call->sent_at = core->now;
-	call->timeout_s = timeout_s;
-	HASH_ADD(hh, core->calls, id, sizeof(call->id), call);
-	action = action_add(core, ACT_SEND, call->id);
-	snprintf(action->addr, sizeof(action->addr), "%s", addr);
-	action->method = method;
-	action->path = path;
-	action->body = body;
-	action->len = body ? strlen(body) : 0;
-	action->timeout_s = timeout_s;
-	return call;
-}
-
-struct call *core_call_packed(struct core *core, const char *addr, const char *path, uint8_t *buf,
-			      size_t len, answer_fn fn, void *arg)
-{
-	struct call *call =
-	    core_call(core, addr, "POST", format_path("%s", path), NULL, CALL_PEER_S, fn, arg);
-	struct core_action *action = core->actions->prev;
-
-	action->body = (char *)buf;
-	action->len = len;
-	return call;
-}
-
-void core_reply_packed(struct core *core, uint64_t conn, uint8_t *buf, size_t len)
-{
-	struct core_action *action;
-
-	core_reply(core, conn, 200, 0, NULL);
-	action = core->actions->prev;
-	action->body = (char *)buf;
-	action->len = len;
-}
-
-void core_reply(struct core *core, uint64_t conn, int status, int retry_after, char *body)
-{
-	struct core_action *action = action_add(core, ACT_ANSWER, conn);
-	size_t len = body ? strlen(body) : 0;
-
-	if (peers_wrap_answer(core, conn, &status, retry_after, &body, &len))
-		retry_after = 0;
-	action->status = status;
-	action->retry_after = retry_after;
-	action->body = body;
-	action->len = len;
-}
-
-void core_reply_error(struct core *core, uint64_t conn, int status, int retry_after,
-		      const char *why)
-{
-	core_reply(core, conn, status, retry_after, format_path("{\"error\":\"%s\"}", why));
-}
-
 static void set_time(struct core *core, struct core_time now)
 {
 	if (now.steady > core->now)
@@ -161,7 +117,7 @@
 			core_reply_error(core, request->conn, 405, 0, "method");
 		else
 			agent_heartbeat(core, request);
-	} else if (request->side == CORE_BACK && !strcmp(request->path, PAIR_PATH)) {
+	} else if (request->side == CORE_BACK && !strcmp(request->path, SHARE_SWITCHING_PATH)) {
 		share_switching_request(core, request);
 	} else if (request->side == CORE_BACK) {
 		peers_request(core, request);
@@ -250,7 +206,7 @@
 			call->free_arg(call->arg);
 		free(call);
 	}
-	wire_types_free(core->catalog.types, core->catalog.type_count);
+	catalog_free(core);
 	free(core->teams);
 	free(core->share_switching.peer_live);
 	free(core->peers.list);
--- a/src/core/election/election.c
+++ b/src/core/election/election.c
@@ -29,9 +29,84 @@
 	return json_pack("{s:s}", "name", core->conf->name);
 }
 
+enum leadership_role election_role(const struct core *core)
+{
+	return core->election.role;
+}
+
+bool election_is_leader(const struct core *core)
+{
+	return core->election.role == ROLE_LEADER;
+}
+
+const char *election_leader(const struct core *core)
+{
+	return core->election.leader;
+}
+
+uint64_t election_token(const struct core *core)
+{
+	return core->election.token;
+}
+
+uint64_t election_first_token(const struct core *core)
+{
+	return core->election.first_token;
+}
+
+uint64_t election_lease(const struct core *core)
+{
+	return core->election.lease;
+}
+
+int election_format(const struct core *core)
+{
+	return core->election.format;
+}
+
+double election_renewal_age(const struct core *core)
+{
+	return core->now - core->election.renewed_at;
+}
+
+void election_note_recovered(struct core *core)
+{
+	core->election.role = ROLE_LEADER;
+}
+
+void election_note_renewing(struct core *core, bool in_flight)
+{
+	core->election.token_renewing = in_flight;
+}
+
+void election_note_token(struct core *core, uint64_t token)
+{
+	core->election.token = core->election.key_revision = token;
+}
+
+void election_require_current_token(struct core *core)
+{
+	core->election.first_token = core->election.token;
+}
+
+void election_note_jobs_read(struct core *core, double at)
+{
+	core->election.jobs_read_at = at;
+}
+
+double election_jobs_read_at(const struct core *core)
+{
+	return core->election.jobs_read_at;
+}
+
+void election_note_peers_confirmed(struct core *core, double at)
+{
+	core->election.peers_confirmed_at = at;
+}
+
 bool election_call_is_stale(const struct core *core, const struct call *call)
 {
-	return call->term != core->election.term || core->election.role == ROLE_FOLLOWER;
+	return !core_call_is_current(core, call) || core->election.role == ROLE_FOLLOWER;
 }
 
 void election_reread(struct core *core)
@@ -47,12 +122,12 @@
 		return;
 	log_info("step_down", "reason=%s", why);
 	core->election.role = ROLE_FOLLOWER;
-	core->election.term++;
+	core_begin_term(core);
 	core->election.lease = 0;
 	core->election.token = 0;
 	core->election.renewal_in_flight = false;
 	log_token(0);
-	leader_state_clear(core);
+	core->events->leadership_lost(core);
 	election_reread(core);
 }
 
@@ -118,8 +193,8 @@
 	 * used. */
 	double span = fmax(rest - CANCEL_MARGIN_S, LEADER_TTL_MS / 1000.0);
 
-	double known = fmax(fmin(core->election.renewed_at, core->jobs_watch.read_at),
-			    peers_confirmed_until(core));
+	double known = fmax(fmin(core->election.renewed_at, core->election.jobs_read_at),
+			    core->election.peers_confirmed_at);
 
 	return core->election.role == ROLE_LEADER && core->now - known < span;
 }
@@ -131,11 +206,10 @@
 		election_step_down(core, "state_unreachable");
 }
 
-/* A term's own new token is on its way: what the key tells meanwhile is for its answer to judge. */
-static bool token_changes(const struct core *core)
+/* What the key tells meanwhile is for the answer to that write to judge. */
+bool election_is_renewing_token(const struct core *core)
 {
-	return core->election.role != ROLE_FOLLOWER && core->write_queue.in_flight &&
-	       core->write_queue.transaction.renews_token;
+	return core->election.role != ROLE_FOLLOWER && core->election.token_renewing;
 }
 
 /* An answer from before the term's own write: versions of a key only grow. */
@@ -218,7 +292,7 @@
 	core->election.read_in_flight = false;
 	store_note_answer(core, status);
 	core->election.retry_at = core->now + LEADER_REREAD_S;
-	if (status != 200 || token_changes(core))
+	if (status != 200 || election_is_renewing_token(core))
 		return;
 	o = wire_parse(body, len);
 	core->election.watch_revision = wire_revision(o);
@@ -233,7 +307,7 @@
 /* News from before our own write: the watch may lag behind the answers. */
 static bool leader_news(const struct core *core, const struct kv_item *it)
 {
-	return !token_changes(core) &&
+	return !election_is_renewing_token(core) &&
 	       (core->election.role == ROLE_FOLLOWER || it->version > core->election.token);
 }
 
@@ -282,7 +356,7 @@
 
 	core->election.claim_in_flight = false;
 	store_note_answer(core, status);
-	if (status != 200 || call->term != core->election.term) {
+	if (status != 200 || !core_call_is_current(core, call)) {
 		log_debug("claim_failed", "status=%d", status);
 		core->election.lease = 0;
 		core->election.key_known = false;
@@ -295,10 +369,10 @@
 	core->election.key_revision = core->election.first_token = core->election.token;
 	snprintf(core->election.leader, sizeof(core->election.leader), "%s", core->conf->name);
 	core->election.role = ROLE_RECOVERING;
-	core->election.term++;
+	core_begin_term(core);
 	log_token(core->election.token);
 	log_info("leader", "state=recovering");
-	recovery_start(core);
+	core->events->leadership_won(core);
 }
 
 static void on_lease(struct core *core, struct call *call, int status, const char *body, size_t len)
@@ -307,7 +381,7 @@
 	json_t *o;
 
 	store_note_answer(core, status);
-	if (status != 200 || call->term != core->election.term) {
+	if (status != 200 || !core_call_is_current(core, call)) {
 		core->election.claim_in_flight = false;
 		core->election.retry_at = core->now + LEADER_REREAD_S;
 		return;
@@ -336,7 +410,7 @@
 {
 	(void)body;
 	(void)len;
-	if (call->term != core->election.term)
+	if (!core_call_is_current(core, call))
 		return;
 	core->election.renewal_in_flight = false;
 	store_note_answer(core, status);
--- a/src/core/election/election.h
+++ b/src/core/election/election.h
@@ -20,14 +20,48 @@
 	bool key_known;
 	bool read_in_flight, watch_in_flight, claim_in_flight;
 	uint64_t first_token; /* the term's first: who has seen it has heard this leader */
-	uint64_t token, term, lease;
+	uint64_t token, lease;
 	double renewed_at; /* when the last renewal that succeeded was sent */
 	double next_renewal_at;
 	bool renewal_in_flight;
 	double retry_at;
-	double no_claim_before; /* no claim before */
+	bool token_renewing;	   /* the term's own write of the key is in flight */
+	double jobs_read_at;	   /* steady; when the newest read of the jobs' changes was sent */
+	double peers_confirmed_at; /* steady; see election_note_peers_confirmed; < 0: never */
+	double no_claim_before;	   /* no claim before */
 };
 
+enum leadership_role election_role(const struct core *core);
+bool election_is_leader(const struct core *core);
+/* The leader's name as last read; empty: none known. */
+const char *election_leader(const struct core *core);
+/* The fencing token under which this controller acts; 0: it does not lead. */
+uint64_t election_token(const struct core *core);
+/* The lowest token by which a report shows that its agent was there in this term. */
+uint64_t election_first_token(const struct core *core);
+/* The lease that holds the leader's key; 0: none. */
+uint64_t election_lease(const struct core *core);
+/* The format of the records that the leader's keys tell. */
+int election_format(const struct core *core);
+/* Seconds since the last renewal of the lease that succeeded was sent. */
+double election_renewal_age(const struct core *core);
+
+/* The records are read: this controller leads from now on. */
+void election_note_recovered(struct core *core);
+/* A write of the leader's key, which renews the token, is in flight, or is over. */
+void election_note_renewing(struct core *core, bool in_flight);
+/* The term's own write of the leader's key is in flight. */
+bool election_is_renewing_token(const struct core *core);
+/* The leader's key was written anew: its revision is the token from now on. */
+void election_note_token(struct core *core, uint64_t token);
+/* Reports that show an older token than today's do not count any more. */
+void election_require_current_token(struct core *core);
+/* The jobs' changes were read by a request sent at `at` (steady). */
+void election_note_jobs_read(struct core *core, double at);
+double election_jobs_read_at(const struct core *core);
+/* All that the other controllers told users by `at` (steady) is known here. */
+void election_note_peers_confirmed(struct core *core, double at);
+
 void election_tick(struct core *core);
 /* Ends this controller's leadership. */
 void election_step_down(struct core *core, const char *why);
--- /dev/null
+++ b/src/core/model/catalog.h
@@ -0,0 +1,26 @@
+/* The catalog: the types of machines that the cloud offers. */
+#ifndef PLOVERLOFT_CATALOG_H
+#define PLOVERLOFT_CATALOG_H
+
+#include <stdbool.h>
+#include <stddef.h>
+
+#include "wire/wire.h"
+
+struct core;
+
+struct catalog {
+	struct machine_type *types; /* NULL: not known yet */
+	size_t type_count;
+};
+
+bool catalog_is_known(const struct core *core);
+size_t catalog_type_count(const struct core *core);
+const struct machine_type *catalog_type(const struct core *core, size_t index);
+/* NULL if the catalog has no type of this name. */
+const struct machine_type *catalog_find(const struct core *core, const char *name);
+/* Replaces the catalog, which owns the types from then on; machines refer to the new types. */
+void catalog_set(struct core *core, struct machine_type *types, size_t count);
+void catalog_free(struct core *core);
+
+#endif
--- a/src/core/model/job.c
+++ b/src/core/model/job.c
@@ -2,7 +2,6 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "core/scheduling/cycle.h"
 #include "core/state.h"
 #include "util/log.h"
 
@@ -30,6 +29,11 @@
 	return task / job->records.tasks_per_chunk;
 }
 
+unsigned job_count(const struct core *core)
+{
+	return HASH_COUNT(core->jobs);
+}
+
 struct job *job_find(struct core *core, const char *id)
 {
 	struct job *job;
@@ -49,7 +53,7 @@
 	job->done = calloc(1, bytes);
 	job->bound = calloc(1, bytes);
 	job->records.tasks_per_chunk =
-	    core->election.format >= FORMAT_SMALL_CHUNKS ? SMALL_CHUNK_TASKS : LARGE_CHUNK_TASKS;
+	    election_format(core) >= FORMAT_SMALL_CHUNKS ? SMALL_CHUNK_TASKS : LARGE_CHUNK_TASKS;
 	job->records.chunks = calloc(job_chunk_count(job), sizeof(*job->records.chunks));
 	if (!job->done || !job->bound || !job->records.chunks)
 		abort();
@@ -85,7 +89,7 @@
 
 void job_free(struct core *core, struct job *job)
 {
-	reservation_release(core, job);
+	core->events->job_forgotten(core, job);
 	HASH_DEL(core->jobs, job);
 	wire_job_free(&job->spec);
 	free(job->done);
@@ -105,14 +109,6 @@
 	job_free(core, job);
 }
 
-/* Its record would grow beyond what one value may hold. */
-bool job_chunk_full(const struct core *core, const struct job *job, uint32_t task)
-{
-	return job->records.chunks[job_chunk_of(job, task)].bytes + CHUNK_SPARE_BYTES +
-		   CHUNK_ENTRY_BYTES >
-	       limits_value_bytes(core);
-}
-
 uint32_t job_waiting_count(const struct job *job)
 {
 	uint32_t busy = job->done_count + job->bound_count;
@@ -144,7 +140,7 @@
 	log_debug("task_done", "job=%s task=%u done=%u of=%u", job->spec.id, task, job->done_count,
 		  job->spec.task_count);
 	if (job->done_count < job->spec.task_count)
-		write_queue_add_chunk(core, job, task, END_DELAY_S);
+		core->events->task_record_changed(core, job, task, END_DELAY_S);
 }
 
 /* Looks whether the job is over; call after anything that ends a task or a binding. */
@@ -156,7 +152,7 @@
 		return;
 	if (job->cancelled) {
 		if (!job->bindings)
-			write_queue_add_final(core, job);
+			core->events->job_over(core, job);
 		return;
 	}
 	if (job->done_count < job->spec.task_count)
@@ -165,7 +161,7 @@
 	if (job->all_done_at <= 0)
 		job->all_done_at = core->now;
 	if (!job->bindings || core->now - job->all_done_at >= FINAL_WAIT_S)
-		write_queue_add_final(core, job);
+		core->events->job_over(core, job);
 }
 
 void job_tick(struct core *core)
@@ -175,7 +171,7 @@
 	if (core->now < core->next_job_scan_at)
 		return;
 	core->next_job_scan_at = core->now + JOBS_EVERY_S;
-	HASH_ITER (hh, core->jobs, job, tmp)
+	JOBS_FOR_EACH (core, job, tmp)
 		if (job->all_done_at > 0 && !job->final_queued)
 			job_check_end(core, job);
 }
@@ -200,7 +196,7 @@
 
 void job_cancel_committed(struct core *core, const char *id, uint64_t version)
 {
-	struct job *job = core->election.role == ROLE_LEADER ? job_find(core, id) : NULL;
+	struct job *job = election_is_leader(core) ? job_find(core, id) : NULL;
 
 	if (!job || job->orphan)
 		return;
@@ -256,11 +252,21 @@
 		job->first_waiting_hint = task;
 }
 
+static uint32_t binding_record_bytes(const struct binding *binding)
+{
+	/* [attempt,"zone",task,"machine"], if it shares its start and zone with no other. */
+	int bytes =
+	    snprintf(NULL, 0, "[%llu,\"%s\",%u,\"%s\"],", (unsigned long long)binding->attempt,
+		     binding->machine->zone, binding->task, binding->machine->id);
+
+	return (uint32_t)bytes;
+}
+
 void chunk_add_binding(struct binding *binding)
 {
 	struct chunk *chunk = chunk_of(binding);
 
-	binding->record_bytes = task_record_bytes(binding);
+	binding->record_bytes = binding_record_bytes(binding);
 	DL_APPEND2(chunk->bindings, binding, chunk_prev, chunk_next);
 	chunk->binding_count++;
 	chunk->bytes += binding->record_bytes;
@@ -286,12 +292,12 @@
 	binding->job = job;
 	binding->task = task;
 	binding->attempt = attempt;
-	binding->min_token = core->election.token;
+	binding->min_token = election_token(core);
 	DL_APPEND2(machine->bindings, binding, machine_prev, machine_next);
 	DL_APPEND2(job->bindings, binding, job_prev, job_next);
 	machine->binding_count++;
 	machine->replica_count += job->spec.kind == JOB_SERVICE;
-	replica_supervision_update(core, machine);
+	core->events->replicas_changed(core, machine);
 	machine->free_cpus -= job->spec.cpus;
 	machine->free_gpus -= job->spec.gpus;
 	machine->free_mem_gb -= job->spec.mem_gb;
@@ -315,7 +321,7 @@
 	binding->stopping = true;
 	binding->grace_s = grace_s;
 	binding->stop_sent_at = 0;
-	commands_request(core, binding->machine);
+	core->events->commands_due(core, binding->machine);
 }
 
 /* A gang that lost a task stops as a whole; its other tasks would notice by themselves, later. */
@@ -410,7 +416,7 @@
 	DL_DELETE2(job->bindings, binding, job_prev, job_next);
 	machine->binding_count--;
 	machine->replica_count -= job->spec.kind == JOB_SERVICE;
-	replica_supervision_update(core, machine);
+	core->events->replicas_changed(core, machine);
 	machine->free_cpus += job->spec.cpus;
 	machine->free_gpus += job->spec.gpus;
 	machine->free_mem_gb += job->spec.mem_gb;
@@ -423,7 +429,7 @@
 			 *binding->switched_to ? binding->switched_to : job->spec.id);
 		machine->scheduling.freed_slot_until = core->now + FREED_SLOT_S;
 	}
-	write_queue_add_chunk(core, job, binding->task, END_DELAY_S);
+	core->events->task_record_changed(core, job, binding->task, END_DELAY_S);
 	free(binding);
 }
 
@@ -443,7 +449,7 @@
 	job->scheduling.waiting_since = core->now;
 	job_check_end(core, job);
 	job_release_if_over(core, job);
-	cycle_request(core);
+	core->events->placement_needed(core);
 }
 
 /*
--- a/src/core/model/job.h
+++ b/src/core/model/job.h
@@ -84,6 +84,10 @@
 	double cpus, gpus; /* bound */
 };
 
+/* All jobs that are known; `next` is a second cursor, so that `job` may be freed. */
+#define JOBS_FOR_EACH(core, job, next) HASH_ITER (hh, (core)->jobs, job, next)
+
+unsigned job_count(const struct core *core);
 /* NULL if it is not known. */
 struct job *job_find(struct core *core, const char *id);
 /* Takes over what the description holds. */
@@ -107,7 +111,6 @@
 void job_free(struct core *core, struct job *job);
 /* Frees a job that is over once nothing of it is bound or being written. */
 void job_release_if_over(struct core *core, struct job *job);
-bool job_chunk_full(const struct core *core, const struct job *job, uint32_t task);
 void job_note_failure(struct core *core, struct job *job, struct machine *machine);
 
 /* teams.c */
--- a/src/core/model/machine.h
+++ b/src/core/model/machine.h
@@ -11,11 +11,11 @@
 
 #include "constants.h"
 #include "core/runtime/call.h"
-#include "core/agents/report_cache.h"
 #include "wire/wire.h"
 
 struct core;
 struct job;
+struct report_cache_entry;
 
 /* A place of a task on a machine: on record before its start is sent, ended by proof only. */
 struct binding {
@@ -144,37 +144,17 @@
 	UT_hash_handle hh;
 };
 
-/* How long ago machines were heard of, at the last look at all of them. */
-struct contact_ages {
-	int expected;		  /* machines that should be heard of */
-	int by_age[CONTACT_AGES]; /* of them, by the age of their last message */
-};
+/* All machines that are known; `next` is a second cursor, so that `machine` may be freed. */
+#define MACHINES_FOR_EACH(core, machine, next) HASH_ITER (hh, (core)->machines, machine, next)
 
-/* The machines, and what the leader asks of them. */
-struct fleet {
-	struct machine *machines;
-	struct report_cache report_cache;
-	struct machine *command_queue;	   /* commands wait for them, longest waiting first */
-	struct rate_limiter probe_limiter; /* questions to workers */
-	int direct_in_flight; /* commands and questions under way: each holds a socket */
-	struct contact_ages contact_ages;
-	double next_scan_at;	 /* steady; at all machines */
-	bool replicas_must_move; /* at the last look: some are on machines that are about to go */
-};
+unsigned machine_count(const struct core *core);
 
 struct machine *machine_find(struct core *core, const char *id);
 struct machine *machine_find_or_add(struct core *core, const char *id);
 void machine_free(struct core *core, struct machine *machine);
 void machine_set_identity(struct core *core, struct machine *machine, const char *addr,
 			  const char *type, const char *zone, bool spot);
-bool machine_has_tombstone(struct core *core, const char *id);
-/* It is given up, and is to be deleted at once. */
-void machine_give_up(struct core *core, struct machine *machine);
 void machine_note_deleted(struct core *core, struct machine *machine);
-void machines_tick(struct core *core);
-/* Machines heard of within so many seconds before the last look; an age is rounded up. */
-int contact_ages_within(const struct contact_ages *words, double age_s);
-void probe_unseen_machine(struct core *core, struct machine *machine);
 bool machine_is_responsive(const struct core *core, const struct machine *machine);
 /* It has a notice, or is to be returned: nothing new goes there. */
 bool machine_is_leaving(const struct machine *machine);
--- a/src/core/records/limits.c
+++ b/src/core/records/limits.c
@@ -27,7 +27,7 @@
 
 size_t limits_value_bytes(const struct core *core)
 {
-	return core->election.format >= FORMAT_SMALL_CHUNKS
+	return election_format(core) >= FORMAT_SMALL_CHUNKS
 		   ? limits_job_record_bytes(core)
 		   : with_learned(core, core->conf->limits.value_kb);
 }
--- a/src/core/records/recovery.c
+++ b/src/core/records/recovery.c
@@ -14,7 +14,7 @@
 
 static const char *load_prefix(const struct core *core, size_t at)
 {
-	return (core->election.format >= FORMAT_SMALL_CHUNKS ? prefixes_small_chunks
+	return (election_format(core) >= FORMAT_SMALL_CHUNKS ? prefixes_small_chunks
 							     : prefixes_large_chunks)[at];
 }
 
@@ -45,12 +45,12 @@
 	 * would be closed at once, and its tasks run on with nobody to stop them.
 	 */
 	if (json_is_true(json_object_get(value, "cancelled"))) {
-		if (core->election.role == ROLE_RECOVERING)
+		if (election_role(core) == ROLE_RECOVERING)
 			job->cancelled = true;
 		else
 			job_cancel(core, job);
 	}
-	cycle_request(core);
+	core->events->placement_needed(core);
 }
 
 struct recovery_context {
@@ -74,7 +74,7 @@
 {
 	struct job *job, *tmp;
 
-	HASH_ITER (hh, core->jobs, job, tmp) {
+	JOBS_FOR_EACH (core, job, tmp) {
 		struct binding *binding;
 
 		for (uint32_t t = 0; t < job->spec.task_count; t++)
@@ -91,18 +91,18 @@
 			DL_FOREACH2 (job->bindings, binding, job_next)
 				binding_stop(core, binding, 0);
 	}
-	HASH_ITER (hh, core->jobs, job, tmp) {
+	JOBS_FOR_EACH (core, job, tmp) {
 		task_records_migrate(core, job);
 		job_check_end(core, job);
 		job_release_if_over(core, job);
 	}
-	core->election.role = ROLE_LEADER;
+	election_note_recovered(core);
 	core->leading_since = core->now;
 	core->write_queue.put_limiter.refilled_at = core->now;
 	core->write_queue.put_limiter.tokens = limits_write_rps(core) * WRITE_SHARE_LEADER;
-	log_info("leader", "state=leading jobs=%u machines=%u", HASH_COUNT(core->jobs),
-		 HASH_COUNT(core->fleet.machines));
-	cycle_request(core);
+	log_info("leader", "state=leading jobs=%u machines=%u", job_count(core),
+		 machine_count(core));
+	core->events->placement_needed(core);
 }
 
 static void on_page(struct core *core, struct call *call, int status, const char *body, size_t len);
@@ -132,6 +132,7 @@
 	if (load->first_page) {
 		core->jobs_watch.revision = wire_revision(o);
 		core->jobs_watch.read_at = call->sent_at;
+		election_note_jobs_read(core, call->sent_at);
 	}
 	load->first_page = false;
 	wire_items(o, load_item, &x);
@@ -193,6 +194,7 @@
 	if (wire_revision(o) > core->jobs_watch.revision)
 		core->jobs_watch.revision = wire_revision(o);
 	core->jobs_watch.read_at = call->sent_at;
+	election_note_jobs_read(core, call->sent_at);
 	json_decref(o);
 }
 
@@ -203,30 +205,3 @@
 	core->jobs_watch.in_flight = true;
 	store_watch(core, KEY_OPEN_JOBS, core->jobs_watch.revision, JOBS_WATCH_MS, on_watch, NULL);
 }
-
-/* All that only a leader knows; what the next one needs is in the records. */
-void leader_state_clear(struct core *core)
-{
-	struct machine *machine, *mtmp;
-	struct job *job, *jtmp;
-
-	write_queue_clear(core);
-	autoscale_clear(core);
-	format_clear(core);
-	core->fleet.command_queue = NULL;
-	HASH_ITER (hh, core->fleet.machines, machine, mtmp) {
-		struct binding *binding, *tmp;
-
-		DL_FOREACH_SAFE2 (machine->bindings, binding, tmp, machine_next)
-			free(binding);
-		machine_free(core, machine);
-	}
-	HASH_ITER (hh, core->jobs, job, jtmp)
-		job_free(core, job);
-	for (size_t i = 0; i < core->conf->nteams; i++)
-		core->teams[i].cpus = core->teams[i].gpus = 0;
-	core->jobs_watch.in_flight = false;
-	core->cycles.requested = false;
-	core->write_queue.new_token_wanted = false;
-	core->cycles.attempt_counter = 0;
-}
--- a/src/core/records/task_records.c
+++ b/src/core/records/task_records.c
@@ -69,14 +69,12 @@
 	return value;
 }
 
-uint32_t task_record_bytes(const struct binding *binding)
+/* Its record would grow beyond what one value may hold. */
+bool task_record_is_full(const struct core *core, const struct job *job, uint32_t task)
 {
-	/* [attempt,"zone",task,"machine"], if it shares its start and zone with no other. */
-	int bytes =
-	    snprintf(NULL, 0, "[%llu,\"%s\",%u,\"%s\"],", (unsigned long long)binding->attempt,
-		     binding->machine->zone, binding->task, binding->machine->id);
-
-	return (uint32_t)bytes;
+	return job->records.chunks[job_chunk_of(job, task)].bytes + CHUNK_SPARE_BYTES +
+		   CHUNK_ENTRY_BYTES >
+	       limits_value_bytes(core);
 }
 
 /* --- loading --- */
@@ -306,6 +304,6 @@
 	struct job *job, *next;
 
 	write_queue_discard_chunks(core);
-	HASH_ITER (hh, core->jobs, job, next)
+	JOBS_FOR_EACH (core, job, next)
 		layout_raise(core, job);
 }
--- a/src/core/records/write_queue.c
+++ b/src/core/records/write_queue.c
@@ -121,6 +121,7 @@
 	free(core->write_queue.transaction.body);
 	memset(&core->write_queue.transaction, 0, sizeof(core->write_queue.transaction));
 	core->write_queue.in_flight = false;
+	election_note_renewing(core, false);
 }
 
 void write_queue_clear(struct core *core)
@@ -266,13 +267,13 @@
 	b->committed = true;
 	job->uncommitted_count--;
 	if (job->spec.kind != JOB_GANG) {
-		commands_request(core, b->machine);
+		core->events->commands_due(core, b->machine);
 		return;
 	}
 	/* A gang starts when all of it is on record. */
 	if (!job->uncommitted_count)
 		DL_FOREACH2 (job->bindings, binding, job_next)
-			commands_request(core, binding->machine);
+			core->events->commands_due(core, binding->machine);
 }
 
 static void chunk_committed(struct core *core, struct pending_write *item, uint64_t revision)
@@ -299,7 +300,7 @@
 	char key[KEY_MAX];
 
 	log_info("job_final", "job=%s state=%s", job->spec.id, wire_job_state(s));
-	job_index_note_final(core, job->spec.id, s, job->spec.task_count);
+	core->events->job_finished(core, job->spec.id, s, job->spec.task_count);
 	job->final_committed = true;
 	job->orphan = true;
 	for (uint32_t k = 0; k < job_chunk_count(job); k++) {
@@ -332,7 +333,7 @@
  */
 static void forget_deleted(struct core *core)
 {
-	core->election.first_token = core->election.token;
+	election_require_current_token(core);
 	tombstones_trim(core, core->write_queue.token_renewed_at);
 }
 
@@ -347,18 +348,17 @@
 	}
 	if (core->write_queue.transaction.renews_token) {
 		log_info("token_renewed", "old=%llu new=%llu",
-			 (unsigned long long)core->election.token, (unsigned long long)revision);
-		core->election.token = core->election.key_revision = revision;
+			 (unsigned long long)election_token(core), (unsigned long long)revision);
+		election_note_token(core, revision);
 		if (tombstones_need_new_token(core))
 			forget_deleted(core);
-		core->cycles.attempt_counter = 0;
 		if (core->write_queue.transaction.raises_format) {
 			election_note_format(core, FORMAT_NEWEST, revision);
 			task_records_raise(core);
 			log_info("format", "raised=%d", FORMAT_NEWEST);
 		}
 		log_token(revision);
-		agents_token_renewed(core);
+		core->events->token_renewed(core);
 	}
 	commit_clear_transaction(core);
 }
@@ -494,7 +494,7 @@
 static const char *fence_key(const struct core *core)
 {
 	return election_key(core->write_queue.transaction.raises_format ? FORMAT_NEWEST
-									: core->election.format);
+									: election_format(core));
 }
 
 static void on_fence_read(struct core *core, struct call *call, int status, const char *body,
@@ -514,7 +514,7 @@
 	o = status == 200 ? wire_parse(body, len) : NULL;
 	wire_kv(o, &it);
 	name = json_string_value(json_object_get(it.value, "name"));
-	if (name && !strcmp(name, core->conf->name) && it.version > core->election.token)
+	if (name && !strcmp(name, core->conf->name) && it.version > election_token(core))
 		committed(core, it.version);
 	else
 		election_step_down(core, "guard_failed");
@@ -562,7 +562,7 @@
 		log_info("transaction_conflict", "body=%.*s", (int)(len < 200 ? len : 200), body);
 		if (core->write_queue.transaction.renews_token)
 			store_get(core, fence_key(core), on_fence_read, NULL);
-		else if (wire_failed_has(o, election_key(core->election.format)))
+		else if (wire_failed_has(o, election_key(election_format(core))))
 			election_step_down(core, "guard_failed");
 		else
 			reread(core);
@@ -614,12 +614,13 @@
 	struct txn txn;
 
 	txn_begin(&txn);
-	txn_guard(&txn, election_key(core->election.format), core->election.token);
+	txn_guard(&txn, election_key(election_format(core)), election_token(core));
 	if (raises)
 		txn_put(&txn, LEADER_KEY, election_gate_value(FORMAT_NEWEST), 0);
-	txn_put(&txn, election_key(raises ? FORMAT_NEWEST : core->election.format),
-		election_leader_value(core), core->election.lease);
+	txn_put(&txn, election_key(raises ? FORMAT_NEWEST : election_format(core)),
+		election_leader_value(core), election_lease(core));
 	core->write_queue.transaction.renews_token = true;
+	election_note_renewing(core, true);
 	core->write_queue.transaction.raises_format = raises;
 	core->write_queue.new_token_wanted = false;
 	core->write_queue.token_renewed_at = core->now;
@@ -744,7 +745,7 @@
 	struct txn txn;
 
 	txn_begin(&txn);
-	txn_guard(&txn, election_key(core->election.format), core->election.token);
+	txn_guard(&txn, election_key(election_format(core)), election_token(core));
 	/* Ends of jobs first: they are few, and their users wait for the word. */
 	if (batch_all(core, &txn, &core->write_queue.finals) &&
 	    batch_chunks(core, &txn, &core->write_queue.chunks, true) && txn.op_count)
@@ -779,6 +780,11 @@
 	return false;
 }
 
+void write_queue_request_token(struct core *core)
+{
+	core->write_queue.new_token_wanted = true;
+}
+
 void write_queue_tick(struct core *core)
 {
 	if (core->write_queue.in_flight) {
--- a/src/core/records/write_queue.h
+++ b/src/core/records/write_queue.h
@@ -57,6 +57,8 @@
 /* No chunk waits to be written any more: the caller knows which are to be queued anew. */
 void write_queue_discard_chunks(struct core *core);
 void write_queue_add_final(struct core *core, struct job *job);
+/* The leader's key is to be written anew, for a new fencing token. */
+void write_queue_request_token(struct core *core);
 void write_queue_tick(struct core *core);
 void write_queue_clear(struct core *core);
 /* True once nothing about the task's chunk or its job's end waits to be written. */
@@ -68,8 +70,8 @@
 void task_record_key(char key[KEY_MAX], const struct job *job, uint32_t chunk);
 /* The caller owns the value. */
 json_t *task_record_value(const struct job *job, uint32_t chunk);
-/* Bytes that the binding takes in its record at most. */
-uint32_t task_record_bytes(const struct binding *binding);
+/* The record of the task would grow beyond what one value may hold. */
+bool task_record_is_full(const struct core *core, const struct job *job, uint32_t task);
 /* Takes a record into the job's books, which are made if nothing else is known of the job. */
 void task_record_load(struct core *core, const struct kv_item *item);
 /* The chunk's newer record is written, or needless: the older one may go. */
--- a/src/core/runtime/call.h
+++ b/src/core/runtime/call.h
@@ -49,6 +49,10 @@
 struct call *core_call_packed(struct core *core, const char *addr, const char *path, uint8_t *buf,
 			      size_t len, answer_fn fn, void *arg);
 void core_reply_packed(struct core *core, uint64_t conn, uint8_t *buf, size_t len);
+/* Answers to calls made before are void from now on: leadership began or was given up. */
+void core_begin_term(struct core *core);
+/* The call was made in the present term. */
+bool core_call_is_current(const struct core *core, const struct call *call);
 /* Answers a request; `body` is owned by the answer from then on. retry_after: seconds, 0: none. */
 void core_reply(struct core *core, uint64_t conn, int status, int retry_after, char *body);
 /* Answers with {"error": why}. */
--- a/src/core/scheduling/cycle.c
+++ b/src/core/scheduling/cycle.c
@@ -80,7 +80,7 @@
 
 void cycle_begin(struct core *core, struct scheduling_cycle *cycle, struct job **jobs, size_t njobs)
 {
-	size_t n = HASH_COUNT(core->fleet.machines) + 1;
+	size_t n = machine_count(core) + 1;
 	struct machine *machine, *tmp;
 	struct job *job, *jtmp;
 
@@ -92,14 +92,14 @@
 	cycle->open_rooms = malloc(n * sizeof(*cycle->open_rooms));
 	if (!cycle->rooms || !cycle->candidates || !cycle->pools || !cycle->open_rooms)
 		abort();
-	HASH_ITER (hh, core->fleet.machines, machine, tmp)
+	MACHINES_FOR_EACH (core, machine, tmp)
 		if (machine_is_usable(core, machine))
 			room_add(cycle, machine);
 	find_least(cycle, jobs, njobs);
 	find_open(cycle);
 	cycle->visit_budget =
 	    fmax(CYCLE_VISITS_PER_CORE * core->conf->cores, (double)cycle->open_count);
-	HASH_ITER (hh, core->jobs, job, jtmp)
+	JOBS_FOR_EACH (core, job, jtmp)
 		cycle->on_demand_wanted |= !job->orphan && !job->spec.spot;
 }
 
--- a/src/core/scheduling/placement.c
+++ b/src/core/scheduling/placement.c
@@ -16,7 +16,7 @@
 	if (core->cycles.requested)
 		return;
 	core->cycles.requested = true;
-	core->cycles.next_at = core->now + CYCLE_MIN_S + CYCLE_JOB_S * HASH_COUNT(core->jobs);
+	core->cycles.next_at = core->now + CYCLE_MIN_S + CYCLE_JOB_S * job_count(core);
 }
 
 static bool job_bad_on(const struct job *job, const struct machine *machine)
@@ -141,7 +141,7 @@
 
 static uint64_t new_attempt(struct core *core)
 {
-	return (core->election.token << ATTEMPT_SHIFT) + ++core->cycles.attempt_counter;
+	return (election_token(core) << ATTEMPT_SHIFT) + ++core->cycles.attempt_counter;
 }
 
 /*
@@ -372,8 +372,8 @@
 
 	while (t < job->spec.task_count &&
 	       (task_bit_test(job->done, t) || task_bit_test(job->bound, t) ||
-		job_chunk_full(core, job, t)))
-		t = job_chunk_full(core, job, t)
+		task_record_is_full(core, job, t)))
+		t = task_record_is_full(core, job, t)
 			? (t / job->records.tasks_per_chunk + 1) * job->records.tasks_per_chunk
 			: t + 1;
 	return t;
@@ -659,7 +659,7 @@
 	struct machine *machine, *tmp;
 	struct binding *binding;
 
-	HASH_ITER (hh, cycle->core->fleet.machines, machine, tmp) {
+	MACHINES_FOR_EACH (cycle->core, machine, tmp) {
 		if (!machine->replica_count || !replica_must_move(cycle->core, machine))
 			continue;
 		DL_FOREACH2 (machine->bindings, binding, machine_next)
@@ -672,10 +672,10 @@
 	struct job *job, *tmp;
 	size_t n = 0;
 
-	*out = calloc(HASH_COUNT(core->jobs) + 1, sizeof(**out));
+	*out = calloc(job_count(core) + 1, sizeof(**out));
 	if (!*out)
 		abort();
-	HASH_ITER (hh, core->jobs, job, tmp) {
+	JOBS_FOR_EACH (core, job, tmp) {
 		if (!job_waiting_count(job) || core->now < job->scheduling.retry_at)
 			continue;
 		job->scheduling.order_key = due(core, job);
@@ -712,7 +712,7 @@
 	struct scheduling_cycle cycle;
 	size_t first = 0;
 
-	cycle_begin(core, &cycle, jobs, core->fleet.replicas_must_move ? 0 : n);
+	cycle_begin(core, &cycle, jobs, replicas_must_move(core) ? 0 : n);
 	while (first < n) {
 		size_t last = first;
 
@@ -721,7 +721,7 @@
 		serve_priority(&cycle, jobs + first, last - first);
 		first = last;
 	}
-	if (core->fleet.replicas_must_move)
+	if (replicas_must_move(core))
 		move_replicas(&cycle);
 	if (cycle.budget_exhausted)
 		cycle_request(core);
@@ -739,10 +739,10 @@
 		return;
 	core->cycles.requested = false;
 	core->cycles.next_periodic_at = core->now + CYCLE_PERIOD_S;
-	if (core->now - core->election.renewed_at > LEADER_TTL_MS / 1000.0 * 2)
+	if (election_renewal_age(core) > LEADER_TTL_MS / 1000.0 * 2)
 		return; /* without the state service nothing can be committed */
 	n = waiting_jobs(core, &jobs);
-	if (n || core->fleet.replicas_must_move)
+	if (n || replicas_must_move(core))
 		cycle_run(core, jobs, n);
 	free(jobs);
 }
--- a/src/core/scheduling/preemption.c
+++ b/src/core/scheduling/preemption.c
@@ -21,7 +21,7 @@
 	job->scheduling.reserved_until = 0;
 	job->scheduling.reserving = false;
 	job->scheduling.reserved_zone[0] = 0;
-	HASH_ITER (hh, core->fleet.machines, machine, tmp) {
+	MACHINES_FOR_EACH (core, machine, tmp) {
 		if (machine->scheduling.reserved_for != job)
 			continue;
 		machine->scheduling.reserved_for = NULL;
@@ -321,11 +321,11 @@
 	struct machine *machine, *mtmp;
 	struct job *job, *tmp;
 
-	HASH_ITER (hh, core->jobs, job, tmp) {
+	JOBS_FOR_EACH (core, job, tmp) {
 		n += job->scheduling.reserving;
 		held += job->scheduling.reserving ? job->spec.task_count * job->spec.cpus : 0;
 	}
-	HASH_ITER (hh, core->fleet.machines, machine, mtmp)
+	MACHINES_FOR_EACH (core, machine, mtmp)
 		all += machine->type && machine_is_usable(core, machine) ? machine->type->cpus : 0;
 	return n < most || held <= (late ? RESERVE_SHARE_LATE : RESERVE_SHARE) * all;
 }
--- a/src/core/scheduling/share_switching.c
+++ b/src/core/scheduling/share_switching.c
@@ -13,6 +13,7 @@
 
 #include <xxhash.h>
 
+#include "core/scheduling/share_switching.h"
 #include "core/state.h"
 #include "peer.pb-c.h"
 #include "util/log.h"
@@ -131,7 +132,7 @@
 		list[out.n_switches++] = &all[i];
 	}
 	out.token = work->part->token;
-	out.incarnation = core->peers.incarnation;
+	out.incarnation = peers_incarnation(core);
 	out.switches = list;
 	switches_send(core, work, &out);
 	free(all);
@@ -300,7 +301,7 @@
 		return;
 	if (peer < core->conf->npeers)
 		peers_note_incarnation(core, peer, in->incarnation);
-	for (size_t i = 0; i < in->n_switches && in->token == core->election.token; i++) {
+	for (size_t i = 0; i < in->n_switches && in->token == election_token(core); i++) {
 		Peer__Slot *s = in->switches[i]->slot;
 		struct machine *m = s ? machine_find(core, s->machine) : NULL;
 		struct job *to = job_find(core, in->switches[i]->to);
@@ -366,13 +367,13 @@
 	struct binding *binding;
 	size_t cap = 0;
 
-	HASH_ITER (hh, core->fleet.machines, machine, tmp)
+	MACHINES_FOR_EACH (core, machine, tmp)
 		cap += (size_t)machine->binding_count;
 	build->slots = calloc(cap + 1, sizeof(*build->slots));
 	build->slot_list = calloc(cap + 1, sizeof(*build->slot_list));
 	if (!build->slots || !build->slot_list)
 		abort();
-	HASH_ITER (hh, core->fleet.machines, machine, tmp) {
+	MACHINES_FOR_EACH (core, machine, tmp) {
 		if (owner_of(core, machine->id) != owner)
 			continue;
 		DL_FOREACH2 (machine->bindings, binding, machine_next) {
@@ -394,11 +395,11 @@
 {
 	struct job *job, *tmp;
 
-	build->open = calloc(HASH_COUNT(core->jobs) + 1, sizeof(*build->open));
-	build->open_list = calloc(HASH_COUNT(core->jobs) + 1, sizeof(*build->open_list));
+	build->open = calloc(job_count(core) + 1, sizeof(*build->open));
+	build->open_list = calloc(job_count(core) + 1, sizeof(*build->open_list));
 	if (!build->open || !build->open_list)
 		abort();
-	HASH_ITER (hh, core->jobs, job, tmp) {
+	JOBS_FOR_EACH (core, job, tmp) {
 		/* A job whose team is at its limit, or with nothing waiting, is not drawn. */
 		if (job->spec.kind != JOB_ARRAY || !job_waiting_count(job) ||
 		    !team_has_room(core, &job->spec, 1))
@@ -419,7 +420,7 @@
 
 	build_slots(core, owner, &build);
 	build_open(core, &build);
-	part.token = core->election.token;
+	part.token = election_token(core);
 	part.slots = build.slot_list;
 	part.n_slots = build.nslots;
 	part.open = build.open_list;
@@ -429,7 +430,7 @@
 		pair_begin(core, 0, buf, n);
 		free(buf);
 	} else {
-		core_call_packed(core, core->conf->peers[owner].addr, PAIR_PATH, buf, n,
+		core_call_packed(core, core->conf->peers[owner].addr, SHARE_SWITCHING_PATH, buf, n,
 				 on_part_answer, (void *)(uintptr_t)owner);
 	}
 	free(build.slots);
@@ -442,7 +443,7 @@
 void share_switching_tick(struct core *core)
 {
 	if (core->now < core->share_switching.next_at ||
-	    core->now - core->leading_since < AUTOSCALE_SETTLE_S || core->store_unavailable)
+	    core->now - core->leading_since < AUTOSCALE_SETTLE_S || store_is_unavailable(core))
 		return;
 	core->share_switching.next_at =
 	    core->now + SWITCH_QUANTUM_S * (1 + SWITCH_JITTER * (core_random(core) - 0.5));
--- a/src/core/store/store_client.c
+++ b/src/core/store/store_client.c
@@ -12,6 +12,16 @@
 		core->store_answered_at = core->now;
 }
 
+bool store_is_unavailable(const struct core *core)
+{
+	return core->store_unavailable;
+}
+
+double store_silence_s(const struct core *core)
+{
+	return core->now - core->store_answered_at;
+}
+
 struct call *store_get(struct core *core, const char *key, answer_fn fn, void *arg)
 {
 	struct call *call =
--- a/src/core/store/store_client.h
+++ b/src/core/store/store_client.h
@@ -17,6 +17,10 @@
 struct call *store_commit(struct core *core, char *body, answer_fn fn, void *arg);
 struct call *store_watch(struct core *core, const char *prefix, uint64_t from, int wait_ms,
 			 answer_fn fn, void *arg);
+/* The last answer of the state service was a refusal or none. */
+bool store_is_unavailable(const struct core *core);
+/* Seconds since it last served this controller. */
+double store_silence_s(const struct core *core);
 /* Notes whether the state service serves this controller, by the status of an answer. */
 void store_note_answer(struct core *core, int status);
 
--- a/tests/runner.c
+++ b/tests/runner.c
@@ -1156,7 +1156,7 @@
 	n = 0;
 	if (!strcmp(what, "directs")) {
 		for (int i = 0; i < w->nnodes; i++)
-			n += w->nodes[i].up ? w->nodes[i].core->fleet.direct_in_flight : 0;
+			n += w->nodes[i].up ? w->nodes[i].core->agents.direct_in_flight : 0;
 		return n;
 	}
 	if (!strcmp(what, "rented"))
