--- a/src/core/agents/direct_commands.c
+++ b/src/core/agents/direct_commands.c
@@ -25,7 +25,7 @@
 	DL_DELETE2(core->agents.command_queue, machine, commands.queue_prev, commands.queue_next);
 }
 
-static void on_do(struct core *core, struct call *call, int status, const char *body, size_t len)
+static void on_do(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	struct machine *machine;
 
@@ -39,12 +39,13 @@
 		machine->commands.in_flight--;
 	if (machine->commands.due)
 		command_queue_add(core, machine); /* what has gathered meanwhile */
-	if (status == 0 && call->has_start && call->token > machine->commands.unanswered_token) {
+	if (answer->outcome == CALL_UNANSWERED && call->has_start &&
+	    call->token > machine->commands.unanswered_token) {
 		machine->commands.unanswered_token = call->token;
 		log_debug("commands_unanswered", "machine=%s", machine->id);
 	}
-	if (status == 200 || status == 409)
-		agent_take_probe_answer(core, call, body, len);
+	if (answer->status == STATUS_OK || answer->status == STATUS_CONFLICT)
+		agent_take_probe_answer(core, call, answer->body, answer->len);
 }
 
 /* A question that never left, for want of a socket, says nothing of the machine. */
@@ -62,7 +63,7 @@
 		machine->probes.unanswered_since = call->sent_at;
 }
 
-static void on_show(struct core *core, struct call *call, int status, const char *body, size_t len)
+static void on_show(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	struct machine *machine;
 
@@ -70,10 +71,10 @@
 	if (election_call_is_stale(core, call))
 		return;
 	machine = machine_find(core, call->key);
-	if (machine && status <= 0)
+	if (machine && answer->outcome != CALL_ANSWERED)
 		note_unanswered(core, call, machine);
-	if (status == 200)
-		agent_take_probe_answer(core, call, body, len);
+	if (answer->status == STATUS_OK)
+		agent_take_probe_answer(core, call, answer->body, answer->len);
 }
 
 /*
--- a/src/core/agents/heartbeats.c
+++ b/src/core/agents/heartbeats.c
@@ -16,6 +16,7 @@
 #include "core/state.h"
 #include "util/log.h"
 #include "wire/names.h"
+#include "util/xalloc.h"
 
 static struct binding *binding_find(struct machine *machine, const struct report_task *listed)
 {
@@ -51,10 +52,8 @@
 	struct unbound_task *leftover;
 
 	machine->agent.leftovers =
-	    realloc(machine->agent.leftovers,
-		    (machine->agent.leftover_count + 1) * sizeof(*machine->agent.leftovers));
-	if (!machine->agent.leftovers)
-		abort();
+	    xreallocarray(machine->agent.leftovers, machine->agent.leftover_count + 1,
+			  sizeof(*machine->agent.leftovers));
 	leftover = &machine->agent.leftovers[machine->agent.leftover_count++];
 	snprintf(leftover->job, sizeof(leftover->job), "%s", listed->job);
 	leftover->task = listed->task;
@@ -294,7 +293,7 @@
 	const char *leader =
 	    strcmp(election_leader(core), core->conf->name) ? election_leader(core) : "";
 
-	core_reply(core, conn, 421, 0, wire_redirect(leader));
+	core_reply(core, conn, STATUS_MISDIRECTED, 0, wire_redirect(leader));
 }
 
 /*
@@ -341,12 +340,12 @@
 	struct command_list commands;
 
 	if (!take_heartbeat(core, report)) {
-		core_reply(core, conn, 200, 0,
+		core_reply(core, conn, STATUS_OK, 0,
 			   wire_heartbeat_answer(election_token(core), NULL, 0));
 		return;
 	}
 	commands_collect(core, machine_find(core, report->machine), &commands, true);
-	core_reply(core, conn, 200, 0,
+	core_reply(core, conn, STATUS_OK, 0,
 		   wire_heartbeat_answer(election_token(core), commands.items, commands.count));
 }
 
@@ -358,7 +357,7 @@
 	/* A higher token than ours: another leads, and a 200 would hold the worker here in vain. */
 	if (!election_is_renewing_token(core))
 		election_step_down(core, "worker_saw_higher_token");
-	core_reply_error(core, conn, 503, 0, "not leading");
+	core_reply_error(core, conn, STATUS_UNAVAILABLE, 0, "not leading");
 	return false;
 }
 
@@ -374,7 +373,7 @@
 		return;
 	}
 	if (election_role(core) == ROLE_RECOVERING) {
-		core_reply_error(core, request->conn, 503, 0, "taking over");
+		core_reply_error(core, request->conn, STATUS_UNAVAILABLE, 0, "taking over");
 		return;
 	}
 	known = report_cache_find(&core->agents.report_cache, request->body, request->len);
@@ -384,7 +383,7 @@
 		return;
 	}
 	if (wire_report_decode(request->body, request->len, &rep)) {
-		core_reply_error(core, request->conn, 400, 0, "report");
+		core_reply_error(core, request->conn, STATUS_BAD_REQUEST, 0, "report");
 		return;
 	}
 	if (token_allows(core, request->conn, &rep)) {
--- a/src/core/agents/report_cache.c
+++ b/src/core/agents/report_cache.c
@@ -8,6 +8,7 @@
 
 #include "constants.h"
 #include "wire/names.h"
+#include "util/xalloc.h"
 
 static const char sequence_field[] = "\"" W_SEQUENCE "\":";
 
@@ -99,9 +100,7 @@
 	if (len > REPORT_CACHE_TEXT_MAX || text_split(body, len, &text) ||
 	    !sequence_is_unique(&text, report->sequence))
 		return;
-	entry = calloc(1, sizeof(*entry));
-	if (!entry)
-		abort();
+	entry = xcalloc(1, sizeof(*entry));
 	entry->hash = text_hash(&text);
 	HASH_FIND(hh, cache->entries, &entry->hash, sizeof(entry->hash), other);
 	if (other) { /* another machine's text with the same hash stays */
@@ -110,9 +109,7 @@
 	}
 	entry->head_len = text.head_len;
 	entry->tail_len = text.tail_len;
-	entry->text = malloc(text.head_len + text.tail_len);
-	if (!entry->text)
-		abort();
+	entry->text = xmalloc(text.head_len + text.tail_len);
 	memcpy(entry->text, text.head, text.head_len);
 	memcpy(entry->text + text.head_len, text.tail, text.tail_len);
 	entry->report = *report;
--- a/src/core/api/api.c
+++ b/src/core/api/api.c
@@ -12,6 +12,7 @@
 #include "core/api/submissions.h"
 #include "util/log.h"
 #include "wire/names.h"
+#include "util/xalloc.h"
 
 void user_request_free(void *arg)
 {
@@ -32,12 +33,17 @@
 }
 
 /* The state service does not serve us: another controller may be served, else the user is told. */
-void user_request_unserved(struct core *core, struct user_request *request, int status)
+void user_request_unserved(struct core *core, struct user_request *request,
+			   const struct call_answer *answer)
 {
-	if (status != 429 && forward_user_request(core, request))
+	if (answer->status != STATUS_TOO_MANY_REQUESTS && forward_user_request(core, request))
 		user_request_free(request);
 	else
-		user_request_fail(core, request, status == 429 ? 429 : 503, RETRY_AFTER_S, "state");
+		user_request_fail(core, request,
+				  answer->status == STATUS_TOO_MANY_REQUESTS
+				      ? STATUS_TOO_MANY_REQUESTS
+				      : STATUS_UNAVAILABLE,
+				  RETRY_AFTER_S, "state");
 }
 
 void user_request_answer_state(struct core *core, struct user_request *request, int status,
@@ -65,9 +71,7 @@
 
 	if (known || strlen(id) >= ID_MAX)
 		return known;
-	known = calloc(1, sizeof(*known));
-	if (!known)
-		abort();
+	known = xcalloc(1, sizeof(*known));
 	snprintf(known->id, sizeof(known->id), "%s", id);
 	HASH_ADD_STR(core->api.index, id, known);
 	return known;
@@ -121,34 +125,33 @@
 
 	if (!k || !k->final)
 		return false;
-	user_request_answer_state(core, request, 200, k->state, k->done_count, 0);
+	user_request_answer_state(core, request, STATUS_OK, k->state, k->done_count, 0);
 	return true;
 }
 
 /* --- reading a job's records: first the open one, then the final one --- */
 
-static void on_cancelled(struct core *core, struct call *call, int status, const char *body,
-			 size_t len)
+static void on_cancelled(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	struct user_request *request = call->arg;
 	json_t *o;
 
-	store_note_answer(core, status);
-	if (status == 200) {
-		o = wire_parse(body, len);
+	store_note_answer(core, answer);
+	if (answer->status == STATUS_OK) {
+		o = wire_parse(answer->body, answer->len);
 		log_info("cancel_committed", "job=%s", request->id);
 		job_cancel_committed(core, request->id, wire_revision(o));
 		peers_announce_cancelled(core, request->id, wire_revision(o));
 		peers_note_confirmed(core, request->id, wire_revision(o));
 		json_decref(o);
-		user_request_answer_state(core, request, 200, JOB_STATE_CANCELLED, 0, 0);
-	} else if (status == 409) {
+		user_request_answer_state(core, request, STATUS_OK, JOB_STATE_CANCELLED, 0, 0);
+	} else if (answer->status == STATUS_CONFLICT) {
 		user_request_lookup(core, request);
-	} else if (status == 0) {
+	} else if (answer->outcome == CALL_UNANSWERED) {
 		request->outcome_unknown = true;
 		user_request_lookup(core, request);
 	} else {
-		user_request_unserved(core, request, status);
+		user_request_unserved(core, request, answer);
 	}
 }
 
@@ -178,18 +181,19 @@
 	uint32_t running = j ? j->running_count : fresh && known ? known->running_count : 0;
 
 	core->api.counts_wanted_at = core->now;
-	user_request_answer_state(core, request, 200,
+	user_request_answer_state(core, request, STATUS_OK,
 				  running ? JOB_STATE_RUNNING : JOB_STATE_QUEUED, done, running);
 }
 
 static void answer_open(struct core *core, struct user_request *request, const struct kv_item *it)
 {
 	if (json_is_true(json_object_get(it->value, "cancelled")))
-		user_request_answer_state(core, request, 200, JOB_STATE_CANCELLED, 0, 0);
+		user_request_answer_state(core, request, STATUS_OK, JOB_STATE_CANCELLED, 0, 0);
 	else if (request->kind != USER_CANCEL)
 		answer_live(core, request, index_find(core, request->id));
 	else if (request->outcome_unknown || core->now - request->received_at > USER_WAIT_S)
-		user_request_fail(core, request, 503, RETRY_AFTER_S, "unknown outcome");
+		user_request_fail(core, request, STATUS_UNAVAILABLE, RETRY_AFTER_S,
+				  "unknown outcome");
 	else
 		user_cancel(core, request, it);
 }
@@ -197,13 +201,15 @@
 static void answer_absent(struct core *core, struct user_request *request)
 {
 	if (request->kind != USER_SUBMIT)
-		user_request_fail(core, request, 404, 0, "no such job");
-	else if (request->rejection == 503)
-		user_request_fail(core, request, 503, RETRY_AFTER_S, request->reason);
+		user_request_fail(core, request, STATUS_NOT_FOUND, 0, "no such job");
+	else if (request->rejection == STATUS_UNAVAILABLE)
+		user_request_fail(core, request, STATUS_UNAVAILABLE, RETRY_AFTER_S,
+				  request->reason);
 	else if (request->rejection)
 		user_request_fail(core, request, request->rejection, 0, request->reason);
 	else
-		user_request_fail(core, request, 503, RETRY_AFTER_S, "unknown outcome");
+		user_request_fail(core, request, STATUS_UNAVAILABLE, RETRY_AFTER_S,
+				  "unknown outcome");
 }
 
 static void note_final_value(struct core *core, const char *id, json_t *value)
@@ -215,29 +221,28 @@
 			     (uint32_t)json_integer_value(json_object_get(value, "tasks")));
 }
 
-static void on_final_read(struct core *core, struct call *call, int status, const char *body,
-			  size_t len)
+static void on_final_read(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	struct user_request *request = call->arg;
 	struct kv_item it;
 	json_t *o;
 
 	core->api.lookup_count--;
-	store_note_answer(core, status);
-	if (status == 404) {
+	store_note_answer(core, answer);
+	if (answer->status == STATUS_NOT_FOUND) {
 		answer_absent(core, request);
 		return;
 	}
-	o = status == 200 ? wire_parse(body, len) : NULL;
+	o = answer->status == STATUS_OK ? wire_parse(answer->body, answer->len) : NULL;
 	if (!o || wire_kv(o, &it)) {
 		json_decref(o);
-		user_request_unserved(core, request, status);
+		user_request_unserved(core, request, answer);
 		return;
 	}
 	note_final_value(core, request->id, it.value);
 	json_decref(o);
 	if (!user_request_answer_final(core, request))
-		user_request_fail(core, request, 503, RETRY_AFTER_S, "state");
+		user_request_fail(core, request, STATUS_UNAVAILABLE, RETRY_AFTER_S, "state");
 }
 
 static void user_read(struct core *core, struct user_request *request, const char *prefix,
@@ -250,22 +255,21 @@
 	store_get(core, key, fn, request)->free_arg = user_request_free;
 }
 
-static void on_open_read(struct core *core, struct call *call, int status, const char *body,
-			 size_t len)
+static void on_open_read(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	struct user_request *request = call->arg;
 	struct kv_item it;
 	json_t *o;
 
 	core->api.lookup_count--;
-	store_note_answer(core, status);
-	if (status == 404) {
+	store_note_answer(core, answer);
+	if (answer->status == STATUS_NOT_FOUND) {
 		user_read(core, request, KEY_FINAL_JOBS, on_final_read);
 		return;
 	}
-	o = status == 200 ? wire_parse(body, len) : NULL;
+	o = answer->status == STATUS_OK ? wire_parse(answer->body, answer->len) : NULL;
 	if (!o || wire_kv(o, &it))
-		user_request_unserved(core, request, status);
+		user_request_unserved(core, request, answer);
 	else
 		answer_open(core, request, &it);
 	json_decref(o);
@@ -280,7 +284,8 @@
 	if (user_request_answer_final(core, request))
 		return;
 	if (core->api.lookup_count >= USER_READS_SHARE * core->conf->max_connections) {
-		user_request_fail(core, request, 429, RETRY_AFTER_BUSY_S, "busy");
+		user_request_fail(core, request, STATUS_TOO_MANY_REQUESTS, RETRY_AFTER_BUSY_S,
+				  "busy");
 		return;
 	}
 	if (request->kind == USER_CANCEL) {
@@ -319,20 +324,21 @@
 	if (!k)
 		user_read(core, request, KEY_FINAL_JOBS, on_final_read);
 	else if (k->final || k->state == JOB_STATE_CANCELLED)
-		user_request_answer_state(core, request, 200, k->state,
+		user_request_answer_state(core, request, STATUS_OK, k->state,
 					  k->final ? k->done_count : 0, 0);
 	else
 		answer_live(core, request, k);
 }
 
-static void asked_failed(struct core *core, struct user_request **list, int status)
+static void asked_failed(struct core *core, struct user_request **list,
+			 const struct call_answer *answer)
 {
 	struct user_request *request, *tmp;
 
 	DL_FOREACH_SAFE (*list, request, tmp) {
 		DL_DELETE(*list, request);
 		core->api.lookup_count--;
-		user_request_unserved(core, request, status);
+		user_request_unserved(core, request, answer);
 	}
 }
 
@@ -347,8 +353,7 @@
 			index_remove(core, known);
 }
 
-static void on_changes(struct core *core, struct call *call, int status, const char *body,
-		       size_t len)
+static void on_changes(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	struct user_request *request, *tmp, *list = core->api.lookups_in_flight;
 	json_t *o;
@@ -356,22 +361,23 @@
 	(void)call;
 	core->api.lookups_in_flight = NULL;
 	core->api.index_in_flight = false;
-	store_note_answer(core, status);
-	if (status != 200) {
-		if (status == 410)
+	store_note_answer(core, answer);
+	if (answer->status != STATUS_OK) {
+		if (answer->status == STATUS_GONE)
 			index_forget(core);
 		/* The limit of requests, or too old: the next read may tell. */
-		if (status == 410 ||
-		    (status == 429 && list && core->now - list->received_at < LOOKUP_MAX_WAIT_S)) {
+		if (answer->status == STATUS_GONE ||
+		    (answer->status == STATUS_TOO_MANY_REQUESTS && list &&
+		     core->now - list->received_at < LOOKUP_MAX_WAIT_S)) {
 			DL_CONCAT(list, core->api.lookups_waiting);
 			core->api.lookups_waiting = list;
 			core->api.index_retry_at = core->now + INDEX_RETRY_S;
 		} else {
-			asked_failed(core, &list, status);
+			asked_failed(core, &list, answer);
 		}
 		return;
 	}
-	o = wire_parse(body, len);
+	o = wire_parse(answer->body, answer->len);
 	wire_items(o, index_item, core);
 	core->api.index_read_at = core->api.index_sent_at;
 	if (wire_revision(o) > core->api.index_revision)
@@ -383,8 +389,7 @@
 	}
 }
 
-static void on_index_page(struct core *core, struct call *call, int status, const char *body,
-			  size_t len)
+static void on_index_page(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	bool first = !*core->api.index_cursor;
 	json_t *o, *last;
@@ -392,13 +397,13 @@
 
 	(void)call;
 	core->api.index_in_flight = false;
-	store_note_answer(core, status);
+	store_note_answer(core, answer);
 	core->api.index_retry_at = core->now + INDEX_RETRY_S;
-	if (status != 200) {
-		asked_failed(core, &core->api.lookups_waiting, status);
+	if (answer->status != STATUS_OK) {
+		asked_failed(core, &core->api.lookups_waiting, answer);
 		return;
 	}
-	o = wire_parse(body, len);
+	o = wire_parse(answer->body, answer->len);
 	if (first) {
 		core->api.index_revision = wire_revision(o);
 		core->api.index_read_at = call->sent_at;
@@ -459,10 +464,8 @@
 struct user_request *user_request_new(struct core *core, uint64_t conn, enum user_kind kind,
 				      const char *id)
 {
-	struct user_request *request = calloc(1, sizeof(*request));
+	struct user_request *request = xcalloc(1, sizeof(*request));
 
-	if (!request)
-		abort();
 	request->conn = conn;
 	request->kind = kind;
 	request->received_at = core->now;
@@ -482,11 +485,11 @@
 	memcpy(id, rest, n);
 	id[n] = 0;
 	if (slash && strcmp(slash, W_PATH_CANCEL))
-		core_reply_error(core, request->conn, 404, 0, "no such path");
+		core_reply_error(core, request->conn, STATUS_NOT_FOUND, 0, "no such path");
 	else if (strcmp(request->method, slash ? "POST" : "GET"))
-		core_reply_error(core, request->conn, 405, 0, "method");
+		core_reply_error(core, request->conn, STATUS_METHOD_NOT_ALLOWED, 0, "method");
 	else if (!wire_job_id_ok(id))
-		core_reply_error(core, request->conn, 404, 0, "no such job");
+		core_reply_error(core, request->conn, STATUS_NOT_FOUND, 0, "no such job");
 	else
 		user_request_lookup(core, user_request_new(core, request->conn,
 							   slash ? USER_CANCEL : USER_POLL, id));
@@ -498,19 +501,22 @@
 
 	if (!strcmp(request->path, W_PATH_READY)) {
 		if (strcmp(request->method, "GET"))
-			core_reply_error(core, request->conn, 405, 0, "method");
+			core_reply_error(core, request->conn, STATUS_METHOD_NOT_ALLOWED, 0,
+					 "method");
 		else
-			core_reply(core, request->conn, peers_ready(core) ? 200 : 503, 0,
-				   strdup("{}"));
+			core_reply(core, request->conn,
+				   peers_ready(core) ? STATUS_OK : STATUS_UNAVAILABLE, 0,
+				   xstrdup("{}"));
 	} else if (!strcmp(request->path, W_PATH_JOBS)) {
 		if (strcmp(request->method, "POST"))
-			core_reply_error(core, request->conn, 405, 0, "method");
+			core_reply_error(core, request->conn, STATUS_METHOD_NOT_ALLOWED, 0,
+					 "method");
 		else
 			submissions_take(core, request);
 	} else if (!strncmp(request->path, W_PATH_JOBS "/", n + 1)) {
 		job_route(core, request, request->path + n + 1);
 	} else {
-		core_reply_error(core, request->conn, 404, 0, "no such path");
+		core_reply_error(core, request->conn, STATUS_NOT_FOUND, 0, "no such path");
 	}
 }
 
--- a/src/core/api/api.h
+++ b/src/core/api/api.h
@@ -68,7 +68,8 @@
 void user_request_fail(struct core *core, struct user_request *request, int status, int retry,
 		       const char *why);
 /* The state service does not serve us: another controller may be served, else the user is told. */
-void user_request_unserved(struct core *core, struct user_request *request, int status);
+void user_request_unserved(struct core *core, struct user_request *request,
+			   const struct call_answer *answer);
 /* Answers with the job's state, and frees the request. */
 void user_request_answer_state(struct core *core, struct user_request *request, int status,
 			       enum job_state state, uint32_t done, uint32_t running);
--- a/src/core/api/cancellations.c
+++ b/src/core/api/cancellations.c
@@ -16,12 +16,10 @@
 #include "util/xalloc.h"
 #include "wire/names.h"
 
-static void on_cancelled_answer(struct core *core, struct call *call, int status, const char *body,
-				size_t len)
+static void on_cancelled_answer(struct core *core, struct call *call,
+				const struct call_answer *answer)
 {
-	(void)body;
-	(void)len;
-	peer_note_answer(core, (size_t)(uintptr_t)call->arg, status);
+	peer_note_answer(core, (size_t)(uintptr_t)call->arg, answer);
 }
 
 /*
@@ -49,12 +47,12 @@
 	    peer__cancelled__unpack(NULL, request->len, (const uint8_t *)request->body);
 
 	if (!in) {
-		core_reply_error(core, request->conn, 400, 0, "cancelled");
+		core_reply_error(core, request->conn, STATUS_BAD_REQUEST, 0, "cancelled");
 		return;
 	}
 	job_cancel_committed(core, in->job, in->version);
 	peer__cancelled__free_unpacked(in, NULL);
-	core_reply(core, request->conn, 200, 0, strdup("{}"));
+	core_reply(core, request->conn, STATUS_OK, 0, xstrdup("{}"));
 }
 
 /* --- what users were told of cancellations, while the state service is silent --- */
@@ -78,9 +76,7 @@
 	HASH_FIND_STR(core->api.confirmed, id, told);
 	if (told)
 		return;
-	told = calloc(1, sizeof(*told));
-	if (!told)
-		abort();
+	told = xcalloc(1, sizeof(*told));
 	snprintf(told->id, sizeof(told->id), "%s", id);
 	told->version = version;
 	told->confirmed_at = core->now;
@@ -90,13 +86,11 @@
 void confirmed_reply(struct core *core, uint64_t conn)
 {
 	size_t n = HASH_COUNT(core->api.confirmed), len;
-	Peer__Cancelled *all = calloc(n + 1, sizeof(*all)), **list = calloc(n + 1, sizeof(*list));
+	Peer__Cancelled *all = xcalloc(n + 1, sizeof(*all)), **list = xcalloc(n + 1, sizeof(*list));
 	Peer__Confirmed out = PEER__CONFIRMED__INIT;
 	struct confirmed_cancel *told, *tmp;
 	uint8_t *buf;
 
-	if (!all || !list)
-		abort();
 	HASH_ITER (hh, core->api.confirmed, told, tmp) {
 		Peer__Cancelled *x = &all[out.n_cancelled];
 
@@ -143,14 +137,15 @@
 	election_note_peers_confirmed(core, peers_confirmed_until(core));
 }
 
-static void on_confirmed(struct core *core, struct call *call, int status, const char *body,
-			 size_t len)
+static void on_confirmed(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	size_t i = (size_t)(uintptr_t)call->arg;
 	Peer__Confirmed *in =
-	    status == 200 ? peer__confirmed__unpack(NULL, len, (const uint8_t *)body) : NULL;
+	    answer->status == STATUS_OK
+		? peer__confirmed__unpack(NULL, answer->len, (const uint8_t *)answer->body)
+		: NULL;
 
-	peer_note_answer(core, i, status);
+	peer_note_answer(core, i, answer);
 	if (!in)
 		return;
 	confirmed_take(core, i, call->sent_at, in);
@@ -166,7 +161,7 @@
 	core->api.next_ping_at = core->now + PEER_PING_S;
 	for (size_t i = 0; i < core->conf->npeers; i++)
 		core_call(core, core->conf->peers[i].addr, "POST", format_path(CONFIRMED_PATH),
-			  strdup(""), CALL_PEER_S, on_confirmed, (void *)(uintptr_t)i);
+			  xstrdup(""), CALL_PEER_S, on_confirmed, (void *)(uintptr_t)i);
 }
 
 void cancellations_clear(struct core *core)
--- a/src/core/api/forwarding.c
+++ b/src/core/api/forwarding.c
@@ -18,10 +18,8 @@
 /* The bytes of a message as a string of their own. */
 static char *text_of(const ProtobufCBinaryData *d)
 {
-	char *s = d->len ? strndup((const char *)d->data, d->len) : strdup("");
+	char *s = d->len ? xstrndup((const char *)d->data, d->len) : xstrdup("");
 
-	if (!s)
-		abort();
 	return s;
 }
 
@@ -30,23 +28,24 @@
 	size_t peer;
 };
 
-static void on_forwarded(struct core *core, struct call *call, int status, const char *body,
-			 size_t len)
+static void on_forwarded(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	struct forward_context *handed = call->arg;
 	struct peer *peer = peer_get(core, handed->peer);
 	Peer__Forwarded *in =
-	    status == 200 ? peer__forwarded__unpack(NULL, len, (const uint8_t *)body) : NULL;
+	    answer->status == STATUS_OK
+		? peer__forwarded__unpack(NULL, answer->len, (const uint8_t *)answer->body)
+		: NULL;
 
-	peer_note_answer(core, handed->peer, status);
+	peer_note_answer(core, handed->peer, answer);
 	/* It can't serve either, or is not there: the outage is everybody's for now. */
-	if (!in || in->status == 503)
+	if (!in || in->status == STATUS_UNAVAILABLE)
 		peer->no_forward_before = core->now + PEER_BACKOFF_S;
 	if (in)
 		core_reply(core, handed->conn, (int)in->status, (int)in->retry_after,
 			   text_of(&in->body));
 	else
-		core_reply_error(core, handed->conn, 503, RETRY_AFTER_S, "state");
+		core_reply_error(core, handed->conn, STATUS_UNAVAILABLE, RETRY_AFTER_S, "state");
 	if (in)
 		peer__forwarded__free_unpacked(in, NULL);
 	free(handed);
@@ -55,7 +54,7 @@
 static void forward_to(struct core *core, size_t i, const struct user_request *request)
 {
 	Peer__Forward out = PEER__FORWARD__INIT;
-	struct forward_context *handed = calloc(1, sizeof(*handed));
+	struct forward_context *handed = xcalloc(1, sizeof(*handed));
 	char path[HTTP_PATH_MAX];
 	struct call *call;
 	uint8_t *buf;
@@ -70,8 +69,6 @@
 	out.path = path;
 	out.body.data = (uint8_t *)request->body;
 	out.body.len = request->body ? strlen(request->body) : 0;
-	if (!handed)
-		abort();
 	buf = peers_pack(&out.base, &len);
 	handed->conn = request->conn;
 	handed->peer = i;
@@ -108,13 +105,11 @@
 	char *body;
 
 	if (!in) {
-		core_reply_error(core, r->conn, 400, 0, "forward");
+		core_reply_error(core, r->conn, STATUS_BAD_REQUEST, 0, "forward");
 		return;
 	}
-	wrapped = calloc(1, sizeof(*wrapped));
+	wrapped = xcalloc(1, sizeof(*wrapped));
 	body = text_of(&in->body);
-	if (!wrapped)
-		abort();
 	wrapped->conn = r->conn;
 	HASH_ADD(hh, core->api.forwarded, conn, sizeof(wrapped->conn), wrapped);
 	q.method = in->method;
@@ -145,7 +140,7 @@
 	buf = peers_pack(&out.base, len);
 	free(*body);
 	*body = (char *)buf;
-	*status = 200;
+	*status = STATUS_OK;
 	return true;
 }
 
--- a/src/core/api/peer_requests.c
+++ b/src/core/api/peer_requests.c
@@ -10,7 +10,7 @@
 void peers_request(struct core *core, const struct core_request *request)
 {
 	if (strcmp(request->method, "POST"))
-		core_reply_error(core, request->conn, 405, 0, "method");
+		core_reply_error(core, request->conn, STATUS_METHOD_NOT_ALLOWED, 0, "method");
 	else if (!strcmp(request->path, FORWARD_PATH))
 		forward_take(core, request);
 	else if (!strcmp(request->path, CANCELLED_PATH))
@@ -18,11 +18,11 @@
 	else if (!strcmp(request->path, CONFIRMED_PATH))
 		confirmed_reply(core, request->conn);
 	else if (strcmp(request->path, COUNTS_PATH))
-		core_reply_error(core, request->conn, 404, 0, "no such path");
+		core_reply_error(core, request->conn, STATUS_NOT_FOUND, 0, "no such path");
 	else if (election_is_leader(core))
 		task_counts_reply(core, request->conn);
 	else
-		core_reply_error(core, request->conn, 421, 0, "not leading");
+		core_reply_error(core, request->conn, STATUS_MISDIRECTED, 0, "not leading");
 }
 
 void peers_tick(struct core *core)
--- a/src/core/api/submissions.c
+++ b/src/core/api/submissions.c
@@ -10,6 +10,7 @@
 #include "core/state.h"
 #include "util/log.h"
 #include "wire/names.h"
+#include "util/xalloc.h"
 
 json_t *job_record_value(const struct job_spec *spec, double submitted, bool cancelled)
 {
@@ -50,7 +51,7 @@
 		DL_DELETE(list, request);
 		log_info("job_accepted", "job=%s class=%s team=%s tasks=%u", request->id,
 			 request->spec->class_name, request->spec->team, request->spec->task_count);
-		user_request_answer_state(core, request, 201, JOB_STATE_QUEUED, 0, 0);
+		user_request_answer_state(core, request, STATUS_CREATED, JOB_STATE_QUEUED, 0, 0);
 	}
 }
 
@@ -91,9 +92,10 @@
 		DL_DELETE(list, request);
 		if (count <= LIMITS_TXN_OPS_MIN &&
 		    record_bytes(request) > limits_value_bytes(core)) {
-			user_request_fail(core, request, 422, 0, RECORD_TOO_LARGE);
+			user_request_fail(core, request, STATUS_UNPROCESSABLE, 0, RECORD_TOO_LARGE);
 		} else if (count == 1) {
-			user_request_fail(core, request, 503, RETRY_AFTER_S, "state");
+			user_request_fail(core, request, STATUS_UNAVAILABLE, RETRY_AFTER_S,
+					  "state");
 		} else {
 			DL_PREPEND(core->api.submissions, request);
 			core->api.submission_count++;
@@ -101,40 +103,40 @@
 	}
 }
 
-static void submit_refused(struct core *core, struct user_request *list, int status)
+static void submit_refused(struct core *core, struct user_request *list,
+			   const struct call_answer *answer)
 {
 	struct user_request *request, *tmp;
 
-	if (status == 400) {
+	if (answer->status == STATUS_BAD_REQUEST) {
 		submit_too_large(core, list);
 		return;
 	}
 	DL_FOREACH_SAFE (list, request, tmp) {
 		DL_DELETE(list, request);
-		if (status == 0) {
+		if (answer->outcome == CALL_UNANSWERED) {
 			/* It may have been committed, or may yet be: look before saying anything.
 			 */
 			request->outcome_unknown = true;
 			user_request_lookup(core, request);
 		} else {
-			user_request_unserved(core, request, status);
+			user_request_unserved(core, request, answer);
 		}
 	}
 }
 
-static void on_submit(struct core *core, struct call *call, int status, const char *body,
-		      size_t len)
+static void on_submit(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	struct user_request *list = take_submitted(core);
 
 	(void)call;
-	store_note_answer(core, status);
-	if (status == 200)
+	store_note_answer(core, answer);
+	if (answer->status == STATUS_OK)
 		submit_accepted(core, list);
-	else if (status == 409)
-		submit_conflict(core, list, body, len);
+	else if (answer->status == STATUS_CONFLICT)
+		submit_conflict(core, list, answer->body, answer->len);
 	else
-		submit_refused(core, list, status);
+		submit_refused(core, list, answer);
 }
 
 static void add_submit(struct txn *txn, const struct user_request *request)
@@ -234,22 +236,22 @@
 static void judge(struct core *core, struct user_request *request)
 {
 	if (!team_find(core, request->spec->team)) {
-		request->rejection = 422;
+		request->rejection = STATUS_UNPROCESSABLE;
 		request->reason = "unknown team";
 	} else if (!team_ever_fits(core->conf, request->spec)) {
-		request->rejection = 422;
+		request->rejection = STATUS_UNPROCESSABLE;
 		request->reason = "beyond the team's limit";
 	} else if (!catalog_is_known(core)) {
-		request->rejection = 503;
+		request->rejection = STATUS_UNAVAILABLE;
 		request->reason = "machine types not known yet";
 	} else if (!fits_some_type(core, request->spec)) {
-		request->rejection = 422;
+		request->rejection = STATUS_UNPROCESSABLE;
 		request->reason = "fits no allowed machine";
 	} else if (!zones_suffice(core, request->spec)) {
-		request->rejection = 422;
+		request->rejection = STATUS_UNPROCESSABLE;
 		request->reason = "scattered, and no two zones allowed";
 	} else if (record_bytes(request) > limits_job_record_bytes(core)) {
-		request->rejection = 422;
+		request->rejection = STATUS_UNPROCESSABLE;
 		request->reason = RECORD_TOO_LARGE;
 	}
 }
@@ -268,18 +270,16 @@
 
 	/* Without a valid id it can't be a job that was accepted. */
 	if (!id || !wire_job_id_ok(id)) {
-		core_reply_error(core, r->conn, 400, 0, o ? W_ID : "not JSON");
+		core_reply_error(core, r->conn, STATUS_BAD_REQUEST, 0, o ? W_ID : "not JSON");
 		json_decref(o);
 		return;
 	}
 	log_debug("submission", "body=%.600s", r->body);
 	u = user_request_new(core, r->conn, USER_SUBMIT, id);
-	u->spec = calloc(1, sizeof(*u->spec));
-	u->body = strndup(r->body, r->len);
-	if (!u->spec || !u->body)
-		abort();
+	u->spec = xcalloc(1, sizeof(*u->spec));
+	u->body = xstrndup(r->body, r->len);
 	if (wire_job_decode(o, u->spec, &why)) {
-		u->rejection = 400;
+		u->rejection = STATUS_BAD_REQUEST;
 		u->reason = why;
 	} else {
 		judge(core, u);
@@ -288,7 +288,7 @@
 	if (u->rejection) {
 		user_request_lookup(core, u);
 	} else if (core->api.submission_count >= queue_max(core)) {
-		user_request_fail(core, u, 429, RETRY_AFTER_BUSY_S, "busy");
+		user_request_fail(core, u, STATUS_TOO_MANY_REQUESTS, RETRY_AFTER_BUSY_S, "busy");
 	} else if (!user_request_answer_final(core, u)) {
 		DL_APPEND(core->api.submissions, u);
 		core->api.submission_count++;
--- a/src/core/api/task_counts.c
+++ b/src/core/api/task_counts.c
@@ -18,13 +18,11 @@
 void task_counts_reply(struct core *core, uint64_t conn)
 {
 	size_t n = job_count(core), len;
-	Peer__Count *all = calloc(n + 1, sizeof(*all)), **list = calloc(n + 1, sizeof(*list));
+	Peer__Count *all = xcalloc(n + 1, sizeof(*all)), **list = xcalloc(n + 1, sizeof(*list));
 	Peer__Counts out = PEER__COUNTS__INIT;
 	struct job *job, *tmp;
 	uint8_t *buf;
 
-	if (!all || !list)
-		abort();
 	JOBS_FOR_EACH (core, job, tmp) {
 		Peer__Count *x = &all[out.n_counts];
 
@@ -68,21 +66,20 @@
 		peer__counts__free_unpacked(in, NULL);
 }
 
-static void on_counts(struct core *core, struct call *call, int status, const char *body,
-		      size_t len)
+static void on_counts(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	size_t i = (size_t)(uintptr_t)call->arg;
 
 	core->api.counts_in_flight = false;
-	peer_note_answer(core, i, status);
-	if (status == 200)
-		counts_take(core, (const uint8_t *)body, len);
+	peer_note_answer(core, i, answer);
+	if (answer->status == STATUS_OK)
+		counts_take(core, (const uint8_t *)answer->body, answer->len);
 }
 
 /* The message is empty: its path says all. */
 static void counts_ask(struct core *core, size_t i)
 {
-	core_call(core, core->conf->peers[i].addr, "POST", format_path(COUNTS_PATH), strdup(""),
+	core_call(core, core->conf->peers[i].addr, "POST", format_path(COUNTS_PATH), xstrdup(""),
 		  CALL_PEER_S, on_counts, (void *)(uintptr_t)i);
 }
 
--- a/src/core/autoscale/autoscale.h
+++ b/src/core/autoscale/autoscale.h
@@ -51,7 +51,7 @@
  */
 bool cloud_request_allowed(struct core *core);
 /* An answer came: all requests wait for a while after an error. */
-void cloud_note_answer(struct core *core, int status);
+void cloud_note_answer(struct core *core, const struct call_answer *answer);
 
 /* machine_list.c */
 /* Asks for the list, or its next page, when it is due. */
--- a/src/core/autoscale/catalog_reader.c
+++ b/src/core/autoscale/catalog_reader.c
@@ -21,13 +21,10 @@
 	return true;
 }
 
-static void on_nothing(struct core *core, struct call *call, int status, const char *body,
-		       size_t len)
+static void on_nothing(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	(void)call;
-	(void)body;
-	(void)len;
-	store_note_answer(core, status);
+	store_note_answer(core, answer);
 }
 
 static void store_catalog_value(struct core *core, const char *key, json_t *value)
@@ -66,28 +63,27 @@
 		json_array_extend(ctx, json_object_get(it->value, W_TYPES));
 }
 
-static void on_stored_catalog(struct core *core, struct call *call, int status, const char *body,
-			      size_t len)
+static void on_stored_catalog(struct core *core, struct call *call,
+			      const struct call_answer *answer)
 {
-	json_t *answer, *types, *all;
+	json_t *object, *types, *all;
 
 	(void)call;
-	if (status != 200 || catalog_is_known(core))
+	if (answer->status != STATUS_OK || catalog_is_known(core))
 		return;
-	answer = wire_parse(body, len);
+	object = wire_parse(answer->body, answer->len);
 	types = json_array();
-	wire_items(answer, merge_types, types);
+	wire_items(object, merge_types, types);
 	all = json_pack("{s:o}", W_TYPES, types);
 	if (take_catalog(core, all)) {
 		core->autoscale.catalog_reader.stored = true;
 		log_info("catalog", "from=state types=%zu", catalog_type_count(core));
 	}
 	json_decref(all);
-	json_decref(answer);
+	json_decref(object);
 }
 
-static void on_catalog(struct core *core, struct call *call, int status, const char *body,
-		       size_t len)
+static void on_catalog(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	bool first = !catalog_is_known(core);
 	json_t *o;
@@ -95,12 +91,12 @@
 	(void)call;
 	core->autoscale.catalog_reader.in_flight = false;
 	core->autoscale.catalog_reader.next_read_at = core->now + CLOUD_BACKOFF_S;
-	if (status != 200) {
+	if (answer->status != STATUS_OK) {
 		if (first)
 			store_range(core, CATALOG_KEY, "", on_stored_catalog, NULL);
 		return;
 	}
-	o = wire_parse(body, len);
+	o = wire_parse(answer->body, answer->len);
 	if (take_catalog(core, o)) {
 		core->autoscale.catalog_reader.next_read_at = core->now + CATALOG_EVERY_S;
 		if (first)
--- a/src/core/autoscale/inventory.c
+++ b/src/core/autoscale/inventory.c
@@ -47,7 +47,7 @@
 
 static void ask_list(struct core *core);
 
-static void on_list(struct core *core, struct call *call, int status, const char *body, size_t len)
+static void on_list(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	struct listed_machine *list;
 	size_t n;
@@ -56,8 +56,9 @@
 	if (election_call_is_stale(core, call))
 		return;
 	core->autoscale.inventory_in_flight = false;
-	cloud_note_answer(core, status);
-	if (status != 200 || wire_list_decode(body, len, &list, &n, &more))
+	cloud_note_answer(core, answer);
+	if (answer->status != STATUS_OK ||
+	    wire_list_decode(answer->body, answer->len, &list, &n, &more))
 		return;
 	for (size_t i = 0; i < n; i++)
 		take_listed(core, &list[i]);
--- a/src/core/autoscale/scale_in.c
+++ b/src/core/autoscale/scale_in.c
@@ -8,6 +8,7 @@
 #include "core/scheduling/cycle.h"
 #include "util/log.h"
 #include "wire/names.h"
+#include "util/xalloc.h"
 
 static double patience(const struct core *core, const struct machine *machine)
 {
@@ -80,22 +81,19 @@
 	size_t count;
 };
 
-static void on_delete(struct core *core, struct call *call, int status, const char *body,
-		      size_t len)
+static void on_delete(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	struct delete_req *batch = call->arg;
 
-	(void)body;
-	(void)len;
 	if (!election_call_is_stale(core, call)) {
-		cloud_note_answer(core, status);
+		cloud_note_answer(core, answer);
 		for (size_t i = 0; i < batch->count; i++) {
 			struct machine *machine = machine_find(core, batch->ids[i]);
 
 			if (!machine)
 				continue;
 			machine->cloud.delete_in_flight = false;
-			if (status != 200)
+			if (answer->status != STATUS_OK)
 				continue;
 			tombstone_add(core, machine->id);
 			capacity_refusal_lift(core, machine);
@@ -123,12 +121,10 @@
 
 static void send_deletes(struct core *core)
 {
-	struct delete_req *batch = calloc(1, sizeof(*batch));
+	struct delete_req *batch = xcalloc(1, sizeof(*batch));
 	const char *ids[DELETE_BATCH_MAX];
 	struct machine *machine, *tmp;
 
-	if (!batch)
-		abort();
 	MACHINES_FOR_EACH (core, machine, tmp) {
 		if (!delete_due(machine) || batch->count == DELETE_BATCH_MAX)
 			continue;
--- a/src/core/autoscale/scale_out.c
+++ b/src/core/autoscale/scale_out.c
@@ -11,6 +11,7 @@
 #include "core/state.h"
 #include "util/log.h"
 #include "wire/names.h"
+#include "util/xalloc.h"
 
 /* The cloud's rate is shared by lists, returns and rentals, whichever comes first in a look. */
 bool cloud_request_allowed(struct core *core)
@@ -23,9 +24,9 @@
 	return true;
 }
 
-void cloud_note_answer(struct core *core, int status)
+void cloud_note_answer(struct core *core, const struct call_answer *answer)
 {
-	if (status != 200)
+	if (answer->status != STATUS_OK)
 		core->autoscale.retry_at = core->now + CLOUD_BACKOFF_S;
 }
 
@@ -109,9 +110,7 @@
 
 	if (plan->room_count == plan->capacity) {
 		plan->capacity = plan->capacity ? plan->capacity * 2 : 64;
-		plan->rooms = realloc(plan->rooms, plan->capacity * sizeof(*plan->rooms));
-		if (!plan->rooms)
-			abort();
+		plan->rooms = xreallocarray(plan->rooms, plan->capacity, sizeof(*plan->rooms));
 	}
 	room = &plan->rooms[plan->room_count++];
 	memset(room, 0, sizeof(*room));
@@ -183,9 +182,7 @@
 	    capacity_refusal_find(core, rental->type, rental->zone, rental->spot);
 
 	if (!refusal) {
-		refusal = calloc(1, sizeof(*refusal));
-		if (!refusal)
-			abort();
+		refusal = xcalloc(1, sizeof(*refusal));
 		memcpy(refusal->key, refusal_key(rental->type, rental->zone, rental->spot).text,
 		       sizeof(refusal->key));
 		HASH_ADD_STR(core->autoscale.refusals, key, refusal);
@@ -406,9 +403,8 @@
 	for (size_t i = 0; i < classes->count; i++)
 		if (!strcmp(classes->items[i].spec->class_name, spec->class_name))
 			return &classes->items[i];
-	classes->items = realloc(classes->items, (classes->count + 1) * sizeof(*classes->items));
-	if (!classes->items)
-		abort();
+	classes->items =
+	    xreallocarray(classes->items, (classes->count + 1), sizeof(*classes->items));
 	classes->items[classes->count] = (struct class_use){spec, 0};
 	return &classes->items[classes->count++];
 }
@@ -445,7 +441,7 @@
 
 /* --- renting --- */
 
-static void on_rent(struct core *core, struct call *call, int status, const char *body, size_t len)
+static void on_rent(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	struct rental_request *rental;
 	char **ids;
@@ -459,7 +455,7 @@
 	if (!rental)
 		return;
 	rental->in_flight = false;
-	if (status == 200 && !wire_rented(body, len, &ids, &n)) {
+	if (answer->status == STATUS_OK && !wire_rented(answer->body, answer->len, &ids, &n)) {
 		log_info("scale_out", "request=%s type=%s zone=%s spot=%d asked=%d got=%zu",
 			 rental->name, rental->type, rental->zone, rental->spot, rental->count, n);
 		for (size_t i = 0; i < n; i++) {
@@ -474,13 +470,15 @@
 		}
 		free(ids);
 		note_refusal(core, rental, (int)n < rental->count);
-	} else if (status == 503 && body && strstr(body, "capacity")) {
+	} else if (answer->status == STATUS_UNAVAILABLE && answer->body &&
+		   strstr(answer->body, "capacity")) {
 		log_info("scale_out_refused", "type=%s zone=%s spot=%d", rental->type, rental->zone,
 			 rental->spot);
 		note_refusal(core, rental, true);
 	} else {
-		cloud_note_answer(core, status);
-		if (status != 400 && core->now - rental->requested_at < SCALE_OUT_GIVE_UP_S) {
+		cloud_note_answer(core, answer);
+		if (answer->status != STATUS_BAD_REQUEST &&
+		    core->now - rental->requested_at < SCALE_OUT_GIVE_UP_S) {
 			rental->retry_at =
 			    core->now + CLOUD_BACKOFF_S; /* the same name: it rents once */
 			return;
@@ -506,10 +504,8 @@
 static void rent_first(struct core *core, struct plan *plan)
 {
 	struct vroom *first = NULL;
-	struct rental_request *rental = calloc(1, sizeof(*rental));
+	struct rental_request *rental = xcalloc(1, sizeof(*rental));
 
-	if (!rental)
-		abort();
 	for (size_t i = 0; i < plan->room_count && rental->count < SCALE_OUT_BATCH_MAX; i++) {
 		struct vroom *room = &plan->rooms[i];
 
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -8,6 +8,7 @@
 #include "core/scheduling/cycle.h"
 #include "core/state.h"
 #include "util/log.h"
+#include "util/xalloc.h"
 #include "wire/names.h"
 
 /* All that only a leader knows; what the next one needs is in the records. */
@@ -68,10 +69,8 @@
 
 struct core *core_new(const struct conf *conf, uint64_t seed, struct core_time now)
 {
-	struct core *core = calloc(1, sizeof(*core));
+	struct core *core = xcalloc(1, sizeof(*core));
 
-	if (!core)
-		abort();
 	core->conf = conf;
 	core->events = &events;
 	core->now = now.steady;
@@ -83,20 +82,14 @@
 	core->rand48[0] = (unsigned short)seed;
 	core->rand48[1] = (unsigned short)(seed >> 16);
 	core->rand48[2] = (unsigned short)(seed >> 32);
-	core->teams = calloc(conf->nteams + 1, sizeof(*core->teams));
-	if (!core->teams)
-		abort();
-	core->peers.list = calloc(conf->npeers + 1, sizeof(*core->peers.list));
-	if (!core->peers.list)
-		abort();
+	core->teams = xcalloc(conf->nteams + 1, sizeof(*core->teams));
+	core->peers.list = xcalloc(conf->npeers + 1, sizeof(*core->peers.list));
 	for (size_t i = 0; i < conf->npeers; i++)
 		core->peers.list[i].confirmed_until = -1;
 	core->store_answered_at = core->now;
 	core->api.counts_received_at = core->api.counts_wanted_at = core->now - COUNTS_DEMAND_S;
 	core->share_switching.peer_live =
-	    calloc(conf->npeers + 1, sizeof(*core->share_switching.peer_live));
-	if (!core->share_switching.peer_live)
-		abort();
+	    xcalloc(conf->npeers + 1, sizeof(*core->share_switching.peer_live));
 	for (size_t i = 0; i < conf->nteams; i++)
 		core->teams[i].conf = &conf->teams[i];
 	return core;
@@ -114,7 +107,8 @@
 	set_time(core, now);
 	if (!strcmp(request->path, W_PATH_HEARTBEAT)) {
 		if (strcmp(request->method, "POST"))
-			core_reply_error(core, request->conn, 405, 0, "method");
+			core_reply_error(core, request->conn, STATUS_METHOD_NOT_ALLOWED, 0,
+					 "method");
 		else
 			agent_heartbeat(core, request);
 	} else if (request->side == CORE_BACK && !strcmp(request->path, SHARE_SWITCHING_PATH)) {
@@ -127,8 +121,21 @@
 	core_tick(core, now);
 }
 
+/* The status of the interface says two things in one; inside, they are apart. */
+static struct call_answer call_answer_of(const struct core_answer *a)
+{
+	struct call_answer answer = {CALL_ANSWERED, a->status, a->body, a->len};
+
+	if (a->status <= 0) {
+		answer.outcome = a->status < 0 ? CALL_NOT_SENT : CALL_UNANSWERED;
+		answer.status = 0;
+	}
+	return answer;
+}
+
 void core_answer(struct core *core, struct core_time now, const struct core_answer *a)
 {
+	struct call_answer answer = call_answer_of(a);
 	struct call *call;
 
 	set_time(core, now);
@@ -136,7 +143,7 @@
 	if (!call)
 		return;
 	HASH_DEL(core->calls, call);
-	call->on_answer(core, call, a->status, a->body, a->len);
+	call->on_answer(core, call, &answer);
 	free(call);
 	core_tick(core, now);
 }
--- a/src/core/election/election.c
+++ b/src/core/election/election.c
@@ -10,6 +10,7 @@
 #include "core/state.h"
 #include "util/log.h"
 #include "wire/names.h"
+#include "util/xalloc.h"
 
 /* Formats after the first have a key of their own beside the one that older versions know. */
 #define LEADER_KEY_SMALL_CHUNKS LEADER_KEY "/2"
@@ -137,14 +138,11 @@
 	core->election.gate_revision = revision;
 }
 
-static void on_nothing(struct core *core, struct call *call, int status, const char *body,
-		       size_t len)
+static void on_nothing(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	(void)core;
 	(void)call;
-	(void)status;
-	(void)body;
-	(void)len;
+	(void)answer;
 }
 
 static void lease_return(struct core *core)
@@ -282,7 +280,7 @@
 		take_leader_key(keys->core, it);
 }
 
-static void on_read(struct core *core, struct call *call, int status, const char *body, size_t len)
+static void on_read(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	struct leader_keys keys = {core, false};
 	const struct kv_item absent = {0};
@@ -290,11 +288,11 @@
 
 	(void)call;
 	core->election.read_in_flight = false;
-	store_note_answer(core, status);
+	store_note_answer(core, answer);
 	core->election.retry_at = core->now + LEADER_REREAD_S;
-	if (status != 200 || election_is_renewing_token(core))
+	if (answer->status != STATUS_OK || election_is_renewing_token(core))
 		return;
-	o = wire_parse(body, len);
+	o = wire_parse(answer->body, answer->len);
 	core->election.watch_revision = wire_revision(o);
 	core->election.key_known = true;
 	wire_items(o, read_format, &keys);
@@ -327,22 +325,22 @@
 		read_leader(ctx, it);
 }
 
-static void on_watch(struct core *core, struct call *call, int status, const char *body, size_t len)
+static void on_watch(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	struct leader_keys keys = {core, false};
 	json_t *o;
 
 	(void)call;
 	core->election.watch_in_flight = false;
-	if (status != 200) {
-		if (status != 410)
-			store_note_answer(core, status);
+	if (answer->status != STATUS_OK) {
+		if (answer->status != STATUS_GONE)
+			store_note_answer(core, answer);
 		core->election.key_known = false;
 		core->election.retry_at = core->now + LEADER_REREAD_S;
 		return;
 	}
-	store_note_answer(core, status);
-	o = wire_parse(body, len);
+	store_note_answer(core, answer);
+	o = wire_parse(answer->body, answer->len);
 	if (wire_revision(o) > core->election.watch_revision)
 		core->election.watch_revision = wire_revision(o);
 	wire_items(o, watch_format, &keys);
@@ -350,20 +348,20 @@
 	json_decref(o);
 }
 
-static void on_claim(struct core *core, struct call *call, int status, const char *body, size_t len)
+static void on_claim(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	json_t *o;
 
 	core->election.claim_in_flight = false;
-	store_note_answer(core, status);
-	if (status != 200 || !core_call_is_current(core, call)) {
-		log_debug("claim_failed", "status=%d", status);
+	store_note_answer(core, answer);
+	if (answer->status != STATUS_OK || !core_call_is_current(core, call)) {
+		log_debug("claim_failed", "status=%d", answer->status);
 		core->election.lease = 0;
 		core->election.key_known = false;
 		core->election.retry_at = core->now + LEADER_REREAD_S;
 		return;
 	}
-	o = wire_parse(body, len);
+	o = wire_parse(answer->body, answer->len);
 	core->election.token = wire_revision(o);
 	json_decref(o);
 	core->election.key_revision = core->election.first_token = core->election.token;
@@ -375,18 +373,18 @@
 	core->events->leadership_won(core);
 }
 
-static void on_lease(struct core *core, struct call *call, int status, const char *body, size_t len)
+static void on_lease(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	struct txn txn;
 	json_t *o;
 
-	store_note_answer(core, status);
-	if (status != 200 || !core_call_is_current(core, call)) {
+	store_note_answer(core, answer);
+	if (answer->status != STATUS_OK || !core_call_is_current(core, call)) {
 		core->election.claim_in_flight = false;
 		core->election.retry_at = core->now + LEADER_REREAD_S;
 		return;
 	}
-	o = wire_parse(body, len);
+	o = wire_parse(answer->body, answer->len);
 	core->election.lease = wire_lease(o);
 	json_decref(o);
 	/* Another took the key while the lease was asked for: it must not be put down again. */
@@ -406,18 +404,16 @@
 	store_commit(core, txn_finish(&txn), on_claim, NULL);
 }
 
-static void on_renew(struct core *core, struct call *call, int status, const char *body, size_t len)
+static void on_renew(struct core *core, struct call *call, const struct call_answer *answer)
 {
-	(void)body;
-	(void)len;
 	if (!core_call_is_current(core, call))
 		return;
 	core->election.renewal_in_flight = false;
-	store_note_answer(core, status);
-	if (status == 200) {
+	store_note_answer(core, answer);
+	if (answer->status == STATUS_OK) {
 		core->election.renewed_at = call->sent_at;
 		core->election.next_renewal_at = call->sent_at + LEADER_RENEW_S;
-	} else if (status == 404) {
+	} else if (answer->status == STATUS_NOT_FOUND) {
 		election_step_down(core, "lease_ended");
 	} else {
 		core->election.next_renewal_at = core->now + LEADER_RETRY_S;
@@ -433,7 +429,7 @@
 	core_call(core, core->conf->state, "POST",
 		  format_path(W_PATH_LEASES "/%llu" W_PATH_RENEW,
 			      (unsigned long long)core->election.lease),
-		  strdup("{}"), CALL_STATE_S, on_renew, NULL);
+		  xstrdup("{}"), CALL_STATE_S, on_renew, NULL);
 }
 
 static void claim(struct core *core)
--- a/src/core/election/format_gate.c
+++ b/src/core/election/format_gate.c
@@ -14,15 +14,12 @@
 
 /* --- our own version --- */
 
-static void on_registered(struct core *core, struct call *call, int status, const char *body,
-			  size_t len)
+static void on_registered(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	(void)call;
-	(void)body;
-	(void)len;
-	store_note_answer(core, status);
+	store_note_answer(core, answer);
 	core->format.register_in_flight = false;
-	core->format.registered = status == 200;
+	core->format.registered = answer->status == STATUS_OK;
 	core->format.next_register_at = core->now + FORMAT_REGISTER_S;
 }
 
@@ -67,21 +64,20 @@
 		count->newest++;
 }
 
-static void on_versions(struct core *core, struct call *call, int status, const char *body,
-			size_t len)
+static void on_versions(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	struct version_count count = {core, 0};
-	json_t *answer;
+	json_t *object;
 
-	store_note_answer(core, status);
+	store_note_answer(core, answer);
 	if (election_call_is_stale(core, call))
 		return;
 	core->format.scan_in_flight = false;
-	if (status != 200)
+	if (answer->status != STATUS_OK)
 		return;
-	answer = wire_parse(body, len);
-	wire_items(answer, count_version, &count);
-	json_decref(answer);
+	object = wire_parse(answer->body, answer->len);
+	wire_items(object, count_version, &count);
+	json_decref(object);
 	core->format.all_read_newest = count.newest == core->conf->npeers + 1;
 }
 
--- a/src/core/model/job.c
+++ b/src/core/model/job.c
@@ -4,6 +4,7 @@
 
 #include "core/state.h"
 #include "util/log.h"
+#include "util/xalloc.h"
 
 bool task_bit_test(const uint8_t *bits, uint32_t task)
 {
@@ -44,19 +45,15 @@
 
 struct job *job_add(struct core *core, const struct job_spec *spec)
 {
-	struct job *job = calloc(1, sizeof(*job));
+	struct job *job = xcalloc(1, sizeof(*job));
 	size_t bytes = (spec->task_count + 7) / 8 + 1;
 
-	if (!job)
-		abort();
 	job->spec = *spec;
-	job->done = calloc(1, bytes);
-	job->bound = calloc(1, bytes);
+	job->done = xcalloc(1, bytes);
+	job->bound = xcalloc(1, bytes);
 	job->records.tasks_per_chunk =
 	    election_format(core) >= FORMAT_SMALL_CHUNKS ? SMALL_CHUNK_TASKS : LARGE_CHUNK_TASKS;
-	job->records.chunks = calloc(job_chunk_count(job), sizeof(*job->records.chunks));
-	if (!job->done || !job->bound || !job->records.chunks)
-		abort();
+	job->records.chunks = xcalloc(job_chunk_count(job), sizeof(*job->records.chunks));
 	job->scheduling.waiting_since = core->now;
 	HASH_ADD_STR(core->jobs, spec.id, job);
 	return job;
@@ -65,10 +62,8 @@
 /* More of an array of which `count` elements are in use; the rest is zero. */
 static void *grown(void *array, size_t count, size_t wanted, size_t size)
 {
-	char *more = realloc(array, wanted * size);
+	char *more = xreallocarray(array, wanted, size);
 
-	if (!more)
-		abort();
 	memset(more + count * size, 0, (wanted - count) * size);
 	return more;
 }
@@ -284,10 +279,8 @@
 struct binding *binding_add(struct core *core, struct machine *machine, struct job *job,
 			    uint32_t task, uint64_t attempt)
 {
-	struct binding *binding = calloc(1, sizeof(*binding));
+	struct binding *binding = xcalloc(1, sizeof(*binding));
 
-	if (!binding)
-		abort();
 	binding->machine = machine;
 	binding->job = job;
 	binding->task = task;
--- a/src/core/model/machine.c
+++ b/src/core/model/machine.c
@@ -6,6 +6,7 @@
 
 #include "core/state.h"
 #include "util/log.h"
+#include "util/xalloc.h"
 
 unsigned machine_count(const struct core *core)
 {
@@ -26,9 +27,7 @@
 
 	if (machine)
 		return machine;
-	machine = calloc(1, sizeof(*machine));
-	if (!machine)
-		abort();
+	machine = xcalloc(1, sizeof(*machine));
 	snprintf(machine->id, sizeof(machine->id), "%s", id);
 	machine->agent.last_heartbeat_at = machine->agent.last_message_at =
 	    machine->agent.last_report_at = machine->agent.notice_s = -1;
--- a/src/core/model/task_bitmap.c
+++ b/src/core/model/task_bitmap.c
@@ -3,6 +3,7 @@
 #include <string.h>
 
 #include "core/state.h"
+#include "util/xalloc.h"
 
 static const char alphabet[] = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
 
@@ -13,9 +14,7 @@
 
 	while (bytes && !bits[bytes - 1])
 		bytes--;
-	out = malloc(bytes * 4 / 3 + 4);
-	if (!out)
-		abort();
+	out = xmalloc(bytes * 4 / 3 + 4);
 	for (size_t bit = 0; bit < bytes * 8; bit += 6) {
 		unsigned v = 0;
 
--- a/src/core/model/tombstones.c
+++ b/src/core/model/tombstones.c
@@ -20,9 +20,7 @@
 
 	if (machine_has_tombstone(core, id))
 		return;
-	tombstone = calloc(1, sizeof(*tombstone));
-	if (!tombstone)
-		abort();
+	tombstone = xcalloc(1, sizeof(*tombstone));
 	snprintf(tombstone->id, sizeof(tombstone->id), "%s", id);
 	tombstone->deleted_at = core->now;
 	HASH_ADD_STR(core->tombstones.list, id, tombstone);
--- a/src/core/peers/peer_link.c
+++ b/src/core/peers/peer_link.c
@@ -5,6 +5,7 @@
 
 #include "core/state.h"
 #include "peer.pb-c.h"
+#include "util/xalloc.h"
 
 struct peer *peer_get(const struct core *core, size_t index)
 {
@@ -16,17 +17,15 @@
 	uint8_t *buf;
 
 	*len = protobuf_c_message_get_packed_size(m);
-	buf = malloc(*len + 1);
-	if (!buf)
-		abort();
+	buf = xmalloc(*len + 1);
 	protobuf_c_message_pack(m, buf);
 	return buf;
 }
 
 /* Whatever it says, it is there. */
-void peer_note_answer(struct core *core, size_t peer, int status)
+void peer_note_answer(struct core *core, size_t peer, const struct call_answer *answer)
 {
-	if (status > 0)
+	if (answer->outcome == CALL_ANSWERED)
 		core->peers.list[peer].answered_at = core->now;
 }
 
--- a/src/core/peers/peer_link.h
+++ b/src/core/peers/peer_link.h
@@ -6,6 +6,7 @@
 #include <stddef.h>
 #include <stdint.h>
 
+struct call_answer;
 struct core;
 struct ProtobufCMessage;
 
@@ -27,8 +28,8 @@
 struct peer *peer_get(const struct core *core, size_t index);
 /* The message's bytes, which the caller owns; *len is their number. */
 uint8_t *peers_pack(const struct ProtobufCMessage *m, size_t *len);
-/* A call to the peer ended with this status: any answer shows that it is there. */
-void peer_note_answer(struct core *core, size_t peer, int status);
+/* A call to the peer has ended: any answer shows that it is there. */
+void peer_note_answer(struct core *core, size_t peer, const struct call_answer *answer);
 /* An answer of the peer came: which process it is. */
 void peers_note_incarnation(struct core *core, size_t peer, uint64_t incarnation);
 /* The incarnation of this process, which the others are told. */
--- a/src/core/records/recovery.c
+++ b/src/core/records/recovery.c
@@ -6,6 +6,7 @@
 
 #include "core/state.h"
 #include "util/log.h"
+#include "util/xalloc.h"
 
 /* In this order: an older record of tasks counts only where no newer one was read. */
 static const char *const prefixes_large_chunks[] = {KEY_OPEN_JOBS, KEY_LARGE_CHUNKS, NULL};
@@ -105,7 +106,7 @@
 	core->events->placement_needed(core);
 }
 
-static void on_page(struct core *core, struct call *call, int status, const char *body, size_t len);
+static void on_page(struct core *core, struct call *call, const struct call_answer *answer);
 
 static void ask_page(struct core *core, struct recovery *load)
 {
@@ -113,22 +114,22 @@
 	    ->free_arg = free;
 }
 
-static void on_page(struct core *core, struct call *call, int status, const char *body, size_t len)
+static void on_page(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	struct recovery *load = call->arg;
 	struct recovery_context x = {core, load};
 	json_t *o;
 
-	store_note_answer(core, status);
+	store_note_answer(core, answer);
 	if (election_call_is_stale(core, call)) {
 		free(load);
 		return;
 	}
-	if (status != 200) {
+	if (answer->status != STATUS_OK) {
 		ask_page(core, load);
 		return;
 	}
-	o = wire_parse(body, len);
+	o = wire_parse(answer->body, answer->len);
 	if (load->first_page) {
 		core->jobs_watch.revision = wire_revision(o);
 		core->jobs_watch.read_at = call->sent_at;
@@ -151,10 +152,8 @@
 
 void recovery_start(struct core *core)
 {
-	struct recovery *load = calloc(1, sizeof(*load));
+	struct recovery *load = xcalloc(1, sizeof(*load));
 
-	if (!load)
-		abort();
 	load->first_page = true;
 	ask_page(core, load);
 }
@@ -174,22 +173,22 @@
 	recovery_take_job_record(core, it->key + n, it->value, it->version);
 }
 
-static void on_watch(struct core *core, struct call *call, int status, const char *body, size_t len)
+static void on_watch(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	json_t *o;
 
 	if (election_call_is_stale(core, call))
 		return;
 	core->jobs_watch.in_flight = false;
-	if (status == 410) {
+	if (answer->status == STATUS_GONE) {
 		election_step_down(core, "watch_too_old");
 		return;
 	}
-	if (status != 200) {
+	if (answer->status != STATUS_OK) {
 		core->jobs_watch.retry_at = core->now + LEADER_REREAD_S;
 		return;
 	}
-	o = wire_parse(body, len);
+	o = wire_parse(answer->body, answer->len);
 	wire_items(o, watch_item, core);
 	if (wire_revision(o) > core->jobs_watch.revision)
 		core->jobs_watch.revision = wire_revision(o);
--- a/src/core/records/task_records.c
+++ b/src/core/records/task_records.c
@@ -9,6 +9,7 @@
 #include <string.h>
 
 #include "core/state.h"
+#include "util/xalloc.h"
 
 #define SMALL_PER_LARGE_CHUNK (LARGE_CHUNK_TASKS / SMALL_CHUNK_TASKS)
 
@@ -185,9 +186,7 @@
 
 	/* An orphan may have grown since: each of its records was read before its growth. */
 	job->records.old_chunks =
-	    realloc(job->records.old_chunks, count * sizeof(*job->records.old_chunks));
-	if (!job->records.old_chunks)
-		abort();
+	    xreallocarray(job->records.old_chunks, count, sizeof(*job->records.old_chunks));
 	for (uint32_t i = job->records.old_chunk_count; i < count; i++)
 		job->records.old_chunks[i] = (struct old_chunk){0};
 	job->records.old_chunk_count = count;
@@ -286,9 +285,7 @@
 		if (before[index].version)
 			old_chunk_set(job, index, before[index].version);
 	job->records.tasks_per_chunk = SMALL_CHUNK_TASKS;
-	job->records.chunks = calloc(job_chunk_count(job), sizeof(*job->records.chunks));
-	if (!job->records.chunks)
-		abort();
+	job->records.chunks = xcalloc(job_chunk_count(job), sizeof(*job->records.chunks));
 	DL_FOREACH2 (job->bindings, binding, job_next)
 		chunk_add_binding(binding);
 	/* What waited to be written waits in the new form. */
--- a/src/core/records/write_queue.c
+++ b/src/core/records/write_queue.c
@@ -13,14 +13,13 @@
 
 #include "core/state.h"
 #include "util/log.h"
+#include "util/xalloc.h"
 
 static struct pending_write *write_add(struct pending_write **list, enum pending_write_kind kind,
 				       struct job *job, uint32_t chunk)
 {
-	struct pending_write *item = calloc(1, sizeof(*item));
+	struct pending_write *item = xcalloc(1, sizeof(*item));
 
-	if (!item)
-		abort();
 	item->kind = kind;
 	item->job = job;
 	item->chunk = chunk;
@@ -442,21 +441,20 @@
 	requeue(core);
 }
 
-static void on_reread(struct core *core, struct call *call, int status, const char *body,
-		      size_t len)
+static void on_reread(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	struct kv_item it = {0};
 	json_t *o = NULL;
 
 	if (election_call_is_stale(core, call))
 		return;
-	store_note_answer(core, status);
-	if (status != 200 && status != 404) {
+	store_note_answer(core, answer);
+	if (answer->status != STATUS_OK && answer->status != STATUS_NOT_FOUND) {
 		store_get(core, call->key, on_reread, NULL);
 		return;
 	}
-	if (status == 200) {
-		o = wire_parse(body, len);
+	if (answer->status == STATUS_OK) {
+		o = wire_parse(answer->body, answer->len);
 		wire_kv(o, &it);
 	}
 	adopt(core, call->key, it.value, it.version);
@@ -497,8 +495,7 @@
 									: election_format(core));
 }
 
-static void on_fence_read(struct core *core, struct call *call, int status, const char *body,
-			  size_t len)
+static void on_fence_read(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	const char *name;
 	struct kv_item it = {0};
@@ -506,12 +503,12 @@
 
 	if (election_call_is_stale(core, call) || !core->write_queue.in_flight)
 		return;
-	store_note_answer(core, status);
-	if (status != 200 && status != 404) {
+	store_note_answer(core, answer);
+	if (answer->status != STATUS_OK && answer->status != STATUS_NOT_FOUND) {
 		store_get(core, fence_key(core), on_fence_read, NULL);
 		return;
 	}
-	o = status == 200 ? wire_parse(body, len) : NULL;
+	o = answer->status == STATUS_OK ? wire_parse(answer->body, answer->len) : NULL;
 	wire_kv(o, &it);
 	name = json_string_value(json_object_get(it.value, "name"));
 	if (name && !strcmp(name, core->conf->name) && it.version > election_token(core))
@@ -543,23 +540,23 @@
 	core->write_queue.retry_at = core->now + (small ? LIMITS_REFUSED_S : COMMIT_RETRY_S);
 }
 
-static void on_commit(struct core *core, struct call *call, int status, const char *body,
-		      size_t len)
+static void on_commit(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	json_t *o;
 
-	store_note_answer(core, status);
+	store_note_answer(core, answer);
 	if (election_call_is_stale(core, call) || !core->write_queue.in_flight)
 		return;
-	if (status == 200) {
-		o = wire_parse(body, len);
+	if (answer->status == STATUS_OK) {
+		o = wire_parse(answer->body, answer->len);
 		committed(core, wire_revision(o));
 		json_decref(o);
 		return;
 	}
-	if (status == 409) {
-		o = wire_parse(body, len);
-		log_info("transaction_conflict", "body=%.*s", (int)(len < 200 ? len : 200), body);
+	if (answer->status == STATUS_CONFLICT) {
+		o = wire_parse(answer->body, answer->len);
+		log_info("transaction_conflict", "body=%.*s",
+			 (int)(answer->len < 200 ? answer->len : 200), answer->body);
 		if (core->write_queue.transaction.renews_token)
 			store_get(core, fence_key(core), on_fence_read, NULL);
 		else if (wire_failed_has(o, election_key(election_format(core))))
@@ -569,8 +566,8 @@
 		json_decref(o);
 		return;
 	}
-	if (status == 400) {
-		refused(core, body, len);
+	if (answer->status == STATUS_BAD_REQUEST) {
+		refused(core, answer->body, answer->len);
 		return;
 	}
 	/*
@@ -594,7 +591,7 @@
 	core->write_queue.transaction.awaits_retry = false;
 	refill(core);
 	core->write_queue.put_limiter.tokens -= core->write_queue.transaction.op_count;
-	store_commit(core, strdup(core->write_queue.transaction.body), on_commit, NULL);
+	store_commit(core, xstrdup(core->write_queue.transaction.body), on_commit, NULL);
 }
 
 static void send_txn(struct core *core, struct txn *txn)
--- a/src/core/runtime/call.c
+++ b/src/core/runtime/call.c
@@ -23,11 +23,9 @@
 
 char *format_path(const char *fmt, ...)
 {
-	char *s = malloc(HTTP_PATH_MAX);
+	char *s = xmalloc(HTTP_PATH_MAX);
 	va_list ap;
 
-	if (!s)
-		abort();
 	va_start(ap, fmt);
 	vsnprintf(s, HTTP_PATH_MAX, fmt, ap);
 	va_end(ap);
@@ -46,10 +44,8 @@
 
 static struct core_action *action_add(struct core *core, enum core_action_kind kind, uint64_t id)
 {
-	struct core_action *action = calloc(1, sizeof(*action));
+	struct core_action *action = xcalloc(1, sizeof(*action));
 
-	if (!action)
-		abort();
 	action->kind = kind;
 	action->id = id;
 	DL_APPEND(core->actions, action);
@@ -59,11 +55,9 @@
 struct call *core_call(struct core *core, const char *addr, const char *method, char *path,
 		       char *body, double timeout_s, answer_fn fn, void *arg)
 {
-	struct call *call = calloc(1, sizeof(*call));
+	struct call *call = xcalloc(1, sizeof(*call));
 	struct core_action *action;
 
-	if (!call)
-		abort();
 	call->id = core->next_call++;
 	call->on_answer = fn;
 	call->arg = arg;
@@ -97,7 +91,7 @@
 {
 	struct core_action *action;
 
-	core_reply(core, conn, 200, 0, NULL);
+	core_reply(core, conn, STATUS_OK, 0, NULL);
 	action = core->actions->prev;
 	action->body = (char *)buf;
 	action->len = len;
--- a/src/core/runtime/call.h
+++ b/src/core/runtime/call.h
@@ -11,15 +11,29 @@
 
 #include "conf/conf.h"
 #include "core/core.h"
+#include "core/runtime/http_status.h"
 #include "wire/wire.h"
 
 #define KEY_MAX 200 /* bytes of a key, from the protocol */
 
 struct call;
 
-/* The answer to a call: its HTTP status, 0 if none came, -1 if the call never left. */
-typedef void (*answer_fn)(struct core *core, struct call *call, int status, const char *body,
-			  size_t len);
+enum call_outcome {
+	CALL_ANSWERED,
+	CALL_UNANSWERED, /* it may have been carried out, or may yet be */
+	CALL_NOT_SENT	 /* it never left */
+};
+
+/* How a call ended. The body is owned by the caller, and ends with a NUL that `len` leaves out. */
+struct call_answer {
+	enum call_outcome outcome;
+	int status; /* see enum http_status; 0 unless answered */
+	const char *body;
+	size_t len;
+};
+
+/* Takes the end of a call, which is freed afterwards. */
+typedef void (*answer_fn)(struct core *core, struct call *call, const struct call_answer *answer);
 
 /* A call without an answer yet. */
 struct call {
--- a/src/core/scheduling/cycle.c
+++ b/src/core/scheduling/cycle.c
@@ -1,4 +1,5 @@
 #include "core/scheduling/cycle.h"
+#include "util/xalloc.h"
 
 #include <math.h>
 #include <stdlib.h>
@@ -86,12 +87,10 @@
 
 	memset(cycle, 0, sizeof(*cycle));
 	cycle->core = core;
-	cycle->rooms = malloc(n * sizeof(*cycle->rooms));
-	cycle->candidates = malloc(n * sizeof(*cycle->candidates));
-	cycle->pools = malloc(n * sizeof(*cycle->pools));
-	cycle->open_rooms = malloc(n * sizeof(*cycle->open_rooms));
-	if (!cycle->rooms || !cycle->candidates || !cycle->pools || !cycle->open_rooms)
-		abort();
+	cycle->rooms = xmalloc(n * sizeof(*cycle->rooms));
+	cycle->candidates = xmalloc(n * sizeof(*cycle->candidates));
+	cycle->pools = xmalloc(n * sizeof(*cycle->pools));
+	cycle->open_rooms = xmalloc(n * sizeof(*cycle->open_rooms));
 	MACHINES_FOR_EACH (core, machine, tmp)
 		if (machine_is_usable(core, machine))
 			room_add(cycle, machine);
--- a/src/core/scheduling/placement.c
+++ b/src/core/scheduling/placement.c
@@ -10,6 +10,7 @@
 #include "core/scheduling/cycle.h"
 #include "core/state.h"
 #include "util/log.h"
+#include "util/xalloc.h"
 
 void cycle_request(struct core *core)
 {
@@ -576,11 +577,9 @@
  */
 static void serve_needs(struct scheduling_cycle *cycle, struct job **jobs, size_t n)
 {
-	struct need *all = calloc(n + 1, sizeof(*all));
+	struct need *all = xcalloc(n + 1, sizeof(*all));
 	size_t k = 0;
 
-	if (!all)
-		abort();
 	for (size_t i = 0; i < n; i++) {
 		job_need(cycle->core, jobs[i], &all[k]);
 		k += all[k].slots > 0;
@@ -672,9 +671,7 @@
 	struct job *job, *tmp;
 	size_t n = 0;
 
-	*out = calloc(job_count(core) + 1, sizeof(**out));
-	if (!*out)
-		abort();
+	*out = xcalloc(job_count(core) + 1, sizeof(**out));
 	JOBS_FOR_EACH (core, job, tmp) {
 		if (!job_waiting_count(job) || core->now < job->scheduling.retry_at)
 			continue;
@@ -688,10 +685,8 @@
 static void serve_priority(struct scheduling_cycle *cycle, struct job **jobs, size_t n)
 {
 	size_t narrays = 0;
-	struct job **arrays = calloc(n + 1, sizeof(*arrays));
+	struct job **arrays = xcalloc(n + 1, sizeof(*arrays));
 
-	if (!arrays)
-		abort();
 	for (size_t i = 0; i < n; i++) {
 		if (jobs[i]->spec.kind == JOB_ARRAY)
 			arrays[narrays++] = jobs[i];
--- a/src/core/scheduling/share_switching.c
+++ b/src/core/scheduling/share_switching.c
@@ -17,6 +17,7 @@
 #include "core/state.h"
 #include "peer.pb-c.h"
 #include "util/log.h"
+#include "util/xalloc.h"
 
 struct job_share {
 	char id[ID_MAX];
@@ -63,9 +64,7 @@
 	HASH_FIND_STR(*counts, id, count);
 	if (count)
 		return count;
-	count = calloc(1, sizeof(*count));
-	if (!count)
-		abort();
+	count = xcalloc(1, sizeof(*count));
 	snprintf(count->id, sizeof(count->id), "%s", id);
 	HASH_ADD_STR(*counts, id, count);
 	return count;
@@ -109,13 +108,11 @@
 static void pair_decide(struct core *core, struct partition_work *work)
 {
 	size_t n = work->part->n_slots;
-	Peer__Switch *all = calloc(n + 1, sizeof(*all)), **list = calloc(n + 1, sizeof(*list));
+	Peer__Switch *all = xcalloc(n + 1, sizeof(*all)), **list = xcalloc(n + 1, sizeof(*list));
 	Peer__Switches out = PEER__SWITCHES__INIT;
 	struct job_share *count, *tmp;
 	double total = 0;
 
-	if (!all || !list)
-		abort();
 	HASH_ITER (hh, work->counts, count, tmp)
 		total += count->slots;
 	for (size_t i = 0; i < n; i++) {
@@ -173,20 +170,19 @@
 	}
 }
 
-static void on_counts(struct core *core, struct call *call, int status, const char *body,
-		      size_t len)
+static void on_counts(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	struct partition_work *work = call->arg;
 	json_t *o;
 
-	store_note_answer(core, status);
-	if (status == 200) {
-		o = wire_parse(body, len);
+	store_note_answer(core, answer);
+	if (answer->status == STATUS_OK) {
+		o = wire_parse(answer->body, answer->len);
 		wire_items(o, sum_item, work);
 		json_decref(o);
 		pair_decide(core, work);
 	} else if (work->conn) {
-		core_reply_error(core, work->conn, 503, 0, "state");
+		core_reply_error(core, work->conn, STATUS_UNAVAILABLE, 0, "state");
 	}
 	work_free(work);
 }
@@ -230,24 +226,21 @@
 
 static void write_counts(struct core *core, struct partition_work *work);
 
-static void on_written(struct core *core, struct call *call, int status, const char *body,
-		       size_t len)
+static void on_written(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	struct partition_work *work = call->arg;
 
-	(void)body;
-	(void)len;
-	store_note_answer(core, status);
-	if (status == 200 && work->own) {
+	store_note_answer(core, answer);
+	if (answer->status == STATUS_OK && work->own) {
 		write_counts(core, work);
 		return;
 	}
-	if (status == 200) {
+	if (answer->status == STATUS_OK) {
 		store_range(core, "p/", "", on_counts, work)->free_arg = work_free;
 		return;
 	}
 	if (work->conn)
-		core_reply_error(core, work->conn, 503, 0, "state");
+		core_reply_error(core, work->conn, STATUS_UNAVAILABLE, 0, "state");
 	work_free(work);
 }
 
@@ -270,12 +263,10 @@
 	struct partition_work *work;
 
 	if (!part) {
-		core_reply_error(core, conn, 400, 0, "part");
+		core_reply_error(core, conn, STATUS_BAD_REQUEST, 0, "part");
 		return;
 	}
-	work = calloc(1, sizeof(*work));
-	if (!work)
-		abort();
+	work = xcalloc(1, sizeof(*work));
 	work->conn = conn;
 	work->part = part;
 	for (size_t i = 0; i < part->n_open; i++)
@@ -323,16 +314,15 @@
 	peer__switches__free_unpacked(in, NULL);
 }
 
-static void on_part_answer(struct core *core, struct call *call, int status, const char *body,
-			   size_t len)
+static void on_part_answer(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	size_t i = (size_t)(uintptr_t)call->arg;
 
 	if (election_call_is_stale(core, call))
 		return;
-	core->share_switching.peer_live[i] = status == 200;
-	if (status == 200)
-		share_switching_take(core, i, (const uint8_t *)body, len);
+	core->share_switching.peer_live[i] = answer->status == STATUS_OK;
+	if (answer->status == STATUS_OK)
+		share_switching_take(core, i, (const uint8_t *)answer->body, answer->len);
 }
 
 /* Rendezvous: of the live controllers, the one whose hash with the machine is highest. */
@@ -369,10 +359,8 @@
 
 	MACHINES_FOR_EACH (core, machine, tmp)
 		cap += (size_t)machine->binding_count;
-	build->slots = calloc(cap + 1, sizeof(*build->slots));
-	build->slot_list = calloc(cap + 1, sizeof(*build->slot_list));
-	if (!build->slots || !build->slot_list)
-		abort();
+	build->slots = xcalloc(cap + 1, sizeof(*build->slots));
+	build->slot_list = xcalloc(cap + 1, sizeof(*build->slot_list));
 	MACHINES_FOR_EACH (core, machine, tmp) {
 		if (owner_of(core, machine->id) != owner)
 			continue;
@@ -395,10 +383,8 @@
 {
 	struct job *job, *tmp;
 
-	build->open = calloc(job_count(core) + 1, sizeof(*build->open));
-	build->open_list = calloc(job_count(core) + 1, sizeof(*build->open_list));
-	if (!build->open || !build->open_list)
-		abort();
+	build->open = xcalloc(job_count(core) + 1, sizeof(*build->open));
+	build->open_list = xcalloc(job_count(core) + 1, sizeof(*build->open_list));
 	JOBS_FOR_EACH (core, job, tmp) {
 		/* A job whose team is at its limit, or with nothing waiting, is not drawn. */
 		if (job->spec.kind != JOB_ARRAY || !job_waiting_count(job) ||
--- a/src/core/store/store_client.c
+++ b/src/core/store/store_client.c
@@ -5,9 +5,10 @@
 #include "wire/names.h"
 
 /* Notes whether the state service serves us; a 503 may concern this controller alone. */
-void store_note_answer(struct core *core, int status)
+void store_note_answer(struct core *core, const struct call_answer *answer)
 {
-	core->store_unavailable = status <= 0 || status == 503;
+	core->store_unavailable =
+	    answer->outcome != CALL_ANSWERED || answer->status == STATUS_UNAVAILABLE;
 	if (!core->store_unavailable)
 		core->store_answered_at = core->now;
 }
--- a/src/core/store/store_client.h
+++ b/src/core/store/store_client.h
@@ -22,6 +22,6 @@
 /* Seconds since it last served this controller. */
 double store_silence_s(const struct core *core);
 /* Notes whether the state service serves this controller, by the status of an answer. */
-void store_note_answer(struct core *core, int status);
+void store_note_answer(struct core *core, const struct call_answer *answer);
 
 #endif
--- a/src/util/xalloc.h
+++ b/src/util/xalloc.h
@@ -35,6 +35,12 @@
 	return xalloc_checked(reallocarray(array, count ? count : 1, size));
 }
 
+/* The first `len` bytes of the text, or all of it if it is shorter, with a NUL behind them. */
+static inline char *xstrndup(const char *text, size_t len)
+{
+	return xalloc_checked(strndup(text, len));
+}
+
 static inline char *xstrdup(const char *text)
 {
 	return xalloc_checked(strdup(text));
