--- a/src/constants.h
+++ b/src/constants.h
@@ -5,7 +5,7 @@
 #ifndef PLOVERLOFT_CONSTANTS_H
 #define PLOVERLOFT_CONSTANTS_H
 
-#define PLOVERLOFT_VERSION "0.6.0"
+#define PLOVERLOFT_VERSION "0.6.1"
 
 /* --- net --- */
 #define NET_ADDR_MAX 64	    /* bytes: "255.255.255.255:65535" with room */
