--- a/src/wire/json.c
+++ b/src/wire/json.c
@@ -8,10 +8,6 @@
 #include "constants.h"
 #include "wire/names.h"
 
-static const char *const priority_names[] = {W_PRIO_PRODUCTION, W_PRIO_HIGH, W_PRIO_NORMAL,
-					     W_PRIO_LOW};
-static const char *const kind_names[] = {W_KIND_ARRAY, W_KIND_GANG, W_KIND_SERVICE};
-static const char *const job_states[] = {W_ST_QUEUED, W_ST_RUNNING, W_ST_DONE, W_ST_CANCELLED};
 static const char *const task_states[] = {W_TS_FETCHING, W_TS_WAITING, W_TS_RUNNING, W_TS_SAVING,
 					  W_TS_EXITED};
 static const char *const task_whys[] = {"",	      W_WHY_DONE,  W_WHY_STOPPED, W_WHY_PEERS,
@@ -22,35 +18,6 @@
 
 #define LEN(a) (sizeof(a) / sizeof((a)[0]))
 
-int name_list_add(struct name_list *list, const char *name)
-{
-	char(*more)[NAME_MAX_LEN];
-
-	if (!name || !*name || strlen(name) >= NAME_MAX_LEN)
-		return -1;
-	more = realloc(list->names, (size_t)(list->count + 1) * sizeof(*more));
-	if (!more)
-		abort();
-	list->names = more;
-	memcpy(list->names[list->count++], name, strlen(name) + 1);
-	return 0;
-}
-
-bool name_list_has(const struct name_list *list, const char *name)
-{
-	for (int i = 0; i < list->count; i++)
-		if (!strcmp(list->names[i], name))
-			return true;
-	return false;
-}
-
-void name_list_free(struct name_list *list)
-{
-	free(list->names);
-	list->names = NULL;
-	list->count = 0;
-}
-
 static int name_index(const char *const *names, size_t n, const char *s)
 {
 	for (size_t i = 0; s && i < n; i++)
@@ -97,188 +64,6 @@
 	return json_is_boolean(v) ? 0 : -1;
 }
 
-static char *dump(json_t *o)
-{
-	char *s = json_dumps(o, JSON_COMPACT);
-
-	json_decref(o);
-	if (!s)
-		abort();
-	return s;
-}
-
-json_t *wire_parse(const char *body, size_t len)
-{
-	return json_loadb(body, len, JSON_REJECT_DUPLICATES, NULL);
-}
-
-int wire_job_id_ok(const char *id)
-{
-	size_t n = strlen(W_JOB_PREFIX), len = strlen(id);
-
-	if (len <= n || len >= ID_MAX || strncmp(id, W_JOB_PREFIX, n))
-		return 0;
-	return strspn(id + n, "0123456789") == len - n;
-}
-
-static int decode_types(json_t *o, struct job_spec *j)
-{
-	json_t *v = json_object_get(o, W_TYPES), *e;
-	size_t i;
-
-	if (!v || json_is_null(v))
-		return 0;
-	if (!json_is_array(v) || !json_array_size(v))
-		return -1;
-	json_array_foreach (v, i, e) {
-		if (name_list_add(&j->types, json_string_value(e)))
-			return -1;
-	}
-	return 0;
-}
-
-static int decode_optional(json_t *o, struct job_spec *j, const char **why)
-{
-	json_t *v = json_object_get(o, W_ZONE);
-
-	*why = W_ZONE;
-	if (v && !json_is_null(v) && (get_text(o, W_ZONE, j->zone, sizeof(j->zone)) || !*j->zone))
-		return -1;
-	v = json_object_get(o, W_DEADLINE);
-	j->deadline_s = -1;
-	*why = W_DEADLINE;
-	if (v && !json_is_null(v) && get_number(o, W_DEADLINE, &j->deadline_s))
-		return -1;
-	*why = W_TYPES;
-	return decode_types(o, j);
-}
-
-static int decode_amounts(json_t *o, struct job_spec *j, const char **why)
-{
-	const struct {
-		const char *key;
-		double *out;
-	} nums[] = {{W_CPUS, &j->cpus},		  {W_GPUS, &j->gpus},
-		    {W_MEMORY, &j->mem_gb},	  {W_IMAGE_GB, &j->image_gb},
-		    {W_ESTIMATE, &j->estimate_s}, {W_CHECKPOINT, &j->checkpoint_s},
-		    {W_SAVE, &j->save_s}};
-	const struct {
-		const char *key;
-		int *out;
-	} bools[] = {{W_ONE_ZONE, &j->one_zone}, {W_SPREAD, &j->spread}, {W_SPOT, &j->spot}};
-
-	for (size_t i = 0; i < LEN(nums); i++) {
-		*why = nums[i].key;
-		if (get_number(o, nums[i].key, nums[i].out))
-			return -1;
-	}
-	for (size_t i = 0; i < LEN(bools); i++) {
-		*why = bools[i].key;
-		if (get_bool(o, bools[i].key, bools[i].out))
-			return -1;
-	}
-	return 0;
-}
-
-int wire_job_decode(json_t *o, struct job_spec *j, const char **why)
-{
-	char word[NAME_MAX_LEN];
-	uint64_t n;
-	int i;
-
-	memset(j, 0, sizeof(*j));
-	*why = "not an object";
-	if (!json_is_object(o))
-		return -1;
-	*why = W_ID;
-	if (get_text(o, W_ID, j->id, sizeof(j->id)) || !wire_job_id_ok(j->id))
-		return -1;
-	*why = W_CLASS;
-	if (get_text(o, W_CLASS, j->class_name, sizeof(j->class_name)) || !*j->class_name)
-		return -1;
-	*why = W_TEAM;
-	if (get_text(o, W_TEAM, j->team, sizeof(j->team)) || !*j->team)
-		return -1;
-	*why = W_IMAGE;
-	if (get_text(o, W_IMAGE, j->image, sizeof(j->image)) || !*j->image)
-		return -1;
-	*why = W_KIND;
-	if (get_text(o, W_KIND, word, sizeof(word)))
-		return -1;
-	if ((i = name_index(kind_names, LEN(kind_names), word)) < 0)
-		return -1;
-	j->kind = (enum job_kind)i;
-	*why = W_PRIORITY;
-	if (get_text(o, W_PRIORITY, word, sizeof(word)))
-		return -1;
-	if ((i = name_index(priority_names, LEN(priority_names), word)) < 0)
-		return -1;
-	j->priority = (enum job_priority)i;
-	*why = W_TASKS;
-	if (get_count(o, W_TASKS, &n) || n == 0 || n > JOB_TASKS_MAX)
-		return -1;
-	j->ntasks = (uint32_t)n;
-	if (decode_amounts(o, j, why))
-		return -1;
-	return decode_optional(o, j, why);
-}
-
-void wire_job_free(struct job_spec *spec)
-{
-	name_list_free(&spec->types);
-}
-
-json_t *wire_job_encode(const struct job_spec *j)
-{
-	json_t *o = json_object();
-
-	json_object_set_new(o, W_ID, json_string(j->id));
-	json_object_set_new(o, W_CLASS, json_string(j->class_name));
-	json_object_set_new(o, W_TEAM, json_string(j->team));
-	json_object_set_new(o, W_KIND, json_string(kind_names[j->kind]));
-	json_object_set_new(o, W_PRIORITY, json_string(priority_names[j->priority]));
-	json_object_set_new(o, W_TASKS, json_integer(j->ntasks));
-	json_object_set_new(o, W_CPUS, json_real(j->cpus));
-	json_object_set_new(o, W_GPUS, json_real(j->gpus));
-	json_object_set_new(o, W_MEMORY, json_real(j->mem_gb));
-	json_object_set_new(o, W_IMAGE, json_string(j->image));
-	json_object_set_new(o, W_IMAGE_GB, json_real(j->image_gb));
-	if (j->types.count) {
-		json_t *a = json_array();
-
-		for (int i = 0; i < j->types.count; i++)
-			json_array_append_new(a, json_string(j->types.names[i]));
-		json_object_set_new(o, W_TYPES, a);
-	}
-	if (*j->zone)
-		json_object_set_new(o, W_ZONE, json_string(j->zone));
-	json_object_set_new(o, W_ONE_ZONE, json_boolean(j->one_zone));
-	json_object_set_new(o, W_SPREAD, json_boolean(j->spread));
-	json_object_set_new(o, W_SPOT, json_boolean(j->spot));
-	json_object_set_new(o, W_ESTIMATE, json_real(j->estimate_s));
-	json_object_set_new(o, W_CHECKPOINT, json_real(j->checkpoint_s));
-	json_object_set_new(o, W_SAVE, json_real(j->save_s));
-	if (j->deadline_s >= 0)
-		json_object_set_new(o, W_DEADLINE, json_real(j->deadline_s));
-	return o;
-}
-
-const char *wire_job_state(enum job_state s)
-{
-	return job_states[s];
-}
-
-char *wire_job_answer(const char *id, enum job_state s, uint32_t done, uint32_t running)
-{
-	json_t *o = json_object();
-
-	json_object_set_new(o, W_ID, json_string(id));
-	json_object_set_new(o, W_STATE, json_string(job_states[s]));
-	json_object_set_new(o, W_DONE, json_integer(done));
-	json_object_set_new(o, W_RUNNING, json_integer(running));
-	return dump(o);
-}
-
 /* "job-000412/3" */
 static int decode_task_name(const char *s, char *job, uint32_t *task)
 {
@@ -400,7 +185,7 @@
 
 	json_object_set_new(o, W_TOKEN, json_integer((json_int_t)token));
 	json_object_set_new(o, W_COMMANDS, encode_commands(cmds, n));
-	return dump(o);
+	return wire_serialize(o);
 }
 
 char *wire_direct_commands(uint64_t token, uint64_t session, const struct command *cmds, size_t n)
@@ -410,7 +195,7 @@
 	json_object_set_new(o, W_TOKEN, json_integer((json_int_t)token));
 	json_object_set_new(o, W_SESSION, json_integer((json_int_t)session));
 	json_object_set_new(o, W_COMMANDS, encode_commands(cmds, n));
-	return dump(o);
+	return wire_serialize(o);
 }
 
 char *wire_misdirected(const char *leader)
@@ -419,7 +204,7 @@
 
 	if (leader && *leader)
 		json_object_set_new(o, W_REPORT_TO, json_string(leader));
-	return dump(o);
+	return wire_serialize(o);
 }
 
 static int decode_type(json_t *o, struct machine_type *t)
@@ -555,7 +340,7 @@
 	json_object_set_new(o, W_ZONE, json_string(zone));
 	json_object_set_new(o, W_SPOT, json_boolean(spot));
 	json_object_set_new(o, W_COUNT, json_integer(count));
-	return dump(o);
+	return wire_serialize(o);
 }
 
 char *wire_delete(const char *const *ids, size_t n)
@@ -565,7 +350,7 @@
 	for (size_t i = 0; i < n; i++)
 		json_array_append_new(a, json_string(ids[i]));
 	json_object_set_new(o, W_MACHINES_LIST, a);
-	return dump(o);
+	return wire_serialize(o);
 }
 
 int wire_rented(const char *body, size_t len, char ***ids, size_t *n)
@@ -611,7 +396,7 @@
 	json_t *o = json_object();
 
 	json_object_set_new(o, W_TTL, json_integer(ttl_ms));
-	return dump(o);
+	return wire_serialize(o);
 }
 
 int wire_kv(json_t *o, struct kv_item *out)
--- /dev/null
+++ b/src/wire/json_text.c
@@ -0,0 +1,22 @@
+/* JSON values from and to text. */
+#include "wire/json_text.h"
+
+#include "util/xalloc.h"
+
+json_t *wire_parse(const char *body, size_t len)
+{
+	return json_loadb(body, len, JSON_REJECT_DUPLICATES, NULL);
+}
+
+char *wire_serialize(json_t *value)
+{
+	char *text = json_dumps(value, JSON_COMPACT);
+
+	json_decref(value);
+	return xalloc_checked(text);
+}
+
+size_t wire_value_bytes(const json_t *value)
+{
+	return json_dumpb(value, NULL, 0, JSON_COMPACT);
+}
--- a/src/wire/json_text.h
+++ b/src/wire/json_text.h
@@ -12,6 +12,9 @@
  */
 json_t *wire_parse(const char *body, size_t len);
 
+/* The text of an object or array as it is sent, which the caller frees. Takes over the value. */
+char *wire_serialize(json_t *value);
+
 /* The bytes of a value's text as it would be sent. */
 size_t wire_value_bytes(const json_t *value);
 
--- a/src/wire/txn.c
+++ b/src/wire/txn.c
@@ -122,8 +122,3 @@
 	buf_free(&t->ops);
 	txn_begin(t);
 }
-
-size_t wire_value_bytes(const json_t *value)
-{
-	return json_dumpb(value, NULL, 0, JSON_COMPACT);
-}
