--- /dev/null
+++ b/src/wire/report_codec.c
@@ -0,0 +1,189 @@
+/* The reports of workers, and the commands that answer them or are sent directly. */
+#include "wire/report_codec.h"
+
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+
+#include "constants.h"
+#include "util/xalloc.h"
+#include "wire/json_fields.h"
+#include "wire/json_text.h"
+#include "wire/names.h"
+
+/* A task is named by its job's id and its index: "job-000412/3". */
+#define TASK_SEPARATOR '/'
+#define TASK_FORMAT "%s/%u"
+
+static const char *const task_state_names[] = {[TS_FETCHING] = W_TS_FETCHING,
+					       [TS_WAITING] = W_TS_WAITING,
+					       [TS_RUNNING] = W_TS_RUNNING,
+					       [TS_SAVING] = W_TS_SAVING,
+					       [TS_EXITED] = W_TS_EXITED};
+static const char *const task_why_names[] = {[WHY_NONE] = "",
+					     [WHY_DONE] = W_WHY_DONE,
+					     [WHY_STOPPED] = W_WHY_STOPPED,
+					     [WHY_PEERS] = W_WHY_PEERS,
+					     [WHY_ALONE] = W_WHY_ALONE,
+					     [WHY_ERROR] = W_WHY_ERROR,
+					     [WHY_NO_ROOM] = W_WHY_NO_ROOM,
+					     [WHY_BUSY] = W_WHY_BUSY,
+					     [WHY_UNKNOWN] = W_WHY_UNKNOWN};
+static const char *const op_names[] = {
+    [OP_START] = W_OP_START, [OP_STOP] = W_OP_STOP, [OP_FORGET] = W_OP_FORGET};
+
+static const struct name_table task_states = NAME_TABLE(task_state_names);
+static const struct name_table task_whys = NAME_TABLE(task_why_names);
+
+/* `job` has room for ID_MAX bytes. 0, or -1 if the name is NULL or no task's. */
+static int decode_task_name(const char *name, char *job, uint32_t *task)
+{
+	const char *separator = name ? strrchr(name, TASK_SEPARATOR) : NULL;
+	size_t job_length;
+	unsigned long index;
+	char *end;
+
+	if (!separator)
+		return -1;
+	job_length = (size_t)(separator - name);
+	if (!job_length || job_length >= ID_MAX)
+		return -1;
+	memcpy(job, name, job_length);
+	job[job_length] = 0;
+	index = strtoul(separator + 1, &end, 10);
+	if (end == separator + 1 || *end || index >= JOB_TASKS_MAX)
+		return -1;
+	*task = (uint32_t)index;
+	return 0;
+}
+
+static int decode_task(const json_t *object, void *out)
+{
+	struct report_task *task = out;
+	int state = field_enum(object, W_STATE, &task_states);
+	int why = field_enum(object, W_WHY, &task_whys);
+
+	if (decode_task_name(field_string(object, W_TASK), task->job, &task->task) ||
+	    field_count(object, W_ATTEMPT, &task->attempt) || state < 0)
+		return -1;
+	task->state = (enum task_state)state;
+	task->why = why < 0 ? WHY_NONE : (enum task_why)why;
+	task->saved = field_is_true(object, W_SAVED);
+	return 0;
+}
+
+/* What the report says of the machine itself. */
+static int decode_machine(const json_t *object, struct report *report)
+{
+	const json_t *notice = json_object_get(object, W_NOTICE);
+
+	if (field_nonempty_text(object, W_MACHINE, report->machine, sizeof(report->machine)) ||
+	    field_text(object, W_ADDR, report->addr, sizeof(report->addr)) ||
+	    field_text(object, W_TYPE, report->type, sizeof(report->type)) ||
+	    field_text(object, W_ZONE, report->zone, sizeof(report->zone)) ||
+	    field_bool(object, W_SPOT, &report->spot) ||
+	    field_count(object, W_SESSION, &report->session) ||
+	    field_count(object, W_SEQ, &report->seq) ||
+	    field_count(object, W_TOKEN, &report->token))
+		return -1;
+	report->notice_s = json_is_number(notice) ? json_number_value(notice) : -1;
+	return 0;
+}
+
+/* A report half understood would make absence of proof look like proof: one bad task refuses it. */
+static int decode_report(const json_t *object, struct report *report)
+{
+	const json_t *tasks = json_object_get(object, W_TASKS);
+
+	if (decode_machine(object, report))
+		return -1;
+	if (tasks && !json_is_array(tasks))
+		return -1;
+	report->tasks =
+	    elements_decode(tasks, sizeof(*report->tasks), decode_task, &report->ntasks);
+	return report->ntasks == json_array_size(tasks) ? 0 : -1;
+}
+
+int wire_report_decode(const char *body, size_t len, struct report *report)
+{
+	json_t *object = wire_parse(body, len);
+	int refused;
+
+	memset(report, 0, sizeof(*report));
+	refused = json_is_object(object) ? decode_report(object, report) : -1;
+	json_decref(object);
+	if (refused)
+		wire_report_free(report);
+	return refused;
+}
+
+void wire_report_free(struct report *report)
+{
+	free(report->tasks);
+	report->tasks = NULL;
+	report->ntasks = 0;
+}
+
+static json_t *encode_command(const struct command *command)
+{
+	json_t *object = json_object();
+
+	json_object_set_new(object, W_OP, json_string(op_names[command->op]));
+	json_object_set_new(object, W_TASK, json_sprintf(TASK_FORMAT, command->job, command->task));
+	json_object_set_new(object, W_ATTEMPT, json_integer((json_int_t)command->attempt));
+	if (command->op == OP_STOP)
+		json_object_set_new(object, W_GRACE, json_real(command->grace_s));
+	return object;
+}
+
+static json_t *encode_commands(const struct command *commands, size_t count)
+{
+	json_t *array = json_array();
+
+	for (size_t i = 0; i < count; i++)
+		json_array_append_new(array, encode_command(&commands[i]));
+	return array;
+}
+
+/* What most reports are answered with: nothing in it needs quoting. */
+static char *beat_answer_empty(uint64_t token)
+{
+	char *text;
+
+	if (asprintf(&text, "{\"" W_TOKEN "\":%llu,\"" W_COMMANDS "\":[]}",
+		     (unsigned long long)token) < 0)
+		abort();
+	return text;
+}
+
+char *wire_beat_answer(uint64_t token, const struct command *commands, size_t count)
+{
+	json_t *object;
+
+	if (!count)
+		return beat_answer_empty(token);
+	object = json_object();
+	json_object_set_new(object, W_TOKEN, json_integer((json_int_t)token));
+	json_object_set_new(object, W_COMMANDS, encode_commands(commands, count));
+	return wire_serialize(object);
+}
+
+char *wire_direct_commands(uint64_t token, uint64_t session, const struct command *commands,
+			   size_t count)
+{
+	json_t *object = json_object();
+
+	json_object_set_new(object, W_TOKEN, json_integer((json_int_t)token));
+	json_object_set_new(object, W_SESSION, json_integer((json_int_t)session));
+	json_object_set_new(object, W_COMMANDS, encode_commands(commands, count));
+	return wire_serialize(object);
+}
+
+char *wire_misdirected(const char *leader)
+{
+	json_t *object = json_object();
+
+	if (leader && *leader)
+		json_object_set_new(object, W_REPORT_TO, json_string(leader));
+	return wire_serialize(object);
+}
