--- a/src/wire/cloud_codec.h
+++ b/src/wire/cloud_codec.h
@@ -8,7 +8,7 @@
 
 #include "wire/name_list.h"
 
-/* A type of machines that the cloud rents out. */
+/* A type of machines that the cloud rents out. Times are in seconds, sizes in GB. */
 struct machine_type {
 	char name[NAME_MAX_LEN];
 	double cpus, gpus, mem_gb;
@@ -19,6 +19,7 @@
 	struct name_list zones;	  /* where the cloud has it, at least one */
 };
 
+/* What the cloud says of a rented machine. */
 enum listed_state { LS_BOOTING, LS_RUNNING, LS_FAILED };
 
 /* A rented machine in the cloud's list. */
@@ -29,7 +30,7 @@
 	char zone[NAME_MAX_LEN];
 	int spot; /* true if the cloud may take the machine back */
 	enum listed_state state;
-	double age_s; /* since it was rented; 0 if the cloud does not say */
+	double age_s; /* seconds since it was rented; 0 if the cloud does not say */
 };
 
 /*
@@ -37,6 +38,8 @@
  * the caller frees them with wire_types_free; on failure there is nothing to free.
  */
 int wire_types_decode(json_t *object, struct machine_type **types, size_t *count);
+
+/* Frees the types and what they hold. */
 void wire_types_free(struct machine_type *types, size_t count);
 
 /* The catalog as it is stored; the caller releases it with json_decref. */
--- a/src/wire/job_codec.h
+++ b/src/wire/job_codec.h
@@ -17,9 +17,10 @@
 /* The most urgent first. */
 enum job_priority { PRIO_PRODUCTION, PRIO_HIGH, PRIO_NORMAL, PRIO_LOW };
 
+/* What users are told of a job; the last two are final. */
 enum job_state { JS_QUEUED, JS_RUNNING, JS_DONE, JS_CANCELLED };
 
-/* What a user asks for. */
+/* What a user asks for. Times are in seconds, sizes in GB. */
 struct job_spec {
 	char id[ID_MAX];
 	char class_name[NAME_MAX_LEN];
@@ -45,9 +46,9 @@
 int wire_job_id_ok(const char *id);
 
 /*
- * 0, or -1 with the reason in *why: the key of the first field that is missing or invalid, a static
- * text. `object` is the user's words or what wire_job_encode gave. Whatever it returns, the caller
- * frees what the description holds with wire_job_free.
+ * 0, or -1 with the reason in *why, a static text: the key of the first field that is missing or
+ * invalid, or that there is no object. `object` is the user's words or what wire_job_encode gave.
+ * Whatever it returns, the caller frees what the description holds with wire_job_free.
  */
 int wire_job_decode(json_t *object, struct job_spec *spec, const char **why);
 
--- a/src/wire/json_fields.h
+++ b/src/wire/json_fields.h
@@ -14,6 +14,7 @@
 
 #include "wire/name_list.h"
 
+/* The number of elements of an array, not of a pointer to one. */
 #define ARRAY_LENGTH(array) (sizeof(array) / sizeof((array)[0]))
 
 /* The names of an enum's values on the wire, in the order of the values. */
@@ -46,6 +47,7 @@
 /* The same number, or 0 if the field is missing or invalid. */
 uint64_t field_count_or_zero(const json_t *object, const char *key);
 
+/* 1 or 0 for true or false. */
 int field_bool(const json_t *object, const char *key, int *out);
 
 /* True only if the field is there and true. */
--- a/src/wire/name_list.h
+++ b/src/wire/name_list.h
@@ -15,6 +15,7 @@
 
 /* Appends a copy of the name. 0, or -1 if it is NULL, empty or too long. */
 int name_list_add(struct name_list *list, const char *name);
+/* True if the list holds the name. */
 bool name_list_has(const struct name_list *list, const char *name);
 /* Frees the names; the list is empty afterwards. */
 void name_list_free(struct name_list *list);
--- a/src/wire/report_codec.h
+++ b/src/wire/report_codec.h
@@ -7,6 +7,7 @@
 
 #include "wire/name_list.h"
 
+/* The states of an attempt, in the order in which it passes through them. */
 enum task_state {
 	TS_FETCHING, /* the machine fetches the image */
 	TS_WAITING,  /* for the other tasks of its gang */
@@ -38,6 +39,7 @@
 	int saved; /* true if its state was saved when it was stopped */
 };
 
+/* One message of a worker: its machine and all attempts that it knows of. */
 struct report {
 	char machine[ID_MAX];
 	char addr[NAME_MAX_LEN]; /* where the worker takes direct commands */
@@ -52,7 +54,11 @@
 	size_t ntasks;
 };
 
-enum command_op { OP_START, OP_STOP, OP_FORGET };
+enum command_op {
+	OP_START,
+	OP_STOP,
+	OP_FORGET /* an exited attempt, which the worker need not report any longer */
+};
 
 /* What a worker is told to do with one attempt of a task. */
 struct command {
--- a/src/wire/transaction.h
+++ b/src/wire/transaction.h
@@ -40,6 +40,7 @@
 /* The bytes of the whole transaction, at most. */
 size_t txn_bytes(const struct txn *txn);
 
+/* The present moment of the transaction. */
 struct txn_mark txn_mark(const struct txn *txn);
 
 /* Takes back what was added since the mark. */
