--- /dev/null
+++ b/src/core/model/binding.c
@@ -0,0 +1,161 @@
+#include "core/model/binding.h"
+
+#include <stdio.h>
+#include <stdlib.h>
+
+#include "core/state.h"
+#include "util/log.h"
+#include "util/xalloc.h"
+
+struct binding *binding_add(struct core *core, struct machine *machine, struct job *job,
+			    uint32_t task, uint64_t attempt)
+{
+	struct binding *binding = xcalloc(1, sizeof(*binding));
+
+	binding->machine = machine;
+	binding->job = job;
+	binding->task = task;
+	binding->attempt = attempt;
+	binding->min_token = election_token(core);
+	DL_APPEND2(job->bindings, binding, job_prev, job_next);
+	machine_add_binding(core, binding);
+	job_mark_task_bound(job, task);
+	chunk_add_binding(binding);
+	job->uncommitted_count++;
+	team_charge(core, &job->spec);
+	return binding;
+}
+
+bool binding_start_never_sent(const struct binding *binding)
+{
+	return !binding->recovered && !binding->start_incarnation && !binding->start_sequence;
+}
+
+void binding_stop(struct core *core, struct binding *binding, double grace_s)
+{
+	if (binding->stopping && grace_s >= binding->grace_s)
+		return;
+	binding->stopping = true;
+	binding->grace_s = grace_s;
+	binding->stop_sent_at = 0;
+	core->events->commands_due(core, binding->machine);
+}
+
+/* The slot stays with its array, unless share switching gave it to another. */
+static void keep_freed_slot(const struct core *core, const struct binding *binding)
+{
+	struct machine_scheduling *scheduling = &binding->machine->scheduling;
+	const struct job *job = binding->job;
+
+	if (job->spec.kind != JOB_ARRAY || job->orphan)
+		return;
+	snprintf(scheduling->freed_slot_job, sizeof(scheduling->freed_slot_job), "%s",
+		 *binding->switched_to ? binding->switched_to : job->spec.id);
+	scheduling->freed_slot_until = core->now + FREED_SLOT_S;
+}
+
+void binding_remove(struct core *core, struct binding *binding)
+{
+	struct job *job = binding->job;
+
+	if (binding->running_since > 0)
+		job->running_count--;
+	/* Records of an older leader may bind a task twice: it is free when both have ended. */
+	if (!chunk_binds_task_again(binding))
+		job_mark_task_unbound(job, binding->task);
+	chunk_remove_binding(binding);
+	job->uncommitted_count -= !binding->committed;
+	team_release(core, &job->spec);
+	DL_DELETE2(job->bindings, binding, job_prev, job_next);
+	machine_remove_binding(core, binding);
+	keep_freed_slot(core, binding);
+	core->events->task_record_changed(core, job, binding->task, END_DELAY_S);
+	free(binding);
+}
+
+/* A gang that lost a task stops as a whole; its other tasks would notice by themselves, later. */
+static void stop_gang(struct core *core, struct job *job, enum task_end_reason reason)
+{
+	struct binding *binding;
+
+	if (job->done_count)
+		return;
+	job->gang_stopping = true;
+	DL_FOREACH2 (job->bindings, binding, job_next) {
+		/* An orderly stop under way must not be cut short: the others are saving. */
+		if (reason != END_STOPPED || !binding->stopping)
+			binding_stop(core, binding, 0);
+	}
+}
+
+/*
+ * A replica is to run until its job is cancelled. One that ends by itself soon after its start,
+ * whatever it says, is tried again after a time that grows, so that it does not take all starts;
+ * one that has run begins again at once.
+ */
+static void note_replica_end(struct core *core, const struct binding *binding,
+			     enum task_end_reason reason)
+{
+	struct job *job = binding->job;
+	bool was_steady =
+	    binding->running_since > 0 && core->now - binding->running_since >= REPLICA_STEADY_S;
+
+	if (was_steady)
+		job_reset_failures(job);
+	job_note_failure(core, job, binding->machine);
+	if (reason == END_ERROR)
+		machine_note_failed_job(binding->machine, job);
+}
+
+static void note_end(struct core *core, const struct binding *binding, enum task_end_reason reason)
+{
+	struct machine *machine = binding->machine;
+	struct job *job = binding->job;
+	bool ended_by_itself = reason == END_DONE || reason == END_ERROR;
+
+	if (job->spec.kind == JOB_SERVICE && ended_by_itself) {
+		note_replica_end(core, binding, reason);
+		return;
+	}
+	switch (reason) {
+	case END_DONE:
+		machine_reset_failed_jobs(machine);
+		job_reset_failures(job);
+		job_note_task_done(core, job, binding->task);
+		break;
+	case END_ERROR:
+		job_note_failure(core, job, machine);
+		machine_note_failed_job(machine, job);
+		break;
+	case END_NO_ROOM:
+	case END_BUSY:
+		job_note_refused_start(core, job);
+		machine_note_refused_start(core, machine);
+		break;
+	case END_UNKNOWN_JOB: /* the description is on its way to the machine */
+		job_note_refused_start(core, job);
+		break;
+	case END_NONE:
+	case END_STOPPED:
+	case END_PEERS_LOST:
+	case END_ALONE:
+		break;
+	}
+}
+
+void binding_end(struct core *core, struct binding *binding, enum task_end_reason reason)
+{
+	struct job *job = binding->job;
+
+	log_info("binding_ended", "job=%s task=%u attempt=%llu machine=%s end_reason=%d",
+		 job->spec.id, binding->task, (unsigned long long)binding->attempt,
+		 binding->machine->id, reason);
+	note_end(core, binding, reason);
+	binding_remove(core, binding);
+	if (job->spec.kind == JOB_GANG && reason != END_DONE && !job->cancelled)
+		stop_gang(core, job, reason);
+	job->scheduling.waiting_since = core->now;
+	job_check_end(core, job);
+	job_release_if_over(core, job);
+	core->events->placement_needed(core);
+}
--- /dev/null
+++ b/src/core/model/job_failures.c
@@ -0,0 +1,81 @@
+#include "core/model/job_failures.h"
+
+#include <math.h>
+#include <stdio.h>
+#include <string.h>
+
+#include "core/state.h"
+#include "util/log.h"
+
+/* Seconds before the next attempt, after so many failures in a row before the present one. */
+static double backoff_s(int earlier_failures)
+{
+	double wait_s = ERROR_BACKOFF_S;
+
+	/* The first failure is mostly the machine's: try elsewhere at once. */
+	if (!earlier_failures)
+		return 0;
+	for (int i = 0; i < earlier_failures && wait_s < ERROR_BACKOFF_MAX_S; i++)
+		wait_s *= 2;
+	return fmin(wait_s, ERROR_BACKOFF_MAX_S);
+}
+
+void job_note_failure(const struct core *core, struct job *job, const struct machine *machine)
+{
+	struct job_scheduling *scheduling = &job->scheduling;
+	int oldest = scheduling->failed_machine_count % ERROR_JOB_MACHINES;
+
+	scheduling->retry_at = core->now + backoff_s(scheduling->failures);
+	scheduling->failures++;
+	snprintf(scheduling->failed_machines[oldest], ID_MAX, "%s", machine->id);
+	scheduling->failed_machine_count++;
+}
+
+void job_reset_failures(struct job *job)
+{
+	job->scheduling.failures = 0;
+}
+
+void job_note_refused_start(const struct core *core, struct job *job)
+{
+	job->scheduling.retry_at = core->now + REFUSED_BACKOFF_S;
+}
+
+void machine_note_refused_start(const struct core *core, struct machine *machine)
+{
+	machine->scheduling.backoff_until = core->now + REFUSED_BACKOFF_S;
+}
+
+static bool has_failed_job(const struct machine *machine, const struct job *job)
+{
+	for (int i = 0; i < machine->scheduling.failed_job_count; i++)
+		if (!strcmp(machine->scheduling.failed_jobs[i], job->spec.id))
+			return true;
+	return false;
+}
+
+void machine_note_failed_job(struct machine *machine, const struct job *job)
+{
+	struct machine_scheduling *scheduling = &machine->scheduling;
+
+	if (has_failed_job(machine, job))
+		return;
+	/* A job that failed elsewhere too is its owner's mistake, not this machine's. */
+	if (job->scheduling.failed_machine_count > 1)
+		return;
+	if (scheduling->failed_job_count < MACHINE_FAULT_JOBS) {
+		snprintf(scheduling->failed_jobs[scheduling->failed_job_count], ID_MAX, "%s",
+			 job->spec.id);
+		scheduling->failed_job_count++;
+	}
+	if (scheduling->failed_job_count == MACHINE_FAULT_JOBS && !machine->cloud.draining) {
+		machine->cloud.draining = true;
+		log_info("machine_faulty", "machine=%s jobs=%d", machine->id,
+			 scheduling->failed_job_count);
+	}
+}
+
+void machine_reset_failed_jobs(struct machine *machine)
+{
+	machine->scheduling.failed_job_count = 0;
+}
--- a/src/core/model/machine.c
+++ b/src/core/model/machine.c
@@ -1,5 +1,5 @@
-/* The machines: what the cloud's list, the records and the workers say of them. */
-#include <math.h>
+#include "core/model/machine.h"
+
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -46,8 +46,48 @@
 	free(machine);
 }
 
+static void take_room(struct machine *machine, const struct job_spec *spec)
+{
+	machine->free_cpus -= spec->cpus;
+	machine->free_gpus -= spec->gpus;
+	machine->free_mem_gb -= spec->mem_gb;
+}
+
+static void return_room(struct machine *machine, const struct job_spec *spec)
+{
+	machine->free_cpus += spec->cpus;
+	machine->free_gpus += spec->gpus;
+	machine->free_mem_gb += spec->mem_gb;
+}
+
+void machine_add_binding(struct core *core, struct binding *binding)
+{
+	struct machine *machine = binding->machine;
+	const struct job_spec *spec = &binding->job->spec;
+
+	DL_APPEND2(machine->bindings, binding, machine_prev, machine_next);
+	machine->binding_count++;
+	machine->replica_count += spec->kind == JOB_SERVICE;
+	core->events->replicas_changed(core, machine);
+	take_room(machine, spec);
+}
+
+void machine_remove_binding(struct core *core, struct binding *binding)
+{
+	struct machine *machine = binding->machine;
+	const struct job_spec *spec = &binding->job->spec;
+
+	DL_DELETE2(machine->bindings, binding, machine_prev, machine_next);
+	machine->binding_count--;
+	machine->replica_count -= spec->kind == JOB_SERVICE;
+	core->events->replicas_changed(core, machine);
+	return_room(machine, spec);
+	if (!machine->binding_count)
+		machine->cloud.idle_since = core->now;
+}
+
 /* Free room is what the type offers less what is bound; an unknown type offers nothing. */
-static void machine_link(struct core *core, struct machine *machine)
+static void machine_apply_type(struct core *core, struct machine *machine)
 {
 	const struct binding *binding;
 
@@ -55,19 +95,16 @@
 	machine->free_cpus = machine->type ? machine->type->cpus : 0;
 	machine->free_gpus = machine->type ? machine->type->gpus : 0;
 	machine->free_mem_gb = machine->type ? machine->type->mem_gb : 0;
-	DL_FOREACH2 (machine->bindings, binding, machine_next) {
-		machine->free_cpus -= binding->job->spec.cpus;
-		machine->free_gpus -= binding->job->spec.gpus;
-		machine->free_mem_gb -= binding->job->spec.mem_gb;
-	}
+	DL_FOREACH2 (machine->bindings, binding, machine_next)
+		take_room(machine, &binding->job->spec);
 }
 
 void machines_apply_catalog(struct core *core)
 {
-	struct machine *machine, *tmp;
+	struct machine *machine, *next;
 
-	MACHINES_FOR_EACH (core, machine, tmp)
-		machine_link(core, machine);
+	MACHINES_FOR_EACH (core, machine, next)
+		machine_apply_type(core, machine);
 }
 
 void machine_set_identity(struct core *core, struct machine *machine, const char *addr,
@@ -80,25 +117,19 @@
 	snprintf(machine->type_name, sizeof(machine->type_name), "%s", type);
 	snprintf(machine->zone, sizeof(machine->zone), "%s", zone);
 	machine->spot = spot;
-	machine_link(core, machine);
+	machine_apply_type(core, machine);
 }
 
-bool machine_is_responsive(const struct core *core, const struct machine *machine)
+/* Whether this time of a message lies within the reports that may be missed; < 0: never. */
+static bool is_fresh(const struct core *core, double received_at)
 {
-	return machine->agent.last_message_at >= 0 &&
-	       core->now - machine->agent.last_message_at <
-		   MACHINE_FRESH_REPORTS * core->conf->report_s;
+	return received_at >= 0 &&
+	       core->now - received_at < MACHINE_FRESH_REPORTS * core->conf->report_s;
 }
 
-/*
- * Only reports keep a worker's lease: one that answers direct commands but reports to nobody, or to
- * a leader of before, will lose what runs on it.
- */
-static bool machine_reports(const struct core *core, const struct machine *machine)
+bool machine_is_responsive(const struct core *core, const struct machine *machine)
 {
-	return machine->agent.last_report_at >= 0 &&
-	       core->now - machine->agent.last_report_at <
-		   MACHINE_FRESH_REPORTS * core->conf->report_s;
+	return is_fresh(core, machine->agent.last_message_at);
 }
 
 bool machine_is_leaving(const struct machine *machine)
@@ -107,11 +138,15 @@
 	       !machine->cloud.deleting;
 }
 
+/*
+ * Only reports keep a worker's lease: one that answers direct commands but reports to nobody, or to
+ * a leader of before, will lose what runs on it. So messages alone do not make it usable.
+ */
 bool machine_is_usable(const struct core *core, const struct machine *machine)
 {
 	return machine->type && machine->agent.incarnation && machine->agent.reachable &&
 	       !machine->cloud.draining && !machine->cloud.deleting && !machine->cloud.failed &&
-	       machine->agent.notice_s < 0 && machine_reports(core, machine) &&
+	       machine->agent.notice_s < 0 && is_fresh(core, machine->agent.last_report_at) &&
 	       core->now >= machine->scheduling.backoff_until;
 }
 
@@ -136,20 +171,19 @@
 /* Most recently used first, as the machines' caches keep them. */
 void machine_note_image(struct machine *machine, const char *image)
 {
-	int at = machine->scheduling.image_count < MACHINE_IMAGES ? machine->scheduling.image_count
-								  : MACHINE_IMAGES - 1;
-
-	for (int i = 0; i < machine->scheduling.image_count; i++)
-		if (!strcmp(machine->scheduling.images[i], image))
-			at = i;
-	if (at == machine->scheduling.image_count)
-		machine->scheduling.image_count++;
-	memmove(machine->scheduling.images[1], machine->scheduling.images[0],
-		(size_t)at * NAME_MAX_LEN);
-	snprintf(machine->scheduling.images[0], NAME_MAX_LEN, "%s", image);
+	struct machine_scheduling *scheduling = &machine->scheduling;
+	int place =
+	    scheduling->image_count < MACHINE_IMAGES ? scheduling->image_count : MACHINE_IMAGES - 1;
+
+	for (int i = 0; i < scheduling->image_count; i++)
+		if (!strcmp(scheduling->images[i], image))
+			place = i;
+	if (place == scheduling->image_count)
+		scheduling->image_count++;
+	memmove(scheduling->images[1], scheduling->images[0], (size_t)place * NAME_MAX_LEN);
+	snprintf(scheduling->images[0], NAME_MAX_LEN, "%s", image);
 }
 
-/* The cloud answered 200 to its delete: it and everything on it is gone. */
 void machine_note_deleted(struct core *core, struct machine *machine)
 {
 	log_info("machine_deleted", "machine=%s bound=%d", machine->id, machine->binding_count);
--- a/src/core/model/machine.h
+++ b/src/core/model/machine.h
@@ -1,6 +1,4 @@
-/*
- * Machines, and the tasks that are bound to them.
- */
+/* Machines: what the cloud, the records and the agents say of them, and their free room. */
 #ifndef PLOVERLOFT_MACHINE_H
 #define PLOVERLOFT_MACHINE_H
 
@@ -13,37 +11,12 @@
 #include "core/runtime/call.h"
 #include "wire/wire.h"
 
+struct binding;
 struct core;
 struct job;
 struct report_cache_entry;
 
-/* A place of a task on a machine: on record before its start is sent, ended by proof only. */
-struct binding {
-	struct machine *machine;
-	struct job *job;
-	uint32_t task;
-	uint64_t attempt;
-	uint64_t min_token;	    /* a report proves absence only if its worker saw this token */
-	uint64_t start_incarnation; /* session of the newest start sent this term; 0: none sent */
-	uint64_t start_sequence;    /* report whose answer carried the newest start */
-	uint64_t listed_sequence;   /* newest message that lists it */
-	double start_sent_at;
-	double stop_sent_at; /* when the newest stop was sent; 0: none */
-	double grace_s;
-	double running_since;  /* 0: not running */
-	uint32_t record_bytes; /* in its chunk's record, at most */
-	bool committed, in_flight;
-	bool recovered; /* made by an earlier leader */
-	bool observed;	/* listed by its worker under this leader */
-	bool stopping;
-	char switched_to[ID_MAX]; /* the array that its slot serves next; empty: none */
-	enum task_state state;
-	struct binding *machine_prev, *machine_next; /* on its machine */
-	struct binding *job_prev, *job_next;	     /* of its job */
-	struct binding *chunk_prev, *chunk_next;     /* in its chunk of the job */
-};
-
-/* The listed tasks of a worker that are bound no more: to be stopped or forgotten. */
+/* A task that the agent lists though it is bound no more: to be stopped or forgotten. */
 struct unbound_task {
 	char job[ID_MAX];
 	uint32_t task;
@@ -99,7 +72,7 @@
 /* What the cloud says of the machine, and what was decided about keeping it. */
 struct machine_cloud {
 	bool listed;		   /* an inventory has named it */
-	bool expected;		   /* rented or listed: it stands for room before it reports */
+	bool expected;		   /* granted or listed: it stands for room before it reports */
 	bool failed;		   /* the cloud says so */
 	uint64_t inventory_number; /* the newest inventory that named it */
 	int missed_inventories;	   /* in a row, without it */
@@ -148,27 +121,37 @@
 #define MACHINES_FOR_EACH(core, machine, next) HASH_ITER (hh, (core)->machines, machine, next)
 
 unsigned machine_count(const struct core *core);
-
+/* NULL if it is not known. */
 struct machine *machine_find(struct core *core, const char *id);
 struct machine *machine_find_or_add(struct core *core, const char *id);
+/* The machine must have no bindings left. */
 void machine_free(struct core *core, struct machine *machine);
+/* An empty address leaves the one that is known; type, zone and kind are kept once the catalog has
+ * the type. */
 void machine_set_identity(struct core *core, struct machine *machine, const char *addr,
 			  const char *type, const char *zone, bool spot);
+/* The cloud answered 200 to its delete: all that was bound to it has ended. */
 void machine_note_deleted(struct core *core, struct machine *machine);
+/* The catalog was replaced: all machines refer to its types from now on. */
+void machines_apply_catalog(struct core *core);
+
+/* Its agent was heard of lately, be it by a report or by an answer. */
 bool machine_is_responsive(const struct core *core, const struct machine *machine);
 /* It has a notice, or is to be returned: nothing new goes there. */
 bool machine_is_leaving(const struct machine *machine);
+/* Tasks may be placed on it now. */
 bool machine_is_usable(const struct core *core, const struct machine *machine);
+/* Whether the job may run on machines of this type, zone and kind, whatever their size. */
 bool machine_type_allowed(const struct machine_type *type, const char *zone, bool spot,
 			  const struct job_spec *spec);
+
 bool machine_has_image(const struct machine *machine, const char *image);
+/* A task with this image ran there: the machine has it in its cache. */
 void machine_note_image(struct machine *machine, const char *image);
-void machines_apply_catalog(struct core *core);
-struct binding *binding_add(struct core *core, struct machine *machine, struct job *job,
-			    uint32_t task, uint64_t attempt);
-void binding_end(struct core *core, struct binding *binding, enum task_end_reason why);
-void binding_remove(struct core *core, struct binding *binding);
-void binding_stop(struct core *core, struct binding *binding, double grace_s);
-bool binding_start_never_sent(const struct binding *binding);
+
+/* Puts the binding in the list of its machine, and takes its room. For binding.c alone. */
+void machine_add_binding(struct core *core, struct binding *binding);
+/* Takes back machine_add_binding; a machine without bindings is idle from now on. */
+void machine_remove_binding(struct core *core, struct binding *binding);
 
 #endif
