--- a/src/core/model/catalog.h
+++ b/src/core/model/catalog.h
@@ -10,17 +10,19 @@
 struct core;
 
 struct catalog {
-	struct machine_type *types; /* NULL: not known yet */
+	struct machine_type *types; /* owned; NULL: not known yet */
 	size_t type_count;
 };
 
 bool catalog_is_known(const struct core *core);
 size_t catalog_type_count(const struct core *core);
+/* The types in the order of the catalog; `index` is below their count. */
 const struct machine_type *catalog_type(const struct core *core, size_t index);
 /* NULL if the catalog has no type of this name. */
 const struct machine_type *catalog_find(const struct core *core, const char *name);
 /* Replaces the catalog, which owns the types from then on; machines refer to the new types. */
 void catalog_set(struct core *core, struct machine_type *types, size_t count);
+/* Frees the types; the catalog is not to be used afterwards, except by catalog_set. */
 void catalog_free(struct core *core);
 
 #endif
--- a/src/core/model/tombstones.c
+++ b/src/core/model/tombstones.c
@@ -2,6 +2,7 @@
 
 #include <math.h>
 #include <stdio.h>
+#include <stdlib.h>
 
 #include "core/state.h"
 #include "util/xalloc.h"
@@ -26,29 +27,30 @@
 	HASH_ADD_STR(core->tombstones.list, id, tombstone);
 }
 
-/* No list still names a machine that was deleted before this moment. */
-static double lists_name_since(const struct core *core)
+/* No inventory still names a machine that was deleted before this moment. */
+static double oldest_named_deletion(const struct core *core)
 {
 	return core->now - TOMBSTONE_LISTS_S - 2 * core->conf->list_lag_s;
 }
 
 bool tombstones_need_new_token(const struct core *core)
 {
-	const struct tombstone *oldest = core->tombstones.list; /* in the order of their adding */
+	const struct tombstone *oldest =
+	    core->tombstones.list; /* in the order in which they were added */
 
 	return HASH_COUNT(core->tombstones.list) > TOMBSTONES_MAX &&
 	       core->now - core->tombstones.trimmed_at > TOMBSTONE_LISTS_S &&
-	       oldest->deleted_at < lists_name_since(core);
+	       oldest->deleted_at < oldest_named_deletion(core);
 }
 
 void tombstones_trim(struct core *core, double fenced_at)
 {
-	double before = fmin(fenced_at, lists_name_since(core));
-	struct tombstone *tombstone, *tmp;
+	double cutoff = fmin(fenced_at, oldest_named_deletion(core));
+	struct tombstone *tombstone, *next;
 
 	core->tombstones.trimmed_at = core->now;
-	HASH_ITER (hh, core->tombstones.list, tombstone, tmp) {
-		if (tombstone->deleted_at >= before)
+	HASH_ITER (hh, core->tombstones.list, tombstone, next) {
+		if (tombstone->deleted_at >= cutoff)
 			break;
 		HASH_DEL(core->tombstones.list, tombstone);
 		free(tombstone);
--- a/src/core/model/tombstones.h
+++ b/src/core/model/tombstones.h
@@ -1,6 +1,6 @@
 /*
- * Tombstones: the names of machines that were deleted in this term, which lagging lists and late
- * copies of their reports may still name.
+ * Tombstones: the ids of machines that were deleted in this term. Inventories lag, and copies of
+ * reports may arrive late; neither may bring a deleted machine back to life.
  */
 #ifndef PLOVERLOFT_TOMBSTONES_H
 #define PLOVERLOFT_TOMBSTONES_H
@@ -13,26 +13,26 @@
 
 struct core;
 
-/* A deleted machine that lagging lists may still name. */
 struct tombstone {
 	char id[ID_MAX];
-	double deleted_at;
+	double deleted_at; /* steady */
 	UT_hash_handle hh;
 };
 
 struct tombstones {
 	struct tombstone *list; /* oldest first */
-	double trimmed_at;	/* steady */
+	double trimmed_at;	/* steady; when a new token last allowed it */
 };
 
 bool machine_has_tombstone(struct core *core, const char *id);
-/* The machine is deleted: lists and copies of its reports that still name it are void. */
+/* The machine is deleted: inventories and copies of its reports that still name it are void. */
 void tombstone_add(struct core *core, const char *id);
-/* Enough tombstones are old enough that a new token is worth it, under which they are needless. */
+/* Whether enough tombstones are old enough that a new token, under which they are needless, is
+ * worth its write. */
 bool tombstones_need_new_token(const struct core *core);
 /*
  * A new token is held, taken at that moment: copies of reports of machines deleted before it are
- * void under it, and so are tombstones that no list needs any more.
+ * void under it, and so are tombstones that no inventory needs any more.
  */
 void tombstones_trim(struct core *core, double fenced_at);
 void tombstones_clear(struct core *core);
