--- a/src/core/autoscale/catalog_reader.c
+++ b/src/core/autoscale/catalog_reader.c
@@ -1,7 +1,6 @@
-/* The catalog of machine types: from the cloud, else from the copy that a controller left on
- * record. */
+#include "core/autoscale/catalog_reader.h"
+
 #include <stdio.h>
-#include <stdlib.h>
 #include <string.h>
 
 #include "core/state.h"
@@ -10,18 +9,19 @@
 
 #define CATALOG_KEY "k/catalog"
 
-static bool take_catalog(struct core *core, json_t *o)
+/* Takes the types of a message as the catalog; false if it is malformed. */
+static bool take_catalog(struct core *core, json_t *message)
 {
 	struct machine_type *types;
-	size_t n;
+	size_t count;
 
-	if (wire_types_decode(o, &types, &n))
+	if (wire_types_decode(message, &types, &count))
 		return false;
-	catalog_set(core, types, n);
+	catalog_set(core, types, count);
 	return true;
 }
 
-static void on_nothing(struct core *core, struct call *call, const struct call_answer *answer)
+static void on_stored(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	(void)call;
 	store_note_answer(core, answer);
@@ -34,7 +34,7 @@
 	txn_begin(&txn);
 	txn_guard(&txn, key, 0);
 	txn_put(&txn, key, value, 0);
-	store_commit(core, txn_finish(&txn), on_nothing, NULL);
+	store_commit(core, txn_finish(&txn), on_stored, NULL);
 }
 
 /* One value, or where that would be too large one for each type of machine. */
@@ -49,71 +49,85 @@
 	}
 	json_decref(all);
 	for (size_t i = 0; i < catalog_type_count(core); i++) {
+		const struct machine_type *type = catalog_type(core, i);
 		char key[KEY_MAX];
 
-		snprintf(key, sizeof(key), CATALOG_KEY "/%s", catalog_type(core, i)->name);
-		store_catalog_value(core, key, wire_types_encode(catalog_type(core, i), 1));
+		snprintf(key, sizeof(key), CATALOG_KEY "/%s", type->name);
+		store_catalog_value(core, key, wire_types_encode(type, 1));
 	}
 }
 
-/* All types of all values, in the form of the cloud's answer. */
-static void merge_types(void *ctx, const struct kv_item *it)
+/* Adds the types of a stored value to the array `all_types`. */
+static void add_stored_types(void *all_types, const struct kv_item *item)
+{
+	if (item->value)
+		json_array_extend(all_types, json_object_get(item->value, W_TYPES));
+}
+
+/* The types of all stored values, in the form of the cloud's answer; the caller owns it. */
+static json_t *merge_stored_types(const struct call_answer *answer)
 {
-	if (it->value)
-		json_array_extend(ctx, json_object_get(it->value, W_TYPES));
+	json_t *range = wire_parse(answer->body, answer->len);
+	json_t *types = json_array();
+
+	wire_items(range, add_stored_types, types);
+	json_decref(range);
+	return json_pack("{s:o}", W_TYPES, types);
 }
 
 static void on_stored_catalog(struct core *core, struct call *call,
 			      const struct call_answer *answer)
 {
-	json_t *object, *types, *all;
+	json_t *message;
 
 	(void)call;
 	if (answer->status != STATUS_OK || catalog_is_known(core))
 		return;
-	object = wire_parse(answer->body, answer->len);
-	types = json_array();
-	wire_items(object, merge_types, types);
-	all = json_pack("{s:o}", W_TYPES, types);
-	if (take_catalog(core, all)) {
+	message = merge_stored_types(answer);
+	if (take_catalog(core, message)) {
 		core->autoscale.catalog_reader.stored = true;
 		log_info("catalog", "from=state types=%zu", catalog_type_count(core));
 	}
-	json_decref(all);
-	json_decref(object);
+	json_decref(message);
 }
 
-static void on_catalog(struct core *core, struct call *call, const struct call_answer *answer)
+static void take_cloud_catalog(struct core *core, const struct call_answer *answer)
 {
-	bool first = !catalog_is_known(core);
-	json_t *o;
+	struct catalog_reader *reader = &core->autoscale.catalog_reader;
+	bool is_first = !catalog_is_known(core);
+	json_t *message = wire_parse(answer->body, answer->len);
 
-	(void)call;
-	core->autoscale.catalog_reader.in_flight = false;
-	core->autoscale.catalog_reader.next_read_at = core->now + CLOUD_BACKOFF_S;
-	if (answer->status != STATUS_OK) {
-		if (first)
-			store_range(core, CATALOG_KEY, "", on_stored_catalog, NULL);
-		return;
-	}
-	o = wire_parse(answer->body, answer->len);
-	if (take_catalog(core, o)) {
-		core->autoscale.catalog_reader.next_read_at = core->now + CATALOG_EVERY_S;
-		if (first)
+	if (take_catalog(core, message)) {
+		reader->next_read_at = core->now + CATALOG_EVERY_S;
+		if (is_first)
 			log_info("catalog", "from=cloud types=%zu", catalog_type_count(core));
-		if (!core->autoscale.catalog_reader.stored)
+		if (!reader->stored)
 			store_catalog(core);
 	}
-	json_decref(o);
+	json_decref(message);
+}
+
+static void on_cloud_catalog(struct core *core, struct call *call, const struct call_answer *answer)
+{
+	struct catalog_reader *reader = &core->autoscale.catalog_reader;
+
+	(void)call;
+	reader->in_flight = false;
+	reader->next_read_at = core->now + CLOUD_BACKOFF_S;
+	if (answer->status == STATUS_OK)
+		take_cloud_catalog(core, answer);
+	else if (!catalog_is_known(core))
+		store_range(core, CATALOG_KEY, "", on_stored_catalog, NULL);
 }
 
 void catalog_tick(struct core *core)
 {
-	if (core->autoscale.catalog_reader.in_flight ||
-	    core->now < core->autoscale.catalog_reader.next_read_at ||
+	struct catalog_reader *reader = &core->autoscale.catalog_reader;
+
+	if (reader->in_flight || core->now < reader->next_read_at ||
 	    (catalog_is_known(core) && !election_is_leader(core)))
 		return;
-	core->autoscale.catalog_reader.in_flight = true;
+	reader->in_flight = true;
 	core_call(core, core->conf->cloud, "GET", format_path(W_PATH_TYPES), NULL, CALL_CLOUD_S,
-		  on_catalog, NULL);
+		  on_cloud_catalog, NULL);
 }
--- /dev/null
+++ b/src/core/autoscale/machine_offers.c
@@ -0,0 +1,95 @@
+#include "core/autoscale/machine_offers.h"
+
+#include <math.h>
+#include <string.h>
+
+#include "core/state.h"
+
+#define UNBOUNDED_TASKS 1e9 /* tasks per machine of a job that asks for nothing */
+#define DIVISION_SLACK 1e-9 /* tasks: quotients of decimal amounts */
+
+/* Tasks of the job that an empty machine of the type takes. */
+static uint32_t tasks_per_machine(const struct machine_type *type, const struct job_spec *spec)
+{
+	double tasks = UNBOUNDED_TASKS;
+
+	if (spec->cpus > 0)
+		tasks = fmin(tasks, type->cpus / spec->cpus);
+	if (spec->gpus > 0)
+		tasks = fmin(tasks, type->gpus / spec->gpus);
+	if (spec->mem_gb > 0)
+		tasks = fmin(tasks, type->mem_gb / spec->mem_gb);
+	return (uint32_t)floor(tasks + DIVISION_SLACK);
+}
+
+static double price_per_task(const struct machine_offer *offer, uint32_t tasks)
+{
+	double price = offer->kind == SPOT ? offer->type->spot_price : offer->type->price;
+
+	return price / tasks;
+}
+
+/* Seconds until a task can start, and what else the machine costs, as seconds. */
+static double time_cost(const struct machine_offer *offer, const struct job_spec *spec)
+{
+	double spot_risk_s = offer->kind == SPOT ? SCALE_OUT_SPOT_S : 0;
+	double gpu_waste_s = spec->gpus <= 0 && offer->type->gpus > 0 ? SCALE_OUT_GPU_WASTE_S : 0;
+
+	return offer->type->boot_s + spot_risk_s + gpu_waste_s;
+}
+
+/* Lower is better: money per task where it counts, else time; infinite if no task fits. */
+static double offer_cost(const struct core *core, const struct machine_offer *offer,
+			 const struct machine_demand *demand)
+{
+	uint32_t fitting = tasks_per_machine(offer->type, demand->spec);
+
+	if (!fitting)
+		return INFINITY;
+	if (autoscale_minimises_cost(core))
+		return price_per_task(offer, demand->tasks < fitting ? demand->tasks : fitting);
+	return time_cost(offer, demand->spec);
+}
+
+static bool is_acceptable(const struct core *core, const struct machine_offer *offer,
+			  const struct machine_demand *demand)
+{
+	struct capacity_pool pool = {offer->type->name, offer->zone, offer->kind};
+
+	if (demand->choice == SPOT_ONLY && offer->kind != SPOT)
+		return false;
+	if (demand->zone && strcmp(demand->zone, offer->zone))
+		return false;
+	return machine_type_allowed(offer->type, offer->zone, offer->kind == SPOT, demand->spec) &&
+	       !capacity_is_refused(core, pool);
+}
+
+/* The offer replaces the cheapest one so far if it is cheaper. */
+static void consider_offer(struct core *core, const struct machine_demand *demand,
+			   struct machine_offer *offer, struct machine_offer *cheapest)
+{
+	if (!is_acceptable(core, offer, demand))
+		return;
+	offer->cost = offer_cost(core, offer, demand) * (1 + SCALE_OUT_JITTER * core_random(core));
+	if (offer->cost < cheapest->cost)
+		*cheapest = *offer;
+}
+
+bool machine_offer_cheapest(struct core *core, const struct machine_demand *demand,
+			    struct machine_offer *cheapest)
+{
+	struct machine_offer offer;
+
+	*cheapest = (struct machine_offer){.cost = INFINITY};
+	for (size_t i = 0; i < catalog_type_count(core); i++) {
+		offer.type = catalog_type(core, i);
+		for (int zone = 0; zone < offer.type->zones.count; zone++) {
+			offer.zone = offer.type->zones.names[zone];
+			offer.kind = ON_DEMAND;
+			consider_offer(core, demand, &offer, cheapest);
+			offer.kind = SPOT;
+			consider_offer(core, demand, &offer, cheapest);
+		}
+	}
+	return cheapest->type != NULL;
+}
--- /dev/null
+++ b/src/core/autoscale/rental_requests.c
@@ -0,0 +1,167 @@
+#include "core/autoscale/rental_requests.h"
+
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+
+#include "core/state.h"
+#include "util/log.h"
+#include "util/xalloc.h"
+#include "wire/names.h"
+
+#define NO_CAPACITY "capacity" /* in the text of the cloud's error */
+
+/* Ids of the machines that the cloud granted. */
+struct granted_machines {
+	char **ids; /* owned, and so is each of them */
+	size_t count;
+};
+
+static struct capacity_pool pool_of(const struct rental_request *request)
+{
+	return (struct capacity_pool){request->type, request->zone, request->kind};
+}
+
+/* NULL if the request is over. */
+static struct rental_request *find_request(const struct core *core, const char *name)
+{
+	struct rental_request *request;
+
+	DL_FOREACH (core->autoscale.rental_requests, request)
+		if (!strcmp(request->name, name))
+			return request;
+	return NULL;
+}
+
+static void delete_request(struct core *core, struct rental_request *request)
+{
+	DL_DELETE(core->autoscale.rental_requests, request);
+	free(request);
+}
+
+static bool decode_granted(const struct call_answer *answer, struct granted_machines *granted)
+{
+	return answer->status == STATUS_OK &&
+	       !wire_rented(answer->body, answer->len, &granted->ids, &granted->count);
+}
+
+static void free_granted(struct granted_machines *granted)
+{
+	for (size_t i = 0; i < granted->count; i++)
+		free(granted->ids[i]);
+	free(granted->ids);
+}
+
+/* The machine stands for room until it reports. */
+static void expect_machine(struct core *core, const struct rental_request *request, const char *id)
+{
+	struct machine *machine;
+
+	/* The answer to a repeated request may name a machine that was deleted meanwhile. */
+	if (machine_has_tombstone(core, id))
+		return;
+	machine = machine_find_or_add(core, id);
+	machine_set_identity(core, machine, "", request->type, request->zone,
+			     request->kind == SPOT);
+	machine->cloud.expected = true;
+}
+
+static void take_granted(struct core *core, const struct rental_request *request,
+			 const struct granted_machines *granted)
+{
+	log_info("scale_out", "request=%s type=%s zone=%s spot=%d asked=%d got=%zu", request->name,
+		 request->type, request->zone, request->kind, request->count, granted->count);
+	for (size_t i = 0; i < granted->count; i++)
+		expect_machine(core, request, granted->ids[i]);
+	if ((int)granted->count < request->count)
+		capacity_refusal_note(core, pool_of(request));
+	else
+		capacity_refusal_lift(core, pool_of(request));
+}
+
+static bool is_out_of_capacity(const struct call_answer *answer)
+{
+	return answer->status == STATUS_UNAVAILABLE && answer->body &&
+	       strstr(answer->body, NO_CAPACITY);
+}
+
+/* Whether it is unknown what became of the request, and it is young enough to be repeated. */
+static bool is_worth_retry(const struct core *core, const struct rental_request *request,
+			   const struct call_answer *answer)
+{
+	return answer->status != STATUS_BAD_REQUEST &&
+	       core->now - request->requested_at < SCALE_OUT_GIVE_UP_S;
+}
+
+static void on_rental_answer(struct core *core, struct call *call, const struct call_answer *answer)
+{
+	struct granted_machines granted;
+	struct rental_request *request;
+
+	if (election_call_is_stale(core, call))
+		return;
+	request = find_request(core, call->key);
+	if (!request)
+		return;
+	request->in_flight = false;
+	if (decode_granted(answer, &granted)) {
+		take_granted(core, request, &granted);
+		free_granted(&granted);
+	} else if (is_out_of_capacity(answer)) {
+		log_info("scale_out_refused", "type=%s zone=%s spot=%d", request->type,
+			 request->zone, request->kind);
+		capacity_refusal_note(core, pool_of(request));
+	} else {
+		cloud_note_answer(core, answer);
+		if (is_worth_retry(core, request, answer)) {
+			request->retry_at = core->now + CLOUD_BACKOFF_S;
+			return;
+		}
+	}
+	delete_request(core, request);
+}
+
+static void post_request(struct core *core, struct rental_request *request)
+{
+	struct call *call;
+	char *body = wire_rental(request->name, request->type, request->zone, request->kind == SPOT,
+				 request->count);
+
+	request->in_flight = true;
+	call = core_call(core, core->conf->cloud, "POST", format_path(W_PATH_MACHINES), body,
+			 CALL_CLOUD_S, on_rental_answer, NULL);
+	snprintf(call->key, sizeof(call->key), "%s", request->name);
+}
+
+void rental_request_send(struct core *core, struct capacity_pool pool, int count)
+{
+	struct rental_request *request = xcalloc(1, sizeof(*request));
+
+	snprintf(request->name, sizeof(request->name), "r-%llu-%u",
+		 (unsigned long long)election_token(core), ++core->autoscale.request_counter);
+	snprintf(request->type, sizeof(request->type), "%s", pool.type_name);
+	snprintf(request->zone, sizeof(request->zone), "%s", pool.zone);
+	request->kind = pool.kind;
+	request->count = count;
+	request->requested_at = core->now;
+	DL_APPEND(core->autoscale.rental_requests, request);
+	post_request(core, request);
+}
+
+void rental_requests_retry(struct core *core)
+{
+	struct rental_request *request;
+
+	DL_FOREACH (core->autoscale.rental_requests, request)
+		if (!request->in_flight && core->now >= request->retry_at &&
+		    cloud_request_allowed(core))
+			post_request(core, request);
+}
+
+void rental_requests_clear(struct core *core)
+{
+	struct rental_request *request, *next;
+
+	DL_FOREACH_SAFE (core->autoscale.rental_requests, request, next)
+		delete_request(core, request);
+}
--- /dev/null
+++ b/src/core/autoscale/scale_out_headroom.c
@@ -0,0 +1,74 @@
+/* Plans the headroom: where money is no aim, room is kept free for tasks to come. */
+#include <stdlib.h>
+#include <string.h>
+
+#include "core/autoscale/scale_out.h"
+#include "core/state.h"
+#include "util/xalloc.h"
+
+/* The use by a class of jobs. */
+struct class_use {
+	const struct job_spec *spec; /* of one of its jobs: it stands for those to come */
+	uint32_t bound_tasks;
+};
+
+struct class_uses {
+	struct class_use *list; /* owned */
+	size_t count;
+};
+
+/* The use of the job's class, added if there is none; valid until the next one is added. */
+static struct class_use *class_use_of(struct class_uses *uses, const struct job_spec *spec)
+{
+	for (size_t i = 0; i < uses->count; i++)
+		if (!strcmp(uses->list[i].spec->class_name, spec->class_name))
+			return &uses->list[i];
+	uses->list = xreallocarray(uses->list, uses->count + 1, sizeof(*uses->list));
+	uses->list[uses->count] = (struct class_use){.spec = spec};
+	return &uses->list[uses->count++];
+}
+
+static void class_uses_init(struct core *core, struct class_uses *uses)
+{
+	struct job *job, *next;
+
+	*uses = (struct class_uses){0};
+	JOBS_FOR_EACH (core, job, next)
+		if (!job->orphan)
+			class_use_of(uses, &job->spec)->bound_tasks += job->bound_count;
+}
+
+static void class_uses_clear(struct class_uses *uses)
+{
+	free(uses->list);
+	*uses = (struct class_uses){0};
+}
+
+static void plan_class(struct core *core, struct planned_rooms *rooms, const struct class_use *use,
+		       double share)
+{
+	uint32_t wanted = (uint32_t)(share * use->bound_tasks) + HEADROOM_GUARANTEE_MIN;
+	struct machine_demand demand = {.spec = use->spec};
+
+	for (uint32_t i = 0; i < wanted; i++) {
+		if (planned_rooms_take(rooms, use->spec, ALL_ROOMS, NULL))
+			continue;
+		demand.tasks = wanted - i;
+		if (!scale_out_plan_machine(core, rooms, &demand))
+			break;
+	}
+}
+
+void scale_out_plan_headroom(struct core *core, struct planned_rooms *rooms)
+{
+	bool is_set = core->conf->headroom >= 0;
+	double share = is_set ? core->conf->headroom : HEADROOM_GUARANTEE;
+	struct class_uses uses;
+
+	if (autoscale_minimises_cost(core) && !is_set)
+		return;
+	class_uses_init(core, &uses);
+	for (size_t i = 0; i < uses.count; i++)
+		plan_class(core, rooms, &uses.list[i], share);
+	class_uses_clear(&uses);
+}
