--- a/src/constants.h
+++ b/src/constants.h
@@ -221,30 +221,30 @@
 			      */
 #define CYCLE_NO_FITS_MAX 32 /* shapes without room remembered in a round */
 
-/* --- rentals --- */
-#define AUTOSCALE_EVERY_S 0.5  /* seconds between looks at what is missing */
-#define SCALE_OUT_AFTER_S 0.3  /* seconds a task waits before machines are rented for it */
+/* --- autoscaling --- */
+#define AUTOSCALE_EVERY_S 0.5  /* seconds between scans for what is missing */
+#define SCALE_OUT_AFTER_S 0.3  /* seconds a task waits before machines are requested */
 #define AUTOSCALE_SETTLE_S 4.0 /* seconds after a take-over: workers have yet to report */
 /* shapes and zones remembered while it is planned: others are slower */
 #define SCALE_OUT_SHAPES_MAX 64
 #define CLOUD_SHARE 0.9 /* share of the cloud's rate: clocks differ, a late turn sends at once */
 #define SCALE_OUT_GIVE_UP_S 30.0      /* seconds a request without an answer is repeated */
 #define SCALE_OUT_SPOT_S 5.0	      /* seconds: a spot machine may be taken back */
-#define SCALE_OUT_GPU_WASTE_S 100.0   /* seconds: GPUs are rented for those who use them */
+#define SCALE_OUT_GPU_WASTE_S 100.0   /* seconds: GPUs are for those who use them */
 #define SCALE_OUT_ESTIMATE_FACTOR 1.5 /* times the estimate: owners are often wrong by half */
-#define SCALE_OUT_LEAD_S 60.0	      /* seconds to rent, boot and fetch before a task can start */
+#define SCALE_OUT_LEAD_S 60.0	      /* seconds to request, boot and fetch before a start */
 #define SCALE_OUT_JITTER 0.02	      /* share: equal offers are spread over zones */
 /* deleted machines remembered before a new token makes the older ones needless: some 1 MB */
 #define TOMBSTONES_MAX 8192
-#define TOMBSTONE_LISTS_S 60.0	 /* seconds beyond the lag that a list may be read and taken */
-#define NOTICE_MARGIN_S 2.0	 /* seconds beyond the save: the stop has to arrive */
-#define SCALE_OUT_REFUSED_S 10.0 /* seconds before a refused type, zone and kind is asked again */
+#define TOMBSTONE_LISTS_S 60.0	     /* seconds beyond the lag that a list may be read and taken */
+#define NOTICE_MARGIN_S 2.0	     /* seconds beyond the save: the stop has to arrive */
+#define SCALE_OUT_REFUSED_S 10.0     /* seconds before a refused pool is requested again */
 #define SCALE_OUT_REFUSED_MAX_S 40.0 /* seconds: capacity may come back any time */
 #define SCALE_OUT_BATCH_MAX 50	     /* machines per request, from the protocol */
 #define DELETE_BATCH_MAX 100	     /* names per request, from the protocol */
 #define CLOUD_BACKOFF_S 1.5	     /* seconds after 429, 503 or no answer */
 #define CATALOG_EVERY_S 60.0	     /* seconds between reads of prices by the leader */
-#define IDLE_COST_S 25.0	 /* seconds idle before return where money counts: about a boot */
+#define IDLE_COST_S 25.0	     /* seconds idle before a delete where money counts: a boot */
 #define IDLE_GPU_S 12.0		 /* the same for GPU machines: shorter brings boots, longer idles */
 #define IDLE_UNUSABLE_S 60.0	 /* seconds idle of a machine that no open job could use */
 #define IDLE_GUARANTEE_S 3600.0	 /* seconds where it does not */
--- a/src/core/autoscale/capacity_refusals.h
+++ b/src/core/autoscale/capacity_refusals.h
@@ -9,6 +9,7 @@
 
 #include <uthash.h>
 
+#include "core/model/machine.h"
 #include "wire/wire.h"
 
 struct core;
@@ -16,6 +17,11 @@
 /* How a machine is paid for; a spot machine is cheaper, and may be taken back after a notice. */
 enum purchase_kind { ON_DEMAND, SPOT };
 
+static inline enum purchase_kind purchase_kind_of(const struct machine *machine)
+{
+	return machine->spot ? SPOT : ON_DEMAND;
+}
+
 /* The machines that the cloud treats as one supply. The names are owned by others. */
 struct capacity_pool {
 	const char *type_name;
--- a/src/core/autoscale/planned_rooms.c
+++ b/src/core/autoscale/planned_rooms.c
@@ -37,7 +37,7 @@
 	if (!machine->type || machine->cloud.deleting || machine->cloud.draining ||
 	    machine->cloud.failed || machine->agent.notice_s >= 0)
 		return false;
-	/* Neither one known only from a late copy nor one that does not hear us is room. */
+	/* Neither one of which only a late copy spoke nor one that does not hear us is room. */
 	if (machine->agent.last_message_at < 0)
 		return machine->cloud.expected;
 	return machine->agent.reachable;
@@ -46,7 +46,7 @@
 static void add_machine(struct planned_rooms *rooms, const struct machine *machine)
 {
 	struct planned_room *room =
-	    add_room(rooms, machine->type, machine->zone, machine->spot ? SPOT : ON_DEMAND);
+	    add_room(rooms, machine->type, machine->zone, purchase_kind_of(machine));
 
 	if (machine->agent.last_message_at < 0)
 		return;
@@ -56,7 +56,7 @@
 	room->mem_gb = machine->free_mem_gb;
 }
 
-static void add_requested(struct core *core, struct planned_rooms *rooms,
+static void add_requested(const struct core *core, struct planned_rooms *rooms,
 			  const struct rental_request *request)
 {
 	for (size_t i = 0; i < catalog_type_count(core); i++) {
@@ -69,7 +69,7 @@
 	}
 }
 
-void planned_rooms_init(struct core *core, struct planned_rooms *rooms)
+void planned_rooms_init(const struct core *core, struct planned_rooms *rooms)
 {
 	const struct rental_request *request;
 	struct machine *machine, *next;
--- a/src/core/autoscale/rental_requests.c
+++ b/src/core/autoscale/rental_requests.c
@@ -86,8 +86,8 @@
 }
 
 /* Whether it is unknown what became of the request, and it is young enough to be repeated. */
-static bool is_worth_retry(const struct core *core, const struct rental_request *request,
-			   const struct call_answer *answer)
+static bool should_retry(const struct core *core, const struct rental_request *request,
+			 const struct call_answer *answer)
 {
 	return answer->status != STATUS_BAD_REQUEST &&
 	       core->now - request->requested_at < SCALE_OUT_GIVE_UP_S;
@@ -113,7 +113,7 @@
 		capacity_refusal_note(core, pool_of(request));
 	} else {
 		cloud_note_answer(core, answer);
-		if (is_worth_retry(core, request, answer)) {
+		if (should_retry(core, request, answer)) {
 			request->retry_at = core->now + CLOUD_BACKOFF_S;
 			return;
 		}
--- a/src/core/autoscale/scale_in.c
+++ b/src/core/autoscale/scale_in.c
@@ -66,7 +66,7 @@
 	       !machine->scheduling.reserved_for;
 }
 
-static bool is_needless(const struct core *core, const struct machine *machine)
+static bool should_delete(const struct core *core, const struct machine *machine)
 {
 	double idle_s = core->now - machine->cloud.idle_since;
 
@@ -85,7 +85,7 @@
 			continue;
 		if (machine->agent.notice_s >= 0)
 			stop_before_preemption(core, machine);
-		if (!is_idle(machine) || !is_needless(core, machine))
+		if (!is_idle(machine) || !should_delete(core, machine))
 			continue;
 		log_info("scale_in", "machine=%s type=%s idle=%.1f", machine->id,
 			 machine->type_name, core->now - machine->cloud.idle_since);
@@ -105,8 +105,7 @@
  */
 static void note_deleted(struct core *core, struct machine *machine)
 {
-	struct capacity_pool pool = {machine->type_name, machine->zone,
-				     machine->spot ? SPOT : ON_DEMAND};
+	struct capacity_pool pool = {machine->type_name, machine->zone, purchase_kind_of(machine)};
 
 	tombstone_add(core, machine->id);
 	capacity_refusal_lift(core, pool);
--- a/src/core/autoscale/scale_out_headroom.c
+++ b/src/core/autoscale/scale_out_headroom.c
@@ -28,7 +28,7 @@
 	return &uses->list[uses->count++];
 }
 
-static void class_uses_init(struct core *core, struct class_uses *uses)
+static void class_uses_init(const struct core *core, struct class_uses *uses)
 {
 	struct job *job, *next;
 
--- a/src/core/autoscale/scale_out_jobs.c
+++ b/src/core/autoscale/scale_out_jobs.c
@@ -18,7 +18,7 @@
 }
 
 /* Of the catalog's zones, the one with most room to come for the job; NULL: none has any. */
-static const char *zone_with_most_to_come(struct core *core, struct planned_rooms *rooms,
+static const char *zone_with_most_to_come(const struct core *core, struct planned_rooms *rooms,
 					  const struct job_spec *spec)
 {
 	const char *zone_with_most = NULL;
@@ -52,7 +52,7 @@
  * The zone to plan a job in; NULL: any. A gang of one zone gains nothing from room spread over
  * several: it is planned where most of it is on its way already, else where it is cheapest.
  */
-static const char *initial_zone(struct core *core, struct planned_rooms *rooms,
+static const char *initial_zone(const struct core *core, struct planned_rooms *rooms,
 				const struct job_spec *spec)
 {
 	if (!needs_one_zone(spec) || spec->task_count == 1)
--- a/src/core/model/binding.c
+++ b/src/core/model/binding.c
@@ -73,7 +73,8 @@
 	free(binding);
 }
 
-/* A gang that lost a task stops as a whole; its other tasks would notice by themselves, later. */
+/* A gang of which a task ended early stops as a whole; its other tasks would notice by themselves,
+ * later. */
 static void stop_gang(struct core *core, struct job *job, enum task_end_reason reason)
 {
 	struct binding *binding;
--- a/src/core/model/catalog.h
+++ b/src/core/model/catalog.h
@@ -10,10 +10,11 @@
 struct core;
 
 struct catalog {
-	struct machine_type *types; /* owned; NULL: not known yet */
+	struct machine_type *types; /* owned; NULL: not read yet */
 	size_t type_count;
 };
 
+/* Whether it was read, from the cloud or from its copy on record. */
 bool catalog_is_known(const struct core *core);
 size_t catalog_type_count(const struct core *core);
 /* The types in the order of the catalog; `index` is below their count. */
--- a/src/core/model/job.c
+++ b/src/core/model/job.c
@@ -12,7 +12,7 @@
 	return HASH_COUNT(core->jobs);
 }
 
-struct job *job_find(struct core *core, const char *id)
+struct job *job_find(const struct core *core, const char *id)
 {
 	struct job *job;
 
@@ -204,7 +204,7 @@
 	job->cancelled = true;
 	log_info("job_cancelled", "job=%s bound=%u", job->spec.id, job->bound_count);
 	DL_FOREACH_SAFE2 (job->bindings, binding, next, job_next) {
-		/* A start that never left needs no proof of its end. */
+		/* A start that was never sent needs no proof of its end. */
 		if (binding_start_never_sent(binding))
 			binding_end(core, binding, END_STOPPED);
 		else
--- a/src/core/model/job.h
+++ b/src/core/model/job.h
@@ -25,7 +25,7 @@
 	double reserved_until;				  /* room is reserved for it; 0: none */
 	bool reserving;					  /* more is reserved as it falls free */
 	char reserved_zone[NAME_MAX_LEN];		  /* empty: any */
-	double next_preemption_at;			  /* no look for room to be made before */
+	double next_preemption_at;			  /* no preemption for it before */
 };
 
 struct job {
@@ -33,7 +33,7 @@
 	uint64_t record_version;
 	double submitted_at; /* wall */
 	bool cancelled;
-	bool orphan; /* only its bindings are known: it is final */
+	bool orphan; /* it is final, and stands only for its bindings */
 	bool final_queued, final_committed;
 	uint8_t *done; /* one bit per task */
 	uint8_t *bound;
@@ -49,15 +49,15 @@
 	UT_hash_handle hh;
 };
 
-/* All jobs that are known; `next` is a second cursor, so that `job` may be freed. */
+/* All jobs; `next` is a second cursor, so that `job` may be freed. */
 #define JOBS_FOR_EACH(core, job, next) HASH_ITER (hh, (core)->jobs, job, next)
 
 unsigned job_count(const struct core *core);
-/* NULL if it is not known. */
-struct job *job_find(struct core *core, const char *id);
-/* Takes over what the description holds. */
+/* NULL if there is none of this id. */
+struct job *job_find(const struct core *core, const char *id);
+/* The job owns what the description refers to. */
 struct job *job_add(struct core *core, const struct job_spec *spec);
-/* Makes room for so many tasks of a job whose description is not known. */
+/* Makes room for so many tasks of a job whose description was not read. */
 void job_grow(struct job *job, uint32_t task_count);
 void job_free(struct core *core, struct job *job);
 /* Frees a job that is over once nothing of it is bound or being written. */
--- a/src/core/model/machine.c
+++ b/src/core/model/machine.c
@@ -13,7 +13,7 @@
 	return HASH_COUNT(core->machines);
 }
 
-struct machine *machine_find(struct core *core, const char *id)
+struct machine *machine_find(const struct core *core, const char *id)
 {
 	struct machine *machine;
 
@@ -87,7 +87,7 @@
 }
 
 /* Free room is what the type offers less what is bound; an unknown type offers nothing. */
-static void machine_apply_type(struct core *core, struct machine *machine)
+static void machine_apply_type(const struct core *core, struct machine *machine)
 {
 	const struct binding *binding;
 
@@ -99,7 +99,7 @@
 		take_room(machine, &binding->job->spec);
 }
 
-void machines_apply_catalog(struct core *core)
+void machines_apply_catalog(const struct core *core)
 {
 	struct machine *machine, *next;
 
--- a/src/core/model/machine.h
+++ b/src/core/model/machine.h
@@ -8,7 +8,6 @@
 #include <uthash.h>
 
 #include "constants.h"
-#include "core/runtime/call.h"
 #include "wire/wire.h"
 
 struct binding;
@@ -25,11 +24,11 @@
 };
 
 /*
- * What is known of the agent: the worker process on the machine, by its own messages. Times are
+ * The agent, which is the worker process on the machine, by its own messages. Times are
  * steady seconds; < 0: never in this term.
  */
 struct machine_agent {
-	uint64_t incarnation; /* rises each time that the agent has lost its lease or begun anew */
+	uint64_t incarnation; /* rises each time that the agent's lease expired or it began anew */
 	uint64_t sequence;    /* of its newest message within the incarnation */
 	uint64_t token;	      /* the newest fencing token that it has shown */
 	uint64_t
@@ -43,7 +42,7 @@
 	double last_message_at;	  /* the newest message, also answers to probes and commands */
 	double last_report_at;	  /* any report, be it a copy or a new machine's first */
 	double up_at;		  /* its first message this term */
-	double notice_s;	  /* preemption notice: seconds left when it came; < 0: none */
+	double notice_s;	  /* preemption notice: remaining seconds when it came; < 0: none */
 	double notice_received_at;
 	struct report_cache_entry *cached_report; /* in fleet.report_cache */
 	struct unbound_task *leftovers;		  /* listed, but bound no more */
@@ -76,7 +75,7 @@
 	bool failed;		   /* the cloud says so */
 	uint64_t inventory_number; /* the newest inventory that named it */
 	int missed_inventories;	   /* in a row, without it */
-	double rented_at;	   /* steady */
+	double rented_at;	   /* steady; when it was requested, as far as can be told */
 	double idle_since;	   /* steady */
 	bool draining;		   /* it gets no new tasks, and is deleted once it is empty */
 	bool deleting;		   /* a delete was decided: it gets no tasks any more */
@@ -117,27 +116,27 @@
 	UT_hash_handle hh;
 };
 
-/* All machines that are known; `next` is a second cursor, so that `machine` may be freed. */
+/* All machines; `next` is a second cursor, so that `machine` may be freed. */
 #define MACHINES_FOR_EACH(core, machine, next) HASH_ITER (hh, (core)->machines, machine, next)
 
 unsigned machine_count(const struct core *core);
-/* NULL if it is not known. */
-struct machine *machine_find(struct core *core, const char *id);
+/* NULL if there is none of this id. */
+struct machine *machine_find(const struct core *core, const char *id);
 struct machine *machine_find_or_add(struct core *core, const char *id);
-/* The machine must have no bindings left. */
+/* All of its bindings must have been freed. */
 void machine_free(struct core *core, struct machine *machine);
-/* An empty address leaves the one that is known; type, zone and kind are kept once the catalog has
- * the type. */
+/* An empty address replaces none. Zone and kind are kept if the machine has the type already, and
+ * the catalog has it too. */
 void machine_set_identity(struct core *core, struct machine *machine, const char *addr,
 			  const char *type, const char *zone, bool spot);
 /* The cloud answered 200 to its delete: all that was bound to it has ended. */
 void machine_note_deleted(struct core *core, struct machine *machine);
 /* The catalog was replaced: all machines refer to its types from now on. */
-void machines_apply_catalog(struct core *core);
+void machines_apply_catalog(const struct core *core);
 
 /* Its agent was heard of lately, be it by a report or by an answer. */
 bool machine_is_responsive(const struct core *core, const struct machine *machine);
-/* It has a notice, or is to be returned: nothing new goes there. */
+/* It has a preemption notice, or is drained, and no delete was decided yet. */
 bool machine_is_leaving(const struct machine *machine);
 /* Tasks may be placed on it now. */
 bool machine_is_usable(const struct core *core, const struct machine *machine);
@@ -146,7 +145,7 @@
 			  const struct job_spec *spec);
 
 bool machine_has_image(const struct machine *machine, const char *image);
-/* A task with this image ran there: the machine has it in its cache. */
+/* The machine fetched the image, so it is probably in its cache. */
 void machine_note_image(struct machine *machine, const char *image);
 
 /* Puts the binding in the list of its machine, and takes its room. For binding.c alone. */
--- a/src/core/model/team.c
+++ b/src/core/model/team.c
@@ -6,7 +6,7 @@
 
 #define QUOTA_SLACK 1e-6 /* CPUs, GPUs: sums of decimal amounts */
 
-struct team *team_find(struct core *core, const char *name)
+struct team *team_find(const struct core *core, const char *name)
 {
 	for (size_t i = 0; i < core->conf->nteams; i++)
 		if (!strcmp(core->teams[i].conf->name, name))
@@ -20,7 +20,7 @@
 	return quota <= 0 || more <= 0 || used + more <= quota + QUOTA_SLACK;
 }
 
-bool team_has_room(struct core *core, const struct job_spec *spec, uint32_t tasks)
+bool team_has_room(const struct core *core, const struct job_spec *spec, uint32_t tasks)
 {
 	const struct team *team = team_find(core, spec->team);
 
--- a/src/core/model/team.h
+++ b/src/core/model/team.h
@@ -17,9 +17,9 @@
 };
 
 /* NULL if the settings have no team of this name. */
-struct team *team_find(struct core *core, const char *name);
+struct team *team_find(const struct core *core, const char *name);
 /* Whether so many more tasks of the job are within its team's quotas; false without a team. */
-bool team_has_room(struct core *core, const struct job_spec *spec, uint32_t tasks);
+bool team_has_room(const struct core *core, const struct job_spec *spec, uint32_t tasks);
 /* Whether the job could run if its team used nothing: an array by a task at a time. */
 bool team_ever_fits(const struct conf *conf, const struct job_spec *spec);
 /* Counts one task of the job as bound. */
--- a/src/core/model/tombstones.c
+++ b/src/core/model/tombstones.c
@@ -7,7 +7,7 @@
 #include "core/state.h"
 #include "util/xalloc.h"
 
-bool machine_has_tombstone(struct core *core, const char *id)
+bool machine_has_tombstone(const struct core *core, const char *id)
 {
 	struct tombstone *tombstone;
 
--- a/src/core/model/tombstones.h
+++ b/src/core/model/tombstones.h
@@ -24,7 +24,7 @@
 	double trimmed_at;	/* steady; when a new token last allowed it */
 };
 
-bool machine_has_tombstone(struct core *core, const char *id);
+bool machine_has_tombstone(const struct core *core, const char *id);
 /* The machine is deleted: inventories and copies of its reports that still name it are void. */
 void tombstone_add(struct core *core, const char *id);
 /* Whether enough tombstones are old enough that a new token, under which they are needless, is
