--- a/src/core/model/binding.c
+++ b/src/core/model/binding.c
@@ -54,7 +54,8 @@
 	scheduling->freed_slot_until = core->now + FREED_SLOT_S;
 }
 
-void binding_remove(struct core *core, struct binding *binding)
+/* Takes the binding off its machine, job, chunk and team, whatever the reason, and frees it. */
+static void remove_binding(struct core *core, struct binding *binding)
 {
 	struct job *job = binding->job;
 
@@ -152,7 +153,7 @@
 		 job->spec.id, binding->task, (unsigned long long)binding->attempt,
 		 binding->machine->id, reason);
 	note_end(core, binding, reason);
-	binding_remove(core, binding);
+	remove_binding(core, binding);
 	if (job->spec.kind == JOB_GANG && reason != END_DONE && !job->cancelled)
 		stop_gang(core, job, reason);
 	job->scheduling.waiting_since = core->now;
--- a/src/core/model/binding.h
+++ b/src/core/model/binding.h
@@ -39,7 +39,7 @@
 	struct binding *chunk_prev, *chunk_next;     /* in its chunk of the job */
 };
 
-/* Binds the task; the job and the machine own the binding, which binding_remove frees. */
+/* Binds the task; the machine and the job own the binding, which binding_end frees. */
 struct binding *binding_add(struct core *core, struct machine *machine, struct job *job,
 			    uint32_t task, uint64_t attempt);
 /*
@@ -54,7 +54,5 @@
  * binding, and the job too if it is over. The record follows in the next transaction.
  */
 void binding_end(struct core *core, struct binding *binding, enum task_end_reason reason);
-/* Takes the binding off its machine, job, chunk and team, whatever the reason, and frees it. */
-void binding_remove(struct core *core, struct binding *binding);
 
 #endif
