--- a/src/util/buf.c
+++ b/src/util/buf.c
@@ -1,3 +1,4 @@
+/* A growable byte buffer. See buf.h. */
 #include "util/buf.h"
 
 #include <stdarg.h>
@@ -5,61 +6,70 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Room for `want` bytes behind the contents. Out of memory ends the process: it is restarted. */
-char *buf_room(struct buf *b, size_t want)
+#include "util/xalloc.h"
+
+#define BUF_CAPACITY_MIN 256 /* bytes of the first allocation: the head of a message */
+
+static void move_to_front(struct buf *buf)
+{
+	if (buf->len)
+		memmove(buf->data, buf->data + buf->start, buf->len);
+	buf->start = 0;
+}
+
+static void grow(struct buf *buf, size_t needed)
 {
-	if (b->off && (b->len == 0 || b->off + b->len + want > b->cap)) {
-		if (b->len)
-			memmove(b->data, b->data + b->off, b->len);
-		b->off = 0;
-	}
-	if (b->len + want > b->cap) {
-		size_t cap = b->cap ? b->cap : 256;
+	size_t capacity = buf->capacity ? buf->capacity : BUF_CAPACITY_MIN;
+
+	while (capacity < needed)
+		capacity *= 2;
+	buf->data = xreallocarray(buf->data, capacity, 1);
+	buf->capacity = capacity;
+}
 
-		while (cap < b->len + want)
-			cap *= 2;
-		b->data = realloc(b->data, cap);
-		if (!b->data)
-			abort();
-		b->cap = cap;
-	}
-	return b->data + b->off + b->len;
+char *buf_room(struct buf *buf, size_t len)
+{
+	if (buf->start && (buf->len == 0 || buf->start + buf->len + len > buf->capacity))
+		move_to_front(buf);
+	if (buf->len + len > buf->capacity)
+		grow(buf, buf->len + len);
+	return buf->data + buf->start + buf->len;
 }
 
-void buf_add(struct buf *b, const void *data, size_t len)
+void buf_add(struct buf *buf, const void *bytes, size_t len)
 {
 	if (!len)
 		return;
-	memcpy(buf_room(b, len), data, len);
-	b->len += len;
+	memcpy(buf_room(buf, len), bytes, len);
+	buf->len += len;
 }
 
-void buf_addf(struct buf *b, const char *fmt, ...)
+void buf_addf(struct buf *buf, const char *format, ...)
 {
-	va_list ap;
-	int n;
+	va_list arguments;
+	int len;
 
-	va_start(ap, fmt);
-	n = vsnprintf(NULL, 0, fmt, ap);
-	va_end(ap);
-	if (n <= 0)
+	va_start(arguments, format);
+	len = vsnprintf(NULL, 0, format, arguments);
+	va_end(arguments);
+	if (len <= 0)
 		return;
-	va_start(ap, fmt);
-	vsnprintf(buf_room(b, (size_t)n + 1), (size_t)n + 1, fmt, ap);
-	va_end(ap);
-	b->len += (size_t)n;
+	va_start(arguments, format);
+	vsnprintf(buf_room(buf, (size_t)len + 1), (size_t)len + 1, format, arguments);
+	va_end(arguments);
+	buf->len += (size_t)len;
 }
 
-void buf_drop(struct buf *b, size_t len)
+void buf_drop(struct buf *buf, size_t len)
 {
-	b->off += len;
-	b->len -= len;
-	if (!b->len)
-		b->off = 0;
+	buf->start += len;
+	buf->len -= len;
+	if (!buf->len)
+		buf->start = 0;
 }
 
-void buf_free(struct buf *b)
+void buf_free(struct buf *buf)
 {
-	free(b->data);
-	memset(b, 0, sizeof(*b));
+	free(buf->data);
+	memset(buf, 0, sizeof(*buf));
 }
--- a/src/util/log.c
+++ b/src/util/log.c
@@ -1,3 +1,4 @@
+/* The log. See log.h. */
 #include "util/log.h"
 
 #include <stdarg.h>
@@ -5,53 +6,59 @@
 #include <string.h>
 #include <unistd.h>
 
-static char log_node[64] = "-";
-static enum log_level log_max = LOG_INFO;
-static unsigned long long log_tok;
+#define LOG_NODE_SIZE 64   /* bytes of the name, with its NUL */
+#define LOG_LINE_SIZE 1024 /* bytes of a line, with its newline */
+
+static char node_name[LOG_NODE_SIZE] = "-";
+static enum log_level most_detailed = LOG_INFO;
+static unsigned long long leader_token;
+
+static const char *const level_names[] = {
+    [LOG_ERROR] = "error", [LOG_INFO] = "info", [LOG_DEBUG] = "debug"};
 
 void log_setup(const char *node, const char *level)
 {
 	if (node)
-		snprintf(log_node, sizeof(log_node), "%s", node);
-	if (!level || !*level || !strcmp(level, "info"))
-		log_max = LOG_INFO;
-	else if (!strcmp(level, "error"))
-		log_max = LOG_ERROR;
-	else if (!strcmp(level, "debug"))
-		log_max = LOG_DEBUG;
-	else {
-		log_max = LOG_INFO;
-		log_error("log_level", "value=%.32s reason=unknown_level used=info", level);
+		snprintf(node_name, sizeof(node_name), "%s", node);
+	most_detailed = LOG_INFO;
+	if (!level || !*level)
+		return;
+	for (int i = LOG_ERROR; i <= LOG_DEBUG; i++) {
+		if (!strcmp(level, level_names[i])) {
+			most_detailed = (enum log_level)i;
+			return;
+		}
 	}
+	log_error("log_level", "value=%.32s reason=unknown_level used=info", level);
 }
 
 void log_token(unsigned long long token)
 {
-	log_tok = token;
+	leader_token = token;
 }
 
 int log_on(enum log_level level)
 {
-	return level <= log_max;
+	return level <= most_detailed;
 }
 
-void log_line(enum log_level level, const char *event, const char *fmt, ...)
+void log_line(enum log_level level, const char *event, const char *format, ...)
 {
-	static const char *const names[] = {"error", "info", "debug"};
-	char line[1024];
-	va_list ap;
-	int n, m;
+	char line[LOG_LINE_SIZE];
+	const int text_max = (int)sizeof(line) - 1; /* bytes before the newline */
+	va_list arguments;
+	int len, details_len;
 
-	if (level > log_max)
+	if (!log_on(level))
 		return;
-	n = snprintf(line, sizeof(line), "level=%s node=%s token=%llu event=%s ", names[level],
-		     log_node, log_tok, event);
-	va_start(ap, fmt);
-	m = vsnprintf(line + n, sizeof(line) - (size_t)n - 1, fmt, ap);
-	va_end(ap);
-	if (m > 0)
-		n += m < (int)sizeof(line) - n - 2 ? m : (int)sizeof(line) - n - 2;
-	line[n++] = '\n';
-	if (write(STDERR_FILENO, line, (size_t)n) < 0)
+	len = snprintf(line, sizeof(line), "level=%s node=%s token=%llu event=%s ",
+		       level_names[level], node_name, leader_token, event);
+	va_start(arguments, format);
+	details_len = vsnprintf(line + len, (size_t)(text_max - len), format, arguments);
+	va_end(arguments);
+	if (details_len > 0)
+		len += details_len < text_max - len - 1 ? details_len : text_max - len - 1;
+	line[len++] = '\n';
+	if (write(STDERR_FILENO, line, (size_t)len) < 0)
 		return; /* nowhere left to say so */
 }
--- a/src/util/xalloc.h
+++ b/src/util/xalloc.h
@@ -35,9 +35,10 @@
 	return xalloc_checked(reallocarray(array, count ? count : 1, size));
 }
 
+/* A copy of `text`. */
 static inline char *xstrdup(const char *text)
 {
-	return xalloc_checked(strdup(text));
+	return (char *)xalloc_checked(strdup(text));
 }
 
 #endif
