--- a/src/net/http.c
+++ b/src/net/http.c
@@ -1,138 +1,234 @@
+/* The parser of HTTP/1.1 messages. See http.h. */
 #include "net/http.h"
 
 #include <ctype.h>
+#include <stdbool.h>
 #include <string.h>
 #include <strings.h>
 
 #include "constants.h"
 
-static int parse_request_line(struct http_msg *m, const char *p, const char *end)
+#define VERSION_PREFIX "HTTP/1."
+#define VERSION_LEN (sizeof(VERSION_PREFIX "1") - 1)
+#define STATUS_DIGITS 3
+#define STATUS_LINE_LEN_MIN (VERSION_LEN + 1 + STATUS_DIGITS)
+#define CONTENT_LENGTH_DIGITS_MAX 12 /* far above every limit, far below an overflow */
+
+/* A part of the message: `len` bytes from `at`, not terminated. */
+struct span {
+	const char *at;
+	size_t len;
+};
+
+/* What the headers so far say, beside what http_msg holds. */
+struct header_state {
+	bool has_length;
+	bool has_transfer_encoding;
+};
+
+static struct span span_between(const char *from, const char *to)
+{
+	return (struct span){from, (size_t)(to - from)};
+}
+
+/* The rest of `whole` after its first `len` bytes. */
+static struct span span_after(struct span whole, size_t len)
+{
+	return (struct span){whole.at + len, whole.len - len};
+}
+
+static bool span_is(struct span span, const char *text)
+{
+	return span.len == strlen(text) && !strncasecmp(span.at, text, span.len);
+}
+
+static bool is_blank(char c)
 {
-	const char *sp = memchr(p, ' ', (size_t)(end - p));
-	const char *sp2;
-	size_t n;
+	return c == ' ' || c == '\t';
+}
+
+static struct span span_trim(struct span span)
+{
+	while (span.len && is_blank(span.at[0]))
+		span = span_after(span, 1);
+	while (span.len && is_blank(span.at[span.len - 1]))
+		span.len--;
+	return span;
+}
 
-	if (!sp || (n = (size_t)(sp - p)) == 0 || n >= sizeof(m->method))
+/* Printable ASCII without spaces. */
+static bool is_visible(struct span span)
+{
+	for (size_t i = 0; i < span.len; i++)
+		if ((unsigned char)span.at[i] <= 0x20 || (unsigned char)span.at[i] >= 0x7f)
+			return false;
+	return true;
+}
+
+/* As is_visible, but bytes beyond ASCII are let through: the receiver of a path judges those. */
+static bool is_path(struct span span)
+{
+	for (size_t i = 0; i < span.len; i++)
+		if ((unsigned char)span.at[i] <= 0x20 || span.at[i] == 0x7f)
+			return false;
+	return span.len > 0 && span.at[0] == '/';
+}
+
+/* "HTTP/1.0" or "HTTP/1.1"; who speaks 1.0 closes unless it says otherwise. */
+static int parse_version(struct http_msg *msg, struct span version)
+{
+	char minor;
+
+	if (version.len != VERSION_LEN ||
+	    memcmp(version.at, VERSION_PREFIX, strlen(VERSION_PREFIX)))
 		return -1;
-	for (size_t i = 0; i < n; i++)
-		if (!isupper((unsigned char)p[i]))
-			return -1;
-	memcpy(m->method, p, n);
-	m->method[n] = 0;
-	m->path = sp + 1;
-	sp2 = memchr(sp + 1, ' ', (size_t)(end - sp - 1));
-	if (!sp2 || sp2 == sp + 1 || sp[1] != '/')
+	minor = version.at[VERSION_LEN - 1];
+	msg->close = minor == '0';
+	return minor == '0' || minor == '1' ? 0 : -1;
+}
+
+static int parse_method(struct http_msg *msg, struct span method)
+{
+	if (method.len == 0 || method.len >= sizeof(msg->method))
 		return -1;
-	m->path_len = (size_t)(sp2 - sp - 1);
-	for (size_t i = 0; i < m->path_len; i++)
-		if ((unsigned char)m->path[i] < 0x21 || m->path[i] == 0x7f)
+	for (size_t i = 0; i < method.len; i++)
+		if (!isupper((unsigned char)method.at[i]))
 			return -1;
-	if (end - sp2 - 1 != 8 || memcmp(sp2 + 1, "HTTP/1.", 7))
+	memcpy(msg->method, method.at, method.len);
+	msg->method[method.len] = 0;
+	return 0;
+}
+
+/* "METHOD PATH HTTP/1.x" */
+static int parse_request_line(struct http_msg *msg, struct span line)
+{
+	const char *end = line.at + line.len;
+	const char *method_end = memchr(line.at, ' ', line.len);
+	const char *path_end;
+	struct span path;
+
+	if (!method_end || parse_method(msg, span_between(line.at, method_end)))
+		return -1;
+	path_end = memchr(method_end + 1, ' ', (size_t)(end - method_end - 1));
+	if (!path_end)
+		return -1;
+	path = span_between(method_end + 1, path_end);
+	if (!is_path(path))
 		return -1;
-	if (sp2[8] == '0')
-		m->close = 1;
-	return sp2[8] == '1' || sp2[8] == '0' ? 0 : -1;
+	msg->path = path.at;
+	msg->path_len = path.len;
+	return parse_version(msg, span_between(path_end + 1, end));
 }
 
-static int parse_status_line(struct http_msg *m, const char *p, const char *end)
+/* "HTTP/1.x NNN", and any reason behind it. The minor version of a response may be any. */
+static int parse_status_line(struct http_msg *msg, struct span line)
 {
-	if (end - p < 12 || memcmp(p, "HTTP/1.", 7) || p[8] != ' ')
+	const char *digits;
+
+	if (line.len < STATUS_LINE_LEN_MIN ||
+	    memcmp(line.at, VERSION_PREFIX, strlen(VERSION_PREFIX)) || line.at[VERSION_LEN] != ' ')
 		return -1;
-	for (int i = 9; i < 12; i++)
-		if (!isdigit((unsigned char)p[i]))
+	digits = line.at + VERSION_LEN + 1;
+	for (int i = 0; i < STATUS_DIGITS; i++) {
+		if (!isdigit((unsigned char)digits[i]))
 			return -1;
-	m->status = (p[9] - '0') * 100 + (p[10] - '0') * 10 + (p[11] - '0');
-	if (p[7] == '0')
-		m->close = 1;
+		msg->status = msg->status * 10 + (digits[i] - '0');
+	}
+	msg->close = line.at[VERSION_LEN - 1] == '0';
 	return 0;
 }
 
-static int parse_length(const char *p, const char *end, size_t *out)
+static int parse_length(struct span digits, size_t *out)
 {
-	size_t v = 0;
+	size_t length = 0;
 
-	if (p == end || end - p > 12)
+	if (digits.len == 0 || digits.len > CONTENT_LENGTH_DIGITS_MAX)
 		return -1;
-	for (; p < end; p++) {
-		if (!isdigit((unsigned char)*p))
+	for (size_t i = 0; i < digits.len; i++) {
+		if (!isdigit((unsigned char)digits.at[i]))
 			return -1;
-		v = v * 10 + (size_t)(*p - '0');
+		length = length * 10 + (size_t)(digits.at[i] - '0');
 	}
-	*out = v;
+	*out = length;
 	return 0;
 }
 
-struct header_state {
-	int have_length;
-	int chunked;
-};
+/* Repeated lengths have to agree: else one message could be read as two. */
+static int parse_content_length(struct http_msg *msg, struct header_state *state, struct span value)
+{
+	size_t length;
 
-static int parse_header(struct http_msg *m, struct header_state *st, const char *p, const char *end)
+	if (parse_length(value, &length) || (state->has_length && length != msg->body_len))
+		return -1;
+	state->has_length = true;
+	msg->body_len = length;
+	return 0;
+}
+
+static int parse_header(struct http_msg *msg, struct header_state *state, struct span line)
 {
-	const char *colon = memchr(p, ':', (size_t)(end - p));
-	const char *v;
-	size_t n, len;
+	const char *colon = memchr(line.at, ':', line.len);
+	struct span name, value;
 
-	if (!colon || colon == p || isspace((unsigned char)*p))
+	if (!colon || colon == line.at)
 		return -1;
-	n = (size_t)(colon - p);
-	for (size_t i = 0; i < n; i++)
-		if ((unsigned char)p[i] <= 0x20 || (unsigned char)p[i] >= 0x7f)
-			return -1;
-	for (v = colon + 1; v < end && (*v == ' ' || *v == '\t'); v++)
-		;
-	while (end > v && (end[-1] == ' ' || end[-1] == '\t'))
-		end--;
-	if (n == 14 && !strncasecmp(p, "content-length", 14)) {
-		if (parse_length(v, end, &len) || (st->have_length && len != m->body_len))
-			return -1;
-		st->have_length = 1;
-		m->body_len = len;
-	} else if (n == 17 && !strncasecmp(p, "transfer-encoding", 17)) {
-		st->chunked = 1;
-	} else if (n == 10 && !strncasecmp(p, "connection", 10)) {
-		if (end - v == 5 && !strncasecmp(v, "close", 5))
-			m->close = 1;
-		else if (end - v == 10 && !strncasecmp(v, "keep-alive", 10))
-			m->close = 0;
-	}
+	name = span_between(line.at, colon);
+	if (!is_visible(name))
+		return -1;
+	value = span_trim(span_after(line, name.len + 1));
+	if (span_is(name, "content-length"))
+		return parse_content_length(msg, state, value);
+	if (span_is(name, "transfer-encoding"))
+		state->has_transfer_encoding = true;
+	else if (span_is(name, "connection") && span_is(value, "close"))
+		msg->close = 1;
+	else if (span_is(name, "connection") && span_is(value, "keep-alive"))
+		msg->close = 0;
 	return 0;
 }
 
-enum http_result http_parse(struct http_msg *m, const char *data, size_t len, int response,
-			    size_t max_body)
+/* Finds the end of the line at the front of `rest`; `line` gets it without CR LF, or LF. */
+static enum http_result next_line(const char *head, struct span *rest, struct span *line)
 {
-	const char *end = data + len, *p = data, *nl, *stop;
-	struct header_state st = {0};
-	int first = 1;
+	const char *newline = memchr(rest->at, '\n', rest->len);
 
-	memset(m, 0, sizeof(*m));
-	for (;;) {
-		nl = memchr(p, '\n', (size_t)(end - p));
-		if (!nl)
-			return len > HTTP_HEAD_MAX ? HTTP_BAD : HTTP_MORE;
-		if ((size_t)(nl - data) > HTTP_HEAD_MAX)
-			return HTTP_BAD;
-		stop = nl > p && nl[-1] == '\r' ? nl - 1 : nl;
-		if (first) {
-			if ((response ? parse_status_line : parse_request_line)(m, p, stop))
-				return HTTP_BAD;
-			first = 0;
-		} else if (stop == p) {
-			break;
-		} else if (parse_header(m, &st, p, stop)) {
+	if (!newline)
+		return (size_t)(rest->at - head) + rest->len > HTTP_HEAD_MAX ? HTTP_BAD : HTTP_MORE;
+	if ((size_t)(newline - head) > HTTP_HEAD_MAX)
+		return HTTP_BAD;
+	*line = span_between(rest->at, newline);
+	*rest = span_after(*rest, line->len + 1);
+	if (line->len && line->at[line->len - 1] == '\r')
+		line->len--;
+	return HTTP_OK;
+}
+
+enum http_result http_parse(struct http_msg *msg, const char *data, size_t len,
+			    enum http_message_kind kind, size_t max_body)
+{
+	struct header_state state = {0};
+	struct span rest = {data, len}, line;
+	enum http_result result;
+
+	memset(msg, 0, sizeof(*msg));
+	result = next_line(data, &rest, &line);
+	if (result != HTTP_OK)
+		return result;
+	if ((kind == HTTP_RESPONSE ? parse_status_line : parse_request_line)(msg, line))
+		return HTTP_BAD;
+	while ((result = next_line(data, &rest, &line)) == HTTP_OK && line.len)
+		if (parse_header(msg, &state, line))
 			return HTTP_BAD;
-		}
-		p = nl + 1;
-	}
-	/* A chunked body is nobody's here; guessing its end would let one message pose as two. */
-	if (st.chunked)
+	if (result != HTTP_OK)
+		return result;
+	/* No caller here chunks its body; guessing its end would let one message pose as two. */
+	if (state.has_transfer_encoding)
 		return HTTP_BAD;
-	m->head_len = (size_t)(nl + 1 - data);
-	m->body = nl + 1;
-	if (m->body_len > max_body)
+	msg->head_len = (size_t)(rest.at - data);
+	msg->body = rest.at;
+	if (msg->body_len > max_body)
 		return HTTP_TOO_LARGE;
-	return len - m->head_len >= m->body_len ? HTTP_OK : HTTP_MORE;
+	return rest.len >= msg->body_len ? HTTP_OK : HTTP_MORE;
 }
 
 const char *http_reason(int status)
@@ -158,6 +254,7 @@
 		return "Too Many Requests";
 	case 503:
 		return "Service Unavailable";
+	default:
+		return "Status";
 	}
-	return "Status";
 }
