--- /dev/null
+++ b/src/net/clock.c
@@ -0,0 +1,22 @@
+/* The clocks. See clock.h. */
+#include "net/clock.h"
+
+#include <time.h>
+
+static double seconds_of(clockid_t clock)
+{
+	struct timespec time;
+
+	clock_gettime(clock, &time);
+	return (double)time.tv_sec + (double)time.tv_nsec * 1e-9;
+}
+
+double net_now(void)
+{
+	return seconds_of(CLOCK_MONOTONIC);
+}
+
+double net_wall(void)
+{
+	return seconds_of(CLOCK_REALTIME);
+}
--- a/src/net/net.c
+++ b/src/net/net.c
@@ -1,23 +1,21 @@
 #include "net/net.h"
 
-#include <arpa/inet.h>
 #include <errno.h>
-#include <fcntl.h>
 #include <netinet/in.h>
-#include <netinet/tcp.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 #include <sys/epoll.h>
 #include <sys/socket.h>
-#include <time.h>
 #include <unistd.h>
 
 #include <uthash.h>
 #include <utlist.h>
 
 #include "constants.h"
+#include "net/clock.h"
 #include "net/http.h"
+#include "net/tcp.h"
 #include "util/buf.h"
 #include "util/log.h"
 
@@ -74,41 +72,6 @@
 	struct epoll_event *events; /* of one turn: at most one a connection */
 };
 
-static double clock_s(clockid_t c)
-{
-	struct timespec ts;
-
-	clock_gettime(c, &ts);
-	return (double)ts.tv_sec + (double)ts.tv_nsec * 1e-9;
-}
-
-double net_now(void)
-{
-	return clock_s(CLOCK_MONOTONIC);
-}
-
-double net_wall(void)
-{
-	return clock_s(CLOCK_REALTIME);
-}
-
-static int parse_addr(const char *s, struct sockaddr_in *sa)
-{
-	char host[NET_ADDR_MAX];
-	const char *colon = strrchr(s, ':');
-	long port;
-
-	if (!colon || (size_t)(colon - s) >= sizeof(host))
-		return -1;
-	memcpy(host, s, (size_t)(colon - s));
-	host[colon - s] = 0;
-	port = strtol(colon + 1, NULL, 10);
-	memset(sa, 0, sizeof(*sa));
-	sa->sin_family = AF_INET;
-	sa->sin_port = htons((uint16_t)port);
-	return port > 0 && port < 65536 && inet_pton(AF_INET, host, &sa->sin_addr) == 1 ? 0 : -1;
-}
-
 struct net *net_new(const struct net_ops *ops, void *ctx, int max_conns, double idle_s)
 {
 	struct net *n = calloc(1, sizeof(*n));
@@ -139,18 +102,14 @@
 {
 	struct conn *c = &n->listeners[side];
 	struct sockaddr_in sa;
-	int one = 1;
 
-	if (parse_addr(addr, &sa))
+	if (tcp_address_parse(addr, &sa))
 		return -1;
-	c->fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+	c->fd = tcp_listen(&sa, n->max_conns);
 	c->kind = CONN_LISTEN;
 	c->side = side;
 	if (c->fd < 0)
 		return -1;
-	setsockopt(c->fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof(one));
-	if (bind(c->fd, (struct sockaddr *)&sa, sizeof(sa)) || listen(c->fd, n->max_conns))
-		return -1;
 	watch(n, c, EPOLL_CTL_ADD);
 	return 0;
 }
@@ -458,11 +417,10 @@
 static void accept_one(struct net *n, struct conn *l, int fd)
 {
 	struct conn *c = calloc(1, sizeof(*c));
-	int one = 1;
 
 	if (!c)
 		abort();
-	setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof(one));
+	tcp_set_no_delay(fd);
 	c->fd = fd;
 	c->kind = CONN_SERVER;
 	c->side = l->side;
@@ -477,7 +435,7 @@
 static void net_accept(struct net *n, struct conn *l)
 {
 	for (int i = 0; i < NET_ACCEPT_BATCH; i++) {
-		int fd = accept4(l->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
+		int fd = tcp_accept(l->fd);
 
 		if (fd < 0)
 			return;
@@ -509,18 +467,13 @@
 {
 	struct sockaddr_in sa;
 	struct conn *c;
-	int fd, one = 1;
+	int fd;
 
-	if (parse_addr(p->addr, &sa) || (n->nconns >= n->max_conns && make_room(n)))
+	if (tcp_address_parse(p->addr, &sa) || (n->nconns >= n->max_conns && make_room(n)))
 		return NULL;
-	fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+	fd = tcp_connect(&sa);
 	if (fd < 0)
 		return NULL;
-	setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof(one));
-	if (connect(fd, (struct sockaddr *)&sa, sizeof(sa)) && errno != EINPROGRESS) {
-		close(fd);
-		return NULL;
-	}
 	c = calloc(1, sizeof(*c));
 	if (!c)
 		abort();
@@ -568,11 +521,7 @@
 /* A connection that never came about carried nothing: status -1, certain not to be executed. */
 static int client_connected(struct net *n, struct conn *c)
 {
-	int err = 0;
-	socklen_t len = sizeof(err);
-
-	getsockopt(c->fd, SOL_SOCKET, SO_ERROR, &err, &len);
-	if (err) {
+	if (tcp_connect_failed(c->fd)) {
 		uint64_t id = c->call_id;
 
 		conn_close(n, c);
--- a/src/net/net.h
+++ b/src/net/net.h
@@ -8,6 +8,8 @@
 #include <stddef.h>
 #include <stdint.h>
 
+#include "net/clock.h"
+
 struct net;
 
 enum net_side { NET_FRONT, NET_BACK };
@@ -39,7 +41,5 @@
 		size_t len);
 /* Waits up to `wait_s`, handles what came. */
 void net_poll(struct net *n, double wait_s);
-double net_now(void);
-double net_wall(void);
 
 #endif
