--- /dev/null
+++ b/src/net/connection.c
@@ -0,0 +1,126 @@
+/* Sockets of the event loop with their buffers. See connection.h. */
+#include "net/connection.h"
+
+#include <errno.h>
+#include <sys/epoll.h>
+#include <sys/socket.h>
+#include <unistd.h>
+
+#include "constants.h"
+
+void connection_set_init(struct connection_set *set)
+{
+	set->epoll_fd = epoll_create1(EPOLL_CLOEXEC);
+	set->open_count = 0;
+}
+
+void connection_set_free(struct connection_set *set)
+{
+	close(set->epoll_fd);
+}
+
+int connection_set_wait(const struct connection_set *set, struct epoll_event *events,
+			int events_max, int wait_ms)
+{
+	return epoll_wait(set->epoll_fd, events, events_max, wait_ms);
+}
+
+/* `operation`: one of epoll_ctl(). */
+static void watch(const struct connection_set *set, struct connection *connection, int operation)
+{
+	struct epoll_event event = {.events = EPOLLIN | (connection->awaits_write ? EPOLLOUT : 0),
+				    .data.ptr = connection};
+
+	epoll_ctl(set->epoll_fd, operation, connection->fd, &event);
+}
+
+void connection_set_add_listener(struct connection_set *set, struct connection *listener)
+{
+	watch(set, listener, EPOLL_CTL_ADD);
+}
+
+void connection_set_add(struct connection_set *set, struct connection *connection)
+{
+	set->open_count++;
+	watch(set, connection, EPOLL_CTL_ADD);
+}
+
+void connection_set_close(struct connection_set *set, struct connection *connection)
+{
+	connection->closed = true;
+	/* Closing alone leaves it with epoll while a forked child still holds the descriptor. */
+	epoll_ctl(set->epoll_fd, EPOLL_CTL_DEL, connection->fd, NULL);
+	close(connection->fd);
+	set->open_count--;
+}
+
+/* As recv() into the room at the end of `input`, but not interrupted by signals. */
+static ssize_t receive(struct connection *connection)
+{
+	/* One byte more for the NUL: of a longer message before, nothing may follow this one. */
+	char *room = buf_room(&connection->input, NET_READ_CHUNK + 1);
+	ssize_t received;
+
+	do {
+		received = recv(connection->fd, room, NET_READ_CHUNK, 0);
+	} while (received < 0 && errno == EINTR);
+	if (received > 0) {
+		room[received] = 0;
+		connection->input.len += (size_t)received;
+	}
+	return received;
+}
+
+enum connection_result connection_read(struct connection *connection, size_t input_max,
+				       enum read_extent extent)
+{
+	for (;;) {
+		ssize_t received = receive(connection);
+
+		if (received < 0 && errno == EAGAIN)
+			return CONNECTION_OK;
+		if (received <= 0 || connection->input.len > input_max)
+			return CONNECTION_BROKEN;
+		if (received < NET_READ_CHUNK && extent == READ_AVAILABLE)
+			return CONNECTION_OK;
+	}
+}
+
+enum connection_result connection_flush(const struct connection_set *set,
+					struct connection *connection)
+{
+	struct buf *output = &connection->output;
+	bool unsent;
+
+	while (output->len) {
+		ssize_t sent = send(connection->fd, buf_at(output), output->len, MSG_NOSIGNAL);
+
+		if (sent < 0 && errno == EINTR)
+			continue;
+		if (sent < 0 && errno != EAGAIN)
+			return CONNECTION_BROKEN;
+		if (sent < 0)
+			break;
+		buf_drop(output, (size_t)sent);
+	}
+	unsent = output->len > 0;
+	if (unsent != connection->awaits_write) {
+		connection->awaits_write = unsent;
+		watch(set, connection, EPOLL_CTL_MOD);
+	}
+	return CONNECTION_OK;
+}
+
+void connection_release_buffers(struct connection *connection)
+{
+	if (!connection->input.len)
+		buf_free(&connection->input);
+	if (!connection->output.len)
+		buf_free(&connection->output);
+}
+
+void connection_free_buffers(struct connection *connection)
+{
+	buf_free(&connection->input);
+	buf_free(&connection->output);
+}
--- /dev/null
+++ b/src/net/connection_limit.c
@@ -0,0 +1,69 @@
+/* How many connections may be open at once. See connection_limit.h. */
+#include "net/connection_limit.h"
+
+#include "constants.h"
+#include "net/clock.h"
+#include "util/log.h"
+
+static void log_evicted(enum connection_kind kind, double idle_since)
+{
+	log_debug("conn_evicted", "kind=%d idle=%.1f", kind, net_now() - idle_since);
+}
+
+/*
+ * Sockets run short, as when many machines went silent without closing theirs: whoever has idled
+ * longest gives way, our own kept connections first, so that /ready, users and the state service
+ * are never crowded out by callers that may not exist any more.
+ */
+static bool evict_longest_idle(struct connection_limit *limit)
+{
+	struct client_connection *client = client_pool_longest_idle(limit->clients);
+	struct server_connection *server;
+
+	if (client) {
+		log_evicted(CONNECTION_CLIENT, client->idle_since);
+		client_pool_close(limit->clients, client);
+		return true;
+	}
+	server = server_connections_longest_idle(limit->servers);
+	if (server) {
+		log_evicted(CONNECTION_SERVER, server->active_at);
+		server_connection_close(limit->servers, server);
+		return true;
+	}
+	log_error("conn_limit", "conns=%d", limit->set->open_count);
+	return false;
+}
+
+/* The sockets that callers may have together. */
+static int caller_max(const struct connection_limit *limit)
+{
+	return limit->max - NET_CONNS_RESERVED;
+}
+
+bool connection_limit_admit(struct connection_limit *limit, enum connection_kind kind)
+{
+	int max = kind == CONNECTION_SERVER ? caller_max(limit) : limit->max;
+
+	return limit->set->open_count < max || evict_longest_idle(limit);
+}
+
+/*
+ * Callers come in turn: closing who was silent longest would meet each just before its next
+ * request, and all would have to connect again. So kept connections of our own go, and then the
+ * caller that is answered now, which is told so and has its next request far ahead: only as many as
+ * are too many connect anew.
+ */
+bool connection_limit_sheds_caller(struct connection_limit *limit)
+{
+	int max = caller_max(limit);
+	struct client_connection *idle;
+
+	if (limit->set->open_count <= max - max / NET_CROWD_PART)
+		return false;
+	idle = client_pool_longest_idle(limit->clients);
+	if (!idle)
+		return true;
+	client_pool_close(limit->clients, idle);
+	return false;
+}
--- /dev/null
+++ b/src/net/http_client.c
@@ -0,0 +1,176 @@
+/* Our own calls. See http_client.h. */
+#include "net/http_client.h"
+
+#include <netinet/in.h>
+#include <string.h>
+#include <sys/epoll.h>
+
+#include <utlist.h>
+
+#include "constants.h"
+#include "net/clock.h"
+#include "net/http.h"
+#include "net/tcp.h"
+
+static void report_failure(struct http_client *client, uint64_t call_id,
+			   enum net_call_failure failure)
+{
+	client->ops->reply(client->ops_context, call_id, failure, "", 0);
+}
+
+/* The call under way ends without a response, and its connection with it. */
+static void fail_call(struct http_client *client, struct client_connection *connection)
+{
+	/* What never connected carried nothing. */
+	enum net_call_failure failure =
+	    connection->state == CLIENT_CONNECTING ? NET_NOT_SENT : NET_NO_REPLY;
+
+	client_pool_close(client->pool, connection);
+	report_failure(client, connection->call_id, failure);
+}
+
+static void close_broken(struct http_client *client, struct client_connection *connection)
+{
+	if (connection->state == CLIENT_IDLE)
+		client_pool_close(client->pool, connection);
+	else
+		fail_call(client, connection);
+}
+
+/* A new connection to the endpoint, if its address and the limit allow one; else NULL. */
+static struct client_connection *connect_to(struct http_client *client, struct endpoint *endpoint)
+{
+	struct sockaddr_in address;
+
+	if (tcp_address_parse(endpoint->address, &address) ||
+	    !connection_limit_admit(client->limit, CONNECTION_CLIENT))
+		return NULL;
+	return client_pool_connect(client->pool, endpoint, &address);
+}
+
+static struct client_connection *obtain_connection(struct http_client *client, const char *address)
+{
+	/* Held meanwhile: to connect may close the last other connection to it. */
+	struct endpoint *endpoint = client_pool_hold_endpoint(client->pool, address);
+	struct client_connection *connection = client_pool_take_idle(client->pool, endpoint);
+
+	if (!connection)
+		connection = connect_to(client, endpoint);
+	client_pool_release_endpoint(client->pool, endpoint);
+	return connection;
+}
+
+static void write_request(struct client_connection *connection, const struct net_call *call)
+{
+	struct buf *output = &connection->base.output;
+
+	buf_addf(output, "%s %s HTTP/1.1\r\nHost: %s\r\n", call->method, call->path,
+		 connection->endpoint->address);
+	if (call->len || strcmp(call->method, "GET"))
+		buf_addf(output, "Content-Type: application/json\r\nContent-Length: %zu\r\n",
+			 call->len);
+	buf_add(output, "\r\n", 2);
+	buf_add(output, call->body, call->len);
+}
+
+void http_client_send(struct http_client *client, const struct net_call *call)
+{
+	struct client_connection *connection = obtain_connection(client, call->addr);
+
+	if (!connection) {
+		report_failure(client, call->id, NET_NOT_SENT);
+		return;
+	}
+	client_pool_begin_call(client->pool, connection, call->id, net_now() + call->timeout_s);
+	write_request(connection, call);
+	if (connection->state == CLIENT_CONNECTING)
+		return; /* sent once connected */
+	if (connection_flush(client->pool->set, &connection->base) == CONNECTION_BROKEN)
+		fail_call(client, connection);
+}
+
+/* Taken off the connection first: the callback may use that for another call. */
+static void deliver_response(struct http_client *client, struct client_connection *connection,
+			     const struct http_msg *response)
+{
+	uint64_t call_id = connection->call_id;
+	struct buf received = connection->base.input;
+
+	memset(&connection->base.input, 0, sizeof(connection->base.input));
+	/* Bytes beyond the response were not asked for: what follows could not be trusted. */
+	if (response->close || received.len > response->head_len + response->body_len)
+		client_pool_close(client->pool, connection);
+	else
+		client_pool_end_call(client->pool, connection);
+	client->ops->reply(client->ops_context, call_id, response->status, response->body,
+			   response->body_len);
+	buf_free(&received);
+}
+
+static void handle_input(struct http_client *client, struct client_connection *connection)
+{
+	const struct buf *input = &connection->base.input;
+	struct http_msg response;
+
+	if (connection->state == CLIENT_IDLE) {
+		client_pool_close(client->pool, connection); /* nothing was asked */
+		return;
+	}
+	switch (http_parse(&response, buf_at(input), input->len, HTTP_RESPONSE, HTTP_REPLY_MAX)) {
+	case HTTP_MORE:
+		break;
+	case HTTP_OK:
+		deliver_response(client, connection, &response);
+		break;
+	case HTTP_BAD:
+	case HTTP_TOO_LARGE:
+		fail_call(client, connection);
+		break;
+	}
+}
+
+/* Whether the connection can be used; if not, it goes on connecting, or its call has failed. */
+static bool finish_connecting(struct http_client *client, struct client_connection *connection,
+			      uint32_t events)
+{
+	if (!(events & (EPOLLOUT | EPOLLERR | EPOLLHUP)))
+		return false;
+	if (tcp_connect_failed(connection->base.fd)) {
+		fail_call(client, connection);
+		return false;
+	}
+	connection->state = CLIENT_CALLING;
+	return true;
+}
+
+void http_client_handle_events(struct http_client *client, struct client_connection *connection,
+			       uint32_t events)
+{
+	struct connection *base = &connection->base;
+
+	if (base->closed)
+		return;
+	if (connection->state == CLIENT_CONNECTING &&
+	    !finish_connecting(client, connection, events))
+		return;
+	if ((events & EPOLLOUT) && connection_flush(client->pool->set, base) == CONNECTION_BROKEN) {
+		close_broken(client, connection);
+		return;
+	}
+	if (!(events & (EPOLLIN | EPOLLERR | EPOLLHUP)))
+		return;
+	if (connection_read(base, HTTP_REPLY_MAX + HTTP_HEAD_MAX, READ_AVAILABLE) ==
+	    CONNECTION_BROKEN)
+		close_broken(client, connection);
+	else
+		handle_input(client, connection);
+}
+
+void http_client_expire_calls(struct http_client *client, double now)
+{
+	struct client_connection *calls = client_pool_calls(client->pool), *connection, *next;
+
+	DL_FOREACH_SAFE (calls, connection, next)
+		if (connection->deadline_at <= now && !connection->base.closed)
+			fail_call(client, connection);
+}
--- /dev/null
+++ b/src/net/http_client.h
@@ -0,0 +1,28 @@
+/* Our own calls: sent on connections of the pool, their responses handed to the callback. */
+#ifndef PLOVERLOFT_HTTP_CLIENT_H
+#define PLOVERLOFT_HTTP_CLIENT_H
+
+#include <stdint.h>
+
+#include "net/client_pool.h"
+#include "net/connection_limit.h"
+#include "net/net.h"
+
+struct http_client {
+	struct client_pool *pool;
+	struct connection_limit *limit;
+	const struct net_ops *ops;
+	void *ops_context;
+};
+
+/* See net_send(). */
+void http_client_send(struct http_client *client, const struct net_call *call);
+
+/* Handles what epoll told of a connection: `events` are those of epoll_wait(). */
+void http_client_handle_events(struct http_client *client, struct client_connection *connection,
+			       uint32_t events);
+
+/* Ends the calls whose deadline is `now` or earlier. */
+void http_client_expire_calls(struct http_client *client, double now);
+
+#endif
--- /dev/null
+++ b/src/net/http_server.c
@@ -0,0 +1,149 @@
+/* The requests of callers. See http_server.h. */
+#include "net/http_server.h"
+
+#include <stdlib.h>
+#include <string.h>
+#include <sys/epoll.h>
+
+#include "constants.h"
+#include "net/http.h"
+#include "util/xalloc.h"
+
+enum {
+	STATUS_BAD_REQUEST = 400,
+	STATUS_PAYLOAD_TOO_LARGE = 413,
+};
+
+/* The protocol limits users and workers; what controllers tell each other grows with the fleet. */
+static size_t body_max(const struct server_connection *connection)
+{
+	return connection->side == NET_BACK ? HTTP_REPLY_MAX : HTTP_BODY_MAX;
+}
+
+/* Sends what the socket takes; closes a connection that broke, or has sent its last response. */
+static void flush(struct http_server *server, struct server_connection *connection)
+{
+	enum connection_result result =
+	    connection_flush(server->connections->set, &connection->base);
+	bool finished = connection->close_after_response && !connection->awaits_response &&
+			!connection->base.output.len;
+
+	if (result == CONNECTION_BROKEN || finished)
+		server_connection_close(server->connections, connection);
+}
+
+static void write_response(struct server_connection *connection, int status, int retry_after_s,
+			   const char *body, size_t body_len)
+{
+	struct buf *output = &connection->base.output;
+
+	buf_addf(output,
+		 "HTTP/1.1 %d %s\r\nContent-Type: application/json\r\nContent-Length: %zu\r\n",
+		 status, http_reason(status), body_len);
+	if (retry_after_s > 0)
+		buf_addf(output, "Retry-After: %d\r\n", retry_after_s);
+	if (connection->close_after_response)
+		buf_addf(output, "Connection: close\r\n");
+	buf_add(output, "\r\n", 2);
+	buf_add(output, body, body_len);
+}
+
+static void respond(struct http_server *server, struct server_connection *connection, int status,
+		    int retry_after_s, const char *body, size_t body_len)
+{
+	connection->awaits_response = false;
+	server_connection_touch(server->connections, connection);
+	if (connection_limit_sheds_caller(server->limit))
+		connection->close_after_response = true;
+	write_response(connection, status, retry_after_s, body, body_len);
+	flush(server, connection);
+	if (!connection->base.closed)
+		connection_release_buffers(&connection->base);
+}
+
+void http_server_respond(struct http_server *server, uint64_t connection_id, int status,
+			 int retry_after_s, const char *body, size_t body_len)
+{
+	struct server_connection *connection =
+	    server_connections_find(server->connections, connection_id);
+
+	if (connection && connection->awaits_response)
+		respond(server, connection, status, retry_after_s, body, body_len);
+}
+
+/* Where the next request would begin is unknown, so the connection goes with this response. */
+static void reject_request(struct http_server *server, struct server_connection *connection,
+			   int status)
+{
+	static const char body[] = "{\"error\":\"bad request\"}";
+
+	connection->close_after_response = true;
+	respond(server, connection, status, 0, body, sizeof(body) - 1);
+	server_connection_close(server->connections, connection);
+}
+
+/* Consumes a whole request from the input and calls the callback. */
+static void dispatch_request(struct http_server *server, struct server_connection *connection,
+			     const struct http_msg *request)
+{
+	char path[HTTP_PATH_MAX];
+	size_t body_len = request->body_len;
+	char *body = xmalloc(body_len + 1);
+
+	memcpy(path, request->path, request->path_len);
+	path[request->path_len] = 0;
+	memcpy(body, request->body, body_len);
+	body[body_len] = 0;
+	/* Ends the validity of request->path and request->body. */
+	buf_drop(&connection->base.input, request->head_len + body_len);
+	connection->awaits_response = true;
+	connection->close_after_response = request->close;
+	server->ops->request(server->ops_context, connection->id, connection->side, request->method,
+			     path, body, body_len);
+	free(body);
+}
+
+/* Dispatches what has come as far as each request is answered at once: they are dispatched one at a
+ * time. */
+static void handle_input(struct http_server *server, struct server_connection *connection)
+{
+	const struct buf *input = &connection->base.input;
+
+	while (!connection->base.closed && !connection->awaits_response && input->len) {
+		struct http_msg request;
+		enum http_result result = http_parse(&request, buf_at(input), input->len,
+						     HTTP_REQUEST, body_max(connection));
+
+		if (result == HTTP_MORE)
+			return;
+		if (result == HTTP_TOO_LARGE) {
+			reject_request(server, connection, STATUS_PAYLOAD_TOO_LARGE);
+			return;
+		}
+		if (result != HTTP_OK || request.path_len >= HTTP_PATH_MAX) {
+			reject_request(server, connection, STATUS_BAD_REQUEST);
+			return;
+		}
+		dispatch_request(server, connection, &request);
+	}
+}
+
+void http_server_handle_events(struct http_server *server, struct server_connection *connection,
+			       uint32_t events, enum read_extent extent)
+{
+	struct connection *base = &connection->base;
+	bool was_empty = base->input.len == 0;
+
+	if (!base->closed && (events & EPOLLOUT))
+		flush(server, connection);
+	if (base->closed || !(events & (EPOLLIN | EPOLLERR | EPOLLHUP)))
+		return;
+	if (connection_read(base, body_max(connection) + HTTP_HEAD_MAX, extent) ==
+	    CONNECTION_BROKEN) {
+		server_connection_close(server->connections, connection);
+		return;
+	}
+	if (was_empty && base->input.len)
+		server_connection_touch(server->connections, connection);
+	handle_input(server, connection);
+}
--- a/src/util/log.h
+++ b/src/util/log.h
@@ -21,8 +21,7 @@
 /* Whether lines of this level are written. */
 int log_on(enum log_level level);
 
-/* Writes one line with a single write(); what is too long is cut, what cannot be written is lost.
- */
+/* Writes one line by a single write(). What is too long is cut, what cannot be written is lost. */
 void log_line(enum log_level level, const char *event, const char *format, ...)
     __attribute__((format(printf, 3, 4)));
 
