--- /dev/null
+++ b/daemon/controller.c
@@ -0,0 +1,141 @@
+/* The loop between the network and the core. See controller.h. */
+#include "controller.h"
+
+#include <math.h>
+#include <signal.h>
+#include <string.h>
+#include <unistd.h>
+
+#include <xxhash.h>
+
+#include "constants.h"
+#include "core/core.h"
+#include "net/net.h"
+#include "open_files.h"
+#include "util/log.h"
+
+struct controller {
+	struct net *net;
+	struct core *core;
+};
+
+static struct core_time current_time(void)
+{
+	return (struct core_time){.steady = net_now(), .wall = net_wall()};
+}
+
+static void handle_request(void *context, uint64_t connection, enum net_side side,
+			   const char *method, const char *path, const char *body, size_t body_len)
+{
+	struct controller *controller = context;
+	struct core_request request = {
+	    .conn = connection,
+	    .side = side == NET_FRONT ? CORE_FRONT : CORE_BACK,
+	    .method = method,
+	    .path = path,
+	    .body = body,
+	    .len = body_len,
+	};
+
+	core_request(controller->core, current_time(), &request);
+}
+
+/* The core knows the values of enum net_call_failure as a status. */
+static void handle_reply(void *context, uint64_t call_id, int status, const char *body,
+			 size_t body_len)
+{
+	struct controller *controller = context;
+	struct core_answer answer = {
+	    .id = call_id, .status = status, .body = body, .len = body_len};
+
+	core_answer(controller->core, current_time(), &answer);
+}
+
+static void perform(struct controller *controller, const struct core_action *action)
+{
+	struct net_call call;
+
+	if (action->kind == ACT_ANSWER) {
+		net_answer(controller->net, action->id, action->status, action->retry_after,
+			   action->body, action->len);
+		return;
+	}
+	call = (struct net_call){
+	    .id = action->id,
+	    .addr = action->addr,
+	    .method = action->method,
+	    .path = action->path,
+	    .body = action->body,
+	    .len = action->len,
+	    .timeout_s = action->timeout_s,
+	};
+	net_send(controller->net, &call);
+}
+
+/* A call that fails at once makes the core add to the list that is taken from here. */
+static void perform_actions(struct controller *controller)
+{
+	struct core_action *action;
+
+	while ((action = core_take(controller->core))) {
+		perform(controller, action);
+		core_action_free(action);
+	}
+}
+
+/* Another number for each controller and each of its starts. */
+static uint64_t make_seed(const struct conf *conf)
+{
+	double times[2] = {net_now(), net_wall()};
+
+	return XXH3_64bits(times, sizeof(times)) ^ XXH3_64bits(conf->name, strlen(conf->name)) ^
+	       (uint64_t)getpid();
+}
+
+static void log_start(const struct conf *conf)
+{
+	log_info("start", "version=%s front=%s back=%s", PLOVERLOFT_VERSION, conf->front,
+		 conf->back);
+	for (size_t i = 0; i < conf->nobjectives; i++) {
+		const struct conf_objective *objective = &conf->objectives[i];
+
+		log_info("objective", "kind=%d class=%s within_s=%g share=%g times=%g most=%g",
+			 objective->kind, objective->class_name, objective->within_s,
+			 objective->share, objective->times, objective->most);
+	}
+}
+
+static struct net *open_network(const struct conf *conf, struct controller *controller)
+{
+	static const struct net_ops ops = {.request = handle_request, .reply = handle_reply};
+	/* Fewer than the settings allow mean that connections give way sooner. */
+	int connections_max = open_files_raise(conf->max_connections) - NET_FILES;
+	/* A worker silent for its lease has lost its tasks; our own idle ones close first. */
+	double idle_max_s = fmax(conf->lease_s, NET_IDLE_S) + NET_SLOW_S;
+	struct net *net = net_new(&ops, controller, connections_max, idle_max_s);
+
+	if (net_listen(net, NET_FRONT, conf->front) || net_listen(net, NET_BACK, conf->back)) {
+		log_error("listen", "front=%s back=%s", conf->front, conf->back);
+		net_free(net);
+		return NULL;
+	}
+	return net;
+}
+
+void controller_run(const struct conf *conf)
+{
+	struct controller controller;
+
+	signal(SIGPIPE, SIG_IGN);
+	controller.net = open_network(conf, &controller);
+	if (!controller.net)
+		return;
+	controller.core = core_new(conf, make_seed(conf), current_time());
+	log_start(conf);
+	core_tick(controller.core, current_time());
+	for (;;) {
+		perform_actions(&controller);
+		net_poll(controller.net, core_next(controller.core) - net_now());
+		core_tick(controller.core, current_time());
+	}
+}
--- /dev/null
+++ b/daemon/open_files.c
@@ -0,0 +1,26 @@
+/* The process's limit of open files. See open_files.h. */
+#include "open_files.h"
+
+#include <sys/resource.h>
+
+#include "util/log.h"
+
+int open_files_raise(int wanted)
+{
+	const rlim_t target = (rlim_t)wanted;
+	struct rlimit limit;
+
+	/* Where the limit cannot be told or set, the system refuses what is too much. */
+	if (getrlimit(RLIMIT_NOFILE, &limit))
+		return wanted;
+	if (limit.rlim_cur < target) {
+		limit.rlim_cur = limit.rlim_max < target ? limit.rlim_max : target;
+		if (setrlimit(RLIMIT_NOFILE, &limit) || getrlimit(RLIMIT_NOFILE, &limit))
+			return wanted;
+	}
+	if (limit.rlim_cur >= target)
+		return wanted;
+	log_error("few_files", "wanted=%d allowed=%llu", wanted,
+		  (unsigned long long)limit.rlim_cur);
+	return (int)limit.rlim_cur;
+}
