--- /dev/null
+++ b/src/conf/conf.c
@@ -0,0 +1,19 @@
+/* What is asked of settings that were read. See conf.h. */
+#include "conf/conf.h"
+
+#include <stdlib.h>
+
+int conf_has(const struct conf *conf, enum objective_kind kind)
+{
+	for (size_t i = 0; i < conf->nobjectives; i++)
+		if (conf->objectives[i].kind == kind)
+			return 1;
+	return 0;
+}
+
+void conf_free(struct conf *conf)
+{
+	free(conf->peers);
+	free(conf->teams);
+	free(conf->objectives);
+}
--- a/src/conf/hcl.c
+++ b/src/conf/hcl.c
@@ -5,8 +5,6 @@
  */
 #include <stdarg.h>
 #include <stdio.h>
-#include <stdlib.h>
-#include <string.h>
 
 #include <confuse.h>
 
@@ -14,83 +12,77 @@
 #include "constants.h"
 
 /* libconfuse reports through a callback without a context; one file is read at a time. */
-static char hcl_error[CONF_ERR_MAX];
+static char parse_error[CONF_ERR_MAX];
 
-static void on_error(cfg_t *cfg, const char *fmt, va_list ap)
+static void store_parse_error(cfg_t *cfg, const char *format, va_list arguments)
 {
-	int n = snprintf(hcl_error, sizeof(hcl_error),
-			 "%s:%d: ", cfg->filename ? cfg->filename : "?", cfg->line);
+	int len = snprintf(parse_error, sizeof(parse_error),
+			   "%s:%d: ", cfg->filename ? cfg->filename : "?", cfg->line);
 
-	if (n > 0 && n < (int)sizeof(hcl_error))
-		vsnprintf(hcl_error + n, sizeof(hcl_error) - (size_t)n, fmt, ap);
+	if (len > 0 && len < (int)sizeof(parse_error))
+		vsnprintf(parse_error + len, sizeof(parse_error) - (size_t)len, format, arguments);
 }
 
-static int check(const char *path, const char *key, double v, double most, char *err)
+/* A number of `rentals` from 0 to `max`; without one, `out` keeps what it holds. */
+static int read_number(cfg_t *rentals, const char *key, double max, double *out, const char *path,
+		       char error[CONF_ERR_MAX])
 {
-	if (v >= 0 && v <= most)
+	if (!cfg_size(rentals, key))
 		return 0;
-	snprintf(err, CONF_ERR_MAX, "%s: field rentals.%s: must be a number from 0 to %g", path,
-		 key, most);
+	*out = cfg_getfloat(rentals, key);
+	if (*out >= 0 && *out <= max)
+		return 0;
+	snprintf(error, CONF_ERR_MAX, "%s: field rentals.%s: must be a number from 0 to %g", path,
+		 key, max);
 	return -1;
 }
 
-static int take_rentals(struct conf *c, const char *path, cfg_t *rentals, char *err)
+static int read_rentals(struct conf *conf, cfg_t *rentals, const char *path,
+			char error[CONF_ERR_MAX])
 {
-	if (cfg_size(rentals, "idle_patience_s")) {
-		c->idle_patience_s = cfg_getfloat(rentals, "idle_patience_s");
-		if (check(path, "idle_patience_s", c->idle_patience_s, OPERATOR_PATIENCE_MAX_S,
-			  err))
-			return -1;
-	}
-	if (cfg_size(rentals, "headroom")) {
-		c->headroom = cfg_getfloat(rentals, "headroom");
-		if (check(path, "headroom", c->headroom, OPERATOR_HEADROOM_MAX, err))
-			return -1;
-	}
-	return 0;
+	if (read_number(rentals, "idle_patience_s", OPERATOR_PATIENCE_MAX_S, &conf->idle_patience_s,
+			path, error))
+		return -1;
+	return read_number(rentals, "headroom", OPERATOR_HEADROOM_MAX, &conf->headroom, path,
+			   error);
 }
 
-int conf_load_operator(struct conf *c, const char *path, char err[CONF_ERR_MAX])
+static int read_settings(struct conf *conf, cfg_t *cfg, const char *path, char error[CONF_ERR_MAX])
 {
-	cfg_opt_t rentals[] = {CFG_FLOAT("idle_patience_s", 0, CFGF_NODEFAULT),
-			       CFG_FLOAT("headroom", 0, CFGF_NODEFAULT), CFG_END()};
-	cfg_opt_t records[] = {CFG_BOOL("hold_format", cfg_false, CFGF_NONE), CFG_END()};
-	cfg_opt_t top[] = {CFG_SEC("rentals", rentals, CFGF_NODEFAULT),
-			   CFG_SEC("records", records, CFGF_NODEFAULT), CFG_END()};
-	cfg_t *cfg = cfg_init(top, CFGF_NONE);
-	int rc = -1;
+	if (cfg_size(cfg, "records"))
+		conf->hold_format = cfg_getbool(cfg_getsec(cfg, "records"), "hold_format");
+	if (cfg_size(cfg, "rentals"))
+		return read_rentals(conf, cfg_getsec(cfg, "rentals"), path, error);
+	return 0;
+}
 
-	hcl_error[0] = 0;
-	cfg_set_error_function(cfg, on_error);
+static int read_file(struct conf *conf, cfg_t *cfg, const char *path, char error[CONF_ERR_MAX])
+{
 	switch (cfg_parse(cfg, path)) {
 	case CFG_SUCCESS:
-		rc = cfg_size(cfg, "rentals")
-			 ? take_rentals(c, path, cfg_getsec(cfg, "rentals"), err)
-			 : 0;
-		if (cfg_size(cfg, "records"))
-			c->hold_format = cfg_getbool(cfg_getsec(cfg, "records"), "hold_format");
-		break;
+		return read_settings(conf, cfg, path, error);
 	case CFG_FILE_ERROR:
-		snprintf(err, CONF_ERR_MAX, "%s: cannot be read", path);
-		break;
+		snprintf(error, CONF_ERR_MAX, "%s: cannot be read", path);
+		return -1;
 	default:
-		snprintf(err, CONF_ERR_MAX, "%s", hcl_error);
+		snprintf(error, CONF_ERR_MAX, "%s", parse_error);
+		return -1;
 	}
-	cfg_free(cfg);
-	return rc;
 }
 
-int conf_has(const struct conf *c, enum objective_kind kind)
+int conf_load_operator(struct conf *conf, const char *path, char error[CONF_ERR_MAX])
 {
-	for (size_t i = 0; i < c->nobjectives; i++)
-		if (c->objectives[i].kind == kind)
-			return 1;
-	return 0;
-}
+	cfg_opt_t rentals[] = {CFG_FLOAT("idle_patience_s", 0, CFGF_NODEFAULT),
+			       CFG_FLOAT("headroom", 0, CFGF_NODEFAULT), CFG_END()};
+	cfg_opt_t records[] = {CFG_BOOL("hold_format", cfg_false, CFGF_NONE), CFG_END()};
+	cfg_opt_t sections[] = {CFG_SEC("rentals", rentals, CFGF_NODEFAULT),
+				CFG_SEC("records", records, CFGF_NODEFAULT), CFG_END()};
+	cfg_t *cfg = cfg_init(sections, CFGF_NONE);
+	int result;
 
-void conf_free(struct conf *c)
-{
-	free(c->peers);
-	free(c->teams);
-	free(c->objectives);
+	parse_error[0] = 0;
+	cfg_set_error_function(cfg, store_parse_error);
+	result = read_file(conf, cfg, path, error);
+	cfg_free(cfg);
+	return result;
 }
--- a/src/conf/toml.cc
+++ b/src/conf/toml.cc
@@ -1,67 +1,24 @@
-/* The one C++ file: no C library for TOML is packaged, so toml++ is kept behind this C face. */
+/*
+ * The platform's settings. The one part in C++: no C library for TOML is packaged, so toml++ is
+ * kept behind the C functions of conf.h.
+ */
 #include <cstdio>
-#include <cstdlib>
 #include <cstring>
 #include <string>
 
-#define TOML_EXCEPTIONS 1
-#include <toml++/toml.h>
-
 #include "conf/conf.h"
+#include "conf/toml_reader.h"
 #include "constants.h"
 
 namespace
 {
 
-struct reader {
-	std::string error;
-
-	void fail(const std::string &field, const char *reason)
-	{
-		if (error.empty())
-			error = "field " + field + ": " + reason;
-	}
-
-	void text(const toml::node_view<toml::node> &v, const std::string &field, char *out)
-	{
-		auto s = v.value_exact<std::string>();
-
-		if (!v)
-			return fail(field, "missing");
-		if (!s)
-			return fail(field, "must be a string");
-		if (s->empty() || s->size() >= CONF_NAME_MAX)
-			return fail(field, "must have 1 to 63 bytes");
-		std::memcpy(out, s->c_str(), s->size() + 1);
-	}
-
-	void number(const toml::node_view<toml::node> &v, const std::string &field, double *out,
-		    bool needed, double least)
-	{
-		auto d = v.value<double>();
-
-		if (!v) {
-			if (needed)
-				fail(field, "missing");
-			return;
-		}
-		if (!v.is_number() || !d)
-			return fail(field, "must be a number");
-		if (!(*d >= least) || *d > 1e12)
-			return fail(field,
-				    least > 0 ? "must be above zero" : "must not be negative");
-		*out = *d;
-	}
+constexpr double above_zero = 1e-9;
+constexpr double mem_mb_min = 8;
+constexpr double max_connections_min = 64;
+constexpr double limit_rps_min = 1;
 
-	void address(const toml::node_view<toml::node> &v, const std::string &field, char *out)
-	{
-		text(v, field, out);
-		if (error.empty() && !std::strrchr(out, ':'))
-			fail(field, "must be HOST:PORT");
-	}
-};
-
-objective_kind kind_of(const std::string &s)
+objective_kind objective_kind_of(const std::string &name)
 {
 	static const struct {
 		const char *name;
@@ -71,139 +28,125 @@
 		     {"useful", OBJ_USEFUL},	 {"makespan", OBJ_MAKESPAN},
 		     {"price", OBJ_PRICE},	 {"up", OBJ_UP}};
 
-	for (const auto &k : kinds)
-		if (s == k.name)
-			return k.kind;
+	for (const auto &known : kinds)
+		if (name == known.name)
+			return known.kind;
 	return OBJ_OTHER;
 }
 
-template <typename T, typename F>
-void each(reader &r, toml::node_view<toml::node> v, const std::string &field, T **out, size_t *n,
-	  F fill)
+void read_peer(table_reader &table, conf_peer &peer)
 {
-	auto *arr = v.as_array();
-
-	*n = 0;
-	if (!v)
-		return;
-	if (!arr)
-		return r.fail(field, "must be an array of tables");
-	*out = static_cast<T *>(std::calloc(arr->size() + 1, sizeof(T)));
-	for (auto &e : *arr) {
-		std::string at = field + "[" + std::to_string(*n) + "]";
-
-		if (!e.is_table())
-			return r.fail(at, "must be a table");
-		fill(toml::node_view<toml::node>(e), at, (*out)[*n]);
-		(*n)++;
-	}
+	table.text("label", peer.name);
+	table.text("location", peer.zone);
+	table.address("addr", peer.addr);
 }
 
-void read_lists(reader &r, toml::table &t, conf *c)
+void read_team(table_reader &table, conf_team &team)
 {
-	using view = toml::node_view<toml::node>;
-
-	each(r, t["known"], "known", &c->peers, &c->npeers,
-	     [&](view v, const std::string &at, conf_peer &p) {
-		     r.text(v["label"], at + ".label", p.name);
-		     r.text(v["location"], at + ".location", p.zone);
-		     r.address(v["addr"], at + ".addr", p.addr);
-	     });
-	each(r, t["facts"]["teams"], "facts.teams", &c->teams, &c->nteams,
-	     [&](view v, const std::string &at, conf_team &p) {
-		     r.text(v["name"], at + ".name", p.name);
-		     r.number(v["cpus"], at + ".cpus", &p.cpus, false, 0);
-		     r.number(v["cpus_max"], at + ".cpus_max", &p.cpus_max, false, 0);
-		     r.number(v["gpus"], at + ".gpus", &p.gpus, false, 0);
-		     r.number(v["gpus_max"], at + ".gpus_max", &p.gpus_max, false, 0);
-	     });
-	each(r, t["facts"]["objectives"], "facts.objectives", &c->objectives, &c->nobjectives,
-	     [&](view v, const std::string &at, conf_objective &o) {
-		     char kind[CONF_NAME_MAX] = "";
-
-		     r.text(v["kind"], at + ".kind", kind);
-		     o.kind = kind_of(kind);
-		     o.times = 1.0;
-		     if (v["class"])
-			     r.text(v["class"], at + ".class", o.class_name);
-		     r.number(v["within_s"], at + ".within_s", &o.within_s, false, 0);
-		     r.number(v["share"], at + ".share", &o.share, false, 0);
-		     r.number(v["times"], at + ".times", &o.times, false, 0);
-		     r.number(v["most"], at + ".most", &o.most, false, 0);
-	     });
+	table.text("name", team.name);
+	table.optional("cpus", &team.cpus);
+	table.optional("cpus_max", &team.cpus_max);
+	table.optional("gpus", &team.gpus);
+	table.optional("gpus_max", &team.gpus_max);
 }
 
-/* Fields that are not needed and absent keep what `out` holds. */
-void read_limits(reader &r, toml::node_view<toml::node> v, const std::string &at, conf_limits *out,
-		 bool needed)
+void read_objective(table_reader &table, conf_objective &objective)
 {
-	double ops = out->txn_ops;
-
-	r.number(v["rps"], at + ".rps", &out->rps, needed, 1);
-	r.number(v["write_rps"], at + ".write_rps", &out->write_rps, needed, 1);
-	r.number(v["value_kb"], at + ".value_kb", &out->value_kb, needed,
-		 LIMITS_VALUE_FLOOR / 1024.0);
-	r.number(v["txn_ops"], at + ".txn_ops", &ops, needed, LIMITS_TXN_OPS_MIN);
-	out->txn_ops = static_cast<int>(ops);
+	char kind[CONF_NAME_MAX] = "";
+
+	table.text("kind", kind);
+	objective.kind = objective_kind_of(kind);
+	objective.times = 1.0;
+	if (table.has("class"))
+		table.text("class", objective.class_name);
+	table.optional("within_s", &objective.within_s);
+	table.optional("share", &objective.share);
+	table.optional("times", &objective.times);
+	table.optional("most", &objective.most);
 }
 
-void read_facts(reader &r, toml::table &t, conf *c)
+void read_limits(table_reader table, conf_limits *limits, presence needed)
 {
-	const double some = 1e-9;
-	double conns = 0;
-	auto f = t["facts"];
-
-	r.number(f["skew_ms"], "facts.skew_ms", &c->skew_ms, false, 0);
-	r.number(f["workers"]["report_s"], "facts.workers.report_s", &c->report_s, true, some);
-	r.number(f["workers"]["lease_s"], "facts.workers.lease_s", &c->lease_s, true, some);
-	r.number(f["workers"]["gang_wait_s"], "facts.workers.gang_wait_s", &c->gang_wait_s, true,
-		 some);
-	r.number(f["workers"]["gang_peer_s"], "facts.workers.gang_peer_s", &c->gang_peer_s, true,
-		 some);
-	r.number(f["workers"]["cancel_s"], "facts.workers.cancel_s", &c->cancel_s, true, some);
-	read_limits(r, f["state"], "facts.state", &c->limits, true);
-	if (f["state"]["next"] && !f["state"]["next"].is_table())
-		r.fail("facts.state.next", "must be a table");
-	read_limits(r, f["state"]["next"], "facts.state.next", &c->next_limits, false);
-	r.number(f["cloud"]["rps"], "facts.cloud.rps", &c->cloud_rps, true, some);
-	r.number(f["cloud"]["list_lag_s"], "facts.cloud.list_lag_s", &c->list_lag_s, true, 0);
-	r.number(f["resources"]["cores"], "facts.resources.cores", &c->cores, true, some);
-	r.number(f["resources"]["mem_mb"], "facts.resources.mem_mb", &c->mem_mb, true, 8);
-	r.number(f["resources"]["max_connections"], "facts.resources.max_connections", &conns, true,
-		 64);
-	c->max_connections = static_cast<int>(conns);
+	double txn_ops = limits->txn_ops;
+
+	table.number("rps", &limits->rps, needed, limit_rps_min);
+	table.number("write_rps", &limits->write_rps, needed, limit_rps_min);
+	table.number("value_kb", &limits->value_kb, needed, LIMITS_VALUE_FLOOR / 1024.0);
+	table.number("txn_ops", &txn_ops, needed, LIMITS_TXN_OPS_MIN);
+	limits->txn_ops = static_cast<int>(txn_ops);
+}
+
+void read_workers(table_reader workers, conf *conf)
+{
+	workers.required("report_s", &conf->report_s, above_zero);
+	workers.required("lease_s", &conf->lease_s, above_zero);
+	workers.required("gang_wait_s", &conf->gang_wait_s, above_zero);
+	workers.required("gang_peer_s", &conf->gang_peer_s, above_zero);
+	workers.required("cancel_s", &conf->cancel_s, above_zero);
+}
+
+void read_resources(table_reader resources, conf *conf)
+{
+	double max_connections = 0;
+
+	resources.required("cores", &conf->cores, above_zero);
+	resources.required("mem_mb", &conf->mem_mb, mem_mb_min);
+	resources.required("max_connections", &max_connections, max_connections_min);
+	conf->max_connections = static_cast<int>(max_connections);
+}
+
+void read_facts(table_reader facts, conf *conf)
+{
+	facts.optional("skew_ms", &conf->skew_ms);
+	read_workers(facts["workers"], conf);
+	read_limits(facts["state"], &conf->limits, presence::required);
+	facts["state"]["next"].require_table_if_present();
+	read_limits(facts["state"]["next"], &conf->next_limits, presence::optional);
+	facts["cloud"].required("rps", &conf->cloud_rps, above_zero);
+	facts["cloud"].required("list_lag_s", &conf->list_lag_s, not_negative);
+	read_resources(facts["resources"], conf);
+}
+
+/* The first wrong field in this order is the one that is told. */
+void read_settings(table_reader settings, conf *conf)
+{
+	table_reader facts = settings["facts"];
+
+	settings.text("label", conf->name);
+	settings.text("location", conf->zone);
+	settings.address("front", conf->front);
+	settings.address("back", conf->back);
+	settings["endpoints"].address("cloud", conf->cloud);
+	settings["endpoints"].address("state", conf->state);
+	settings.array("known", &conf->peers, &conf->npeers, read_peer);
+	facts.array("teams", &conf->teams, &conf->nteams, read_team);
+	facts.array("objectives", &conf->objectives, &conf->nobjectives, read_objective);
+	read_facts(facts, conf);
 }
 
 } // namespace
 
-extern "C" int conf_load(struct conf *c, const char *path, char err[CONF_ERR_MAX])
+extern "C" int conf_load(struct conf *conf, const char *path, char error[CONF_ERR_MAX])
 {
-	reader r;
+	field_reader fields;
 
-	std::memset(c, 0, sizeof(*c));
-	c->idle_patience_s = -1;
-	c->headroom = -1;
+	std::memset(conf, 0, sizeof(*conf));
+	conf->idle_patience_s = -1;
+	conf->headroom = -1;
 	try {
-		toml::table t = toml::parse_file(path);
-
-		r.text(t["label"], "label", c->name);
-		r.text(t["location"], "location", c->zone);
-		r.address(t["front"], "front", c->front);
-		r.address(t["back"], "back", c->back);
-		r.address(t["endpoints"]["cloud"], "endpoints.cloud", c->cloud);
-		r.address(t["endpoints"]["state"], "endpoints.state", c->state);
-		read_lists(r, t, c);
-		read_facts(r, t, c);
-	} catch (const toml::parse_error &e) {
-		std::snprintf(err, CONF_ERR_MAX, "%s:%u: %s", path, e.source().begin.line,
-			      std::string(e.description()).c_str());
+		toml::table file = toml::parse_file(path);
+
+		read_settings(table_reader(fields, node_view(file), ""), conf);
+	} catch (const toml::parse_error &problem) {
+		std::snprintf(error, CONF_ERR_MAX, "%s:%u: %s", path, problem.source().begin.line,
+			      std::string(problem.description()).c_str());
 		return -1;
-	} catch (const std::exception &e) {
-		std::snprintf(err, CONF_ERR_MAX, "%s: %s", path, e.what());
+	} catch (const std::exception &problem) {
+		std::snprintf(error, CONF_ERR_MAX, "%s: %s", path, problem.what());
 		return -1;
 	}
-	if (r.error.empty())
+	if (!fields.failed())
 		return 0;
-	std::snprintf(err, CONF_ERR_MAX, "%s: %s", path, r.error.c_str());
+	std::snprintf(error, CONF_ERR_MAX, "%s: %s", path, fields.error().c_str());
 	return -1;
 }
