--- a/daemon/arguments.h
+++ b/daemon/arguments.h
@@ -13,7 +13,7 @@
 
 /*
  * Reads the arguments. --help and --version are answered and end the process with status 0; wrong
- * arguments are told on standard error and end it with `error_status`.
+ * arguments are reported on standard error and end it with `error_status`.
  */
 void arguments_parse(struct arguments *arguments, int argc, char **argv, int error_status);
 
--- a/daemon/controller.c
+++ b/daemon/controller.c
@@ -108,7 +108,7 @@
 static struct net *open_network(const struct conf *conf, struct controller *controller)
 {
 	static const struct net_ops ops = {.request = handle_request, .reply = handle_reply};
-	/* Fewer than the settings allow mean that connections give way sooner. */
+	/* With fewer than the settings allow, idle connections are closed sooner. */
 	int connections_max = open_files_raise(conf->max_connections) - NET_FILES;
 	/* A worker silent for its lease has lost its tasks; our own idle ones close first. */
 	double idle_max_s = fmax(conf->lease_s, NET_IDLE_S) + NET_SLOW_S;
--- a/daemon/open_files.c
+++ b/daemon/open_files.c
@@ -10,7 +10,7 @@
 	const rlim_t target = (rlim_t)wanted;
 	struct rlimit limit;
 
-	/* Where the limit cannot be told or set, the system refuses what is too much. */
+	/* If the limit cannot be read or set, opening too many will fail by itself. */
 	if (getrlimit(RLIMIT_NOFILE, &limit))
 		return wanted;
 	if (limit.rlim_cur < target) {
--- a/src/conf/toml.cc
+++ b/src/conf/toml.cc
@@ -107,7 +107,7 @@
 	read_resources(facts["resources"], conf);
 }
 
-/* The first wrong field in this order is the one that is told. */
+/* The first wrong field in this order is the one that is reported. */
 void read_settings(table_reader settings, conf *conf)
 {
 	table_reader facts = settings["facts"];
--- a/src/conf/toml_reader.h
+++ b/src/conf/toml_reader.h
@@ -1,6 +1,6 @@
 /*
- * C++: reads TOML tables into C structures. Wrong fields are remembered, not thrown: the first of
- * them is what the operator is told.
+ * C++: reads TOML tables into C structures. Wrong fields are recorded, not thrown; the
+ * first of them is what the operator sees.
  */
 #ifndef PLOVERLOFT_TOML_READER_H
 #define PLOVERLOFT_TOML_READER_H
--- a/src/net/client_pool.h
+++ b/src/net/client_pool.h
@@ -23,7 +23,7 @@
 /* An address that we call. It is freed with the last that refers to it. */
 struct endpoint {
 	char address[NET_ADDR_MAX];
-	struct client_connection *idle; /* list; whoever idles shortest is first */
+	struct client_connection *idle; /* list, the most recently used first */
 	int references;			/* its connections, and client_pool_hold_endpoint() */
 	UT_hash_handle hh;		/* by address */
 };
@@ -50,8 +50,8 @@
 	struct connection_set *set;	  /* not owned */
 	struct endpoint *endpoints;	  /* hash */
 	struct client_connection *calls;  /* list of those with a call under way */
-	struct client_connection *idle;	  /* list; whoever idles longest is first */
-	struct client_connection *closed; /* list; freed at the end of the turn */
+	struct client_connection *idle;	  /* list, the longest idle first */
+	struct client_connection *closed; /* list; freed at the end of the iteration */
 };
 
 void client_pool_init(struct client_pool *pool, struct connection_set *set);
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -1,8 +1,8 @@
 /*
  * What all connections of the event loop have in common: the socket, its place in epoll and its
  * buffers. Listening sockets use it for their place in epoll alone. The kinds of connection are
- * structures that begin with a `struct connection`; an event of epoll leads to that, and its `kind`
- * tells what it is the beginning of.
+ * structures whose first member is a `struct connection`. Events of epoll point to that member, and
+ * its `kind` tells which structure it belongs to.
  */
 #ifndef PLOVERLOFT_CONNECTION_H
 #define PLOVERLOFT_CONNECTION_H
@@ -41,8 +41,8 @@
 struct connection {
 	int fd; /* owned */
 	enum connection_kind kind;
-	bool closed;	   /* its socket is gone; the memory stays until the end of the turn */
-	bool awaits_write; /* epoll tells when the socket takes more */
+	bool closed;	   /* its socket is gone; memory is freed at the end of the iteration */
+	bool awaits_write; /* epoll reports when the socket can take more */
 	struct buf input;  /* received, not yet consumed */
 	struct buf output; /* to be sent */
 };
@@ -73,7 +73,7 @@
 enum connection_result connection_read(struct connection *connection, size_t input_max,
 				       enum read_extent extent);
 
-/* Sends as much of `output` as the socket takes; epoll tells when it takes the rest. */
+/* Sends as much of `output` as the socket takes; epoll reports when it can take the rest. */
 enum connection_result connection_flush(const struct connection_set *set,
 					struct connection *connection);
 
--- a/src/net/connection_limit.c
+++ b/src/net/connection_limit.c
@@ -11,9 +11,9 @@
 }
 
 /*
- * Sockets run short, as when many machines went silent without closing theirs: whoever has idled
- * longest gives way, our own kept connections first, so that /ready, users and the state service
- * are never crowded out by callers that may not exist any more.
+ * Sockets run short, as when many machines vanished without closing theirs. The least recently used
+ * connection is closed, our own before callers', so that /ready, users and the state service always
+ * get a socket, whatever callers that may not exist any more still hold.
  */
 static bool evict_longest_idle(struct connection_limit *limit)
 {
@@ -49,10 +49,10 @@
 }
 
 /*
- * Callers come in turn: closing who was silent longest would meet each just before its next
- * request, and all would have to connect again. So kept connections of our own go, and then the
- * caller that is answered now, which is told so and has its next request far ahead: only as many as
- * are too many connect anew.
+ * Callers come in a cycle: closing the least recently active would meet each just before its next
+ * request, and all would have to connect again. So idle connections of our own are closed first,
+ * and then the caller that is answered now, by a header in the response: its next request is the
+ * furthest ahead. Only as many callers reconnect as there are too many.
  */
 bool connection_limit_sheds_caller(struct connection_limit *limit)
 {
--- a/src/net/connection_limit.h
+++ b/src/net/connection_limit.h
@@ -1,6 +1,6 @@
 /*
- * How many connections may be open at once, and which are closed when that many are. Those that
- * have been idle longest give way, our own before callers'; a connection that is in use never does.
+ * How many connections may be open at once, and which are closed when that many are: the least
+ * recently used, our own before callers'. A connection that is in use is never closed for another.
  */
 #ifndef PLOVERLOFT_CONNECTION_LIMIT_H
 #define PLOVERLOFT_CONNECTION_LIMIT_H
@@ -25,9 +25,9 @@
 bool connection_limit_admit(struct connection_limit *limit, enum connection_kind kind);
 
 /*
- * To be asked with each answer to a caller: whether the caller is to be told to connect anew,
- * because nearly all sockets for callers are in use. An idle connection of our own is closed in
- * place of that.
+ * Called with each response to a caller. Returns whether that caller is to be disconnected after
+ * it, because nearly all sockets for callers are in use; where one of our own is idle, that is
+ * closed instead.
  */
 bool connection_limit_sheds_caller(struct connection_limit *limit);
 
--- a/src/net/http.c
+++ b/src/net/http.c
@@ -10,6 +10,7 @@
 
 #define VERSION_PREFIX "HTTP/1."
 #define VERSION_LEN (sizeof(VERSION_PREFIX "1") - 1)
+#define ASCII_DELETE 0x7f
 #define STATUS_DIGITS 3
 #define STATUS_LINE_LEN_MIN (VERSION_LEN + 1 + STATUS_DIGITS)
 #define CONTENT_LENGTH_DIGITS_MAX 12 /* far above every limit, far below an overflow */
@@ -60,16 +61,16 @@
 static bool is_visible(struct span span)
 {
 	for (size_t i = 0; i < span.len; i++)
-		if ((unsigned char)span.at[i] <= 0x20 || (unsigned char)span.at[i] >= 0x7f)
+		if ((unsigned char)span.at[i] <= ' ' || (unsigned char)span.at[i] >= ASCII_DELETE)
 			return false;
 	return true;
 }
 
-/* As is_visible, but bytes beyond ASCII are let through: the receiver of a path judges those. */
+/* As is_visible, but with bytes beyond ASCII: the handler of the request rejects those. */
 static bool is_path(struct span span)
 {
 	for (size_t i = 0; i < span.len; i++)
-		if ((unsigned char)span.at[i] <= 0x20 || span.at[i] == 0x7f)
+		if ((unsigned char)span.at[i] <= ' ' || span.at[i] == ASCII_DELETE)
 			return false;
 	return span.len > 0 && span.at[0] == '/';
 }
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -18,7 +18,7 @@
 /* See net_send(). */
 void http_client_send(struct http_client *client, const struct net_call *call);
 
-/* Handles what epoll told of a connection: `events` are those of epoll_wait(). */
+/* Handles the events that epoll reported for a connection: a mask of EPOLLIN and others. */
 void http_client_handle_events(struct http_client *client, struct client_connection *connection,
 			       uint32_t events);
 
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -20,7 +20,7 @@
 	void *ops_context;
 };
 
-/* Handles what epoll told of a connection: `events` are those of epoll_wait(). */
+/* Handles the events that epoll reported for a connection: a mask of EPOLLIN and others. */
 void http_server_handle_events(struct http_server *server, struct server_connection *connection,
 			       uint32_t events, enum read_extent extent);
 
--- a/src/net/net.c
+++ b/src/net/net.c
@@ -31,9 +31,9 @@
 	struct http_client http_client;
 	struct listener listeners[NET_SIDES];
 	double caller_idle_max_s;
-	double turn_ended_at;
+	double iteration_ended_at;
 	double next_sweep_at;
-	struct epoll_event *events; /* of one turn: at most one for each connection */
+	struct epoll_event *events; /* of one iteration: at most one for each connection */
 };
 
 struct net *net_new(const struct net_ops *ops, void *ctx, int max_conns, double idle_s)
@@ -119,7 +119,7 @@
 					  event->events, extent);
 }
 
-/* Up to NET_TURN of them; the others are told again by the next wait, first come first. */
+/* Up to NET_TURN of them; the next wait reports the others again, in the order they came. */
 static void handle_caller_events(struct net *net, int count, enum read_extent extent)
 {
 	int left = NET_TURN;
@@ -151,18 +151,18 @@
 }
 
 /*
- * A loop that is late looks for the end of callers' streams too: whoever gave up and closed needs
+ * A loop that is late looks for the end of callers' streams too: one that gave up and closed needs
  * no answer. A busy leader that answered them all would serve nobody in time.
  */
 static enum read_extent caller_read_extent(const struct net *net)
 {
-	return net_now() - net->turn_ended_at > NET_LATE_S ? READ_TO_END : READ_AVAILABLE;
+	return net_now() - net->iteration_ended_at > NET_LATE_S ? READ_TO_END : READ_AVAILABLE;
 }
 
 /*
- * What answers our own calls goes before what others ask, and only some of that is taken in a turn:
- * when thousands of workers report at once to a controller that is slow, its renewals must not wait
- * behind all of them.
+ * What answers our own calls goes before what others ask, and only some of that is taken in one
+ * iteration: when thousands of workers report at once to a controller that is slow, its renewals
+ * must not wait behind all of them.
  */
 void net_poll(struct net *net, double wait_s)
 {
@@ -171,10 +171,10 @@
 
 	handle_client_events(net, count);
 	handle_caller_events(net, count, extent);
-	net->turn_ended_at = net_now();
-	if (net->turn_ended_at >= net->next_sweep_at) {
-		net->next_sweep_at = net->turn_ended_at + NET_SWEEP_MS / 1000.0;
-		close_overdue(net, net->turn_ended_at);
+	net->iteration_ended_at = net_now();
+	if (net->iteration_ended_at >= net->next_sweep_at) {
+		net->next_sweep_at = net->iteration_ended_at + NET_SWEEP_MS / 1000.0;
+		close_overdue(net, net->iteration_ended_at);
 	}
 	server_connections_reap(&net->servers);
 	client_pool_reap(&net->clients);
--- a/src/net/net.h
+++ b/src/net/net.h
@@ -21,7 +21,7 @@
 
 #define NET_SIDES 2
 
-/* What is told as the status of a call for which there is no HTTP status. */
+/* The status of a call that ended without an HTTP status. */
 enum net_call_failure {
 	NET_NOT_SENT = -1, /* nothing left this process: it is certain not to be carried out */
 	NET_NO_REPLY = 0   /* it may have been carried out, or may yet be */
@@ -67,7 +67,7 @@
 /* Listens on "ADDRESS:PORT" for one side, once. 0, or -1 if that cannot be. */
 int net_listen(struct net *net, enum net_side side, const char *addr);
 
-/* Sends a call. Where that fails at once, the reply is told before this returns. */
+/* Sends a call. If that fails at once, the reply callback runs before this returns. */
 void net_send(struct net *net, const struct net_call *call);
 
 /*
--- a/src/net/server_connections.h
+++ b/src/net/server_connections.h
@@ -32,9 +32,9 @@
 struct server_connections {
 	struct connection_set *set; /* not owned */
 	uint64_t next_id;
-	struct server_connection *by_activity; /* list; whoever has been silent longest is first */
+	struct server_connection *by_activity; /* list, the least recently active first */
 	struct server_connection *by_id;       /* hash */
-	struct server_connection *closed;      /* list; freed at the end of the turn */
+	struct server_connection *closed;      /* list; freed at the end of the iteration */
 };
 
 void server_connections_init(struct server_connections *connections, struct connection_set *set);
