--- a/daemon/open_files.c
+++ b/daemon/open_files.c
@@ -20,7 +20,7 @@
 	}
 	if (limit.rlim_cur >= target)
 		return wanted;
-	log_error("few_files", "wanted=%d allowed=%llu", wanted,
+	log_error("file_limit_low", "wanted=%d allowed=%llu", wanted,
 		  (unsigned long long)limit.rlim_cur);
 	return (int)limit.rlim_cur;
 }
--- a/src/conf/toml.cc
+++ b/src/conf/toml.cc
@@ -23,10 +23,10 @@
 	static const struct {
 		const char *name;
 		objective_kind kind;
-	} kinds[] = {{"wait", OBJECTIVE_WAIT},	 {"finished", OBJECTIVE_FINISHED},
+	} kinds[] = {{"wait", OBJECTIVE_WAIT},	       {"finished", OBJECTIVE_FINISHED},
 		     {"deadline", OBJECTIVE_DEADLINE}, {"guarantee", OBJECTIVE_GUARANTEE},
-		     {"useful", OBJECTIVE_USEFUL},	 {"makespan", OBJECTIVE_MAKESPAN},
-		     {"price", OBJECTIVE_PRICE},	 {"up", OBJECTIVE_REPLICA_TIME}};
+		     {"useful", OBJECTIVE_USEFUL},     {"makespan", OBJECTIVE_MAKESPAN},
+		     {"price", OBJECTIVE_PRICE},       {"up", OBJECTIVE_REPLICA_TIME}};
 
 	for (const auto &known : kinds)
 		if (name == known.name)
--- a/src/net/connection_limit.c
+++ b/src/net/connection_limit.c
@@ -7,7 +7,7 @@
 
 static void log_evicted(enum connection_kind kind, double idle_since)
 {
-	log_debug("conn_evicted", "kind=%d idle=%.1f", kind, net_now() - idle_since);
+	log_debug("connection_evicted", "kind=%d idle=%.1f", kind, net_now() - idle_since);
 }
 
 /*
@@ -31,7 +31,7 @@
 		server_connection_close(limit->servers, server);
 		return true;
 	}
-	log_error("conn_limit", "conns=%d", limit->set->open_count);
+	log_error("connection_limit", "conns=%d", limit->set->open_count);
 	return false;
 }
 
--- a/src/util/xalloc.h
+++ b/src/util/xalloc.h
@@ -35,7 +35,12 @@
 	return xalloc_checked(reallocarray(array, count ? count : 1, size));
 }
 
-/* A copy of `text`. */
+/* The first `len` bytes of the text, or all of it if it is shorter, with a NUL behind them. */
+static inline char *xstrndup(const char *text, size_t len)
+{
+	return (char *)xalloc_checked(strndup(text, len));
+}
+
 static inline char *xstrdup(const char *text)
 {
 	return (char *)xalloc_checked(strdup(text));
