--- /dev/null
+++ b/tests/unit/test_http.c
@@ -0,0 +1,255 @@
+/* The HTTP parser against malformed, incomplete, oversized and randomly changed messages. */
+#include "support.h"
+
+#include <stdlib.h>
+#include <string.h>
+
+#include "constants.h"
+#include "net/http.h"
+#include "util/xalloc.h"
+
+#define BODY_LIMIT 1000 /* bytes */
+
+enum message_kind { REQUEST = 0, RESPONSE = 1 };
+
+/* Parses a block of exactly the message's size, so that the sanitizers see a read beyond it. */
+static enum http_result parse_bytes(struct http_msg *message, const char *bytes, size_t length,
+				    enum message_kind kind)
+{
+	char *copy = xmalloc(length);
+	enum http_result result;
+
+	memcpy(copy, bytes, length);
+	result = http_parse(message, copy, length, kind, BODY_LIMIT);
+	free(copy);
+	return result;
+}
+
+static enum http_result parse_text(struct http_msg *message, const char *text,
+				   enum message_kind kind)
+{
+	return parse_bytes(message, text, strlen(text), kind);
+}
+
+struct request_case {
+	const char *name;
+	const char *text;
+	enum http_result expected;
+};
+
+static int wrong_requests(const struct request_case *cases, size_t count)
+{
+	struct http_msg message;
+	int wrong = 0;
+
+	for (size_t i = 0; i < count; i++)
+		wrong += row_differs(cases[i].name, parse_text(&message, cases[i].text, REQUEST),
+				     cases[i].expected);
+	return wrong;
+}
+
+static void test_request_accepted(void **state)
+{
+	static const struct request_case cases[] = {
+	    {"CRLF line ends", "GET / HTTP/1.1\r\n\r\n", HTTP_OK},
+	    {"LF line ends", "GET / HTTP/1.1\n\n", HTTP_OK},
+	    {"body", "POST /a HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc", HTTP_OK},
+	};
+
+	(void)state;
+	assert_int_equal(wrong_requests(cases, ARRAY_LENGTH(cases)), 0);
+}
+
+static void test_request_incomplete(void **state)
+{
+	static const struct request_case cases[] = {
+	    {"body cut off", "POST /a HTTP/1.1\r\nContent-Length: 3\r\n\r\nab", HTTP_MORE},
+	    {"header cut off", "POST /a HTTP/1.1\r\nContent-Le", HTTP_MORE},
+	};
+
+	(void)state;
+	assert_int_equal(wrong_requests(cases, ARRAY_LENGTH(cases)), 0);
+}
+
+static void test_request_body_length_refused(void **state)
+{
+	static const struct request_case cases[] = {
+	    {"two lengths",
+	     "POST /a HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd", HTTP_BAD},
+	    {"negative length", "POST /a HTTP/1.1\r\nContent-Length: -1\r\n\r\n", HTTP_BAD},
+	    {"exponent in length", "POST /a HTTP/1.1\r\nContent-Length: 1e3\r\n\r\n", HTTP_BAD},
+	    {"empty length", "POST /a HTTP/1.1\r\nContent-Length: \r\n\r\n", HTTP_BAD},
+	    {"length out of range",
+	     "POST /a HTTP/1.1\r\nContent-Length: 99999999999999999999\r\n\r\n", HTTP_BAD},
+	    {"length above the limit", "POST /a HTTP/1.1\r\nContent-Length: 1001\r\n\r\n",
+	     HTTP_TOO_LARGE},
+	    {"chunked body", "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+	     HTTP_BAD},
+	};
+
+	(void)state;
+	assert_int_equal(wrong_requests(cases, ARRAY_LENGTH(cases)), 0);
+}
+
+static void test_request_line_refused(void **state)
+{
+	static const struct request_case cases[] = {
+	    {"other version", "GET / HTTP/2.0\r\n\r\n", HTTP_BAD},
+	    {"fourth word", "GET / HTTP/1.1 x\r\n\r\n", HTTP_BAD},
+	    {"two spaces", "GET  / HTTP/1.1\r\n\r\n", HTTP_BAD},
+	    {"lower-case method", "get / HTTP/1.1\r\n\r\n", HTTP_BAD},
+	    {"absolute URL", "GET http://x/ HTTP/1.1\r\n\r\n", HTTP_BAD},
+	    {"control character in path", "GET /\x01 HTTP/1.1\r\n\r\n", HTTP_BAD},
+	    {"empty line", "\r\n\r\n", HTTP_BAD},
+	    {"TLS handshake", "\x16\x03\x01\x02\n", HTTP_BAD},
+	    {"long method", "METHODTOOLONG / HTTP/1.1\r\n\r\n", HTTP_BAD},
+	};
+
+	(void)state;
+	assert_int_equal(wrong_requests(cases, ARRAY_LENGTH(cases)), 0);
+}
+
+static void test_request_header_refused(void **state)
+{
+	static const struct request_case cases[] = {
+	    {"empty name", "GET / HTTP/1.1\r\n: v\r\n\r\n", HTTP_BAD},
+	    {"no colon", "GET / HTTP/1.1\r\nno colon\r\n\r\n", HTTP_BAD},
+	    {"folded line", "GET / HTTP/1.1\r\n folded: v\r\n\r\n", HTTP_BAD},
+	    {"space in name", "GET / HTTP/1.1\r\nA b: v\r\n\r\n", HTTP_BAD},
+	};
+
+	(void)state;
+	assert_int_equal(wrong_requests(cases, ARRAY_LENGTH(cases)), 0);
+}
+
+static void test_request_nul_in_path_refused(void **state)
+{
+	static const char bytes[] = "GET /\0x HTTP/1.1\r\n\r\n";
+	struct http_msg message;
+
+	(void)state;
+	assert_int_equal(parse_bytes(&message, bytes, sizeof(bytes) - 1, REQUEST), HTTP_BAD);
+}
+
+/* A request that is cut off anywhere must ask for more, never be taken for whole. */
+static void test_request_prefixes_ask_for_more(void **state)
+{
+	static const char text[] = "POST /api HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n\r\nbody";
+	struct http_msg message;
+	int wrong = 0;
+
+	(void)state;
+	for (size_t length = 0; length < strlen(text); length++)
+		wrong += row_differs(text + length, parse_bytes(&message, text, length, REQUEST),
+				     HTTP_MORE);
+	assert_int_equal(wrong, 0);
+	assert_int_equal(parse_text(&message, text, REQUEST), HTTP_OK);
+	assert_int_equal(message.body_len, 4);
+}
+
+/* The result for a head that is larger than the limit: `start`, then one line without an end. */
+static enum http_result parse_endless(const char *start, size_t start_length)
+{
+	size_t length = HTTP_HEAD_MAX + 100;
+	char *bytes = xmalloc(length);
+	struct http_msg message;
+	enum http_result result;
+
+	memset(bytes, 'a', length);
+	memcpy(bytes, start, start_length);
+	result = http_parse(&message, bytes, length, REQUEST, BODY_LIMIT);
+	free(bytes);
+	return result;
+}
+
+static void test_endless_line_refused(void **state)
+{
+	(void)state;
+	assert_int_equal(parse_endless("", 0), HTTP_BAD);
+}
+
+static void test_endless_header_refused(void **state)
+{
+	static const char start[] = "GET / HTTP/1.1\r\nX: ";
+
+	(void)state;
+	assert_int_equal(parse_endless(start, sizeof(start) - 1), HTTP_BAD);
+}
+
+static void test_response_accepted(void **state)
+{
+	struct http_msg message;
+
+	(void)state;
+	assert_int_equal(
+	    parse_text(&message,
+		       "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\n{}",
+		       RESPONSE),
+	    HTTP_OK);
+	assert_int_equal(message.status, 200);
+	assert_true(message.close);
+}
+
+static void test_response_bad_status_refused(void **state)
+{
+	struct http_msg message;
+
+	(void)state;
+	assert_int_equal(parse_text(&message, "HTTP/1.1 2x0 OK\r\n\r\n", RESPONSE), HTTP_BAD);
+}
+
+static void test_response_without_status_refused(void **state)
+{
+	struct http_msg message;
+
+	(void)state;
+	assert_int_equal(parse_text(&message, "HTTP/1.1\r\n\r\n", RESPONSE), HTTP_BAD);
+}
+
+#define MUTATIONS 20000
+#define BYTES_CHANGED 3 /* in each */
+
+/* Bytes changed at random in a valid request: any result, but no read out of bounds. */
+static void test_mutated_requests_are_told_apart(void **state)
+{
+	static const char text[] =
+	    "POST /api/jobs HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n\r\nbody";
+	const size_t length = strlen(text);
+	unsigned short seed[3] = {1, 2, 3};
+	char mutated[sizeof(text)];
+	struct http_msg message;
+	int accepted = 0;
+
+	(void)state;
+	for (int i = 0; i < MUTATIONS; i++) {
+		memcpy(mutated, text, sizeof(text));
+		for (int k = 0; k < BYTES_CHANGED; k++) {
+			size_t position = (size_t)(erand48(seed) * (double)length);
+
+			mutated[position] = (char)(erand48(seed) * 256);
+		}
+		accepted += parse_bytes(&message, mutated, length, REQUEST) == HTTP_OK;
+	}
+	assert_in_range(accepted, 1, MUTATIONS - 1);
+}
+
+int main(void)
+{
+	static const struct CMUnitTest tests[] = {
+	    cmocka_unit_test(test_request_accepted),
+	    cmocka_unit_test(test_request_incomplete),
+	    cmocka_unit_test(test_request_body_length_refused),
+	    cmocka_unit_test(test_request_line_refused),
+	    cmocka_unit_test(test_request_header_refused),
+	    cmocka_unit_test(test_request_nul_in_path_refused),
+	    cmocka_unit_test(test_request_prefixes_ask_for_more),
+	    cmocka_unit_test(test_endless_line_refused),
+	    cmocka_unit_test(test_endless_header_refused),
+	    cmocka_unit_test(test_response_accepted),
+	    cmocka_unit_test(test_response_bad_status_refused),
+	    cmocka_unit_test(test_response_without_status_refused),
+	    cmocka_unit_test(test_mutated_requests_are_told_apart),
+	};
+
+	return cmocka_run_group_tests_name("http", tests, NULL, NULL);
+}
