--- a/tests/unit/support.c
+++ b/tests/unit/support.c
@@ -1,4 +1,4 @@
-/* Checks of table rows. */
+/* Checks of table rows and JSON values for the unit tests. */
 #include "support.h"
 
 int row_differs(const char *row, long long value, long long expected)
@@ -8,3 +8,12 @@
 	print_error("%s: got %lld, expected %lld\n", row, value, expected);
 	return 1;
 }
+
+json_t *numbered_names(int count)
+{
+	json_t *names = json_array();
+
+	for (int i = 0; i < count; i++)
+		json_array_append_new(names, json_sprintf("name-%d", i));
+	return names;
+}
--- a/tests/unit/support.h
+++ b/tests/unit/support.h
@@ -1,5 +1,5 @@
 /*
- * What all unit tests share: cmocka with the headers it needs, and the checks of table rows.
+ * What all unit tests share: cmocka with the headers it needs, checks of table rows, JSON values.
  * Include it first: cmocka.h builds on the standard headers named here.
  */
 #ifndef PLOVERLOFT_UNIT_SUPPORT_H
@@ -11,6 +11,7 @@
 #include <stdint.h>
 
 #include <cmocka.h>
+#include <jansson.h>
 
 #define ARRAY_LENGTH(array) (sizeof(array) / sizeof((array)[0]))
 
@@ -20,4 +21,7 @@
  */
 int row_differs(const char *row, long long value, long long expected);
 
+/* The JSON array ["name-0", "name-1", ...], which the caller owns. */
+json_t *numbered_names(int count);
+
 #endif
--- /dev/null
+++ b/tests/unit/test_job_json.c
@@ -0,0 +1,177 @@
+/*
+ * Job descriptions as JSON: fields that are wrong, missing, optional or unknown, and encoding.
+ * Field names are written out, not taken from names.h, so that a wrong name there is seen.
+ */
+#include "support.h"
+
+#include <string.h>
+
+#include "wire/names.h"
+#include "wire/wire.h"
+
+static const char valid_job[] =
+    "{\"uid\":\"job-1\",\"naipe\":\"c\",\"grupo\":\"t\",\"feitio\":\"array\",\"vez\":\"normal\","
+    "\"partes\":3,\"cores\":1.0,\"gpus\":0,\"memGb\":2,\"molde\":\"i\",\"pullGb\":1,"
+    "\"feitiosMaquina\":null,\"praca\":null,\"together\":false,\"scatter\":false,"
+    "\"avulsas\":true,\"previstoS\":10,\"marcoS\":0,\"gravarS\":0,\"prazoS\":null}";
+
+static json_t *valid_job_json(void)
+{
+	return wire_parse(valid_job, sizeof(valid_job) - 1);
+}
+
+/* Whether the job is accepted; takes over the reference. */
+static bool accepted(json_t *job)
+{
+	struct job_spec spec;
+	const char *why;
+	int result = wire_job_decode(job, &spec, &why);
+
+	wire_job_free(&spec);
+	json_decref(job);
+	return result == 0;
+}
+
+/* Whether the valid job is accepted with one field's value replaced by this JSON text. */
+static bool accepted_with(const char *field, const char *value)
+{
+	json_t *job = valid_job_json();
+
+	json_object_set_new(job, field, json_loads(value, JSON_DECODE_ANY, NULL));
+	return accepted(job);
+}
+
+static bool accepted_without(const char *field)
+{
+	json_t *job = valid_job_json();
+
+	json_object_del(job, field);
+	return accepted(job);
+}
+
+static void test_unknown_field_ignored(void **state)
+{
+	(void)state;
+	assert_true(accepted_with("other", "[{}]"));
+}
+
+static void test_wrong_values_refused(void **state)
+{
+	static const struct {
+		const char *field;
+		const char *value;
+	} cases[] = {
+	    {"uid", "\"job-\""},
+	    {"uid", "\"job-1x\""},
+	    {"uid", "\"jab-1\""},
+	    {"uid", "7"},
+	    {"partes", "0"},
+	    {"partes", "-1"},
+	    {"partes", "1.5"},
+	    {"partes", "100001"},
+	    {"partes", "\"3\""},
+	    {"cores", "-1"},
+	    {"cores", "\"NaN\""},
+	    {"cores", "1e300"},
+	    {"memGb", "null"},
+	    {"feitio", "\"other\""},
+	    {"vez", "\"soon\""},
+	    {"together", "0"},
+	    {"avulsas", "null"},
+	    {"feitiosMaquina", "[]"},
+	    {"feitiosMaquina", "[1]"},
+	    {"praca", "\"\""},
+	    {"praca", "3"},
+	    {"prazoS", "-2"},
+	    {"molde", "\"\""},
+	    {"grupo", "null"},
+	};
+	int wrong = 0;
+
+	(void)state;
+	for (size_t i = 0; i < ARRAY_LENGTH(cases); i++) {
+		if (!accepted_with(cases[i].field, cases[i].value))
+			continue;
+		print_error("%s: %s was accepted\n", cases[i].field, cases[i].value);
+		wrong++;
+	}
+	assert_int_equal(wrong, 0);
+}
+
+static void test_missing_fields_refused(void **state)
+{
+	static const char *const required[] = {
+	    "uid",     "naipe",	  "grupo",     "feitio", "vez",	    "partes",
+	    "cores",   "gpus",	  "memGb",     "molde",	 "pullGb",  "together",
+	    "scatter", "avulsas", "previstoS", "marcoS", "gravarS",
+	};
+	int wrong = 0;
+
+	(void)state;
+	for (size_t i = 0; i < ARRAY_LENGTH(required); i++)
+		wrong += row_differs(required[i], accepted_without(required[i]), false);
+	assert_int_equal(wrong, 0);
+}
+
+static void test_optional_fields_may_be_missing(void **state)
+{
+	static const char *const optional[] = {"feitiosMaquina", "praca", "prazoS"};
+	int wrong = 0;
+
+	(void)state;
+	for (size_t i = 0; i < ARRAY_LENGTH(optional); i++)
+		wrong += row_differs(optional[i], accepted_without(optional[i]), true);
+	assert_int_equal(wrong, 0);
+}
+
+static void test_decoded_job_encodes_to_the_same(void **state)
+{
+	json_t *original = valid_job_json(), *encoded, *encoded_again;
+	struct job_spec spec, spec_again;
+	const char *why;
+
+	(void)state;
+	assert_int_equal(wire_job_decode(original, &spec, &why), 0);
+	encoded = wire_job_encode(&spec);
+	assert_int_equal(wire_job_decode(encoded, &spec_again, &why), 0);
+	encoded_again = wire_job_encode(&spec_again);
+	assert_true(json_equal(encoded, encoded_again));
+	wire_job_free(&spec);
+	wire_job_free(&spec_again);
+	json_decref(original);
+	json_decref(encoded);
+	json_decref(encoded_again);
+}
+
+#define MANY_TYPES 100
+
+/* The machine types that a job allows have no bound on their number. */
+static void test_many_machine_types(void **state)
+{
+	json_t *job = valid_job_json();
+	struct job_spec spec;
+	const char *why;
+
+	(void)state;
+	json_object_set_new(job, W_TYPES, numbered_names(MANY_TYPES));
+	assert_int_equal(wire_job_decode(job, &spec, &why), 0);
+	assert_int_equal(spec.types.count, MANY_TYPES);
+	assert_true(name_list_has(&spec.types, "name-99"));
+	assert_false(name_list_has(&spec.types, "name-100"));
+	wire_job_free(&spec);
+	json_decref(job);
+}
+
+int main(void)
+{
+	static const struct CMUnitTest tests[] = {
+	    cmocka_unit_test(test_unknown_field_ignored),
+	    cmocka_unit_test(test_wrong_values_refused),
+	    cmocka_unit_test(test_missing_fields_refused),
+	    cmocka_unit_test(test_optional_fields_may_be_missing),
+	    cmocka_unit_test(test_decoded_job_encodes_to_the_same),
+	    cmocka_unit_test(test_many_machine_types),
+	};
+
+	return cmocka_run_group_tests_name("job_json", tests, NULL, NULL);
+}
