--- a/tests/unit.c
+++ b/tests/unit.c
@@ -1,18 +1,14 @@
 /* Parsers against malformed and hostile input, and small pieces that scenarios do not reach. */
 #include <arpa/inet.h>
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 #include <sys/socket.h>
 #include <unistd.h>
 
-#include "conf/conf.h"
 #include "constants.h"
-#include "core/report_cache.h"
-#include "core/state.h"
 #include "net/net.h"
-#include "wire/names.h"
-#include "wire/wire.h"
 
 static int failures, checks;
 
@@ -25,36 +21,6 @@
 	fprintf(stderr, "FAIL %s: %s\n", what, detail);
 }
 
-static void test_bits(void)
-{
-	uint8_t bits[64], back[64];
-	unsigned short seed[3] = {5, 6, 7};
-
-	for (uint32_t n = 1; n <= 512; n += 7) {
-		char *text;
-
-		memset(bits, 0, sizeof(bits));
-		memset(back, 0, sizeof(back));
-		for (uint32_t k = 0; k < n; k++)
-			if (erand48(seed) < 0.4)
-				bits[k / 8] |= (uint8_t)(1u << (k % 8));
-		text = bits_encode(bits, n);
-		check(!bits_decode(text, back, n) && !memcmp(bits, back, sizeof(bits)), "bits",
-		      text);
-		free(text);
-	}
-	check(bits_decode("!", back, 8) != 0, "bits", "bad letter");
-	check(bits_decode("____", back, 8) != 0, "bits", "too many");
-}
-
-/* The thesis's formula: nothing towards the larger, certain where the gap is wide. */
-static void test_rho(void)
-{
-	check(pair_rho(3, 3) == 0 && pair_rho(4, 3) == 0 && pair_rho(0, 5) == 0, "rho", "none");
-	check(pair_rho(1, 5) == 1, "rho", "capped at one");
-	check(pair_rho(3, 4) > 0.2916 && pair_rho(3, 4) < 0.2917, "rho", "(16-9)/24");
-}
-
 /* --- sockets running short --- */
 
 #define SHORT_CALLERS 12 /* callers that stay, where sockets are there for SHORT_ROOM */
@@ -410,61 +376,10 @@
 	check(front.status != 200 && !front.taken, "large bodies", "a worker's");
 }
 
-#define REPORT_HEAD                                                                                \
-	"{\"" W_MACHINE "\":\"vm-000001\",\"" W_ADDR "\":\"10.1.0.1:9000\",\"" W_TYPE              \
-	"\":\"g\",\"" W_ZONE "\":\"a\",\"" W_SPOT "\":false,\"" W_SESSION "\":1,\"" W_SEQ "\":"
-#define REPORT_TAIL ",\"" W_TOKEN "\":41,\"" W_TASKS "\":[]}"
-
-/* Stores the first text and looks for the second: the sequence number found, or 0. */
-static uint64_t recognised(const char *first, const char *second)
-{
-	struct report_cache cache = {NULL};
-	struct report_cache_entry *slot = NULL;
-	const struct report *found;
-	struct report report;
-	uint64_t sequence = 0;
-
-	if (!wire_report_decode(first, strlen(first), &report)) {
-		report_cache_store(&cache, &slot, first, strlen(first), &report);
-		wire_report_free(&report);
-	}
-	found = report_cache_find(&cache, second, strlen(second));
-	if (found)
-		sequence = found->seq;
-	report_cache_remove(&cache, &slot);
-	return sequence;
-}
-
-static void test_report_cache(void)
-{
-	static const char first[] = REPORT_HEAD "88" REPORT_TAIL;
-	static const char nested[] = REPORT_HEAD "88,\"x\":{\"" W_SEQ "\":5}" REPORT_TAIL;
-	char large[REPORT_CACHE_TEXT_MAX + 400];
-
-	check(recognised(first, REPORT_HEAD "89" REPORT_TAIL) == 89, "report cache", "next");
-	check(recognised(first, REPORT_HEAD "1000" REPORT_TAIL) == 1000, "report cache", "longer");
-	check(!recognised(first, REPORT_HEAD REPORT_TAIL), "report cache", "no number");
-	check(!recognised(first, REPORT_HEAD "-9" REPORT_TAIL), "report cache", "negative");
-	check(!recognised(first, REPORT_HEAD "9.5" REPORT_TAIL), "report cache", "fraction");
-	check(!recognised(first, REPORT_HEAD "99999999999999999999999" REPORT_TAIL), "report cache",
-	      "too large");
-	check(!recognised(first, REPORT_HEAD "89,\"" W_TOKEN "\":42,\"" W_TASKS "\":[]}"),
-	      "report cache", "another token");
-	check(!recognised(first, REPORT_HEAD "89" REPORT_TAIL " "), "report cache", "trailing");
-	check(!recognised(first, REPORT_HEAD "89"), "report cache", "cut");
-	check(!recognised(nested, nested), "report cache", "a second number of that name");
-	snprintf(large, sizeof(large), REPORT_HEAD "88,\"x\":\"%0*d\"" REPORT_TAIL,
-		 REPORT_CACHE_TEXT_MAX, 0);
-	check(!recognised(large, large), "report cache", "too long");
-}
-
 int main(void)
 {
-	test_report_cache();
 	test_answers_end();
 	test_large_bodies();
-	test_bits();
-	test_rho();
 	test_sockets_short();
 	test_sockets_in_turn();
 	test_own_answers_first();
--- /dev/null
+++ b/tests/unit/test_report_cache.c
@@ -0,0 +1,119 @@
+/* The cache of reports: it recognises those that differ in their sequence number alone. */
+#include "support.h"
+
+#include <stdio.h>
+#include <string.h>
+
+#include "constants.h"
+#include "core/report_cache.h"
+#include "wire/names.h"
+
+#define REPORT_HEAD                                                                                \
+	"{\"" W_MACHINE "\":\"vm-000001\",\"" W_ADDR "\":\"10.1.0.1:9000\",\"" W_TYPE              \
+	"\":\"g\",\"" W_ZONE "\":\"a\",\"" W_SPOT "\":false,\"" W_SESSION "\":1,\"" W_SEQ "\":"
+#define REPORT_TAIL ",\"" W_TOKEN "\":41,\"" W_TASKS "\":[]}"
+
+static const char stored_report[] = REPORT_HEAD "88" REPORT_TAIL;
+
+/* Stores the first report and looks for the second: the sequence number found, or 0. */
+static uint64_t sequence_recognised(const char *stored, const char *sought)
+{
+	struct report_cache cache = {NULL};
+	struct report_cache_entry *slot = NULL;
+	const struct report *found;
+	struct report report;
+	uint64_t sequence = 0;
+
+	assert_int_equal(wire_report_decode(stored, strlen(stored), &report), 0);
+	report_cache_store(&cache, &slot, stored, strlen(stored), &report);
+	wire_report_free(&report);
+	found = report_cache_find(&cache, sought, strlen(sought));
+	if (found)
+		sequence = found->seq;
+	report_cache_remove(&cache, &slot);
+	return sequence;
+}
+
+struct sought_case {
+	const char *name;
+	const char *text;
+	uint64_t sequence; /* 0: the report is not recognised */
+};
+
+static int wrong_sequences(const struct sought_case *cases, size_t count)
+{
+	int wrong = 0;
+
+	for (size_t i = 0; i < count; i++)
+		wrong += row_differs(cases[i].name,
+				     (long long)sequence_recognised(stored_report, cases[i].text),
+				     (long long)cases[i].sequence);
+	return wrong;
+}
+
+static void test_other_sequence_number_recognised(void **state)
+{
+	static const struct sought_case cases[] = {
+	    {"next number", REPORT_HEAD "89" REPORT_TAIL, 89},
+	    {"longer number", REPORT_HEAD "1000" REPORT_TAIL, 1000},
+	};
+
+	(void)state;
+	assert_int_equal(wrong_sequences(cases, ARRAY_LENGTH(cases)), 0);
+}
+
+static void test_malformed_sequence_number_not_recognised(void **state)
+{
+	static const struct sought_case cases[] = {
+	    {"no number", REPORT_HEAD REPORT_TAIL, 0},
+	    {"negative number", REPORT_HEAD "-9" REPORT_TAIL, 0},
+	    {"fraction", REPORT_HEAD "9.5" REPORT_TAIL, 0},
+	    {"number out of range", REPORT_HEAD "99999999999999999999999" REPORT_TAIL, 0},
+	};
+
+	(void)state;
+	assert_int_equal(wrong_sequences(cases, ARRAY_LENGTH(cases)), 0);
+}
+
+static void test_other_text_not_recognised(void **state)
+{
+	static const struct sought_case cases[] = {
+	    {"another token", REPORT_HEAD "89,\"" W_TOKEN "\":42,\"" W_TASKS "\":[]}", 0},
+	    {"trailing space", REPORT_HEAD "89" REPORT_TAIL " ", 0},
+	    {"cut off", REPORT_HEAD "89", 0},
+	};
+
+	(void)state;
+	assert_int_equal(wrong_sequences(cases, ARRAY_LENGTH(cases)), 0);
+}
+
+static void test_second_sequence_number_not_cached(void **state)
+{
+	static const char nested[] = REPORT_HEAD "88,\"x\":{\"" W_SEQ "\":5}" REPORT_TAIL;
+
+	(void)state;
+	assert_int_equal(sequence_recognised(nested, nested), 0);
+}
+
+static void test_long_report_not_cached(void **state)
+{
+	char text[REPORT_CACHE_TEXT_MAX + 400];
+
+	(void)state;
+	snprintf(text, sizeof(text), REPORT_HEAD "88,\"x\":\"%0*d\"" REPORT_TAIL,
+		 REPORT_CACHE_TEXT_MAX, 0);
+	assert_int_equal(sequence_recognised(text, text), 0);
+}
+
+int main(void)
+{
+	static const struct CMUnitTest tests[] = {
+	    cmocka_unit_test(test_other_sequence_number_recognised),
+	    cmocka_unit_test(test_malformed_sequence_number_not_recognised),
+	    cmocka_unit_test(test_other_text_not_recognised),
+	    cmocka_unit_test(test_second_sequence_number_not_cached),
+	    cmocka_unit_test(test_long_report_not_cached),
+	};
+
+	return cmocka_run_group_tests_name("report_cache", tests, NULL, NULL);
+}
