--- a/src/core/core.c
+++ b/src/core/core.c
@@ -1,150 +1,100 @@
 #include "core/core.h"
 
-#include <math.h>
-#include <stdarg.h>
-#include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
+#include "core/api/forwarding.h"
+#include "core/api/peer_requests.h"
+#include "core/scheduling/cycle.h"
 #include "core/state.h"
 #include "util/log.h"
+#include "util/xalloc.h"
 #include "wire/names.h"
 
+/* All that only a leader knows; what the next one needs is in the records. */
+static void leader_state_clear(struct core *core)
+{
+	struct machine *machine, *mtmp;
+	struct job *job, *jtmp;
+
+	write_queue_clear(core);
+	autoscale_clear(core);
+	tombstones_clear(core);
+	format_clear(core);
+	core->agents.command_queue = NULL;
+	MACHINES_FOR_EACH (core, machine, mtmp) {
+		struct binding *binding, *tmp;
+
+		DL_FOREACH_SAFE2 (machine->bindings, binding, tmp, machine_next)
+			free(binding);
+		machine_free(core, machine);
+	}
+	JOBS_FOR_EACH (core, job, jtmp)
+		job_free(core, job);
+	for (size_t i = 0; i < core->conf->nteams; i++)
+		core->teams[i].cpus = core->teams[i].gpus = 0;
+	core->jobs_watch.in_flight = false;
+	core->cycles.requested = false;
+	core->write_queue.new_token_wanted = false;
+	core->cycles.attempt_counter = 0;
+}
+
+static void on_machine_forgotten(struct core *core, struct machine *machine)
+{
+	replica_supervision_remove(core, machine);
+	report_cache_remove(&core->agents.report_cache, &machine->agent.cached_report);
+}
+
+static void on_token_renewed(struct core *core)
+{
+	core->cycles.attempt_counter = 0;
+	agents_token_renewed(core);
+}
+
+static const struct core_events events = {
+    .task_record_changed = write_queue_add_chunk,
+    .job_over = write_queue_add_final,
+    .leadership_won = recovery_start,
+    .leadership_lost = leader_state_clear,
+    .token_renewed = on_token_renewed,
+    .job_finished = job_index_note_final,
+    .placement_needed = cycle_request,
+    .commands_due = commands_request,
+    .replicas_changed = replica_supervision_update,
+    .machine_forgotten = on_machine_forgotten,
+    .job_forgotten = reservation_release,
+    .machine_given_up = autoscale_request_scan,
+    .wrap_forwarded_answer = peers_wrap_answer,
+};
+
 struct core *core_new(const struct conf *conf, uint64_t seed, struct core_time now)
 {
-	struct core *core = calloc(1, sizeof(*core));
+	struct core *core = xcalloc(1, sizeof(*core));
 
-	if (!core)
-		abort();
 	core->conf = conf;
+	core->events = &events;
 	core->now = now.steady;
 	core->wall = now.wall;
 	core->next_call = 1;
-	core->election.format = FORMAT_CHUNKS;
+	core->election.format = FORMAT_LARGE_CHUNKS;
+	core->election.peers_confirmed_at = -1;
 	core->peers.incarnation = seed;
 	core->rand48[0] = (unsigned short)seed;
 	core->rand48[1] = (unsigned short)(seed >> 16);
 	core->rand48[2] = (unsigned short)(seed >> 32);
-	core->teams = calloc(conf->nteams + 1, sizeof(*core->teams));
-	if (!core->teams)
-		abort();
-	core->peers.list = calloc(conf->npeers + 1, sizeof(*core->peers.list));
-	if (!core->peers.list)
-		abort();
+	core->teams = xcalloc(conf->nteams + 1, sizeof(*core->teams));
+	core->peers.list = xcalloc(conf->npeers + 1, sizeof(*core->peers.list));
 	for (size_t i = 0; i < conf->npeers; i++)
 		core->peers.list[i].confirmed_until = -1;
-	core->state_heard = core->now;
-	core->users.counts_at = core->users.counts_wanted = core->now - COUNTS_ASKED_S;
-	core->pairing.peer_live = calloc(conf->npeers + 1, sizeof(*core->pairing.peer_live));
-	if (!core->pairing.peer_live)
-		abort();
+	core->store_answered_at = core->now;
+	core->api.counts_received_at = core->api.counts_wanted_at = core->now - COUNTS_DEMAND_S;
+	core->share_switching.peer_live =
+	    xcalloc(conf->npeers + 1, sizeof(*core->share_switching.peer_live));
 	for (size_t i = 0; i < conf->nteams; i++)
 		core->teams[i].conf = &conf->teams[i];
 	return core;
 }
 
-double core_random(struct core *core)
-{
-	return erand48(core->rand48);
-}
-
-void allowance_fill(const struct core *core, struct allowance *a, double rate)
-{
-	a->left = fmin(rate, a->left + (core->now - a->filled) * rate);
-	a->filled = core->now;
-}
-
-char *fmt_path(const char *fmt, ...)
-{
-	char *s = malloc(HTTP_PATH_MAX);
-	va_list ap;
-
-	if (!s)
-		abort();
-	va_start(ap, fmt);
-	vsnprintf(s, HTTP_PATH_MAX, fmt, ap);
-	va_end(ap);
-	return s;
-}
-
-static struct core_action *action_add(struct core *core, enum core_action_kind kind, uint64_t id)
-{
-	struct core_action *action = calloc(1, sizeof(*action));
-
-	if (!action)
-		abort();
-	action->kind = kind;
-	action->id = id;
-	DL_APPEND(core->actions, action);
-	return action;
-}
-
-struct call *core_call(struct core *core, const char *addr, const char *method, char *path,
-		       char *body, double timeout_s, call_fn fn, void *arg)
-{
-	struct call *call = calloc(1, sizeof(*call));
-	struct core_action *action;
-
-	if (!call)
-		abort();
-	call->id = core->next_call++;
-	call->fn = fn;
-	call->arg = arg;
-	call->term = core->election.term;
-	call->sent = core->now;
-	call->timeout_s = timeout_s;
-	HASH_ADD(hh, core->calls, id, sizeof(call->id), call);
-	action = action_add(core, ACT_SEND, call->id);
-	snprintf(action->addr, sizeof(action->addr), "%s", addr);
-	action->method = method;
-	action->path = path;
-	action->body = body;
-	action->len = body ? strlen(body) : 0;
-	action->timeout_s = timeout_s;
-	return call;
-}
-
-struct call *core_call_packed(struct core *core, const char *addr, const char *path, uint8_t *buf,
-			      size_t len, call_fn fn, void *arg)
-{
-	struct call *call =
-	    core_call(core, addr, "POST", fmt_path("%s", path), NULL, CALL_PEER_S, fn, arg);
-	struct core_action *action = core->actions->prev;
-
-	action->body = (char *)buf;
-	action->len = len;
-	return call;
-}
-
-void core_reply_packed(struct core *core, uint64_t conn, uint8_t *buf, size_t len)
-{
-	struct core_action *action;
-
-	core_reply(core, conn, 200, 0, NULL);
-	action = core->actions->prev;
-	action->body = (char *)buf;
-	action->len = len;
-}
-
-void core_reply(struct core *core, uint64_t conn, int status, int retry_after, char *body)
-{
-	struct core_action *action = action_add(core, ACT_ANSWER, conn);
-	size_t len = body ? strlen(body) : 0;
-
-	if (peers_wrap(core, conn, &status, retry_after, &body, &len))
-		retry_after = 0;
-	action->status = status;
-	action->retry_after = retry_after;
-	action->body = body;
-	action->len = len;
-}
-
-void core_reply_error(struct core *core, uint64_t conn, int status, int retry_after,
-		      const char *why)
-{
-	core_reply(core, conn, status, retry_after, fmt_path("{\"error\":\"%s\"}", why));
-}
-
 static void set_time(struct core *core, struct core_time now)
 {
 	if (now.steady > core->now)
@@ -155,23 +105,37 @@
 void core_request(struct core *core, struct core_time now, const struct core_request *request)
 {
 	set_time(core, now);
-	if (!strcmp(request->path, W_PATH_BEAT)) {
+	if (!strcmp(request->path, W_PATH_HEARTBEAT)) {
 		if (strcmp(request->method, "POST"))
-			core_reply_error(core, request->conn, 405, 0, "method");
+			core_reply_error(core, request->conn, STATUS_METHOD_NOT_ALLOWED, 0,
+					 "method");
 		else
-			workers_beat(core, request);
-	} else if (request->side == CORE_BACK && !strcmp(request->path, PAIR_PATH)) {
-		pair_request(core, request);
+			agent_heartbeat(core, request);
+	} else if (request->side == CORE_BACK && !strcmp(request->path, SHARE_SWITCHING_PATH)) {
+		share_switching_request(core, request);
 	} else if (request->side == CORE_BACK) {
 		peers_request(core, request);
 	} else {
-		users_request(core, request);
+		api_request(core, request);
 	}
 	core_tick(core, now);
 }
 
+/* The status of the interface says two things in one; inside, they are apart. */
+static struct call_answer call_answer_of(const struct core_answer *a)
+{
+	struct call_answer answer = {CALL_ANSWERED, a->status, a->body, a->len};
+
+	if (a->status <= 0) {
+		answer.outcome = a->status < 0 ? CALL_NOT_SENT : CALL_UNANSWERED;
+		answer.status = 0;
+	}
+	return answer;
+}
+
 void core_answer(struct core *core, struct core_time now, const struct core_answer *a)
 {
+	struct call_answer answer = call_answer_of(a);
 	struct call *call;
 
 	set_time(core, now);
@@ -179,7 +143,7 @@
 	if (!call)
 		return;
 	HASH_DEL(core->calls, call);
-	call->fn(core, call, a->status, a->body, a->len);
+	call->on_answer(core, call, &answer);
 	free(call);
 	core_tick(core, now);
 }
@@ -190,19 +154,19 @@
 	election_tick(core);
 	format_tick(core);
 	catalog_tick(core);
-	users_tick(core);
+	api_tick(core);
 	peers_tick(core);
-	if (core->election.role != ROLE_LEAD)
+	if (core->election.role != ROLE_LEADER)
 		return;
-	load_tick(core);
-	machine_tick(core);
-	replica_watch_tick(core);
+	jobs_watch_tick(core);
+	machines_tick(core);
+	replica_supervision_tick(core);
 	job_tick(core);
-	round_tick(core);
-	rent_tick(core);
-	pair_tick(core);
-	commit_tick(core);
-	directs_tick(core);
+	cycle_tick(core);
+	autoscale_tick(core);
+	share_switching_tick(core);
+	write_queue_tick(core);
+	direct_commands_tick(core);
 }
 
 /* The parts look at their own due times; a coarse beat covers them, rounds and commits come first.
@@ -211,8 +175,9 @@
 {
 	double next = core->now + TICK_S;
 
-	if (core->election.role == ROLE_LEAD && core->rounds.due && core->rounds.next < next)
-		next = core->rounds.next;
+	if (core->election.role == ROLE_LEADER && core->cycles.requested &&
+	    core->cycles.next_at < next)
+		next = core->cycles.next_at;
 	return next;
 }
 
@@ -237,20 +202,20 @@
 	struct core_action *action;
 	struct call *call, *tmp;
 
-	leader_clear(core);
-	users_clear(core);
+	leader_state_clear(core);
+	api_clear(core);
 	peers_clear(core);
 	while ((action = core_take(core)))
 		core_action_free(action);
 	HASH_ITER (hh, core->calls, call, tmp) {
 		HASH_DEL(core->calls, call);
-		if (call->drop)
-			call->drop(call->arg);
+		if (call->free_arg)
+			call->free_arg(call->arg);
 		free(call);
 	}
-	wire_types_free(core->catalog.types, core->catalog.ntypes);
+	catalog_free(core);
 	free(core->teams);
-	free(core->pairing.peer_live);
+	free(core->share_switching.peer_live);
 	free(core->peers.list);
 	free(core);
 }
--- /dev/null
+++ b/src/core/model/machine.c
@@ -0,0 +1,159 @@
+/* The machines: what the cloud's list, the records and the workers say of them. */
+#include <math.h>
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+
+#include "core/state.h"
+#include "util/log.h"
+#include "util/xalloc.h"
+
+unsigned machine_count(const struct core *core)
+{
+	return HASH_COUNT(core->machines);
+}
+
+struct machine *machine_find(struct core *core, const char *id)
+{
+	struct machine *machine;
+
+	HASH_FIND_STR(core->machines, id, machine);
+	return machine;
+}
+
+struct machine *machine_find_or_add(struct core *core, const char *id)
+{
+	struct machine *machine = machine_find(core, id);
+
+	if (machine)
+		return machine;
+	machine = xcalloc(1, sizeof(*machine));
+	snprintf(machine->id, sizeof(machine->id), "%s", id);
+	machine->agent.last_heartbeat_at = machine->agent.last_message_at =
+	    machine->agent.last_report_at = machine->agent.notice_s = -1;
+	machine->probes.sent_at = core->now - PROBE_INTERVAL_S;
+	machine->agent.reachable = true;
+	machine->cloud.rented_at = machine->cloud.idle_since = core->now;
+	HASH_ADD_STR(core->machines, id, machine);
+	return machine;
+}
+
+void machine_free(struct core *core, struct machine *machine)
+{
+	HASH_DEL(core->machines, machine);
+	core->events->machine_forgotten(core, machine);
+	free(machine->agent.leftovers);
+	free(machine);
+}
+
+/* Free room is what the type offers less what is bound; an unknown type offers nothing. */
+static void machine_link(struct core *core, struct machine *machine)
+{
+	const struct binding *binding;
+
+	machine->type = catalog_find(core, machine->type_name);
+	machine->free_cpus = machine->type ? machine->type->cpus : 0;
+	machine->free_gpus = machine->type ? machine->type->gpus : 0;
+	machine->free_mem_gb = machine->type ? machine->type->mem_gb : 0;
+	DL_FOREACH2 (machine->bindings, binding, machine_next) {
+		machine->free_cpus -= binding->job->spec.cpus;
+		machine->free_gpus -= binding->job->spec.gpus;
+		machine->free_mem_gb -= binding->job->spec.mem_gb;
+	}
+}
+
+void machines_apply_catalog(struct core *core)
+{
+	struct machine *machine, *tmp;
+
+	MACHINES_FOR_EACH (core, machine, tmp)
+		machine_link(core, machine);
+}
+
+void machine_set_identity(struct core *core, struct machine *machine, const char *addr,
+			  const char *type, const char *zone, bool spot)
+{
+	if (*addr && strcmp(machine->addr, addr))
+		snprintf(machine->addr, sizeof(machine->addr), "%s", addr);
+	if (machine->type && !strcmp(machine->type_name, type))
+		return;
+	snprintf(machine->type_name, sizeof(machine->type_name), "%s", type);
+	snprintf(machine->zone, sizeof(machine->zone), "%s", zone);
+	machine->spot = spot;
+	machine_link(core, machine);
+}
+
+bool machine_is_responsive(const struct core *core, const struct machine *machine)
+{
+	return machine->agent.last_message_at >= 0 &&
+	       core->now - machine->agent.last_message_at <
+		   MACHINE_FRESH_REPORTS * core->conf->report_s;
+}
+
+/*
+ * Only reports keep a worker's lease: one that answers direct commands but reports to nobody, or to
+ * a leader of before, will lose what runs on it.
+ */
+static bool machine_reports(const struct core *core, const struct machine *machine)
+{
+	return machine->agent.last_report_at >= 0 &&
+	       core->now - machine->agent.last_report_at <
+		   MACHINE_FRESH_REPORTS * core->conf->report_s;
+}
+
+bool machine_is_leaving(const struct machine *machine)
+{
+	return (machine->agent.notice_s >= 0 || machine->cloud.draining) &&
+	       !machine->cloud.deleting;
+}
+
+bool machine_is_usable(const struct core *core, const struct machine *machine)
+{
+	return machine->type && machine->agent.incarnation && machine->agent.reachable &&
+	       !machine->cloud.draining && !machine->cloud.deleting && !machine->cloud.failed &&
+	       machine->agent.notice_s < 0 && machine_reports(core, machine) &&
+	       core->now >= machine->scheduling.backoff_until;
+}
+
+bool machine_type_allowed(const struct machine_type *type, const char *zone, bool spot,
+			  const struct job_spec *spec)
+{
+	if (spot && !spec->spot)
+		return false;
+	if (*spec->zone && strcmp(spec->zone, zone))
+		return false;
+	return !spec->types.count || name_list_has(&spec->types, type->name);
+}
+
+bool machine_has_image(const struct machine *machine, const char *image)
+{
+	for (int i = 0; i < machine->scheduling.image_count; i++)
+		if (!strcmp(machine->scheduling.images[i], image))
+			return true;
+	return false;
+}
+
+/* Most recently used first, as the machines' caches keep them. */
+void machine_note_image(struct machine *machine, const char *image)
+{
+	int at = machine->scheduling.image_count < MACHINE_IMAGES ? machine->scheduling.image_count
+								  : MACHINE_IMAGES - 1;
+
+	for (int i = 0; i < machine->scheduling.image_count; i++)
+		if (!strcmp(machine->scheduling.images[i], image))
+			at = i;
+	if (at == machine->scheduling.image_count)
+		machine->scheduling.image_count++;
+	memmove(machine->scheduling.images[1], machine->scheduling.images[0],
+		(size_t)at * NAME_MAX_LEN);
+	snprintf(machine->scheduling.images[0], NAME_MAX_LEN, "%s", image);
+}
+
+/* The cloud answered 200 to its delete: it and everything on it is gone. */
+void machine_note_deleted(struct core *core, struct machine *machine)
+{
+	log_info("machine_deleted", "machine=%s bound=%d", machine->id, machine->binding_count);
+	machine->cloud.deleted = machine->cloud.deleting = true;
+	while (machine->bindings)
+		binding_end(core, machine->bindings, END_NONE);
+}
--- a/tests/unit/test_pairing.c
+++ b/tests/unit/test_pairing.c
@@ -6,26 +6,26 @@
 static void test_zero_towards_as_many_slots_or_more(void **state)
 {
 	(void)state;
-	assert_true(pair_rho(3, 3) == 0);
-	assert_true(pair_rho(4, 3) == 0);
+	assert_true(share_switch_probability(3, 3) == 0);
+	assert_true(share_switch_probability(4, 3) == 0);
 }
 
 static void test_zero_towards_no_slots(void **state)
 {
 	(void)state;
-	assert_true(pair_rho(0, 5) == 0);
+	assert_true(share_switch_probability(0, 5) == 0);
 }
 
 static void test_one_across_a_wide_gap(void **state)
 {
 	(void)state;
-	assert_true(pair_rho(1, 5) == 1);
+	assert_true(share_switch_probability(1, 5) == 1);
 }
 
 /* (16 - 9) / 24 */
 static void test_formula_across_a_narrow_gap(void **state)
 {
-	double probability = pair_rho(3, 4);
+	double probability = share_switch_probability(3, 4);
 
 	(void)state;
 	assert_true(probability > 0.2916);
--- a/tests/unit/test_report_cache.c
+++ b/tests/unit/test_report_cache.c
@@ -5,12 +5,13 @@
 #include <string.h>
 
 #include "constants.h"
-#include "core/report_cache.h"
+#include "core/agents/report_cache.h"
 #include "wire/names.h"
 
 #define REPORT_HEAD                                                                                \
 	"{\"" W_MACHINE "\":\"vm-000001\",\"" W_ADDR "\":\"10.1.0.1:9000\",\"" W_TYPE              \
-	"\":\"g\",\"" W_ZONE "\":\"a\",\"" W_SPOT "\":false,\"" W_SESSION "\":1,\"" W_SEQ "\":"
+	"\":\"g\",\"" W_ZONE "\":\"a\",\"" W_SPOT "\":false,\"" W_INCARNATION "\":1,\"" W_SEQUENCE \
+	"\":"
 #define REPORT_TAIL ",\"" W_TOKEN "\":41,\"" W_TASKS "\":[]}"
 
 static const char stored_report[] = REPORT_HEAD "88" REPORT_TAIL;
@@ -29,7 +30,7 @@
 	wire_report_free(&report);
 	found = report_cache_find(&cache, sought, strlen(sought));
 	if (found)
-		sequence = found->seq;
+		sequence = found->sequence;
 	report_cache_remove(&cache, &slot);
 	return sequence;
 }
@@ -89,7 +90,7 @@
 
 static void test_second_sequence_number_not_cached(void **state)
 {
-	static const char nested[] = REPORT_HEAD "88,\"x\":{\"" W_SEQ "\":5}" REPORT_TAIL;
+	static const char nested[] = REPORT_HEAD "88,\"x\":{\"" W_SEQUENCE "\":5}" REPORT_TAIL;
 
 	(void)state;
 	assert_int_equal(sequence_recognised(nested, nested), 0);
--- a/tests/unit/test_report_json.c
+++ b/tests/unit/test_report_json.c
@@ -20,7 +20,7 @@
 
 	(void)state;
 	assert_int_equal(wire_report_decode(text, strlen(text), &report), 0);
-	assert_int_equal(report.ntasks, 1);
+	assert_int_equal(report.task_count, 1);
 	wire_report_free(&report);
 }
 
