--- a/tests/unit/test_share_switching.c
+++ b/tests/unit/test_share_switching.c
@@ -1,4 +1,4 @@
-/* The probability with which share_switching moves a slot from a job with more slots to one with
+/* The probability with which share switching moves a slot from a job with more slots to one with
  * fewer. */
 #include "support.h"
 
