--- a/tests/behaviour_trace.c
+++ b/tests/runner/behaviour_trace.c
@@ -12,9 +12,11 @@
 #include <stdlib.h>
 #include <xxhash.h>
 
+#include "util/xalloc.h"
+
 #define DIGEST_SEED 0
-#define LINE_MAX_BYTES 1024 /* bytes of a line without its body: addresses and paths are shorter   \
-			     */
+/* Bytes of a line without its body: addresses and paths are shorter. */
+#define LINE_MAX_BYTES 1024
 
 struct behaviour_trace {
 	XXH64_state_t *digest;
@@ -23,13 +25,9 @@
 
 struct behaviour_trace *behaviour_trace_new(const char *path)
 {
-	struct behaviour_trace *trace = calloc(1, sizeof(*trace));
+	struct behaviour_trace *trace = xcalloc(1, sizeof(*trace));
 
-	if (!trace)
-		abort();
-	trace->digest = XXH64_createState();
-	if (!trace->digest)
-		abort();
+	trace->digest = xalloc_checked(XXH64_createState());
 	XXH64_reset(trace->digest, DIGEST_SEED);
 	trace->file = path ? fopen(path, "w") : NULL;
 	if (path && !trace->file) {
--- a/tests/runner.c
+++ b/tests/runner/main.c
@@ -24,8 +24,7 @@
 #define THAW_S 1e-3 /* seconds: what waits for a controller that wakes comes before its clock */
 #define SLOW_S 0.3  /* seconds that a slow answer of the state service takes longer */
 #define EPILOGUE_S                                                                                 \
-	80.0 /* seconds played after the last line: longer than a job may be forgotten             \
-	      */
+	80.0 /* seconds played after the last line: longer than a job may go unanswered */
 #define WORDS 24
 #define SI_CAPTURES 8
 
