--- /dev/null
+++ b/tests/runner/core_inspection.c
@@ -0,0 +1,34 @@
+/* Reads the core's state; never changes it. */
+#include "core_inspection.h"
+
+#include "core/state.h"
+
+bool inspect_leads(const struct core *core)
+{
+	return core->election.role == ROLE_LEAD;
+}
+
+bool inspect_reached_step(const struct core *core, enum crash_step step)
+{
+	switch (step) {
+	case CRASH_WITH_LEASE:
+		return core->election.claiming && core->election.lease;
+	case CRASH_LOADING:
+		return core->election.role == ROLE_LOADING;
+	case CRASH_LEADING:
+		return inspect_leads(core);
+	case CRASH_NEVER:
+		break;
+	}
+	return false;
+}
+
+double inspect_direct_commands(const struct core *core)
+{
+	return core->fleet.directs;
+}
+
+double inspect_pairing_switches(const struct core *core)
+{
+	return (double)core->pairing.switches;
+}
--- /dev/null
+++ b/tests/runner/core_inspection.h
@@ -0,0 +1,27 @@
+/*
+ * What the runner reads from inside a controller's core. All else goes through core/core.h; only
+ * this module includes the core's own headers.
+ */
+#ifndef PLOVERLOFT_RUNNER_CORE_INSPECTION_H
+#define PLOVERLOFT_RUNNER_CORE_INSPECTION_H
+
+#include <stdbool.h>
+
+#include "core/core.h"
+
+/* Steps of an election at which a scenario can crash a controller. */
+enum crash_step {
+	CRASH_NEVER,
+	CRASH_WITH_LEASE, /* it holds a lease and tries to become the leader */
+	CRASH_LOADING,	  /* it is the leader and reads the records */
+	CRASH_LEADING	  /* it has read them and leads */
+};
+
+bool inspect_reached_step(const struct core *core, enum crash_step step);
+bool inspect_leads(const struct core *core);
+/* Direct commands under way. */
+double inspect_direct_commands(const struct core *core);
+/* How often the controller switched the pairing of machines. */
+double inspect_pairing_switches(const struct core *core);
+
+#endif
--- /dev/null
+++ b/tests/runner/delivery.c
@@ -0,0 +1,261 @@
+/* Delivery of messages to controllers, stand-ins and clients. */
+#include "delivery.h"
+
+#include <stdlib.h>
+#include <string.h>
+
+#include "clients.h"
+#include "connections.h"
+#include "controllers.h"
+#include "message_queue.h"
+#include "network.h"
+#include "outbox.h"
+#include "util/xalloc.h"
+#include "wire/names.h"
+
+#define SLOW_REPLY_S 0.3	  /* that a slow reply of the state service takes longer */
+#define DUPLICATE_MIN_DELAY_S 0.5 /* until the copy of a report comes */
+#define HANG_RETRY_S 0.25	  /* between looks whether a hanging machine goes on */
+
+/* A request that a stand-in has not replied to yet; its address is the stand-in's handle. */
+struct service_request {
+	int controller; /* index of the one that asked */
+	int service;	/* host that was asked */
+	uint64_t call;	/* 0: nobody waits for the reply */
+	uint64_t incarnation;
+};
+
+/* --- requests between controllers --- */
+
+static void deliver_peer_request(struct world *world, const struct message *message)
+{
+	struct core_request request = {
+	    .side = CORE_BACK,
+	    .method = message->method,
+	    .path = message->path,
+	    .body = message->body,
+	    .len = message->body_length,
+	};
+	struct peer_request *pending = xcalloc(1, sizeof(*pending));
+
+	pending->connection = PEER_CONNECTIONS + ++world->last_peer_connection;
+	pending->call = message->id;
+	pending->incarnation = message->incarnation;
+	pending->from = message->from;
+	HASH_ADD(hh, world->peer_requests, connection, sizeof(pending->connection), pending);
+	request.conn = pending->connection;
+	controller_request(world, message->to, &request);
+}
+
+void peer_requests_free(struct world *world)
+{
+	struct peer_request *pending, *next;
+
+	HASH_ITER (hh, world->peer_requests, pending, next) {
+		HASH_DEL(world->peer_requests, pending);
+		free(pending);
+	}
+}
+
+/* --- requests to the stand-ins --- */
+
+/* What is sent to a hanging machine is read when it goes on: late, if it has work by then. */
+static void wait_for_machine(struct world *world, const struct message *message)
+{
+	struct message *again = message_new(world, MESSAGE_REQUEST, message->from, message->to,
+					    world->now_s + HANG_RETRY_S);
+
+	again->id = message->id;
+	again->incarnation = message->incarnation;
+	again->method = xstrdup(message->method);
+	again->path = xstrdup(message->path);
+	message_set_body(again, message->body, message->body_length);
+}
+
+/* A handle by which the stand-in names the request in its reply; standin_reply frees it. */
+static uint64_t service_request_new(const struct message *message)
+{
+	struct service_request *pending = xcalloc(1, sizeof(*pending));
+
+	pending->controller = message->from;
+	pending->service = message->to;
+	pending->call = message->id;
+	pending->incarnation = message->incarnation;
+	return (uintptr_t)pending;
+}
+
+static void deliver_machine_request(struct world *world, const struct message *message)
+{
+	struct si_machine *machine = &world->standin.machines[message->to - HOST_MACHINES];
+
+	if (machine->power != SI_UP)
+		return;
+	if (machine->hanging) {
+		wait_for_machine(world, message);
+		return;
+	}
+	si_worker_request(&world->standin, machine, service_request_new(message), message->path,
+			  message->body);
+}
+
+static void deliver_request(struct world *world, const struct message *message)
+{
+	if (message->to < HOST_STATE)
+		deliver_peer_request(world, message);
+	else if (message->to == HOST_STATE)
+		si_state_request(&world->standin, message->from, service_request_new(message),
+				 message->method, message->path, message->body);
+	else if (message->to == HOST_CLOUD)
+		si_cloud_request(&world->standin, service_request_new(message), message->method,
+				 message->path, message->body);
+	else
+		deliver_machine_request(world, message);
+}
+
+void standin_reply(void *context, uint64_t handle, int status, const char *body)
+{
+	struct world *world = context;
+	struct service_request *pending = (struct service_request *)(uintptr_t)handle;
+
+	if (pending->call) {
+		bool slow = pending->service == HOST_STATE &&
+			    world_random(world) < world->network_faults.slow_state_replies;
+		double due_at_s = network_arrival_time(world) + (slow ? SLOW_REPLY_S : 0);
+		struct message *reply = message_new(world, MESSAGE_REPLY, pending->service,
+						    pending->controller, due_at_s);
+
+		reply->id = pending->call;
+		reply->incarnation = pending->incarnation;
+		reply->status = status;
+		reply->body = xstrdup(body ? body : "");
+	}
+	free(pending);
+}
+
+void service_requests_free(struct world *world)
+{
+	for (struct si_watch *watch = world->standin.state.watches; watch; watch = watch->next)
+		free((struct service_request *)(uintptr_t)watch->handle);
+}
+
+/* --- reports of machines --- */
+
+/* Late copies, to any controller, also of reports that a dead machine once sent. */
+static void send_duplicates(struct world *world, int machine, const char *body)
+{
+	const struct network_faults *faults = &world->network_faults;
+
+	for (int i = 0; i < world->controller_count; i++) {
+		struct message *copy;
+		double due_at_s;
+
+		if (world_random(world) >= faults->duplicate_reports)
+			continue;
+		due_at_s = world->now_s + DUPLICATE_MIN_DELAY_S +
+			   world_random(world) * faults->duplicate_delay_s;
+		copy = message_new(world, MESSAGE_REPORT, HOST_MACHINES + machine, i, due_at_s);
+		copy->report_number = DUPLICATE_REPORT_NUMBER;
+		copy->body = xstrdup(body);
+	}
+}
+
+void standin_report(void *context, int machine, int controller, const char *body)
+{
+	struct world *world = context;
+	struct message *report = message_new(world, MESSAGE_REPORT, HOST_MACHINES + machine,
+					     controller, network_arrival_time(world));
+
+	report->report_number = world->standin.machines[machine].seq;
+	report->body = xstrdup(body);
+	send_duplicates(world, machine, body);
+}
+
+static void deliver_report(struct world *world, const struct message *message)
+{
+	struct core_request request = {
+	    .conn = report_connection(message->from - HOST_MACHINES, message->report_number),
+	    .side = CORE_FRONT,
+	    .method = "POST",
+	    .path = W_PATH_BEAT,
+	    .body = message->body,
+	    .len = strlen(message->body),
+	};
+
+	controller_request(world, message->to, &request);
+}
+
+/* A machine takes the answer to its newest report only. */
+static void deliver_report_reply(struct world *world, const struct message *message)
+{
+	int index = message->to - HOST_MACHINES;
+	const struct si_machine *machine = &world->standin.machines[index];
+
+	if (report_connection_is(message->id, machine->report_seq))
+		si_worker_answer(&world->standin, index, machine->report_session,
+				 machine->report_seq, message->status, message->body);
+}
+
+/* --- replies to controllers and clients --- */
+
+static void deliver_reply(struct world *world, const struct message *message)
+{
+	struct core_answer answer = {
+	    .id = message->id,
+	    .status = message->status,
+	    .body = message->body ? message->body : "",
+	};
+
+	if (message->to == HOST_CLIENTS) {
+		client_answer(world, message);
+		return;
+	}
+	answer.len = message->body_length ? message->body_length : strlen(answer.body);
+	controller_answer(world, message->to, &answer);
+}
+
+static void deliver_timeout(struct world *world, const struct message *message)
+{
+	struct core_answer no_answer = {.id = message->id, .status = 0, .body = "", .len = 0};
+
+	controller_answer(world, message->to, &no_answer);
+}
+
+/* A controller that is down takes nothing, and none takes replies to an earlier incarnation. */
+static bool is_accepted(const struct controller *controller, const struct message *message)
+{
+	bool is_reply = message->kind == MESSAGE_REPLY || message->kind == MESSAGE_TIMEOUT;
+
+	if (!controller->up)
+		return false;
+	return !is_reply || controller->incarnation == message->incarnation;
+}
+
+void deliver_message(struct world *world, struct message *message)
+{
+	const struct controller *controller = controller_of_host(world, message->to);
+
+	if (controller && !is_accepted(controller, message))
+		return;
+	switch (message->kind) {
+	case MESSAGE_REQUEST:
+		deliver_request(world, message);
+		break;
+	case MESSAGE_REPLY:
+		deliver_reply(world, message);
+		break;
+	case MESSAGE_TIMEOUT:
+		deliver_timeout(world, message);
+		break;
+	case MESSAGE_REPORT:
+		deliver_report(world, message);
+		break;
+	case MESSAGE_REPORT_REPLY:
+		deliver_report_reply(world, message);
+		break;
+	}
+	if (!controller)
+		return;
+	if (controller->up)
+		outbox_send(world, message->to);
+	controller_crash_at_step(world, message->to);
+}
--- /dev/null
+++ b/tests/runner/network.c
@@ -0,0 +1,122 @@
+/* Which messages arrive, and when. */
+#include "network.h"
+
+#include <stdlib.h>
+
+#include <utlist.h>
+
+#include "controllers.h"
+#include "delivery.h"
+#include "message_queue.h"
+#include "util/xalloc.h"
+
+#define LATENCY_S 0.004 /* of a message on average, from half of it to one and a half */
+
+double network_arrival_time(struct world *world)
+{
+	return world->now_s + LATENCY_S * (0.5 + world_random(world));
+}
+
+struct network_cut *network_cut_add(struct world *world, int from, int to, double until_s)
+{
+	struct network_cut *cut = xcalloc(1, sizeof(*cut));
+
+	cut->from = from;
+	cut->to = to;
+	cut->until_s = until_s;
+	LL_PREPEND(world->cuts, cut);
+	return cut;
+}
+
+void network_cuts_free(struct world *world)
+{
+	struct network_cut *cut, *next;
+
+	LL_FOREACH_SAFE(world->cuts, cut, next)
+	free(cut);
+	world->cuts = NULL;
+}
+
+/* A cut both ways: its `to` may be any host. */
+static bool stops_either_way(const struct network_cut *cut, int from, int to)
+{
+	bool there = cut->from == from && (cut->to == to || cut->to == HOST_ANY);
+	bool back = cut->from == to && (cut->to == from || cut->to == HOST_ANY);
+
+	return there || back;
+}
+
+/* A cut one way: its `from` may be any host. */
+static bool stops_one_way(const struct network_cut *cut, int from, int to)
+{
+	return cut->to == to && (cut->from == from || cut->from == HOST_ANY);
+}
+
+const struct network_cut *network_cut_between(const struct world *world, int from, int to)
+{
+	const struct network_cut *cut;
+
+	LL_FOREACH(world->cuts, cut)
+	{
+		if (world->now_s >= cut->until_s)
+			continue;
+		if (cut->scope == CUT_BOTH_WAYS && stops_either_way(cut, from, to))
+			return cut;
+		if (cut->scope == CUT_ONE_WAY && stops_one_way(cut, from, to))
+			return cut;
+	}
+	return NULL;
+}
+
+static bool report_is_cut(const struct world *world, const struct message *message)
+{
+	const struct network_cut *cut;
+
+	if (message->kind != MESSAGE_REPORT)
+		return false;
+	LL_FOREACH(world->cuts, cut)
+	if (cut->scope == CUT_REPORTS && cut->to == message->from && world->now_s < cut->until_s)
+		return true;
+	return false;
+}
+
+/* Draws a random number for each message that can be lost. */
+static bool is_lost(struct world *world, const struct message *message)
+{
+	if (message->kind == MESSAGE_TIMEOUT || message->from >= HOST_CLIENTS)
+		return false;
+	return world_random(world) < world->network_faults.lost;
+}
+
+/* Takes over the message: it is delivered, lost, or goes back into the queue. */
+static void transmit(struct world *world, struct message *message)
+{
+	double wake_s = controller_wake_time(world, message);
+	const struct network_cut *cut = NULL;
+
+	if (wake_s > 0) {
+		message_postpone(world, message, wake_s);
+		return;
+	}
+	if (message->kind != MESSAGE_TIMEOUT)
+		cut = network_cut_between(world, message->from, message->to);
+	if (cut && cut->mode == CUT_HOLD) {
+		message_postpone(world, message, cut->until_s + LATENCY_S);
+		return;
+	}
+	if (!cut && !report_is_cut(world, message) && !is_lost(world, message))
+		deliver_message(world, message);
+	message_free(message);
+}
+
+void network_deliver_until(struct world *world, double until_s)
+{
+	struct message *message;
+
+	while ((message = message_take_due(world, until_s))) {
+		if (message->due_at_s > world->now_s)
+			world->now_s = message->due_at_s;
+		world->standin.now = world->now_s;
+		transmit(world, message);
+	}
+}
