--- /dev/null
+++ b/tests/runner/faults.c
@@ -0,0 +1,385 @@
+/* Lines that disturb the deployment. Those with end=1 end what the same line without it began. */
+#include "faults.h"
+
+#include <math.h>
+#include <stdlib.h>
+#include <string.h>
+
+#include "connections.h"
+#include "controllers.h"
+#include "message_queue.h"
+#include "network.h"
+#include "util/xalloc.h"
+
+#define DEFAULT_DOWN_S 3      /* of a controller that crashes */
+#define DEFAULT_DURATION_S 10 /* of a cut or an outage */
+#define DEFAULT_NOTICE_S 8    /* until a machine that got notice is taken away */
+#define DEFAULT_DUPLICATE_DELAY_S 30
+#define MACHINE_PREFIX "machine:"
+
+static double down_time(const struct scenario_line *line)
+{
+	return line_option_number(line, "back", DEFAULT_DOWN_S);
+}
+
+/* The end of a fault that begins now and lasts as long as for= says. */
+static double end_time(const struct world *world, const struct scenario_line *line)
+{
+	return world->now_s + line_option_number(line, "for", DEFAULT_DURATION_S);
+}
+
+static bool begins(const struct scenario_line *line)
+{
+	return line_option_number(line, "end", 0) == 0;
+}
+
+void fault_note_end(struct world *world, const struct scenario_line *line)
+{
+	double duration_s = fmax(line_option_number(line, "for", 0), down_time(line));
+
+	world->quiet_since_s = fmax(world->quiet_since_s, world->now_s + duration_s);
+}
+
+/* quiet: from now on the checker takes what still lasts for no fault, to test the checks */
+static void end_of_faults(struct world *world, const struct scenario_line *line)
+{
+	(void)line;
+	world->quiet_since_s = world->now_s;
+}
+
+/* cancelend N: job N is cancelled when its last task ends */
+static void cancel_at_end(struct world *world, const struct scenario_line *line)
+{
+	world->cancel_at_end = line_integer(line, 1);
+}
+
+/* --- controllers --- */
+
+/* crash NODE|leader|follower|all back=S */
+static void crash(struct world *world, const struct scenario_line *line)
+{
+	const char *who = line_word(line, 1);
+
+	if (strcmp(who, "all")) {
+		controller_crash(world, controller_named(world, who), down_time(line));
+		return;
+	}
+	for (int i = 0; i < world->controller_count; i++)
+		controller_crash(world, i, down_time(line));
+}
+
+static enum crash_step crash_step(struct world *world, const char *word)
+{
+	if (!strcmp(word, "lease"))
+		return CRASH_WITH_LEASE;
+	if (!strcmp(word, "loading"))
+		return CRASH_LOADING;
+	if (!strcmp(word, "lead"))
+		return CRASH_LEADING;
+	world_fail(world, "no such step of an election: %s", word);
+	return CRASH_NEVER;
+}
+
+/* crashon lease|loading|lead times=N back=S */
+static void crash_at_step(struct world *world, const struct scenario_line *line)
+{
+	world->election_crash.step = crash_step(world, line_word(line, 1));
+	world->election_crash.times_left = (int)line_option_number(line, "times", 1);
+	world->election_crash.down_s = down_time(line);
+}
+
+/* freeze NODE for=S */
+static void freeze(struct world *world, const struct scenario_line *line)
+{
+	int index = controller_named(world, line_word(line, 1));
+
+	world->controllers[index].frozen_until_s = end_time(world, line);
+}
+
+/* --- state service and cloud --- */
+
+/* outage state for=S / outage cloud [end=1] */
+static void outage(struct world *world, const struct scenario_line *line)
+{
+	if (strcmp(line_word(line, 1), "state")) {
+		world->standin.cloud.down = begins(line);
+		return;
+	}
+	si_state_outage(&world->standin, true);
+	world->state_outage_until_s = end_time(world, line);
+}
+
+/* refuse NODE [end=1]: the state service answers 503 to this controller */
+static void refuse(struct world *world, const struct scenario_line *line)
+{
+	int index = controller_named(world, line_word(line, 1));
+
+	world->standin.state.refuses[index] = begins(line);
+}
+
+/* stall NODE [end=1]: the state service does not answer this controller's reads of changes */
+static void stall(struct world *world, const struct scenario_line *line)
+{
+	int index = controller_named(world, line_word(line, 1));
+
+	world->standin.state.stalls[index] = begins(line);
+}
+
+/* --- network --- */
+
+/* loss P */
+static void lose(struct world *world, const struct scenario_line *line)
+{
+	world->network_faults.lost = line_number(line, 1);
+}
+
+/* repeat P */
+static void repeat(struct world *world, const struct scenario_line *line)
+{
+	world->network_faults.repeated = line_number(line, 1);
+}
+
+/* slow P */
+static void slow_state_replies(struct world *world, const struct scenario_line *line)
+{
+	world->network_faults.slow_state_replies = line_number(line, 1);
+}
+
+/* late P */
+static void delay_transactions(struct world *world, const struct scenario_line *line)
+{
+	world->network_faults.late_transactions = line_number(line, 1);
+}
+
+/* copies P after=S */
+static void duplicate_reports(struct world *world, const struct scenario_line *line)
+{
+	world->network_faults.duplicate_reports = line_number(line, 1);
+	world->network_faults.duplicate_delay_s =
+	    line_option_number(line, "after", DEFAULT_DUPLICATE_DELAY_S);
+}
+
+static int host_named(struct world *world, const char *word)
+{
+	if (!strcmp(word, "state"))
+		return HOST_STATE;
+	if (!strcmp(word, "cloud"))
+		return HOST_CLOUD;
+	if (!strcmp(word, "users"))
+		return HOST_CLIENTS;
+	if (!strcmp(word, "all"))
+		return HOST_ANY;
+	if (!strncmp(word, MACHINE_PREFIX, strlen(MACHINE_PREFIX)))
+		return HOST_MACHINES + atoi(word + strlen(MACHINE_PREFIX));
+	return controller_named(world, word);
+}
+
+static void cut_between(struct world *world, const struct scenario_line *line, int from, int to)
+{
+	bool hold = !strcmp(line_option(line, "mode", "drop"), "hold");
+	struct network_cut *cut = network_cut_add(world, from, to, end_time(world, line));
+
+	cut->mode = hold ? CUT_HOLD : CUT_DROP;
+}
+
+static void cut_from_machines(struct world *world, const struct scenario_line *line)
+{
+	int from = host_named(world, line_word(line, 1));
+
+	for (int i = 0; i < world->standin.nmachines; i++)
+		cut_between(world, line, from, HOST_MACHINES + i);
+}
+
+static void cut_from_peers(struct world *world, const struct scenario_line *line)
+{
+	int from = host_named(world, line_word(line, 1));
+
+	for (int i = 0; i < world->controller_count; i++)
+		if (i != from)
+			cut_between(world, line, from, i);
+}
+
+static void cut_machine_range(struct world *world, const struct scenario_line *line)
+{
+	int last;
+	int first = parse_range(line_word(line, 1) + strlen(MACHINE_PREFIX), &last);
+
+	for (int i = first; i <= last; i++) {
+		int to = host_named(world, line_word(line, 2));
+
+		cut_between(world, line, HOST_MACHINES + i, to);
+	}
+}
+
+/* cut A B for=S [mode=hold]: A a host or machine:K..L, B a host, "workers" or "peers" */
+static void cut(struct world *world, const struct scenario_line *line)
+{
+	const char *from = line_word(line, 1);
+	const char *to = line_word(line, 2);
+
+	if (!strcmp(to, "workers"))
+		cut_from_machines(world, line);
+	else if (!strcmp(to, "peers"))
+		cut_from_peers(world, line);
+	else if (!strncmp(from, MACHINE_PREFIX, strlen(MACHINE_PREFIX)))
+		cut_machine_range(world, line);
+	else
+		cut_between(world, line, host_named(world, from), host_named(world, to));
+}
+
+/* oneway K for=S: machine K's reports arrive, answers and commands do not reach it */
+static void cut_one_way(struct world *world, const struct scenario_line *line)
+{
+	int machine = HOST_MACHINES + line_integer(line, 1);
+	struct network_cut *added =
+	    network_cut_add(world, HOST_ANY, machine, end_time(world, line));
+
+	added->scope = CUT_ONE_WAY;
+}
+
+/* mute K for=S: machine K, or K..L, reaches no controller, while direct commands reach it */
+static void cut_reports(struct world *world, const struct scenario_line *line)
+{
+	int last;
+	int first = parse_range(line_word(line, 1), &last);
+
+	for (int i = first; i <= last; i++) {
+		struct network_cut *added =
+		    network_cut_add(world, HOST_ANY, HOST_MACHINES + i, end_time(world, line));
+
+		added->scope = CUT_REPORTS;
+	}
+}
+
+/* capture K: keeps the newest report of machine K */
+static void capture_report(struct world *world, const struct scenario_line *line)
+{
+	int machine = line_integer(line, 1) % CAPTURED_REPORTS;
+
+	free(world->captured_reports[machine]);
+	world->captured_reports[machine] = xstrdup(world->standin.machines[machine].report_text);
+}
+
+/* replay K: the captured report of machine K comes once more, to the leader */
+static void replay_report(struct world *world, const struct scenario_line *line)
+{
+	int machine = line_integer(line, 1) % CAPTURED_REPORTS;
+	int leader = controller_leader(world);
+	struct message *report;
+
+	if (leader < 0 || !world->captured_reports[machine]) {
+		world_fail(world, "nothing to replay: %s", line_word(line, 1));
+		return;
+	}
+	report = message_new(world, MESSAGE_REPORT, HOST_MACHINES + machine, leader, world->now_s);
+	report->report_number = DUPLICATE_REPORT_NUMBER;
+	report->body = xstrdup(world->captured_reports[machine]);
+}
+
+/* --- machines --- */
+
+typedef void machine_fault(struct world *world, const struct scenario_line *line,
+			   struct si_machine *machine);
+
+/* Applies a fault to machine K, or to the machines K..L. */
+static void for_machines(struct world *world, const struct scenario_line *line,
+			 machine_fault *apply)
+{
+	int last;
+	int first = parse_range(line_word(line, 1), &last);
+
+	for (int i = first; i <= last; i++)
+		apply(world, line, &world->standin.machines[i]);
+}
+
+static void kill_one(struct world *world, const struct scenario_line *line,
+		     struct si_machine *machine)
+{
+	(void)line;
+	si_machine_off(&world->standin, machine, false);
+}
+
+/* kill K: it loses its power */
+static void kill_machines(struct world *world, const struct scenario_line *line)
+{
+	for_machines(world, line, kill_one);
+}
+
+static void take_one(struct world *world, const struct scenario_line *line,
+		     struct si_machine *machine)
+{
+	(void)line;
+	si_machine_off(&world->standin, machine, true);
+}
+
+/* take K: the cloud takes it back */
+static void take_machines(struct world *world, const struct scenario_line *line)
+{
+	for_machines(world, line, take_one);
+}
+
+static void restart_one(struct world *world, const struct scenario_line *line,
+			struct si_machine *machine)
+{
+	(void)line;
+	si_machine_restart(&world->standin, machine);
+}
+
+/* restart K: back at once, all forgotten */
+static void restart_machines(struct world *world, const struct scenario_line *line)
+{
+	for_machines(world, line, restart_one);
+}
+
+static void notify_one(struct world *world, const struct scenario_line *line,
+		       struct si_machine *machine)
+{
+	machine->notice_until = world->now_s + line_option_number(line, "for", DEFAULT_NOTICE_S);
+	machine->changed = true;
+}
+
+/* notice K for=S: it learns that it will be taken away */
+static void notify_machines(struct world *world, const struct scenario_line *line)
+{
+	for_machines(world, line, notify_one);
+}
+
+static void hang_one(struct world *world, const struct scenario_line *line,
+		     struct si_machine *machine)
+{
+	(void)world;
+	machine->hanging = begins(line);
+}
+
+/* hang K [end=1] */
+static void hang_machines(struct world *world, const struct scenario_line *line)
+{
+	for_machines(world, line, hang_one);
+}
+
+const struct scenario_keyword fault_keywords[] = {
+    {"quiet", 0, end_of_faults},
+    {"cancelend", 1, cancel_at_end},
+    {"crash", 1, crash},
+    {"crashon", 1, crash_at_step},
+    {"freeze", 1, freeze},
+    {"outage", 1, outage},
+    {"refuse", 1, refuse},
+    {"stall", 1, stall},
+    {"loss", 1, lose},
+    {"repeat", 1, repeat},
+    {"slow", 1, slow_state_replies},
+    {"late", 1, delay_transactions},
+    {"copies", 1, duplicate_reports},
+    {"cut", 2, cut},
+    {"oneway", 1, cut_one_way},
+    {"mute", 1, cut_reports},
+    {"capture", 1, capture_report},
+    {"replay", 1, replay_report},
+    {"kill", 1, kill_machines},
+    {"take", 1, take_machines},
+    {"restart", 1, restart_machines},
+    {"notice", 1, notify_machines},
+    {"hang", 1, hang_machines},
+    {NULL, 0, NULL},
+};
--- /dev/null
+++ b/tests/runner/requests.c
@@ -0,0 +1,174 @@
+/* Lines with which clients ask something, and those that break a rule on purpose. */
+#include "requests.h"
+
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+
+#include "clients.h"
+#include "controllers.h"
+#include "util/xalloc.h"
+
+#define BODY_OPTION "body="
+
+static enum job_kind job_kind(const char *word)
+{
+	if (!strcmp(word, "gang"))
+		return JOB_GANG;
+	if (!strcmp(word, "service"))
+		return JOB_SERVICE;
+	return JOB_ARRAY;
+}
+
+static enum job_priority job_priority(const char *word)
+{
+	static const char *const names[] = {"production", "high", "normal", "low"};
+
+	for (size_t i = 0; i < sizeof(names) / sizeof(*names); i++)
+		if (!strcmp(names[i], word))
+			return (enum job_priority)i;
+	return PRIO_NORMAL;
+}
+
+/* How the tasks of a service end by themselves. */
+static enum task_why task_end(const char *word)
+{
+	if (!strcmp(word, "done"))
+		return WHY_DONE;
+	if (!strcmp(word, "error"))
+		return WHY_ERROR;
+	return WHY_NONE;
+}
+
+static void copy_option(char *out, size_t size, const struct scenario_line *line, const char *name,
+			const char *otherwise)
+{
+	snprintf(out, size, "%s", line_option(line, name, otherwise));
+}
+
+static void parse_job(struct job_spec *spec, const struct scenario_line *line, const char *id)
+{
+	snprintf(spec->id, sizeof(spec->id), "%s", id);
+	copy_option(spec->class_name, sizeof(spec->class_name), line, "class", "any");
+	copy_option(spec->team, sizeof(spec->team), line, "team", "core");
+	copy_option(spec->image, sizeof(spec->image), line, "image", "img");
+	copy_option(spec->zone, sizeof(spec->zone), line, "zone", "");
+	if (line_option(line, "type", NULL))
+		name_list_add(&spec->types, line_option(line, "type", ""));
+	spec->kind = job_kind(line_option(line, "kind", "array"));
+	spec->priority = job_priority(line_option(line, "prio", "normal"));
+	spec->ntasks = (uint32_t)line_option_number(line, "tasks", 1);
+	spec->cpus = line_option_number(line, "cpus", 1);
+	spec->gpus = line_option_number(line, "gpus", 0);
+	spec->mem_gb = line_option_number(line, "mem", 1);
+	spec->image_gb = line_option_number(line, "gb", 0.5);
+	spec->estimate_s = line_option_number(line, "run", 5);
+	spec->checkpoint_s = line_option_number(line, "checkpoint", 0);
+	spec->save_s = line_option_number(line, "save", 1);
+	spec->deadline_s = line_option_number(line, "deadline", -1);
+	spec->one_zone = (int)line_option_number(line, "together", 0);
+	spec->spread = (int)line_option_number(line, "spread", 0);
+	spec->spot = (int)line_option_number(line, "spot", 0);
+}
+
+/* Tells the stand-ins of a job, unless they know it already. */
+static void declare_job(struct world *world, const struct scenario_line *line, const char *id)
+{
+	struct si_job *job = si_job(&world->standin, id);
+
+	if (job)
+		return;
+	job = xcalloc(1, sizeof(*job));
+	parse_job(&job->spec, line, id);
+	job->run_s = job->spec.estimate_s;
+	job->accepted_at = -1;
+	job->answered_at = -1;
+	job->began_at = -1;
+	job->room_since = -1;
+	job->bad = line_option_set(line, "bad");
+	job->ends = task_end(line_option(line, "ends", ""));
+	job->done = xcalloc(1, job->spec.ntasks / 8 + 1);
+	HASH_ADD_STR(world->standin.jobs, spec.id, job);
+}
+
+/* The controller that the option node= names; HOST_ANY without it. */
+static int controller_option(struct world *world, const struct scenario_line *line)
+{
+	const char *word = line_option(line, "node", NULL);
+
+	return word ? controller_named(world, word) : HOST_ANY;
+}
+
+/* submit N ... [copies=]: jobs N, N + 1 and so on */
+static void submit(struct world *world, const struct scenario_line *line)
+{
+	int controller = controller_option(world, line);
+	int copies = (int)line_option_number(line, "copies", 1);
+
+	for (int i = 0; i < copies; i++) {
+		char id[ID_MAX];
+
+		format_job_id(id, line_integer(line, 1) + i);
+		declare_job(world, line, id);
+		client_request_job(world, CLIENT_SUBMIT, id, controller);
+	}
+}
+
+/* poll N [node=] */
+static void poll_job(struct world *world, const struct scenario_line *line)
+{
+	char id[ID_MAX];
+
+	format_job_id(id, line_integer(line, 1));
+	client_request_job(world, CLIENT_POLL, id, controller_option(world, line));
+}
+
+/* cancel N [node=] */
+static void cancel(struct world *world, const struct scenario_line *line)
+{
+	char id[ID_MAX];
+
+	format_job_id(id, line_integer(line, 1));
+	client_request_job(world, CLIENT_CANCEL, id, controller_option(world, line));
+}
+
+/* request METHOD PATH [node=] [body=...]: the body goes to the end of the line */
+static void send_raw(struct world *world, const struct scenario_line *line)
+{
+	const char *body = strstr(line->text, BODY_OPTION);
+	int controller = controller_option(world, line);
+
+	if (controller == HOST_ANY)
+		controller = controller_leader(world);
+	if (controller < 0)
+		controller = 0;
+	client_request_raw(world, controller, line_word(line, 1), line_word(line, 2),
+			   body ? body + strlen(BODY_OPTION) : NULL);
+}
+
+/*
+ * Each check must be able to fail: this breaks a rule on purpose.
+ * break start JOB MACHINE TASK: the machine starts a task that nobody commanded
+ * break accept JOB: the client is told that the job is accepted
+ * break told JOB STATUS [BODY]: the client gets this answer to a poll
+ */
+static void break_rule(struct world *world, const struct scenario_line *line)
+{
+	const char *what = line_word(line, 1);
+	struct standin *standin = &world->standin;
+	char id[ID_MAX];
+
+	format_job_id(id, line_integer(line, 2));
+	if (!strcmp(what, "start"))
+		si_force_start(standin, &standin->machines[line_integer(line, 3)], id,
+			       (uint32_t)line_integer(line, 4));
+	else if (!strcmp(what, "accept"))
+		si_told_submit(standin, id, 201);
+	else
+		si_told_state(standin, id, line_integer(line, 3), line_word(line, 4), world->now_s);
+}
+
+const struct scenario_keyword request_keywords[] = {
+    {"submit", 1, submit},    {"poll", 1, poll_job},	{"cancel", 1, cancel},
+    {"request", 2, send_raw}, {"break", 2, break_rule}, {NULL, 0, NULL},
+};
--- /dev/null
+++ b/tests/runner/requests.h
@@ -0,0 +1,9 @@
+/* Lines with which clients ask something of the controllers. */
+#ifndef PLOVERLOFT_RUNNER_REQUESTS_H
+#define PLOVERLOFT_RUNNER_REQUESTS_H
+
+#include "scenario_line.h"
+
+extern const struct scenario_keyword request_keywords[];
+
+#endif
--- /dev/null
+++ b/tests/runner/setup.c
@@ -0,0 +1,185 @@
+/* Lines that describe the deployment. Settings count when the controllers start. */
+#include "setup.h"
+
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+
+#include "controllers.h"
+#include "util/xalloc.h"
+
+#define BYTES_PER_KB 1024
+#define MACHINE_CACHE_GB 50
+
+/* nodes N */
+static void set_controller_count(struct world *world, const struct scenario_line *line)
+{
+	world->controller_count = line_integer(line, 1);
+}
+
+/* seed N */
+static void set_seed(struct world *world, const struct scenario_line *line)
+{
+	world->seed = strtoull(line_word(line, 1), NULL, 10);
+}
+
+/* What the state service allows from now on; limits of 0 stay as they are. */
+static void apply_limits(struct si_state *state, const struct conf_limits *limits)
+{
+	if (limits->txn_ops)
+		state->txn_ops = limits->txn_ops;
+	if (limits->value_kb > 0)
+		state->value_bytes = (size_t)(limits->value_kb * BYTES_PER_KB);
+	if (limits->rps > 0)
+		state->rps = limits->rps;
+	if (limits->write_rps > 0)
+		state->write_rps = limits->write_rps;
+}
+
+/* limits value_kb= txn_ops= write_rps= rps= */
+static void change_limits(struct world *world, const struct scenario_line *line)
+{
+	struct conf_limits limits = {
+	    .value_kb = line_option_number(line, "value_kb", 0),
+	    .txn_ops = (int)line_option_number(line, "txn_ops", 0),
+	    .write_rps = line_option_number(line, "write_rps", 0),
+	    .rps = line_option_number(line, "rps", 0),
+	};
+
+	apply_limits(&world->standin.state, &limits);
+}
+
+static void override_number(const struct scenario_line *line, const char *option, double *setting)
+{
+	*setting = line_option_number(line, option, *setting);
+}
+
+static void override_integer(const struct scenario_line *line, const char *option, int *setting)
+{
+	*setting = (int)line_option_number(line, option, *setting);
+}
+
+/* facts report= lease= cancel= txn_ops= ... keep= */
+static void change_settings(struct world *world, const struct scenario_line *line)
+{
+	struct conf *conf = &world->conf;
+
+	override_number(line, "report", &conf->report_s);
+	override_number(line, "lease", &conf->lease_s);
+	override_number(line, "cancel", &conf->cancel_s);
+	override_integer(line, "txn_ops", &conf->limits.txn_ops);
+	override_number(line, "rps", &conf->limits.rps);
+	override_number(line, "write_rps", &conf->limits.write_rps);
+	override_number(line, "value_kb", &conf->limits.value_kb);
+	override_integer(line, "next_txn_ops", &conf->next_limits.txn_ops);
+	override_number(line, "next_write_rps", &conf->next_limits.write_rps);
+	override_number(line, "next_value_kb", &conf->next_limits.value_kb);
+	apply_limits(&world->standin.state, &conf->limits);
+	world->standin.state.keep = (size_t)line_option_number(line, "keep", 0);
+}
+
+/* hold NODE|all [end=1]: counts from the controller's next start */
+static void keep_previous_format(struct world *world, const struct scenario_line *line)
+{
+	const char *who = line_word(line, 1);
+	bool all = !strcmp(who, "all");
+	bool keeps = line_option_number(line, "end", 0) == 0;
+
+	for (int i = 0; i < world->controller_count; i++)
+		if (all || controller_named(world, who) == i)
+			world->controllers[i].keeps_previous_format = keeps;
+}
+
+static enum objective_kind objective_kind(const char *word)
+{
+	if (!strcmp(word, "guarantee"))
+		return OBJ_GUARANTEE;
+	if (!strcmp(word, "wait"))
+		return OBJ_WAIT;
+	return OBJ_PRICE;
+}
+
+/* objective guarantee|wait|price class= within= share= */
+static void add_objective(struct world *world, const struct scenario_line *line)
+{
+	struct conf *conf = &world->conf;
+	struct conf_objective *objective;
+
+	conf->objectives =
+	    xreallocarray(conf->objectives, conf->nobjectives + 1, sizeof(*objective));
+	objective = &conf->objectives[conf->nobjectives++];
+	memset(objective, 0, sizeof(*objective));
+	objective->kind = objective_kind(line_word(line, 1));
+	snprintf(objective->class_name, sizeof(objective->class_name), "%s",
+		 line_option(line, "class", ""));
+	objective->within_s = line_option_number(line, "within", 0);
+	objective->share = line_option_number(line, "share", 0);
+}
+
+static void add_zones(struct name_list *zones, const char *names)
+{
+	char buffer[256];
+	char *rest = NULL;
+	const char *zone;
+
+	snprintf(buffer, sizeof(buffer), "%s", names);
+	zone = strtok_r(buffer, ",", &rest);
+	while (zone) {
+		name_list_add(zones, zone);
+		zone = strtok_r(NULL, ",", &rest);
+	}
+}
+
+/* type NAME cpus= mem= gpus= boot= fetch= price= spotprice= zones=a,b capacity= reuse= */
+static void add_machine_type(struct world *world, const struct scenario_line *line)
+{
+	struct machine_type type = {0};
+	int capacity = (int)line_option_number(line, "capacity", 10);
+
+	snprintf(type.name, sizeof(type.name), "%s", line_word(line, 1));
+	type.cpus = line_option_number(line, "cpus", 4);
+	type.gpus = line_option_number(line, "gpus", 0);
+	type.mem_gb = line_option_number(line, "mem", 16);
+	type.cache_gb = MACHINE_CACHE_GB;
+	type.fetch_gb_per_s = line_option_number(line, "fetch", 1);
+	type.price = line_option_number(line, "price", 1);
+	type.spot_price = line_option_number(line, "spotprice", type.price / 3);
+	type.boot_s = line_option_number(line, "boot", 5);
+	add_zones(&type.zones, line_option(line, "zones", "a"));
+	si_type(&world->standin, &type, capacity, line_option_set(line, "reuse"));
+}
+
+/* team NAME cpus= cpus_max= gpus= gpus_max= */
+static void add_team(struct world *world, const struct scenario_line *line)
+{
+	struct conf_team *team = world_add_team(world, line_word(line, 1));
+
+	team->cpus = line_option_number(line, "cpus", 0);
+	team->cpus_max = line_option_number(line, "cpus_max", 0);
+	team->gpus = line_option_number(line, "gpus", 0);
+	team->gpus_max = line_option_number(line, "gpus_max", 0);
+}
+
+/* machines TYPE N zone= spot= faulty= up= */
+static void add_machines(struct world *world, const struct scenario_line *line)
+{
+	const char *type = line_word(line, 1);
+	int count = line_integer(line, 2);
+
+	for (int i = 0; i < count; i++) {
+		struct si_machine *machine =
+		    si_machine(&world->standin, type, line_option(line, "zone", "a"),
+			       line_option_set(line, "spot"));
+
+		machine->up_at = line_option_number(line, "up", 0);
+		machine->faulty = line_option_set(line, "faulty");
+	}
+}
+
+const struct scenario_keyword setup_keywords[] = {
+    {"nodes", 1, set_controller_count}, {"seed", 1, set_seed},
+    {"facts", 0, change_settings},	{"limits", 0, change_limits},
+    {"hold", 1, keep_previous_format},	{"objective", 1, add_objective},
+    {"type", 1, add_machine_type},	{"team", 1, add_team},
+    {"machines", 2, add_machines},	{NULL, 0, NULL},
+};
--- /dev/null
+++ b/tests/runner/setup.h
@@ -0,0 +1,9 @@
+/* Lines that describe the deployment: controllers, settings, teams, machines. */
+#ifndef PLOVERLOFT_RUNNER_SETUP_H
+#define PLOVERLOFT_RUNNER_SETUP_H
+
+#include "scenario_line.h"
+
+extern const struct scenario_keyword setup_keywords[];
+
+#endif
