--- a/tests/runner/expectations.c
+++ b/tests/runner/expectations.c
@@ -6,130 +6,281 @@
 #include <stdlib.h>
 #include <string.h>
 
-static bool compare(double have, const char *op, double want)
+#define EQUAL_WITHIN 1e-9  /* numbers closer than this are equal */
+#define NO_SUCH_JOB (-1.0) /* measured where a job is not known */
+
+/* A measure of what happened so far; `argument` is the word behind its name. */
+struct measure {
+	const char *name;
+	double (*value)(struct world *world, const char *argument);
+};
+
+/* --- of one job, whose number is the argument --- */
+
+/* NULL if it was never submitted. */
+static const struct si_job *job_numbered(struct world *world, const char *number)
+{
+	char id[ID_MAX];
+
+	format_job_id(id, atoi(number));
+	return si_job(&world->standin, id);
+}
+
+static double client_knows_done(struct world *world, const char *argument)
+{
+	const struct si_job *job = job_numbered(world, argument);
+
+	return job && job->told_done;
+}
+
+static double client_knows_cancelled(struct world *world, const char *argument)
+{
+	const struct si_job *job = job_numbered(world, argument);
+
+	return job && job->told_cancelled;
+}
+
+static double tasks_done(struct world *world, const char *argument)
 {
-	if (!strcmp(op, "=="))
-		return fabs(have - want) < 1e-9;
-	if (!strcmp(op, ">="))
-		return have >= want;
-	return have <= want;
+	const struct si_job *job = job_numbered(world, argument);
+
+	return job ? job->ndone : NO_SUCH_JOB;
 }
 
-#define UNKNOWN_MEASURE (-2.0)
+static double task_starts(struct world *world, const char *argument)
+{
+	const struct si_job *job = job_numbered(world, argument);
+
+	return job ? job->starts : NO_SUCH_JOB;
+}
 
-/* What is known of one job; UNKNOWN_MEASURE if `what` is no measure of jobs. */
-static double measure_job(struct world *world, const char *what, const char *arg)
+/* Tasks shown as running by the newest answer to its client. */
+static double tasks_shown_running(struct world *world, const char *argument)
+{
+	const struct si_job *job = job_numbered(world, argument);
+
+	return job ? job->shown_running : NO_SUCH_JOB;
+}
+
+/* Share of a service's replica time in which a replica ran. */
+static double served_share(struct world *world, const char *argument)
+{
+	const struct si_job *job = job_numbered(world, argument);
+
+	return job && job->replica_s > 0 ? job->served_s / job->replica_s : 0;
+}
+
+/* Seconds from its acceptance until it began. */
+static double wait_time(struct world *world, const char *argument)
+{
+	const struct si_job *job = job_numbered(world, argument);
+
+	return job && job->began_at >= 0 ? job->began_at - job->accepted_at : INFINITY;
+}
+
+/* Its tasks that run on machines now. */
+static double tasks_running(struct world *world, const char *argument)
 {
 	char id[ID_MAX];
-	struct si_job *j;
-	double n = 0;
-
-	format_job_id(id, atoi(arg));
-	j = si_job(&world->standin, id);
-	if (!strcmp(what, "done"))
-		return j && j->told_done;
-	if (!strcmp(what, "cancelled"))
-		return j && j->told_cancelled;
-	if (!strcmp(what, "tasksdone"))
-		return j ? (double)j->ndone : -1;
-	if (!strcmp(what, "starts"))
-		return j ? (double)j->starts : -1;
-	if (!strcmp(what, "served")) /* share of a service's replica time */
-		return j && j->replica_s > 0 ? j->served_s / j->replica_s : 0;
-	if (!strcmp(what, "wait")) /* seconds from its acceptance until it began */
-		return j && j->began_at >= 0 ? j->began_at - j->accepted_at : INFINITY;
-	if (!strcmp(what, "shown"))
-		return j ? (double)j->shown_running : -1;
-	if (!strcmp(what, "running")) {
-		for (int i = 0; i < world->standin.nmachines; i++)
-			for (struct si_task *t = world->standin.machines[i].tasks; t; t = t->next)
-				n += t->state == TS_RUNNING && !strcmp(t->job, id);
-		return n;
+	int count = 0;
+
+	format_job_id(id, atoi(argument));
+	for (int i = 0; i < world->standin.nmachines; i++) {
+		const struct si_task *task = world->standin.machines[i].tasks;
+
+		for (; task; task = task->next)
+			count += task->state == TS_RUNNING && !strcmp(task->job, id);
 	}
-	return UNKNOWN_MEASURE;
+	return count;
 }
 
-static double measure(struct world *world, const char *what, const char *arg)
+/* --- of the controllers --- */
+
+static double leaders(struct world *world, const char *argument)
 {
-	double n = measure_job(world, what, arg);
+	int count = 0;
 
-	if (n > UNKNOWN_MEASURE)
-		return n;
-	n = 0;
-	if (!strcmp(what, "directs")) {
-		for (int i = 0; i < world->controller_count; i++)
-			n += world->controllers[i].up
-				 ? inspect_direct_commands(world->controllers[i].core)
-				 : 0;
-		return n;
-	}
-	if (!strcmp(what, "rented"))
-		return world->standin.nmachines;
-	if (!strcmp(what, "takeovers"))
-		return (double)world->standin.state.leader_puts;
-	if (!strcmp(what, "answers"))
-		return world->answer_counts[atoi(arg)];
-	if (!strcmp(what, "state"))
-		return !strcmp(arg, "puts")	  ? (double)world->standin.state.puts
-		       : !strcmp(arg, "toolarge") ? (double)world->standin.state.too_large
-		       : !strcmp(arg, "requests") ? (double)world->standin.state.requests
-						  : (double)world->standin.state.refused;
-	if (!strcmp(what, "keys")) { /* that start so */
-		for (struct si_key *key = world->standin.state.keys; key; key = key->hh.next)
-			n += !strncmp(key->key, arg, strlen(arg));
-		return n;
-	}
-	if (!strcmp(what, "asked"))
-		return !strcmp(arg, "show") ? (double)world->standin.shows
-					    : (double)world->standin.directs;
-	if (!strcmp(what, "latestarts"))
-		return (double)world->standin.starts_cancelled;
-	if (!strcmp(what, "allstarts"))
-		return (double)world->standin.starts_total;
-	if (!strcmp(what, "leaders")) {
-		for (int i = 0; i < world->controller_count; i++)
-			n += world->controllers[i].up && inspect_leads(world->controllers[i].core);
-		return n;
-	}
-	if (!strcmp(what, "machines")) {
-		for (int i = 0; i < world->standin.nmachines; i++)
-			n += world->standin.machines[i].power == SI_UP &&
-			     (!strcmp(arg, "any") ||
-			      !strcmp(world->standin.machines[i].type->name, arg));
-		return n;
-	}
-	if (!strcmp(what, "switches")) {
-		for (int i = 0; i < world->controller_count; i++)
-			n += world->controllers[i].up
-				 ? inspect_pairing_switches(world->controllers[i].core)
-				 : 0;
-		return n;
-	}
-	if (!strcmp(what, "broken")) {
-		for (int r = 0; r < RULES; r++)
-			if (!strcmp(rule_names[r], arg))
-				n += world->standin.broken[r] > 0;
-		return n;
+	(void)argument;
+	for (int i = 0; i < world->controller_count; i++)
+		count += world->controllers[i].up && inspect_leads(world->controllers[i].core);
+	return count;
+}
+
+static double direct_commands(struct world *world, const char *argument)
+{
+	double count = 0;
+
+	(void)argument;
+	for (int i = 0; i < world->controller_count; i++)
+		if (world->controllers[i].up)
+			count += inspect_direct_commands(world->controllers[i].core);
+	return count;
+}
+
+static double pairing_switches(struct world *world, const char *argument)
+{
+	double count = 0;
+
+	(void)argument;
+	for (int i = 0; i < world->controller_count; i++)
+		if (world->controllers[i].up)
+			count += inspect_pairing_switches(world->controllers[i].core);
+	return count;
+}
+
+/* Answers to clients with the status that the argument names. */
+static double client_answers(struct world *world, const char *argument)
+{
+	return world->answer_counts[atoi(argument)];
+}
+
+/* --- of the stand-ins --- */
+
+static double takeovers(struct world *world, const char *argument)
+{
+	(void)argument;
+	return (double)world->standin.state.leader_puts;
+}
+
+/* puts, toolarge, requests or refused */
+static double state_service_count(struct world *world, const char *argument)
+{
+	const struct si_state *state = &world->standin.state;
+
+	if (!strcmp(argument, "puts"))
+		return (double)state->puts;
+	if (!strcmp(argument, "toolarge"))
+		return (double)state->too_large;
+	if (!strcmp(argument, "requests"))
+		return (double)state->requests;
+	return (double)state->refused;
+}
+
+/* Records whose key begins with the argument. */
+static double keys_with_prefix(struct world *world, const char *argument)
+{
+	const struct si_key *key = world->standin.state.keys;
+	int count = 0;
+
+	for (; key; key = key->hh.next)
+		count += !strncmp(key->key, argument, strlen(argument));
+	return count;
+}
+
+/* Requests to machines: show for questions, else direct commands. */
+static double machine_requests(struct world *world, const char *argument)
+{
+	if (!strcmp(argument, "show"))
+		return (double)world->standin.shows;
+	return (double)world->standin.directs;
+}
+
+static double starts_after_cancellation(struct world *world, const char *argument)
+{
+	(void)argument;
+	return (double)world->standin.starts_cancelled;
+}
+
+static double all_starts(struct world *world, const char *argument)
+{
+	(void)argument;
+	return (double)world->standin.starts_total;
+}
+
+/* Machines that there ever were. */
+static double machines_rented(struct world *world, const char *argument)
+{
+	(void)argument;
+	return world->standin.nmachines;
+}
+
+/* Machines that are up, of the type that the argument names, or of any. */
+static double machines_up(struct world *world, const char *argument)
+{
+	bool any = !strcmp(argument, "any");
+	int count = 0;
+
+	for (int i = 0; i < world->standin.nmachines; i++) {
+		const struct si_machine *machine = &world->standin.machines[i];
+
+		count += machine->power == SI_UP && (any || !strcmp(machine->type->name, argument));
 	}
-	world_fail(world, "unknown measure: %s", what);
-	return -1;
+	return count;
 }
 
-/* expect WHAT ARG OP NUMBER */
-static void do_expect(struct world *world, const struct scenario_line *line)
+/* Whether the rule that the argument names was broken. */
+static double rule_broken(struct world *world, const char *argument)
 {
-	double have = measure(world, line->words[1], line->words[2]);
-	char text[160];
+	for (int rule = 0; rule < RULES; rule++)
+		if (!strcmp(rule_names[rule], argument))
+			return world->standin.broken[rule] > 0;
+	return 0;
+}
 
-	if (compare(have, line->words[3], atof(line->words[4])))
+static const struct measure measures[] = {
+    {"done", client_knows_done},
+    {"cancelled", client_knows_cancelled},
+    {"tasksdone", tasks_done},
+    {"starts", task_starts},
+    {"served", served_share},
+    {"wait", wait_time},
+    {"shown", tasks_shown_running},
+    {"running", tasks_running},
+    {"leaders", leaders},
+    {"directs", direct_commands},
+    {"switches", pairing_switches},
+    {"answers", client_answers},
+    {"takeovers", takeovers},
+    {"state", state_service_count},
+    {"keys", keys_with_prefix},
+    {"asked", machine_requests},
+    {"latestarts", starts_after_cancellation},
+    {"allstarts", all_starts},
+    {"rented", machines_rented},
+    {"machines", machines_up},
+    {"broken", rule_broken},
+};
+
+/* NULL if there is none of this name. */
+static const struct measure *measure_named(const char *name)
+{
+	for (size_t i = 0; i < sizeof(measures) / sizeof(*measures); i++)
+		if (!strcmp(measures[i].name, name))
+			return &measures[i];
+	return NULL;
+}
+
+static bool holds(double actual, const char *comparison, double expected)
+{
+	if (!strcmp(comparison, "=="))
+		return fabs(actual - expected) < EQUAL_WITHIN;
+	if (!strcmp(comparison, ">="))
+		return actual >= expected;
+	return actual <= expected;
+}
+
+/* expect MEASURE ARGUMENT ==|>=|<= NUMBER */
+static void expect(struct world *world, const struct scenario_line *line)
+{
+	const char *name = line_word(line, 1);
+	const char *argument = line_word(line, 2);
+	const char *comparison = line_word(line, 3);
+	const char *expected = line_word(line, 4);
+	const struct measure *measure = measure_named(name);
+	double actual;
+
+	if (!measure) {
+		world_fail(world, "unknown measure: %s", name);
 		return;
-	snprintf(text, sizeof(text), "%s %s is %g, expected %s %s", line->words[1], line->words[2],
-		 have, line->words[3], line->words[4]);
-	world_fail(world, "%s", text);
+	}
+	actual = measure->value(world, argument);
+	if (!holds(actual, comparison, atof(expected)))
+		world_fail(world, "%s %s is %g, expected %s %s", name, argument, actual, comparison,
+			   expected);
 }
 
 const struct scenario_keyword expectation_keywords[] = {
-    {"expect", 4, do_expect},
+    {"expect", 4, expect},
     {NULL, 0, NULL},
 };
 
