--- a/tests/runner/behaviour_trace.h
+++ b/tests/runner/behaviour_trace.h
@@ -21,6 +21,7 @@
 			 const struct core_action *action);
 /* The digest of all actions so far. */
 uint64_t behaviour_trace_digest(const struct behaviour_trace *trace);
+/* Closes the file and frees the trace. */
 void behaviour_trace_free(struct behaviour_trace *trace);
 
 #endif
--- a/tests/runner/clients.c
+++ b/tests/runner/clients.c
@@ -16,12 +16,6 @@
 
 #define PATIENCE_S 5 /* until a client gives a request up and tries again */
 
-#define STATUS_OK 200
-#define STATUS_CREATED 201
-#define STATUS_NOT_FOUND 404
-#define STATUS_TOO_MANY_REQUESTS 429
-#define STATUS_UNAVAILABLE 503
-
 static struct client_request *client_request_new(struct world *world, enum client_request_kind kind,
 						 const char *job, int controller)
 {
@@ -148,13 +142,13 @@
 			 const struct message *answer)
 {
 	struct standin *standin = &world->standin;
-	bool accepted = answer->status == STATUS_OK || answer->status == STATUS_CREATED;
+	bool accepted = answer->status == ANSWER_OK || answer->status == ANSWER_CREATED;
 
 	switch (client->kind) {
 	case CLIENT_SUBMIT:
 		si_told_submit(standin, client->job, answer->status);
 		if (accepted)
-			si_told_state(standin, client->job, STATUS_OK, answer->body,
+			si_told_state(standin, client->job, ANSWER_OK, answer->body,
 				      client->sent_at_s);
 		break;
 	case CLIENT_POLL:
@@ -175,9 +169,9 @@
 {
 	if (client->kind != CLIENT_SUBMIT && client->kind != CLIENT_CANCEL)
 		return false;
-	if (status == STATUS_TOO_MANY_REQUESTS || status == STATUS_UNAVAILABLE)
+	if (status == ANSWER_TOO_MANY_REQUESTS || status == ANSWER_UNAVAILABLE)
 		return true;
-	return client->kind == CLIENT_CANCEL && status == STATUS_NOT_FOUND;
+	return client->kind == CLIENT_CANCEL && status == ANSWER_NOT_FOUND;
 }
 
 void client_answer(struct world *world, const struct message *answer)
--- a/tests/runner/clients.h
+++ b/tests/runner/clients.h
@@ -4,6 +4,15 @@
 
 #include "world.h"
 
+/* Statuses of answers that clients tell apart. */
+enum answer_status {
+	ANSWER_OK = 200,
+	ANSWER_CREATED = 201,
+	ANSWER_NOT_FOUND = 404,
+	ANSWER_TOO_MANY_REQUESTS = 429,
+	ANSWER_UNAVAILABLE = 503
+};
+
 /* Sends a request for a job now; `controller` is an index, or HOST_ANY for one at random. */
 void client_request_job(struct world *world, enum client_request_kind kind, const char *job,
 			int controller);
@@ -19,6 +28,7 @@
 void clients_tick(struct world *world);
 /* Cancels the job that the scenario names (cancelend) at the moment when its last task ends. */
 void clients_cancel_at_end(struct world *world);
+/* Frees all requests under way. */
 void clients_free(struct world *world);
 
 #endif
--- a/tests/runner/connections.h
+++ b/tests/runner/connections.h
@@ -17,6 +17,7 @@
 /* A report number that no machine reaches: the answer to a duplicate goes nowhere. */
 #define DUPLICATE_REPORT_NUMBER UINT64_C(0x3ffffffe)
 
+/* Who asked on a connection. */
 enum connection_kind { CONNECTION_CLIENT, CONNECTION_PEER, CONNECTION_REPORT };
 
 static inline enum connection_kind connection_kind(uint64_t connection)
@@ -28,12 +29,14 @@
 	return CONNECTION_CLIENT;
 }
 
+/* The connection on which a machine sends the report of this number. */
 static inline uint64_t report_connection(int machine, uint64_t report_number)
 {
 	return (uint64_t)machine << MACHINE_SHIFT | REPORT_CONNECTIONS |
 	       (report_number & REPORT_NUMBER_MASK);
 }
 
+/* The machine whose report came on this connection. */
 static inline int report_connection_machine(uint64_t connection)
 {
 	return (int)(connection >> MACHINE_SHIFT);
--- a/tests/runner/core_inspection.h
+++ b/tests/runner/core_inspection.h
@@ -17,7 +17,9 @@
 	CRASH_LEADING	  /* it has read them and leads */
 };
 
+/* Whether the controller is at this step now; never so for CRASH_NEVER. */
 bool inspect_reached_step(const struct core *core, enum crash_step step);
+/* Whether it leads by its own account. */
 bool inspect_leads(const struct core *core);
 /* Direct commands under way. */
 double inspect_direct_commands(const struct core *core);
--- a/tests/runner/main.c
+++ b/tests/runner/main.c
@@ -12,8 +12,10 @@
 #include "util/log.h"
 #include "world.h"
 
-enum exit_status { EXIT_KEPT, EXIT_FAILED, EXIT_USAGE };
+/* Exit status of the program. */
+enum exit_status { STATUS_PASSED, STATUS_FAILED, STATUS_USAGE };
 
+/* What the command line says. */
 struct options {
 	const char *scenario;
 	const char *trace; /* file for the controllers' actions; NULL: none */
@@ -78,18 +80,18 @@
 
 	if (!file) {
 		fprintf(stderr, "usage: runner [--digest] [--trace FILE] SCENARIO\n");
-		return EXIT_USAGE;
+		return STATUS_USAGE;
 	}
 	set_up_log();
 	world_init(&world, options.scenario);
 	world.standin.verbose = log_on(LOG_INFO);
 	if (!set_up_trace(&world, &options))
-		return EXIT_USAGE;
+		return STATUS_USAGE;
 	scenario_play(&world, file);
 	fclose(file);
 	finish_trace(&world, &options);
 	world_free(&world);
 	if (world.failures)
 		fprintf(stderr, "%d failures\n", world.failures);
-	return world.failures ? EXIT_FAILED : EXIT_KEPT;
+	return world.failures ? STATUS_FAILED : STATUS_PASSED;
 }
--- a/tests/runner/message_queue.h
+++ b/tests/runner/message_queue.h
@@ -9,6 +9,7 @@
 			    double due_at_s);
 /* Copies `length` bytes into the message; `body` may be NULL if `length` is 0. */
 void message_set_body(struct message *message, const char *body, size_t length);
+/* Frees a message that is in no queue, and its strings. */
 void message_free(struct message *message);
 /* Takes the first message out of the queue if it is due by `until_s`; NULL if none is. */
 struct message *message_take_due(struct world *world, double until_s);
--- a/tests/runner/outbox.c
+++ b/tests/runner/outbox.c
@@ -10,6 +10,7 @@
 #include "util/xalloc.h"
 #include "wire/names.h"
 
+#define REQUEST_COPIES 2	    /* a request, and its repetition */
 #define REPEAT_DELAY_S 1.5	    /* until a repeated request is carried out again */
 #define LATE_TRANSACTION_MIN_S 2    /* until a late transaction is carried out, at least */
 #define LATE_TRANSACTION_RANGE_S 10 /* on top of that, at most */
@@ -104,7 +105,7 @@
 
 	timeout->id = action->id;
 	timeout->incarnation = world->controllers[index].incarnation;
-	for (int copy = 0; to != HOST_ANY && copy < 2; copy++) {
+	for (int copy = 0; to != HOST_ANY && copy < REQUEST_COPIES; copy++) {
 		bool late = is_late_transaction(world, to, action);
 		double due_at_s = arrival_s + copy * REPEAT_DELAY_S;
 
--- a/tests/runner/requests.c
+++ b/tests/runner/requests.c
@@ -163,7 +163,7 @@
 		si_force_start(standin, &standin->machines[line_integer(line, 3)], id,
 			       (uint32_t)line_integer(line, 4));
 	else if (!strcmp(what, "accept"))
-		si_told_submit(standin, id, 201);
+		si_told_submit(standin, id, ANSWER_CREATED);
 	else
 		si_told_state(standin, id, line_integer(line, 3), line_word(line, 4), world->now_s);
 }
--- a/tests/runner/requests.h
+++ b/tests/runner/requests.h
@@ -4,6 +4,7 @@
 
 #include "scenario_line.h"
 
+/* The keywords of these lines; ends with a name of NULL. */
 extern const struct scenario_keyword request_keywords[];
 
 #endif
--- a/tests/runner/scenario_line.h
+++ b/tests/runner/scenario_line.h
@@ -30,10 +30,12 @@
 void line_drop_words(struct scenario_line *line, int count);
 /* The word at a place, the keyword's being 0; empty if there is none. */
 const char *line_word(const struct scenario_line *line, int index);
+/* The same as a number; 0 if it is none. */
 double line_number(const struct scenario_line *line, int index);
 int line_integer(const struct scenario_line *line, int index);
 /* The value of an option; `otherwise`, which may be NULL, if the line does not have it. */
 const char *line_option(const struct scenario_line *line, const char *name, const char *otherwise);
+/* The same as a number. */
 double line_option_number(const struct scenario_line *line, const char *name, double otherwise);
 /* Whether a numeric option is there and above 0. */
 bool line_option_set(const struct scenario_line *line, const char *name);
--- a/tests/runner/world.h
+++ b/tests/runner/world.h
@@ -25,6 +25,7 @@
 /* Hosts are numbered: controllers from 0, then these. Machine N is HOST_MACHINES + N. */
 enum host { HOST_ANY = -1, HOST_STATE = 100, HOST_CLOUD, HOST_CLIENTS, HOST_MACHINES = 1000 };
 
+/* What a message is, which says who takes it and what is in it. */
 enum message_kind {
 	MESSAGE_REQUEST,
 	MESSAGE_REPLY,
@@ -57,22 +58,27 @@
 	double restart_at_s;   /* while it is down */
 	double clock_skew_s;   /* added to its wall clock */
 	double frozen_until_s; /* until then it neither reads nor sends */
-	bool
-	    keeps_previous_format; /* from its next start: records readable by the version before */
+	/* From its next start on it keeps the records readable by the version before. */
+	bool keeps_previous_format;
 };
 
+/* What happens to the messages that a cut stops. */
 enum cut_mode {
 	CUT_DROP, /* messages are lost */
 	CUT_HOLD  /* messages arrive in order when the cut ends */
 };
 
+/* Which messages a cut stops. */
 enum cut_scope {
 	CUT_BOTH_WAYS,
 	CUT_ONE_WAY, /* only what goes from `from` to `to` */
 	CUT_REPORTS  /* only the reports of `to`, to any controller */
 };
 
-/* An interruption of the network between two hosts, one of which may be HOST_ANY. */
+/*
+ * An interruption of the network between two hosts. HOST_ANY stands for all: as `to` of a cut both
+ * ways, as `from` of the others.
+ */
 struct network_cut {
 	int from, to;
 	double until_s;
@@ -100,6 +106,7 @@
 	UT_hash_handle hh;
 };
 
+/* What a client asks for. */
 enum client_request_kind {
 	CLIENT_SUBMIT,
 	CLIENT_POLL,
@@ -125,6 +132,7 @@
 	double down_s;
 };
 
+/* All of a scenario's state. It owns what it points to, but for the path of the scenario. */
 struct world {
 	double now_s;
 	struct conf conf; /* from which the controllers' own are made */
