--- a/src/core/report_cache.c
+++ b/src/core/agents/report_cache.c
@@ -1,4 +1,4 @@
-#include "core/report_cache.h"
+#include "core/agents/report_cache.h"
 
 #include <stdlib.h>
 #include <string.h>
@@ -8,8 +8,9 @@
 
 #include "constants.h"
 #include "wire/names.h"
+#include "util/xalloc.h"
 
-static const char sequence_field[] = "\"" W_SEQ "\":";
+static const char sequence_field[] = "\"" W_SEQUENCE "\":";
 
 #define SEQUENCE_FIELD_LEN (sizeof(sequence_field) - 1)
 
@@ -78,7 +79,7 @@
 	HASH_FIND(hh, cache->entries, &hash, sizeof(hash), entry);
 	if (!entry || !same_text(entry, &text))
 		return NULL;
-	entry->report.seq = text.sequence;
+	entry->report.sequence = text.sequence;
 	return &entry->report;
 }
 
@@ -97,11 +98,9 @@
 
 	report_cache_remove(cache, slot);
 	if (len > REPORT_CACHE_TEXT_MAX || text_split(body, len, &text) ||
-	    !sequence_is_unique(&text, report->seq))
+	    !sequence_is_unique(&text, report->sequence))
 		return;
-	entry = calloc(1, sizeof(*entry));
-	if (!entry)
-		abort();
+	entry = xcalloc(1, sizeof(*entry));
 	entry->hash = text_hash(&text);
 	HASH_FIND(hh, cache->entries, &entry->hash, sizeof(entry->hash), other);
 	if (other) { /* another machine's text with the same hash stays */
@@ -110,9 +109,7 @@
 	}
 	entry->head_len = text.head_len;
 	entry->tail_len = text.tail_len;
-	entry->text = malloc(text.head_len + text.tail_len);
-	if (!entry->text)
-		abort();
+	entry->text = xmalloc(text.head_len + text.tail_len);
 	memcpy(entry->text, text.head, text.head_len);
 	memcpy(entry->text + text.head_len, text.tail, text.tail_len);
 	entry->report = *report;
--- /dev/null
+++ b/src/core/autoscale/catalog_reader.c
@@ -0,0 +1,133 @@
+#include "core/autoscale/catalog_reader.h"
+
+#include <stdio.h>
+#include <string.h>
+
+#include "core/state.h"
+#include "util/log.h"
+#include "wire/names.h"
+
+#define CATALOG_KEY "k/catalog"
+
+/* Takes the types of a message as the catalog; false if it is malformed. */
+static bool take_catalog(struct core *core, json_t *message)
+{
+	struct machine_type *types;
+	size_t count;
+
+	if (wire_types_decode(message, &types, &count))
+		return false;
+	catalog_set(core, types, count);
+	return true;
+}
+
+static void on_stored(struct core *core, struct call *call, const struct call_answer *answer)
+{
+	(void)call;
+	store_note_answer(core, answer);
+}
+
+static void store_catalog_value(struct core *core, const char *key, json_t *value)
+{
+	struct txn txn;
+
+	txn_begin(&txn);
+	txn_guard(&txn, key, 0);
+	txn_put(&txn, key, value, 0);
+	store_commit(core, txn_finish(&txn), on_stored, NULL);
+}
+
+/* One value, or where that would be too large one for each type of machine. */
+static void store_catalog(struct core *core)
+{
+	json_t *all = wire_types_encode(catalog_type(core, 0), catalog_type_count(core));
+
+	core->autoscale.catalog_reader.stored = true;
+	if (wire_value_bytes(all) <= limits_job_record_bytes(core)) {
+		store_catalog_value(core, CATALOG_KEY, all);
+		return;
+	}
+	json_decref(all);
+	for (size_t i = 0; i < catalog_type_count(core); i++) {
+		const struct machine_type *type = catalog_type(core, i);
+		char key[KEY_MAX];
+
+		snprintf(key, sizeof(key), CATALOG_KEY "/%s", type->name);
+		store_catalog_value(core, key, wire_types_encode(type, 1));
+	}
+}
+
+/* Adds the types of a stored value to the array `all_types`. */
+static void add_stored_types(void *all_types, const struct kv_item *item)
+{
+	if (item->value)
+		json_array_extend(all_types, json_object_get(item->value, W_TYPES));
+}
+
+/* The types of all stored values, in the form of the cloud's answer; the caller owns it. */
+static json_t *merge_stored_types(const struct call_answer *answer)
+{
+	json_t *range = wire_parse(answer->body, answer->len);
+	json_t *types = json_array();
+
+	wire_items(range, add_stored_types, types);
+	json_decref(range);
+	return json_pack("{s:o}", W_TYPES, types);
+}
+
+static void on_stored_catalog(struct core *core, struct call *call,
+			      const struct call_answer *answer)
+{
+	json_t *message;
+
+	(void)call;
+	if (answer->status != STATUS_OK || catalog_is_known(core))
+		return;
+	message = merge_stored_types(answer);
+	if (take_catalog(core, message)) {
+		core->autoscale.catalog_reader.stored = true;
+		log_info("catalog", "from=state types=%zu", catalog_type_count(core));
+	}
+	json_decref(message);
+}
+
+static void take_cloud_catalog(struct core *core, const struct call_answer *answer)
+{
+	struct catalog_reader *reader = &core->autoscale.catalog_reader;
+	bool is_first = !catalog_is_known(core);
+	json_t *message = wire_parse(answer->body, answer->len);
+
+	if (take_catalog(core, message)) {
+		reader->next_read_at = core->now + CATALOG_EVERY_S;
+		if (is_first)
+			log_info("catalog", "from=cloud types=%zu", catalog_type_count(core));
+		if (!reader->stored)
+			store_catalog(core);
+	}
+	json_decref(message);
+}
+
+static void on_cloud_catalog(struct core *core, struct call *call, const struct call_answer *answer)
+{
+	struct catalog_reader *reader = &core->autoscale.catalog_reader;
+
+	(void)call;
+	reader->in_flight = false;
+	reader->next_read_at = core->now + CLOUD_BACKOFF_S;
+	if (answer->status == STATUS_OK)
+		take_cloud_catalog(core, answer);
+	else if (!catalog_is_known(core))
+		store_range(core, CATALOG_KEY, "", on_stored_catalog, NULL);
+}
+
+void catalog_tick(struct core *core)
+{
+	struct catalog_reader *reader = &core->autoscale.catalog_reader;
+
+	if (reader->in_flight || core->now < reader->next_read_at ||
+	    (catalog_is_known(core) && !election_is_leader(core)))
+		return;
+	reader->in_flight = true;
+	core_call(core, core->conf->cloud, "GET", format_path(W_PATH_TYPES), NULL, CALL_CLOUD_S,
+		  on_cloud_catalog, NULL);
+}
--- /dev/null
+++ b/src/core/autoscale/scale_out.c
@@ -0,0 +1,62 @@
+#include "core/autoscale/scale_out.h"
+
+#include <string.h>
+
+#include "core/state.h"
+
+bool scale_out_plan_machine(struct core *core, struct planned_rooms *rooms,
+			    const struct machine_demand *demand)
+{
+	struct machine_offer offer;
+
+	/* A job may have a hundred thousand tasks: not all of them need to be planned for now. */
+	if (rooms->to_request_count >= SCALE_OUT_BATCH_MAX * core->conf->cloud_rps)
+		return false;
+	if (!machine_offer_cheapest(core, demand, &offer))
+		return false;
+	planned_rooms_request(rooms, &offer);
+	return planned_rooms_take(rooms, demand->spec, ROOMS_TO_COME, demand->zone);
+}
+
+static bool is_same_pool(const struct planned_room *a, const struct planned_room *b)
+{
+	return a->type == b->type && a->kind == b->kind && !strcmp(a->zone, b->zone);
+}
+
+/* Requests planned machines of the first one's pool, as many as one request takes. */
+static void request_first_pool(struct core *core, struct planned_rooms *rooms)
+{
+	const struct planned_room *first = NULL;
+	struct capacity_pool pool;
+	int count = 0;
+
+	for (size_t i = 0; i < rooms->count && count < SCALE_OUT_BATCH_MAX; i++) {
+		struct planned_room *room = &rooms->list[i];
+
+		if (!room->to_request)
+			continue;
+		if (!first)
+			first = room;
+		if (!is_same_pool(room, first))
+			continue;
+		room->to_request = false;
+		rooms->to_request_count--;
+		count++;
+	}
+	if (!first)
+		return;
+	pool = (struct capacity_pool){first->type->name, first->zone, first->kind};
+	rental_request_send(core, pool, count);
+}
+
+void scale_out_scan(struct core *core)
+{
+	struct planned_rooms rooms;
+
+	planned_rooms_init(core, &rooms);
+	scale_out_plan_jobs(core, &rooms);
+	scale_out_plan_headroom(core, &rooms);
+	while (rooms.to_request_count && cloud_request_allowed(core))
+		request_first_pool(core, &rooms);
+	planned_rooms_clear(&rooms);
+}
--- a/src/core/pair.c
+++ b/src/core/scheduling/share_switching.c
@@ -13,11 +13,13 @@
 
 #include <xxhash.h>
 
+#include "core/scheduling/share_switching.h"
 #include "core/state.h"
 #include "peer.pb-c.h"
 #include "util/log.h"
+#include "util/xalloc.h"
 
-struct pair_count {
+struct job_share {
 	char id[ID_MAX];
 	double slots;
 	bool open;
@@ -25,19 +27,19 @@
 };
 
 /* A part under way in this controller: counts are being written, then read. */
-struct pair_work {
+struct partition_work {
 	uint64_t conn; /* the leader's request; 0: the leader's own part */
 	Peer__Part *part;
-	struct pair_count *own; /* our counts, as far as they are still to be written */
-	int written;		/* values of them */
-	uint64_t own_quantum;	/* that they are counts of */
-	struct pair_count *counts;
+	struct job_share *own; /* our counts, as far as they are still to be written */
+	int written;	       /* values of them */
+	uint64_t own_quantum;  /* that they are counts of */
+	struct job_share *counts;
 	json_int_t quantum; /* of the controller whose values are read */
 };
 
-static void counts_free(struct pair_count **counts)
+static void counts_free(struct job_share **counts)
 {
-	struct pair_count *count, *tmp;
+	struct job_share *count, *tmp;
 
 	HASH_ITER (hh, *counts, count, tmp) {
 		HASH_DEL(*counts, count);
@@ -47,7 +49,7 @@
 
 static void work_free(void *arg)
 {
-	struct pair_work *work = arg;
+	struct partition_work *work = arg;
 
 	counts_free(&work->own);
 	counts_free(&work->counts);
@@ -55,23 +57,21 @@
 	free(work);
 }
 
-static struct pair_count *count_get(struct pair_count **counts, const char *id)
+static struct job_share *count_get(struct job_share **counts, const char *id)
 {
-	struct pair_count *count;
+	struct job_share *count;
 
 	HASH_FIND_STR(*counts, id, count);
 	if (count)
 		return count;
-	count = calloc(1, sizeof(*count));
-	if (!count)
-		abort();
+	count = xcalloc(1, sizeof(*count));
 	snprintf(count->id, sizeof(count->id), "%s", id);
 	HASH_ADD_STR(*counts, id, count);
 	return count;
 }
 
 /* The chance that a slot of a job with m_b slots goes over to one with m_a, if m_a < m_b. */
-double pair_rho(double m_a, double m_b)
+double share_switch_probability(double m_a, double m_b)
 {
 	if (m_a <= 0 || m_a >= m_b)
 		return 0;
@@ -79,10 +79,10 @@
 }
 
 /* A partner other than the slot's own job, drawn in proportion to its count. */
-static struct pair_count *draw(struct core *core, struct pair_work *work, double total)
+static struct job_share *draw(struct core *core, struct partition_work *work, double total)
 {
 	double at = core_random(core) * total;
-	struct pair_count *count, *tmp;
+	struct job_share *count, *tmp;
 
 	HASH_ITER (hh, work->counts, count, tmp) {
 		at -= count->slots;
@@ -92,7 +92,7 @@
 	return NULL;
 }
 
-static void switches_send(struct core *core, struct pair_work *work, Peer__Switches *out)
+static void switches_send(struct core *core, struct partition_work *work, Peer__Switches *out)
 {
 	size_t n;
 	uint8_t *buf = peers_pack(&out->base, &n);
@@ -101,28 +101,27 @@
 		core_reply_packed(core, work->conn, buf, n);
 		return;
 	}
-	pair_take_switches(core, core->conf->npeers, buf, n);
+	share_switching_take(core, core->conf->npeers, buf, n);
 	free(buf);
 }
 
-static void pair_decide(struct core *core, struct pair_work *work)
+static void pair_decide(struct core *core, struct partition_work *work)
 {
 	size_t n = work->part->n_slots;
-	Peer__Switch *all = calloc(n + 1, sizeof(*all)), **list = calloc(n + 1, sizeof(*list));
+	Peer__Switch *all = xcalloc(n + 1, sizeof(*all)), **list = xcalloc(n + 1, sizeof(*list));
 	Peer__Switches out = PEER__SWITCHES__INIT;
-	struct pair_count *count, *tmp;
+	struct job_share *count, *tmp;
 	double total = 0;
 
-	if (!all || !list)
-		abort();
 	HASH_ITER (hh, work->counts, count, tmp)
 		total += count->slots;
 	for (size_t i = 0; i < n; i++) {
 		Peer__Slot *s = work->part->slots[i];
-		struct pair_count *b = count_get(&work->counts, s->job),
-				  *a = draw(core, work, total);
+		struct job_share *b = count_get(&work->counts, s->job),
+				 *a = draw(core, work, total);
 
-		if (!a || a == b || !a->open || core_random(core) >= pair_rho(a->slots, b->slots))
+		if (!a || a == b || !a->open ||
+		    core_random(core) >= share_switch_probability(a->slots, b->slots))
 			continue;
 		peer__switch__init(&all[i]);
 		all[i].slot = s;
@@ -130,7 +129,7 @@
 		list[out.n_switches++] = &all[i];
 	}
 	out.token = work->part->token;
-	out.incarnation = core->peers.incarnation;
+	out.incarnation = peers_incarnation(core);
 	out.switches = list;
 	switches_send(core, work, &out);
 	free(all);
@@ -141,7 +140,7 @@
  * A controller that had more to say some quanta ago left further values behind. Its first value,
  * which comes before them, tells its newest quantum.
  */
-static bool counts_left_over(struct pair_work *work, const struct kv_item *it)
+static bool counts_left_over(struct partition_work *work, const struct kv_item *it)
 {
 	json_int_t quantum = json_integer_value(json_object_get(it->value, "quantum"));
 	const char *name = it->key + strlen("p/");
@@ -156,7 +155,7 @@
 
 static void sum_item(void *ctx, const struct kv_item *it)
 {
-	struct pair_work *work = ctx;
+	struct partition_work *work = ctx;
 	const char *job;
 	json_t *v;
 
@@ -171,20 +170,19 @@
 	}
 }
 
-static void on_counts(struct core *core, struct call *call, int status, const char *body,
-		      size_t len)
+static void on_counts(struct core *core, struct call *call, const struct call_answer *answer)
 {
-	struct pair_work *work = call->arg;
+	struct partition_work *work = call->arg;
 	json_t *o;
 
-	store_heard(core, status);
-	if (status == 200) {
-		o = wire_parse(body, len);
+	store_note_answer(core, answer);
+	if (answer->status == STATUS_OK) {
+		o = wire_parse(answer->body, answer->len);
 		wire_items(o, sum_item, work);
 		json_decref(o);
 		pair_decide(core, work);
 	} else if (work->conn) {
-		core_reply_error(core, work->conn, 503, 0, "state");
+		core_reply_error(core, work->conn, STATUS_UNAVAILABLE, 0, "state");
 	}
 	work_free(work);
 }
@@ -192,7 +190,7 @@
 #define COUNTS_FRAME_BYTES 64 /* of a value beside its entries: names, token, quantum */
 #define COUNT_FRAME_BYTES 16  /* of an entry beside the job's id */
 
-static void add_counts_value(const struct core *core, struct txn *txn, struct pair_work *work,
+static void add_counts_value(const struct core *core, struct txn *txn, struct partition_work *work,
 			     json_t *counts)
 {
 	char key[CONF_NAME_MAX + 16];
@@ -209,11 +207,11 @@
 }
 
 /* One value, of as many of our counts as fit; they are taken off those still to be written. */
-static void add_counts(const struct core *core, struct txn *txn, struct pair_work *work)
+static void add_counts(const struct core *core, struct txn *txn, struct partition_work *work)
 {
 	size_t most = limits_job_record_bytes(core), bytes = COUNTS_FRAME_BYTES;
 	json_t *counts = json_object();
-	struct pair_count *count, *tmp;
+	struct job_share *count, *tmp;
 
 	HASH_ITER (hh, work->own, count, tmp) {
 		bytes += strlen(count->id) + COUNT_FRAME_BYTES;
@@ -226,72 +224,67 @@
 	add_counts_value(core, txn, work, counts);
 }
 
-static void write_counts(struct core *core, struct pair_work *work);
+static void write_counts(struct core *core, struct partition_work *work);
 
-static void on_written(struct core *core, struct call *call, int status, const char *body,
-		       size_t len)
+static void on_written(struct core *core, struct call *call, const struct call_answer *answer)
 {
-	struct pair_work *work = call->arg;
+	struct partition_work *work = call->arg;
 
-	(void)body;
-	(void)len;
-	store_heard(core, status);
-	if (status == 200 && work->own) {
+	store_note_answer(core, answer);
+	if (answer->status == STATUS_OK && work->own) {
 		write_counts(core, work);
 		return;
 	}
-	if (status == 200) {
-		store_range(core, "p/", "", on_counts, work)->drop = work_free;
+	if (answer->status == STATUS_OK) {
+		store_range(core, "p/", "", on_counts, work)->free_arg = work_free;
 		return;
 	}
 	if (work->conn)
-		core_reply_error(core, work->conn, 503, 0, "state");
+		core_reply_error(core, work->conn, STATUS_UNAVAILABLE, 0, "state");
 	work_free(work);
 }
 
 /* Our counts, in as many values and transactions as they need. */
-static void write_counts(struct core *core, struct pair_work *work)
+static void write_counts(struct core *core, struct partition_work *work)
 {
 	struct txn txn;
 
 	txn_begin(&txn);
 	do
 		add_counts(core, &txn, work);
-	while (work->own && txn.nops < limits_txn_ops(core));
-	store_commit(core, txn_finish(&txn), on_written, work)->drop = work_free;
+	while (work->own && txn.op_count < limits_txn_ops(core));
+	store_commit(core, txn_finish(&txn), on_written, work)->free_arg = work_free;
 }
 
 /* Starts on a part: the own counts are written. */
 static void pair_begin(struct core *core, uint64_t conn, const uint8_t *data, size_t len)
 {
 	Peer__Part *part = peer__part__unpack(NULL, len, data);
-	struct pair_work *work;
+	struct partition_work *work;
 
 	if (!part) {
-		core_reply_error(core, conn, 400, 0, "part");
+		core_reply_error(core, conn, STATUS_BAD_REQUEST, 0, "part");
 		return;
 	}
-	work = calloc(1, sizeof(*work));
-	if (!work)
-		abort();
+	work = xcalloc(1, sizeof(*work));
 	work->conn = conn;
 	work->part = part;
 	for (size_t i = 0; i < part->n_open; i++)
 		count_get(&work->counts, part->open[i]->job)->open = true;
 	for (size_t i = 0; i < part->n_slots; i++)
 		count_get(&work->own, part->slots[i]->job)->slots++;
-	work->own_quantum = ++core->pairing.quantum;
+	work->own_quantum = ++core->share_switching.quantum;
 	write_counts(core, work);
 }
 
-void pair_request(struct core *core, const struct core_request *request)
+void share_switching_request(struct core *core, const struct core_request *request)
 {
 	pair_begin(core, request->conn, (const uint8_t *)request->body, request->len);
 }
 
 /* --- the leader --- */
 
-void pair_take_switches(struct core *core, size_t peer, const uint8_t *data, size_t len)
+void share_switching_take(struct core *core, size_t peer, const uint8_t *data, size_t len)
 {
 	Peer__Switches *in = peer__switches__unpack(NULL, len, data);
 
@@ -299,38 +292,37 @@
 		return;
 	if (peer < core->conf->npeers)
 		peers_note_incarnation(core, peer, in->incarnation);
-	for (size_t i = 0; i < in->n_switches && in->token == core->election.token; i++) {
+	for (size_t i = 0; i < in->n_switches && in->token == election_token(core); i++) {
 		Peer__Slot *s = in->switches[i]->slot;
 		struct machine *m = s ? machine_find(core, s->machine) : NULL;
 		struct job *to = job_find(core, in->switches[i]->to);
 		struct binding *binding;
 
-		if (!m || !to || !job_waiting(to))
+		if (!m || !to || !job_waiting_count(to))
 			continue;
-		DL_FOREACH2 (m->bindings, binding, mnext) {
+		DL_FOREACH2 (m->bindings, binding, machine_next) {
 			if (binding->task != s->task || strcmp(binding->job->spec.id, s->job) ||
 			    *binding->switched_to)
 				continue;
-			core->pairing.switches++;
+			core->share_switching.switches++;
 			snprintf(binding->switched_to, sizeof(binding->switched_to), "%s",
 				 to->spec.id);
-			log_info("switch", "job=%s machine=%s task=%u to=%s", s->job, m->id,
+			log_info("share_switched", "job=%s machine=%s task=%u to=%s", s->job, m->id,
 				 s->task, to->spec.id);
 		}
 	}
 	peer__switches__free_unpacked(in, NULL);
 }
 
-static void on_part_answer(struct core *core, struct call *call, int status, const char *body,
-			   size_t len)
+static void on_part_answer(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	size_t i = (size_t)(uintptr_t)call->arg;
 
-	if (election_stale(core, call))
+	if (election_call_is_stale(core, call))
 		return;
-	core->pairing.peer_live[i] = status == 200;
-	if (status == 200)
-		pair_take_switches(core, i, (const uint8_t *)body, len);
+	core->share_switching.peer_live[i] = answer->status == STATUS_OK;
+	if (answer->status == STATUS_OK)
+		share_switching_take(core, i, (const uint8_t *)answer->body, answer->len);
 }
 
 /* Rendezvous: of the live controllers, the one whose hash with the machine is highest. */
@@ -345,7 +337,7 @@
 		XXH64_hash_t h =
 		    XXH3_64bits_withSeed(machine, strlen(machine), XXH3_64bits(name, strlen(name)));
 
-		if (core->pairing.peer_live[i] && h > top) {
+		if (core->share_switching.peer_live[i] && h > top) {
 			top = h;
 			best = i;
 		}
@@ -365,16 +357,14 @@
 	struct binding *binding;
 	size_t cap = 0;
 
-	HASH_ITER (hh, core->fleet.machines, machine, tmp)
-		cap += (size_t)machine->nbindings;
-	build->slots = calloc(cap + 1, sizeof(*build->slots));
-	build->slot_list = calloc(cap + 1, sizeof(*build->slot_list));
-	if (!build->slots || !build->slot_list)
-		abort();
-	HASH_ITER (hh, core->fleet.machines, machine, tmp) {
+	MACHINES_FOR_EACH (core, machine, tmp)
+		cap += (size_t)machine->binding_count;
+	build->slots = xcalloc(cap + 1, sizeof(*build->slots));
+	build->slot_list = xcalloc(cap + 1, sizeof(*build->slot_list));
+	MACHINES_FOR_EACH (core, machine, tmp) {
 		if (owner_of(core, machine->id) != owner)
 			continue;
-		DL_FOREACH2 (machine->bindings, binding, mnext) {
+		DL_FOREACH2 (machine->bindings, binding, machine_next) {
 			Peer__Slot *s = &build->slots[build->nslots];
 
 			if (binding->job->spec.kind != JOB_ARRAY || binding->job->orphan ||
@@ -393,13 +383,11 @@
 {
 	struct job *job, *tmp;
 
-	build->open = calloc(HASH_COUNT(core->jobs) + 1, sizeof(*build->open));
-	build->open_list = calloc(HASH_COUNT(core->jobs) + 1, sizeof(*build->open_list));
-	if (!build->open || !build->open_list)
-		abort();
-	HASH_ITER (hh, core->jobs, job, tmp) {
+	build->open = xcalloc(job_count(core) + 1, sizeof(*build->open));
+	build->open_list = xcalloc(job_count(core) + 1, sizeof(*build->open_list));
+	JOBS_FOR_EACH (core, job, tmp) {
 		/* A job whose team is at its limit, or with nothing waiting, is not drawn. */
-		if (job->spec.kind != JOB_ARRAY || !job_waiting(job) ||
+		if (job->spec.kind != JOB_ARRAY || !job_waiting_count(job) ||
 		    !team_has_room(core, &job->spec, 1))
 			continue;
 		peer__open__init(&build->open[build->nopen]);
@@ -418,7 +406,7 @@
 
 	build_slots(core, owner, &build);
 	build_open(core, &build);
-	part.token = core->election.token;
+	part.token = election_token(core);
 	part.slots = build.slot_list;
 	part.n_slots = build.nslots;
 	part.open = build.open_list;
@@ -428,7 +416,7 @@
 		pair_begin(core, 0, buf, n);
 		free(buf);
 	} else {
-		core_call_packed(core, core->conf->peers[owner].addr, PAIR_PATH, buf, n,
+		core_call_packed(core, core->conf->peers[owner].addr, SHARE_SWITCHING_PATH, buf, n,
 				 on_part_answer, (void *)(uintptr_t)owner);
 	}
 	free(build.slots);
@@ -438,13 +426,13 @@
 }
 
 /* Nothing is paired after a take-over until workers have had the time to report. */
-void pair_tick(struct core *core)
+void share_switching_tick(struct core *core)
 {
-	if (core->now < core->pairing.next || core->now - core->lead_since < RENT_SETTLE_S ||
-	    core->state_down)
+	if (core->now < core->share_switching.next_at ||
+	    core->now - core->leading_since < AUTOSCALE_SETTLE_S || store_is_unavailable(core))
 		return;
-	core->pairing.next =
-	    core->now + PAIR_QUANTUM_S * (1 + PAIR_JITTER * (core_random(core) - 0.5));
+	core->share_switching.next_at =
+	    core->now + SWITCH_QUANTUM_S * (1 + SWITCH_JITTER * (core_random(core) - 0.5));
 	for (size_t i = 0; i <= core->conf->npeers; i++)
 		send_part(core, i);
 }
--- a/src/core/state.h
+++ b/src/core/state.h
@@ -9,79 +9,67 @@
 
 #include "conf/conf.h"
 #include "constants.h"
-#include "core/call.h"
-#include "core/cloud.h"
-#include "core/commit.h"
+#include "core/runtime/call.h"
+#include "core/runtime/events.h"
+#include "core/agents/agents.h"
+#include "core/autoscale/autoscale.h"
+#include "core/records/write_queue.h"
 #include "core/core.h"
-#include "core/directs.h"
-#include "core/election.h"
-#include "core/format.h"
-#include "core/job.h"
-#include "core/limits.h"
-#include "core/machine.h"
-#include "core/peers.h"
-#include "core/replica_watch.h"
-#include "core/store.h"
-#include "core/users.h"
-#include "core/workers.h"
-
-/* The leader's reads of open jobs' records. */
-struct jobs_watch {
-	uint64_t revision;
-	double read_at; /* when the newest read of changes that came back was sent */
-	bool watching;
-	double again; /* steady; no read before */
-};
-
-/* When decisions are made. */
-struct rounds {
-	bool due;
-	double next, again; /* steady */
-	uint32_t attempts;  /* numbers given to starts under this token */
-};
+#include "core/agents/direct_commands.h"
+#include "core/election/election.h"
+#include "core/election/format_gate.h"
+#include "core/model/binding.h"
+#include "core/model/catalog.h"
+#include "core/model/chunk.h"
+#include "core/model/job.h"
+#include "core/model/job_failures.h"
+#include "core/records/limits.h"
+#include "core/records/recovery.h"
+#include "core/model/machine.h"
+#include "core/model/task_bitmap.h"
+#include "core/model/team.h"
+#include "core/model/tombstones.h"
+#include "core/peers/peer_link.h"
+#include "core/scheduling/cycle_trigger.h"
+#include "core/scheduling/share_switching.h"
+#include "core/agents/replica_supervision.h"
+#include "core/store/store_client.h"
+#include "core/api/api.h"
+#include "core/agents/heartbeats.h"
 
 struct core {
 	const struct conf *conf;
+	const struct core_events *events;
 	unsigned short rand48[3];
 	double now, wall;
 	struct core_action *actions;
 	struct call *calls;
 	uint64_t next_call;
+	uint64_t term; /* counts leaderships begun and given up */
 
 	struct election election;
-	struct format_watch format;
-	struct limits_learned limits;
-	bool state_down;    /* the state service's last answer was a refusal or none */
-	double state_heard; /* steady; when it last served us */
+	struct format_gate format;
+	struct learned_limits limits;
+	bool store_unavailable;	  /* the state service's last answer was a refusal or none */
+	double store_answered_at; /* steady; when it last served us */
 	struct catalog catalog;
-	struct users users;
+	struct job_api api;
 	struct peers peers;
 
 	/* the leader's */
-	double lead_since;
+	double leading_since;
 	struct jobs_watch jobs_watch;
 	struct job *jobs;
-	double next_jobs; /* steady; a look at all jobs */
+	double next_job_scan_at; /* steady; a look at all jobs */
 	struct team *teams;
-	struct fleet fleet;
-	struct replica_watch replica_watch;
-	struct commits commits;
-	struct rounds rounds;
-	struct pairing pairing;
-	struct rentals rentals;
+	struct machine *machines;
+	struct tombstones tombstones;
+	struct agents agents;
+	struct replica_supervision replica_supervision;
+	struct write_queue write_queue;
+	struct scheduling_cycles cycles;
+	struct share_switching share_switching;
+	struct autoscale autoscale;
 };
 
-/* load.c: take-over */
-void load_start(struct core *core);
-void load_tick(struct core *core);
-/* Takes an open job's record, or a newer version of it. */
-void load_job_record(struct core *core, const char *id, json_t *value, uint64_t version);
-/* Forgets all that only a leader knows. */
-void leader_clear(struct core *core);
-
-/* place.c */
-/* Something happened that decisions may follow from. */
-void round_wanted(struct core *core);
-void round_tick(struct core *core);
-
 #endif
--- a/tests/runner/clients.c
+++ b/tests/runner/clients.c
@@ -231,7 +231,7 @@
 		return;
 	snprintf(id, sizeof(id), W_JOB_PREFIX "%06d", world->cancel_at_end);
 	job = si_job(&world->standin, id);
-	if (!job || job->ndone < job->spec.ntasks)
+	if (!job || job->ndone < job->spec.task_count)
 		return;
 	world->cancel_at_end = 0;
 	client_request_job(world, CLIENT_CANCEL, id, HOST_ANY);
--- a/tests/runner/core_inspection.c
+++ b/tests/runner/core_inspection.c
@@ -5,16 +5,16 @@
 
 bool inspect_leads(const struct core *core)
 {
-	return core->election.role == ROLE_LEAD;
+	return core->election.role == ROLE_LEADER;
 }
 
 bool inspect_reached_step(const struct core *core, enum crash_step step)
 {
 	switch (step) {
 	case CRASH_WITH_LEASE:
-		return core->election.claiming && core->election.lease;
+		return core->election.claim_in_flight && core->election.lease;
 	case CRASH_LOADING:
-		return core->election.role == ROLE_LOADING;
+		return core->election.role == ROLE_RECOVERING;
 	case CRASH_LEADING:
 		return inspect_leads(core);
 	case CRASH_NEVER:
@@ -25,10 +25,10 @@
 
 double inspect_direct_commands(const struct core *core)
 {
-	return core->fleet.directs;
+	return core->agents.direct_in_flight;
 }
 
 double inspect_pairing_switches(const struct core *core)
 {
-	return (double)core->pairing.switches;
+	return (double)core->share_switching.switches;
 }
--- a/tests/runner/core_inspection.h
+++ b/tests/runner/core_inspection.h
@@ -21,9 +21,9 @@
 bool inspect_reached_step(const struct core *core, enum crash_step step);
 /* Whether it leads by its own account. */
 bool inspect_leads(const struct core *core);
-/* Direct commands under way. */
+/* Direct commands in flight. */
 double inspect_direct_commands(const struct core *core);
-/* How often the controller switched the pairing of machines. */
+/* How often it switched shares between controllers. */
 double inspect_pairing_switches(const struct core *core);
 
 #endif
--- a/tests/runner/delivery.c
+++ b/tests/runner/delivery.c
@@ -176,7 +176,7 @@
 	    .conn = report_connection(message->from - HOST_MACHINES, message->report_number),
 	    .side = CORE_FRONT,
 	    .method = "POST",
-	    .path = W_PATH_BEAT,
+	    .path = W_PATH_HEARTBEAT,
 	    .body = message->body,
 	    .len = strlen(message->body),
 	};
--- a/tests/runner/expectations.c
+++ b/tests/runner/expectations.c
@@ -89,7 +89,7 @@
 		const struct si_task *task = world->standin.machines[i].tasks;
 
 		for (; task; task = task->next)
-			count += task->state == TS_RUNNING && !strcmp(task->job, id);
+			count += task->state == TASK_RUNNING && !strcmp(task->job, id);
 	}
 	return count;
 }
--- a/tests/runner/requests.c
+++ b/tests/runner/requests.c
@@ -31,13 +31,13 @@
 }
 
 /* How the tasks of a service end by themselves. */
-static enum task_why task_end(const char *word)
+static enum task_end_reason task_end(const char *word)
 {
 	if (!strcmp(word, "done"))
-		return WHY_DONE;
+		return END_DONE;
 	if (!strcmp(word, "error"))
-		return WHY_ERROR;
-	return WHY_NONE;
+		return END_ERROR;
+	return END_NONE;
 }
 
 static void copy_option(char *out, size_t size, const struct scenario_line *line, const char *name,
@@ -57,7 +57,7 @@
 		name_list_add(&spec->types, line_option(line, "type", ""));
 	spec->kind = job_kind(line_option(line, "kind", "array"));
 	spec->priority = job_priority(line_option(line, "prio", "normal"));
-	spec->ntasks = (uint32_t)line_option_number(line, "tasks", 1);
+	spec->task_count = (uint32_t)line_option_number(line, "tasks", 1);
 	spec->cpus = line_option_number(line, "cpus", 1);
 	spec->gpus = line_option_number(line, "gpus", 0);
 	spec->mem_gb = line_option_number(line, "mem", 1);
@@ -87,7 +87,7 @@
 	job->room_since = -1;
 	job->bad = line_option_set(line, "bad");
 	job->ends = task_end(line_option(line, "ends", ""));
-	job->done = xcalloc(1, job->spec.ntasks / 8 + 1);
+	job->done = xcalloc(1, job->spec.task_count / 8 + 1);
 	HASH_ADD_STR(world->standin.jobs, spec.id, job);
 }
 
--- a/tests/runner/setup.c
+++ b/tests/runner/setup.c
@@ -93,10 +93,10 @@
 static enum objective_kind objective_kind(const char *word)
 {
 	if (!strcmp(word, "guarantee"))
-		return OBJ_GUARANTEE;
+		return OBJECTIVE_GUARANTEE;
 	if (!strcmp(word, "wait"))
-		return OBJ_WAIT;
-	return OBJ_PRICE;
+		return OBJECTIVE_WAIT;
+	return OBJECTIVE_PRICE;
 }
 
 /* objective guarantee|wait|price class= within= share= */
