--- /dev/null
+++ b/src/core/scheduling/share_switching_leader.c
@@ -0,0 +1,210 @@
+/*
+ * The leader's part of share switching: each quantum it hands every live controller the slots whose
+ * machines hash to it, and it applies the switches that come back.
+ */
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+
+#include <xxhash.h>
+
+#include "core/scheduling/share_switching.h"
+#include "core/state.h"
+#include "peer.pb-c.h"
+#include "util/log.h"
+#include "util/xalloc.h"
+
+/* --- switches that come back --- */
+
+static bool binding_holds_slot(const struct binding *binding, const Peer__Slot *slot)
+{
+	return binding->task == slot->task && !strcmp(binding->job->spec.id, slot->job);
+}
+
+static void switch_binding(struct core *core, struct binding *binding, const struct job *target)
+{
+	core->share_switching.switches++;
+	snprintf(binding->switched_to, sizeof(binding->switched_to), "%s", target->spec.id);
+	log_info("share_switched", "job=%s machine=%s task=%u to=%s", binding->job->spec.id,
+		 binding->machine->id, binding->task, target->spec.id);
+}
+
+static void apply_switch(struct core *core, const Peer__Switch *change)
+{
+	const Peer__Slot *slot = change->slot;
+	struct machine *machine = slot ? machine_find(core, slot->machine) : NULL;
+	const struct job *target = job_find(core, change->to);
+	struct binding *binding;
+
+	if (!machine || !target || !job_waiting_count(target))
+		return;
+	DL_FOREACH2 (machine->bindings, binding, machine_next) {
+		if (binding_holds_slot(binding, slot) && !*binding->switched_to)
+			switch_binding(core, binding, target);
+	}
+}
+
+void share_switching_apply(struct core *core, size_t peer, const uint8_t *message, size_t len)
+{
+	Peer__Switches *switches = peer__switches__unpack(NULL, len, message);
+
+	if (!switches)
+		return;
+	if (peer < core->conf->npeers)
+		peers_note_incarnation(core, peer, switches->incarnation);
+	if (switches->token == election_token(core))
+		for (size_t i = 0; i < switches->n_switches; i++)
+			apply_switch(core, switches->switches[i]);
+	peer__switches__free_unpacked(switches, NULL);
+}
+
+/* --- parts that are handed out --- */
+
+static XXH64_hash_t rendezvous_weight(const char *machine, const char *controller)
+{
+	XXH64_hash_t seed = XXH3_64bits(controller, strlen(controller));
+
+	return XXH3_64bits_withSeed(machine, strlen(machine), seed);
+}
+
+/*
+ * Rendezvous hashing: of the live controllers, the one whose hash with the machine is highest. The
+ * number of peers stands for this controller.
+ */
+static size_t controller_of_machine(const struct core *core, const char *machine)
+{
+	size_t best = core->conf->npeers;
+	XXH64_hash_t best_weight = rendezvous_weight(machine, core->conf->name);
+
+	for (size_t i = 0; i < core->conf->npeers; i++) {
+		XXH64_hash_t weight = rendezvous_weight(machine, core->conf->peers[i].name);
+
+		if (core->share_switching.peer_live[i] && weight > best_weight) {
+			best_weight = weight;
+			best = i;
+		}
+	}
+	return best;
+}
+
+/* The entries of a Part message: the lists point into the arrays, whose texts are borrowed. */
+struct part_entries {
+	Peer__Slot *slots, **slot_list;
+	Peer__Open *open_jobs, **open_list;
+	size_t slot_count, open_count;
+};
+
+static void part_entries_free(struct part_entries *entries)
+{
+	free(entries->slots);
+	free(entries->slot_list);
+	free(entries->open_jobs);
+	free(entries->open_list);
+}
+
+static void add_slot(struct part_entries *entries, const struct binding *binding)
+{
+	Peer__Slot *slot = &entries->slots[entries->slot_count];
+
+	if (binding->job->spec.kind != JOB_ARRAY || binding->job->orphan || *binding->switched_to)
+		return;
+	peer__slot__init(slot);
+	slot->machine = binding->machine->id;
+	slot->job = binding->job->spec.id;
+	slot->task = binding->task;
+	entries->slot_list[entries->slot_count++] = slot;
+}
+
+static void add_slots(struct core *core, size_t controller, struct part_entries *entries)
+{
+	struct machine *machine, *next;
+	const struct binding *binding;
+	size_t slot_max = 0;
+
+	MACHINES_FOR_EACH (core, machine, next)
+		slot_max += (size_t)machine->binding_count;
+	entries->slots = xcalloc(slot_max + 1, sizeof(*entries->slots));
+	entries->slot_list = xcalloc(slot_max + 1, sizeof(*entries->slot_list));
+	MACHINES_FOR_EACH (core, machine, next) {
+		if (controller_of_machine(core, machine->id) != controller)
+			continue;
+		DL_FOREACH2 (machine->bindings, binding, machine_next)
+			add_slot(entries, binding);
+	}
+}
+
+/* Adds the arrays that slots may be switched to. */
+static void add_open_jobs(struct core *core, struct part_entries *entries)
+{
+	struct job *job, *next;
+
+	entries->open_jobs = xcalloc(job_count(core), sizeof(*entries->open_jobs));
+	entries->open_list = xcalloc(job_count(core), sizeof(*entries->open_list));
+	JOBS_FOR_EACH (core, job, next) {
+		Peer__Open *open = &entries->open_jobs[entries->open_count];
+
+		/* A job whose team is at its limit, or with nothing waiting, is not drawn. */
+		if (job->spec.kind != JOB_ARRAY || !job_waiting_count(job) ||
+		    !team_has_room(core, &job->spec, 1))
+			continue;
+		peer__open__init(open);
+		open->job = job->spec.id;
+		entries->open_list[entries->open_count++] = open;
+	}
+}
+
+/* The packed Part message of the controller, which the caller owns. */
+static uint8_t *pack_part(struct core *core, size_t controller, size_t *len)
+{
+	struct part_entries entries = {0};
+	Peer__Part part = PEER__PART__INIT;
+	uint8_t *message;
+
+	add_slots(core, controller, &entries);
+	add_open_jobs(core, &entries);
+	part.token = election_token(core);
+	part.slots = entries.slot_list;
+	part.n_slots = entries.slot_count;
+	part.open = entries.open_list;
+	part.n_open = entries.open_count;
+	message = peers_pack(&part.base, len);
+	part_entries_free(&entries);
+	return message;
+}
+
+static void on_part_answer(struct core *core, struct call *call, const struct call_answer *answer)
+{
+	size_t peer = (size_t)(uintptr_t)call->arg;
+
+	if (election_call_is_stale(core, call))
+		return;
+	core->share_switching.peer_live[peer] = answer->status == STATUS_OK;
+	if (answer->status == STATUS_OK)
+		share_switching_apply(core, peer, (const uint8_t *)answer->body, answer->len);
+}
+
+static void send_part(struct core *core, size_t controller)
+{
+	size_t len;
+	uint8_t *message = pack_part(core, controller, &len);
+
+	if (controller < core->conf->npeers) {
+		core_call_packed(core, core->conf->peers[controller].addr, SHARE_SWITCHING_PATH,
+				 message, len, on_part_answer, (void *)(uintptr_t)controller);
+		return;
+	}
+	share_switching_decide(core, 0, message, len);
+	free(message);
+}
+
+/* Nothing is switched after a take-over until agents have had the time to report. */
+void share_switching_tick(struct core *core)
+{
+	if (core->now < core->share_switching.next_at ||
+	    core->now - core->leading_since < AUTOSCALE_SETTLE_S || store_is_unavailable(core))
+		return;
+	core->share_switching.next_at =
+	    core->now + SWITCH_QUANTUM_S * (1 + SWITCH_JITTER * (core_random(core) - 0.5));
+	for (size_t i = 0; i <= core->conf->npeers; i++)
+		send_part(core, i);
+}
