--- /dev/null
+++ b/src/core/scheduling/array_placement.c
@@ -0,0 +1,148 @@
+#include "core/scheduling/array_placement.h"
+
+#include <stdlib.h>
+#include <string.h>
+
+#include "core/scheduling/compare.h"
+#include "core/scheduling/objectives.h"
+#include "core/scheduling/placement.h"
+#include "core/scheduling/placement_cost.h"
+#include "core/scheduling/preemption.h"
+#include "core/scheduling/waiting_shapes.h"
+#include "core/scheduling/zones.h"
+#include "core/state.h"
+#include "util/xalloc.h"
+
+/* One slot for each array that has none; for it, lower work may be stopped. */
+static void place_first_tasks(struct scheduling_cycle *cycle, const struct job_list *arrays)
+{
+	for (size_t i = 0; i < arrays->count; i++) {
+		struct job *job = arrays->jobs[i];
+
+		if (!job->bound_count && !place_next_task(cycle, job, ROOM_ANY))
+			preemption_make_room(cycle, job);
+	}
+}
+
+/* --- deadlines --- */
+
+static int compare_needs(const void *a, const void *b)
+{
+	const struct array_need *left = a, *right = b;
+	int order = compare_numbers(left->deadline_factor, right->deadline_factor);
+
+	if (!order)
+		order = compare_numbers(left->slots, right->slots);
+	return order ? order : strcmp(left->job->spec.id, right->job->spec.id);
+}
+
+/*
+ * When not all can be done by their deadlines, equal shares would make all of them late. The array
+ * that needs least is served first, up to what it needs; what is left is shared equally.
+ */
+static void place_for_deadlines(struct scheduling_cycle *cycle, const struct job_list *arrays)
+{
+	struct array_need *needs = xcalloc(arrays->count, sizeof(*needs));
+	size_t need_count = 0;
+
+	for (size_t i = 0; i < arrays->count; i++) {
+		needs[need_count] = array_need(cycle->core, arrays->jobs[i]);
+		need_count += needs[need_count].slots > 0;
+	}
+	qsort(needs, need_count, sizeof(*needs), compare_needs);
+	for (size_t i = 0; i < need_count; i++) {
+		struct job *job = needs[i].job;
+
+		while (job->bound_count < needs[i].slots && place_next_task(cycle, job, ROOM_ANY))
+			;
+	}
+	free(needs);
+}
+
+/* --- freed slots --- */
+
+static bool may_start_now(struct core *core, const struct job *job)
+{
+	return job->spec.kind == JOB_ARRAY && job_waiting_count(job) &&
+	       core->now >= job->scheduling.retry_at && team_has_room(core, &job->spec, 1);
+}
+
+/* Whether one more task of the job may take room on the machine, by all rules. */
+static bool may_use_machine(struct scheduling_cycle *cycle, const struct job *job,
+			    const struct machine *machine)
+{
+	const struct machine_room *room = &cycle->rooms[machine->scheduling.room_index];
+
+	if (job_failed_on(job, machine))
+		return false;
+	cycle_mark_allowed(cycle, &job->spec);
+	return cycle->pools[room->pool].allowed && machine_room_slots(room, job) &&
+	       job_may_use_zone(job, machine->zone) &&
+	       !cycle_gang_needs_room(cycle, room, &job->spec);
+}
+
+/*
+ * Takes the note of a freed slot off the machine. Returns the array that the slot is kept for or
+ * was switched to; NULL if it can't use it.
+ */
+static struct job *take_freed_slot(struct scheduling_cycle *cycle, struct machine *machine)
+{
+	struct core *core = cycle->core;
+	struct job *job = job_find(core, machine->scheduling.freed_slot_job);
+
+	machine->scheduling.freed_slot_job[0] = 0;
+	if (!job || core->now > machine->scheduling.freed_slot_until)
+		return NULL;
+	return may_start_now(core, job) && may_use_machine(cycle, job, machine) ? job : NULL;
+}
+
+static void place_in_freed_slots(struct scheduling_cycle *cycle)
+{
+	for (size_t i = 0; i < cycle->room_count; i++) {
+		struct machine *machine = cycle->rooms[i].machine;
+		struct job *job;
+		uint32_t task;
+
+		if (!*machine->scheduling.freed_slot_job)
+			continue;
+		job = take_freed_slot(cycle, machine);
+		if (!job)
+			continue;
+		task = next_placeable_task(cycle->core, job);
+		if (task < job->spec.task_count)
+			bind_task(cycle, job, machine, task, cycle_attempt(cycle));
+	}
+}
+
+/* --- equal shares --- */
+
+/*
+ * Gives one task more to each array that has no more than `level` slots. Returns the number of
+ * arrays that may still get some; those that find no room are taken off the list.
+ */
+static size_t fill_level(struct scheduling_cycle *cycle, struct job_list *arrays, uint32_t level)
+{
+	size_t left = 0;
+
+	for (size_t i = 0; i < arrays->count; i++) {
+		struct job *job = arrays->jobs[i];
+
+		if (job->bound_count > level || place_next_task(cycle, job, ROOM_SPARE))
+			arrays->jobs[left++] = job;
+	}
+	arrays->count = left;
+	return left;
+}
+
+void place_arrays(struct scheduling_cycle *cycle, struct job_list *arrays)
+{
+	uint32_t level = 0;
+
+	if (!arrays->count)
+		return;
+	place_first_tasks(cycle, arrays);
+	place_for_deadlines(cycle, arrays);
+	place_in_freed_slots(cycle);
+	while (fill_level(cycle, arrays, level))
+		level++;
+}
--- /dev/null
+++ b/src/core/scheduling/compare.h
@@ -0,0 +1,12 @@
+/* Comparisons for qsort. */
+#ifndef PLOVERLOFT_COMPARE_H
+#define PLOVERLOFT_COMPARE_H
+
+static inline int compare_numbers(double a, double b)
+{
+	if (a == b)
+		return 0;
+	return a < b ? -1 : 1;
+}
+
+#endif
--- /dev/null
+++ b/src/core/scheduling/cycle_trigger.c
@@ -0,0 +1,91 @@
+#include "core/scheduling/cycle_trigger.h"
+
+#include <stdlib.h>
+
+#include "core/scheduling/array_placement.h"
+#include "core/scheduling/cycle.h"
+#include "core/scheduling/gang_placement.h"
+#include "core/scheduling/job_order.h"
+#include "core/scheduling/preemption.h"
+#include "core/scheduling/service_placement.h"
+#include "core/state.h"
+#include "util/xalloc.h"
+
+void cycle_request(struct core *core)
+{
+	if (core->cycles.requested)
+		return;
+	core->cycles.requested = true;
+	core->cycles.next_at = core->now + CYCLE_MIN_S + CYCLE_JOB_S * job_count(core);
+}
+
+static bool place_whole_job(struct scheduling_cycle *cycle, struct job *job)
+{
+	return job->spec.kind == JOB_GANG ? place_gang(cycle, job) : place_service(cycle, job);
+}
+
+/* Serves the jobs of one priority: gangs and services in their order, then the arrays together. */
+static void place_jobs(struct scheduling_cycle *cycle, const struct job_list *jobs)
+{
+	struct job_list arrays = {.jobs = xcalloc(jobs->count, sizeof(*arrays.jobs))};
+
+	for (size_t i = 0; i < jobs->count; i++) {
+		struct job *job = jobs->jobs[i];
+
+		if (job->spec.kind == JOB_ARRAY)
+			arrays.jobs[arrays.count++] = job;
+		else if (!place_whole_job(cycle, job))
+			preemption_make_room(cycle, job);
+	}
+	place_arrays(cycle, &arrays);
+	free(arrays.jobs);
+}
+
+/* The jobs from `first` on that have its priority; the array stays owned by `jobs`. */
+static struct job_list jobs_of_priority(const struct job_list *jobs, size_t first)
+{
+	struct job_list same = {.jobs = jobs->jobs + first};
+
+	while (first + same.count < jobs->count &&
+	       same.jobs[same.count]->spec.priority == same.jobs[0]->spec.priority)
+		same.count++;
+	return same;
+}
+
+static void run_cycle(struct core *core, const struct job_list *jobs)
+{
+	const struct job_list no_jobs = {0};
+	bool must_move = replicas_must_move(core);
+	struct scheduling_cycle cycle;
+	struct job_list group;
+
+	/* A replica that moves is no waiting job: any room may be of use to it. */
+	cycle_begin(core, &cycle, must_move ? &no_jobs : jobs);
+	for (size_t first = 0; first < jobs->count; first += group.count) {
+		group = jobs_of_priority(jobs, first);
+		place_jobs(&cycle, &group);
+	}
+	if (must_move)
+		move_replicas(&cycle);
+	if (cycle.budget_exhausted)
+		cycle_request(core);
+	cycle_end(&cycle);
+}
+
+void cycle_tick(struct core *core)
+{
+	struct job_list jobs;
+
+	if (core->now >= core->cycles.next_periodic_at)
+		cycle_request(core); /* backoffs and freshness pass without an event */
+	if (!core->cycles.requested || core->now < core->cycles.next_at)
+		return;
+	core->cycles.requested = false;
+	core->cycles.next_periodic_at = core->now + CYCLE_PERIOD_S;
+	if (election_renewal_age(core) > LEADER_TTL_MS / 1000.0 * 2)
+		return; /* without the state service nothing can be committed */
+	jobs = waiting_jobs(core);
+	if (jobs.count || replicas_must_move(core))
+		run_cycle(core, &jobs);
+	free(jobs.jobs);
+}
--- /dev/null
+++ b/src/core/scheduling/gang_placement.c
@@ -0,0 +1,129 @@
+#include "core/scheduling/gang_placement.h"
+
+#include <math.h>
+#include <string.h>
+
+#include "core/scheduling/candidates.h"
+#include "core/scheduling/placement.h"
+#include "core/scheduling/placement_cost.h"
+#include "core/scheduling/waiting_shapes.h"
+#include "core/scheduling/zones.h"
+#include "core/state.h"
+
+/* Lists the machines with room for a task of the job; their costs are not set yet. */
+static void find_candidates(struct scheduling_cycle *cycle, const struct job *job)
+{
+	cycle_mark_allowed(cycle, &job->spec);
+	cycle->candidate_count = 0;
+	for (size_t i = 0; i < cycle->open_count; i++) {
+		struct machine_room *room = &cycle->rooms[cycle->open_rooms[i]];
+		struct candidate *candidate = &cycle->candidates[cycle->candidate_count];
+
+		if (!cycle->pools[room->pool].allowed)
+			continue;
+		candidate->room = room;
+		candidate->slots = machine_room_slots(room, job);
+		cycle->candidate_count += candidate->slots > 0;
+	}
+}
+
+static void cost_candidates(struct scheduling_cycle *cycle, const struct job *job)
+{
+	for (size_t i = 0; i < cycle->candidate_count; i++) {
+		struct candidate *candidate = &cycle->candidates[i];
+		const struct machine_room *room = candidate->room;
+
+		candidate->cost =
+		    cycle->pools[room->pool].cost_s + placement_cost(room->machine, job);
+	}
+	candidates_sort_by_cost(cycle);
+}
+
+/* Whether a pool before this one is of the same zone. */
+static bool zone_came_before(const struct scheduling_cycle *cycle, size_t pool)
+{
+	for (size_t i = 0; i < pool; i++)
+		if (!strcmp(cycle->pools[i].zone, cycle->pools[pool].zone))
+			return true;
+	return false;
+}
+
+/* Whether a spread gang finds room at all: half of it in any one zone at most. */
+static bool spread_fits(const struct scheduling_cycle *cycle, const struct job *job)
+{
+	uint32_t task_count = job->spec.task_count;
+	uint32_t slots = 0;
+
+	for (size_t i = 0; i < cycle->pool_count; i++) {
+		const char *zone = cycle->pools[i].zone;
+		uint32_t zone_slots, zone_most;
+
+		if (zone_came_before(cycle, i))
+			continue;
+		zone_slots = candidates_slots(cycle, zone, task_count);
+		zone_most = job_zone_capacity_left(job, zone);
+		slots += zone_slots < zone_most ? zone_slots : zone_most;
+	}
+	return slots >= task_count;
+}
+
+/* Binds as many tasks as the candidate takes, from `task` on; returns the first one left. */
+static uint32_t bind_to_candidate(struct scheduling_cycle *cycle, struct job *job,
+				  const struct candidate *candidate, uint32_t task,
+				  uint64_t attempt)
+{
+	struct machine *machine = candidate->room->machine;
+
+	for (uint32_t i = 0; i < candidate->slots && task < job->spec.task_count; i++)
+		if (job_zone_capacity_left(job, machine->zone))
+			bind_task(cycle, job, machine, task++, attempt);
+	return task;
+}
+
+/* Binds all tasks, to the cheapest machines first; `zone` NULL: anywhere. */
+static void bind_gang(struct scheduling_cycle *cycle, struct job *job, const char *zone)
+{
+	uint64_t attempt = new_attempt(cycle->core);
+	uint32_t task = 0;
+
+	for (size_t i = 0; i < cycle->candidate_count && task < job->spec.task_count; i++) {
+		const struct candidate *candidate = &cycle->candidates[i];
+
+		if (zone_matches(zone, candidate->room->machine->zone))
+			task = bind_to_candidate(cycle, job, candidate, task, attempt);
+	}
+	job->gang_attempt = attempt;
+}
+
+/* Binds the gang where its tasks would begin soonest; false if there is no room. */
+static bool bind_where_cheapest(struct scheduling_cycle *cycle, struct job *job)
+{
+	uint32_t task_count = job->spec.task_count;
+	struct zone_choice choice;
+
+	if (candidates_slots(cycle, NULL, task_count) < task_count || !spread_fits(cycle, job))
+		return false;
+	cost_candidates(cycle, job);
+	choice = candidates_choose_zone(cycle, &job->spec, task_count, COST_OF_DEAREST);
+	if (!isfinite(choice.cost))
+		return false;
+	bind_gang(cycle, job, choice.zone);
+	return true;
+}
+
+bool place_gang(struct scheduling_cycle *cycle, struct job *job)
+{
+	uint32_t task_count = job->spec.task_count;
+
+	/* Tasks of an old attempt keep their places and zones until they exit. */
+	if (job->bindings || !team_has_room(cycle->core, &job->spec, task_count))
+		return false;
+	if (cycle_found_no_room(cycle, job, task_count))
+		return false;
+	find_candidates(cycle, job);
+	if (bind_where_cheapest(cycle, job))
+		return true;
+	cycle_note_no_room(cycle, job, task_count);
+	cycle_note_waiting_gang(cycle, job);
+	return false;
+}
--- /dev/null
+++ b/src/core/scheduling/objectives.c
@@ -0,0 +1,77 @@
+#include "core/scheduling/objectives.h"
+
+#include <math.h>
+#include <string.h>
+
+#include "core/state.h"
+
+/* The tightest wait objective of the job's class beyond so many seconds; 0: there is none. */
+static double wait_objective_beyond(const struct core *core, const struct job *job, double beyond_s)
+{
+	double tightest = 0;
+
+	for (size_t i = 0; i < core->conf->nobjectives; i++) {
+		const struct conf_objective *objective = &core->conf->objectives[i];
+
+		if (objective->kind != OBJECTIVE_WAIT || objective->within_s <= beyond_s ||
+		    strcmp(objective->class_name, job->spec.class_name))
+			continue;
+		if (tightest <= 0 || objective->within_s < tightest)
+			tightest = objective->within_s;
+	}
+	return tightest;
+}
+
+double wait_objective_s(const struct core *core, const struct job *job)
+{
+	return wait_objective_beyond(core, job, core->wall - job->submitted_at);
+}
+
+double tightest_wait_objective_s(const struct core *core, const struct job *job)
+{
+	return wait_objective_beyond(core, job, -INFINITY);
+}
+
+/*
+ * Slots that the array needs at once to be done by `factor` times its deadline, as far as the
+ * estimate tells; 0: it is too late.
+ */
+static uint32_t slots_needed(const struct core *core, const struct job *job, double factor)
+{
+	double deadline = job->submitted_at + factor * job->spec.deadline_s;
+	double left_s = deadline - core->wall - NEED_START_S;
+	double task_s = fmax(job->spec.estimate_s, 1);
+	uint32_t tasks_left = job->spec.task_count - job->done_count;
+
+	return left_s < task_s ? 0 : (uint32_t)ceil(tasks_left / floor(left_s / task_s));
+}
+
+/* Whether the objective allows the job's class to end some time after its deadline. */
+static bool is_later_deadline(const struct conf_objective *objective, const struct job *job)
+{
+	return objective->kind == OBJECTIVE_DEADLINE && objective->times > 1 &&
+	       !strcmp(objective->class_name, job->spec.class_name);
+}
+
+struct array_need array_need(const struct core *core, struct job *job)
+{
+	struct array_need need = {.job = job, .deadline_factor = 1};
+
+	if (job->spec.deadline_s < 0)
+		return need;
+	need.slots = slots_needed(core, job, 1);
+	for (size_t i = 0; i < core->conf->nobjectives; i++) {
+		const struct conf_objective *objective = &core->conf->objectives[i];
+		uint32_t slots;
+
+		if (!is_later_deadline(objective, job) ||
+		    (need.slots && objective->times >= need.deadline_factor))
+			continue;
+		slots = slots_needed(core, job, objective->times);
+		if (!slots)
+			continue;
+		need.slots = slots;
+		need.deadline_factor = objective->times;
+	}
+	return need;
+}
--- /dev/null
+++ b/src/core/scheduling/placement_cost.c
@@ -0,0 +1,68 @@
+#include "core/scheduling/placement_cost.h"
+
+#include <string.h>
+
+#include "core/state.h"
+
+bool job_failed_on(const struct job *job, const struct machine *machine)
+{
+	const struct job_scheduling *scheduling = &job->scheduling;
+
+	for (int i = 0; i < scheduling->failed_machine_count && i < ERROR_JOB_MACHINES; i++)
+		if (!strcmp(scheduling->failed_machines[i], machine->id))
+			return true;
+	return false;
+}
+
+double placement_cost(const struct machine *machine, const struct job *job)
+{
+	const struct job_spec *spec = &job->spec;
+	const struct machine_type *type = machine->type;
+	double cost = 0;
+
+	if (!machine_has_image(machine, spec->image) && type->fetch_gb_per_s > 0)
+		cost += spec->image_gb / type->fetch_gb_per_s;
+	if (type->cpus > 0)
+		cost += FIT_WEIGHT_S * (machine->free_cpus - spec->cpus) / type->cpus;
+	if (!machine->binding_count)
+		cost += FIT_WEIGHT_S;
+	if (job_failed_on(job, machine))
+		cost += ERROR_BACKOFF_MAX_S;
+	return cost;
+}
+
+/* The service's other replicas nearby, which would be lost together with this one. */
+static double shared_loss_cost(const struct job *job, const struct machine *machine)
+{
+	const struct binding *binding;
+	double cost = 0;
+
+	DL_FOREACH2 (job->bindings, binding, job_next) {
+		if (binding->machine == machine)
+			cost += REPLICA_MACHINE_S;
+		else if (!strcmp(binding->machine->zone, machine->zone))
+			cost += REPLICA_ZONE_S;
+	}
+	return cost;
+}
+
+/*
+ * Replicas of one service are kept apart, so that the loss of one machine or zone takes one of
+ * them, and off machines that may be taken back, that tasks failed on or that are overdue: seconds
+ * that it is worth to wait for an image elsewhere.
+ */
+double replica_cost(const struct core *core, const struct job *job, const struct machine *machine)
+{
+	double silence = core->now - machine->agent.last_message_at;
+	double cost;
+
+	if (job->spec.kind != JOB_SERVICE)
+		return 0;
+	cost = shared_loss_cost(job, machine);
+	cost += REPLICA_CROWD_S * machine->replica_count;
+	/* It may be gone without anyone having noticed yet. */
+	if (silence > REPLICA_OVERDUE_REPORTS * core->conf->report_s)
+		cost += REPLICA_OVERDUE_S;
+	return cost + (machine->spot ? REPLICA_SPOT_S : 0) +
+	       machine->scheduling.failed_job_count * REPLICA_MACHINE_S;
+}
--- a/src/core/scheduling/preemption.c
+++ b/src/core/scheduling/preemption.c
@@ -9,7 +9,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "core/scheduling/cycle.h"
+#include "core/scheduling/candidates.h"
+#include "core/scheduling/objectives.h"
+#include "core/scheduling/preemption.h"
+#include "core/scheduling/zones.h"
+#include "core/state.h"
 #include "util/log.h"
 
 void reservation_release(struct core *core, struct job *job)
@@ -85,7 +89,7 @@
 		return true;
 	/* A gang that has missed all aims for its wait gathers room instead. */
 	if (wait_objective_s(core, job) <= 0 &&
-	    binding->job->bound_count <= array_slots_needed(core, binding->job) &&
+	    binding->job->bound_count <= array_need(core, binding->job).slots &&
 	    !borrowed(core, binding, job))
 		return false;
 	return binding->job->spec.priority > job->spec.priority || borrowed(core, binding, job);
@@ -165,20 +169,12 @@
 	double cost;	  /* of all that are needed */
 };
 
-static int by_cost_per_slot(const void *a, const void *b)
-{
-	const struct candidate *x = a, *y = b;
-	double cx = x->cost / x->slots, cy = y->cost / y->slots;
-
-	return cx < cy ? -1 : cx > cy;
-}
-
 /* Where the job's other tasks leave room for one more by its rules. */
 static bool zone_open(const struct job *job, const char *zone)
 {
-	const char *held = job_held_zone(job);
+	const char *held = job_bound_zone(job);
 
-	return (!held || !strcmp(held, zone)) && job_zone_rest(job, zone) > 0;
+	return (!held || !strcmp(held, zone)) && job_zone_capacity_left(job, zone) > 0;
 }
 
 static void offers(struct scheduling_cycle *cycle, const struct demand *demand)
@@ -198,8 +194,7 @@
 		candidate->slots = machine_offer(demand, room->machine, &candidate->cost);
 		cycle->candidate_count += candidate->slots > 0;
 	}
-	qsort(cycle->candidates, cycle->candidate_count, sizeof(*cycle->candidates),
-	      by_cost_per_slot);
+	candidates_sort_by_cost_per_slot(cycle);
 }
 
 /* The cost of the gang's room in the zone, or anywhere; INFINITY if it can't be had. */
@@ -356,7 +351,8 @@
 
 			if (!may_hold(cycle, room, job, zone))
 				continue;
-			n += room_slots(room->cpus, room->gpus, room->mem_gb, &job->spec) +
+			n += room_slots(room->free.cpus, room->free.gpus, room->free.mem_gb,
+					&job->spec) +
 			     RESERVE_USED_SHARE *
 				 room_slots(type->cpus, type->gpus, type->mem_gb, &job->spec);
 		}
@@ -380,7 +376,7 @@
 
 		if (!may_hold(cycle, room, job, job->scheduling.reserved_zone))
 			continue;
-		n = room_slots(room->cpus, room->gpus, room->mem_gb, &job->spec);
+		n = room_slots(room->free.cpus, room->free.gpus, room->free.mem_gb, &job->spec);
 		room->machine->scheduling.reserved_tasks = n < left ? n : left;
 		room->machine->scheduling.reserved_for =
 		    room->machine->scheduling.reserved_tasks ? job : NULL;
--- /dev/null
+++ b/src/core/scheduling/service_placement.c
@@ -0,0 +1,61 @@
+#include "core/scheduling/service_placement.h"
+
+#include "core/scheduling/placement.h"
+#include "core/scheduling/preemption.h"
+#include "core/state.h"
+#include "util/log.h"
+
+bool place_service(struct scheduling_cycle *cycle, struct job *job)
+{
+	while (place_next_task(cycle, job, ROOM_ANY))
+		;
+	if (job_waiting_count(job))
+		return false;
+	reservation_release(cycle->core, job);
+	return true;
+}
+
+static bool may_be_moved(const struct binding *binding)
+{
+	const struct job *job = binding->job;
+
+	return !binding->stopping && binding->observed && job->spec.kind == JOB_SERVICE &&
+	       !job->orphan && !job->cancelled;
+}
+
+/*
+ * A replica on a machine that is about to go is stopped once there is room for it elsewhere, which
+ * is reserved: it can't run in both places.
+ */
+static void move_replica(struct scheduling_cycle *cycle, struct binding *binding)
+{
+	struct job *job = binding->job;
+	struct machine *target;
+
+	if (!may_be_moved(binding))
+		return;
+	target = find_machine(cycle, job, ROOM_ANY);
+	if (!target || (target->scheduling.reserved_for && target->scheduling.reserved_for != job))
+		return;
+	target->scheduling.reserved_tasks =
+	    target->scheduling.reserved_for == job ? target->scheduling.reserved_tasks + 1 : 1;
+	target->scheduling.reserved_for = job;
+	job->scheduling.reserved_until = cycle->core->now + PREEMPT_RESERVE_S;
+	cycle_take_room(cycle, target, &job->spec);
+	log_info("replica_moving", "job=%s task=%u machine=%s to=%s", job->spec.id, binding->task,
+		 binding->machine->id, target->id);
+	binding_stop(cycle->core, binding, 0);
+}
+
+void move_replicas(struct scheduling_cycle *cycle)
+{
+	struct machine *machine, *next;
+	struct binding *binding;
+
+	MACHINES_FOR_EACH (cycle->core, machine, next) {
+		if (!machine->replica_count || !replica_must_move(cycle->core, machine))
+			continue;
+		DL_FOREACH2 (machine->bindings, binding, machine_next)
+			move_replica(cycle, binding);
+	}
+}
--- /dev/null
+++ b/src/core/scheduling/waiting_shapes.c
@@ -0,0 +1,69 @@
+#include "core/scheduling/waiting_shapes.h"
+
+/* A job with reserved room, or with tasks somewhere, sees other room than its shape alone. */
+static bool shape_decides_room(const struct job *job)
+{
+	return !job->scheduling.reserved_until && !job->bindings;
+}
+
+void cycle_note_no_room(struct scheduling_cycle *cycle, const struct job *job, uint32_t tasks)
+{
+	struct shape_without_room *shape;
+
+	if (cycle->shape_without_room_count == CYCLE_NO_FITS_MAX || !shape_decides_room(job))
+		return;
+	shape = &cycle->shapes_without_room[cycle->shape_without_room_count++];
+	shape->spec = &job->spec;
+	shape->tasks = tasks;
+}
+
+bool cycle_found_no_room(const struct scheduling_cycle *cycle, const struct job *job,
+			 uint32_t tasks)
+{
+	for (size_t i = 0; i < cycle->shape_without_room_count; i++) {
+		const struct shape_without_room *shape = &cycle->shapes_without_room[i];
+
+		if (tasks >= shape->tasks && same_shape(shape->spec, &job->spec))
+			return shape_decides_room(job);
+	}
+	return false;
+}
+
+static bool gang_shape_is_noted(const struct scheduling_cycle *cycle, const struct job_spec *spec)
+{
+	for (size_t i = 0; i < cycle->gang_shape_count; i++)
+		if (same_shape(cycle->gang_shapes[i], spec))
+			return true;
+	return false;
+}
+
+void cycle_note_waiting_gang(struct scheduling_cycle *cycle, const struct job *job)
+{
+	if (gang_shape_is_noted(cycle, &job->spec) ||
+	    cycle->gang_shape_count == CYCLE_GANG_SHAPES_MAX)
+		return;
+	for (size_t i = 0; i < cycle->pool_count; i++) {
+		struct pool *pool = &cycle->pools[i];
+
+		pool->gang_shapes |= (uint32_t)pool->allowed << cycle->gang_shape_count;
+	}
+	cycle->gang_shapes[cycle->gang_shape_count++] = &job->spec;
+}
+
+bool cycle_gang_needs_room(const struct scheduling_cycle *cycle, const struct machine_room *room,
+			   const struct job_spec *spec)
+{
+	uint32_t shapes_allowed = cycle->pools[room->pool].gang_shapes;
+	struct free_room rest = room->free;
+
+	free_room_take(&rest, spec, 1);
+	for (size_t i = 0; i < cycle->gang_shape_count; i++) {
+		const struct job_spec *gang = cycle->gang_shapes[i];
+
+		if (gang->priority >= spec->priority || !(shapes_allowed >> i & 1))
+			continue;
+		if (free_room_slots(&rest, gang) < free_room_slots(&room->free, gang))
+			return true;
+	}
+	return false;
+}
--- /dev/null
+++ b/src/core/scheduling/zones.c
@@ -0,0 +1,34 @@
+#include "core/scheduling/zones.h"
+
+#include "core/state.h"
+
+const char *job_bound_zone(const struct job *job)
+{
+	return job->spec.one_zone && job->bindings ? job->bindings->machine->zone : NULL;
+}
+
+static uint32_t tasks_in_zone(const struct job *job, const char *zone)
+{
+	const struct binding *binding;
+	uint32_t count = 0;
+
+	DL_FOREACH2 (job->bindings, binding, job_next)
+		count += !strcmp(binding->machine->zone, zone);
+	return count;
+}
+
+uint32_t job_zone_capacity_left(const struct job *job, const char *zone)
+{
+	uint32_t most = (job->spec.task_count + 1) / 2;
+	uint32_t present;
+
+	if (!job->spec.spread)
+		return job->spec.task_count;
+	present = tasks_in_zone(job, zone);
+	return present < most ? most - present : 0;
+}
+
+bool job_may_use_zone(const struct job *job, const char *zone)
+{
+	return zone_matches(job_bound_zone(job), zone) && job_zone_capacity_left(job, zone) > 0;
+}
