--- a/src/core/core.c
+++ b/src/core/core.c
@@ -5,7 +5,7 @@
 
 #include "core/api/forwarding.h"
 #include "core/api/peer_requests.h"
-#include "core/scheduling/preemption.h"
+#include "core/scheduling/reservation.h"
 #include "core/state.h"
 #include "util/log.h"
 #include "util/xalloc.h"
--- a/src/core/scheduling/placement.c
+++ b/src/core/scheduling/placement.c
@@ -3,7 +3,7 @@
 #include <math.h>
 
 #include "core/scheduling/placement_cost.h"
-#include "core/scheduling/preemption.h"
+#include "core/scheduling/reservation.h"
 #include "core/scheduling/waiting_shapes.h"
 #include "core/scheduling/zones.h"
 #include "core/state.h"
@@ -13,13 +13,14 @@
 
 uint32_t machine_room_slots(const struct machine_room *room, const struct job *job)
 {
-	const struct machine_scheduling *machine = &room->machine->scheduling;
+	const struct machine *machine = room->machine;
 	struct free_room unreserved = room->free;
 
 	if (!free_room_fits(&room->free, &job->spec))
 		return 0;
-	if (machine->reserved_for && machine->reserved_for != job)
-		free_room_take(&unreserved, &machine->reserved_for->spec, machine->reserved_tasks);
+	if (machine_is_reserved_for_other(machine, job))
+		free_room_take(&unreserved, &machine->scheduling.reserved_for->spec,
+			       machine->scheduling.reserved_tasks);
 	return free_room_slots(&unreserved, &job->spec);
 }
 
@@ -69,17 +70,10 @@
 /* The job has what the room was reserved for: of a service, one replica more. */
 static void use_reservation(struct core *core, struct job *job, struct machine *machine)
 {
-	struct machine_scheduling *reserved = &machine->scheduling;
-
-	if (job->spec.kind != JOB_SERVICE) {
+	if (job->spec.kind == JOB_SERVICE)
+		reservation_use_task(machine, job);
+	else
 		reservation_release(core, job);
-		return;
-	}
-	if (reserved->reserved_for != job)
-		return;
-	reserved->reserved_tasks--;
-	if (!reserved->reserved_tasks)
-		reserved->reserved_for = NULL;
 }
 
 void bind_task(struct scheduling_cycle *cycle, struct job *job, struct machine *machine,
--- /dev/null
+++ b/src/core/scheduling/preemption_victims.c
@@ -0,0 +1,113 @@
+#include "core/scheduling/preemption_victims.h"
+
+#include <string.h>
+
+#include "core/scheduling/objectives.h"
+#include "core/state.h"
+
+uint32_t preemption_task_count(const struct job *job)
+{
+	if (job->spec.kind == JOB_SERVICE)
+		return job_waiting_count(job);
+	return job->spec.kind == JOB_ARRAY ? 1 : job->spec.task_count;
+}
+
+/* --- quotas of teams --- */
+
+/* Without one such task, the team would still have all its guaranteed CPUs, or all its GPUs. */
+static bool is_beyond_guarantee(const struct team *team, const struct job_spec *spec)
+{
+	if (team->cpus - spec->cpus >= team->conf->cpus)
+		return true;
+	return spec->gpus > 0 && team->conf->gpus > 0 &&
+	       team->gpus - spec->gpus >= team->conf->gpus;
+}
+
+/* Whether the team would still be within its guarantee with so many tasks more. */
+static bool stays_within_guarantee(const struct team *team, const struct job_spec *spec,
+				   double tasks)
+{
+	return team->cpus + tasks * spec->cpus <= team->conf->cpus &&
+	       (spec->gpus <= 0 || team->gpus + tasks * spec->gpus <= team->conf->gpus);
+}
+
+/*
+ * What a team has beyond its guarantee was borrowed, and is returned to a team within its own.
+ */
+static bool is_borrowed_from(struct core *core, const struct binding *binding,
+			     const struct job *job)
+{
+	const struct team *borrower = team_find(core, binding->job->spec.team);
+	const struct team *lender = team_find(core, job->spec.team);
+
+	if (!borrower || !lender || borrower == lender)
+		return false;
+	if (lender->conf->cpus <= 0 || borrower->conf->cpus <= 0)
+		return false;
+	return stays_within_guarantee(lender, &job->spec, preemption_task_count(job)) &&
+	       is_beyond_guarantee(borrower, &binding->job->spec);
+}
+
+/* --- deadlines and wait objectives --- */
+
+/*
+ * A task that would still be done by its job's deadline, but not if it began again: stopping it
+ * trades one missed objective for another. Past the deadline there is nothing more to protect.
+ */
+static bool would_miss_deadline(const struct core *core, const struct binding *binding)
+{
+	const struct job_spec *spec = &binding->job->spec;
+	double left_s = binding->job->submitted_at + spec->deadline_s - core->wall;
+	double restart_s = spec->estimate_s * RESTART_FACTOR + RESTART_S;
+
+	return spec->deadline_s >= 0 && left_s > 0 && left_s < restart_s;
+}
+
+/* Whether the array needs all slots that it has to be done in time. */
+static bool needs_all_slots(const struct core *core, struct job *array)
+{
+	return array->bound_count <= array_need(core, array).slots;
+}
+
+/* Whether the job goes before an array of lower priority at the expense of its task. */
+static bool may_stop_lower(const struct core *core, const struct job *job, struct job *victim)
+{
+	if (victim->spec.priority <= job->spec.priority)
+		return false;
+	/* A gang that has missed all its wait objectives gets a reservation instead. */
+	return job->spec.kind == JOB_SERVICE || wait_objective_s(core, job) > 0 ||
+	       !needs_all_slots(core, victim);
+}
+
+static bool may_stop(struct core *core, const struct job *job, const struct binding *binding)
+{
+	struct job *victim = binding->job;
+
+	if (victim->spec.kind != JOB_ARRAY || victim->orphan || would_miss_deadline(core, binding))
+		return false;
+	return may_stop_lower(core, job, victim) || is_borrowed_from(core, binding, job);
+}
+
+bool preemption_frees(const struct preemption_demand *demand, const struct binding *binding)
+{
+	if (binding->stopping)
+		return true;
+	if (demand->scope == VICTIMS_OF_OWN_TEAM &&
+	    strcmp(binding->job->spec.team, demand->job->spec.team))
+		return false;
+	return may_stop(demand->core, demand->job, binding);
+}
+
+/* --- costs --- */
+
+double stop_cost_s(const struct core *core, const struct binding *binding)
+{
+	/* What ran longest since placement is nearest its end. */
+	return 1 + (binding->running_since > 0 ? core->now - binding->running_since : 0);
+}
+
+double stop_grace_s(const struct binding *binding)
+{
+	/* Saving needs the full time; a margin for the way there. */
+	return binding->job->spec.checkpoint_s > 0 ? binding->job->spec.save_s + 1 : 0;
+}
--- /dev/null
+++ b/src/core/scheduling/reservation.c
@@ -0,0 +1,200 @@
+#include "core/scheduling/reservation.h"
+
+#include <math.h>
+#include <stdio.h>
+#include <string.h>
+
+#include "core/scheduling/objectives.h"
+#include "core/state.h"
+#include "util/log.h"
+
+/* --- on one machine --- */
+
+bool machine_is_reserved_for_other(const struct machine *machine, const struct job *job)
+{
+	const struct job *owner = machine->scheduling.reserved_for;
+
+	return owner && owner != job;
+}
+
+void reservation_set(struct machine *machine, struct job *job, uint32_t tasks)
+{
+	machine->scheduling.reserved_for = tasks ? job : NULL;
+	machine->scheduling.reserved_tasks = tasks;
+}
+
+void reservation_add_task(struct machine *machine, struct job *job)
+{
+	bool present = machine->scheduling.reserved_for == job;
+
+	reservation_set(machine, job, present ? machine->scheduling.reserved_tasks + 1 : 1);
+}
+
+void reservation_use_task(struct machine *machine, const struct job *job)
+{
+	struct machine_scheduling *scheduling = &machine->scheduling;
+
+	if (scheduling->reserved_for != job)
+		return;
+	scheduling->reserved_tasks--;
+	if (!scheduling->reserved_tasks)
+		scheduling->reserved_for = NULL;
+}
+
+void reservation_release(struct core *core, struct job *job)
+{
+	struct machine *machine, *next;
+
+	if (!job->scheduling.reserved_until)
+		return;
+	job->scheduling.reserved_until = 0;
+	job->scheduling.reserving = false;
+	job->scheduling.reserved_zone[0] = 0;
+	MACHINES_FOR_EACH (core, machine, next)
+		if (machine->scheduling.reserved_for == job)
+			reservation_set(machine, NULL, 0);
+}
+
+/* --- when a reservation may begin to grow --- */
+
+static double total_cpus(const struct job *job)
+{
+	return job->spec.task_count * job->spec.cpus;
+}
+
+static double usable_cpus(struct core *core)
+{
+	struct machine *machine, *next;
+	double cpus = 0;
+
+	MACHINES_FOR_EACH (core, machine, next)
+		if (machine->type && machine_is_usable(core, machine))
+			cpus += machine->type->cpus;
+	return cpus;
+}
+
+/*
+ * Reserved room is idle room: a share of the fleet may be reserved so, at least that of a few
+ * gangs, of more when some have waited long.
+ */
+static bool is_within_limits(struct core *core, const struct job *candidate, double waited_s)
+{
+	bool late = waited_s >= RESERVE_LATE_S;
+	uint32_t gangs_max = late ? RESERVE_MAX_GANGS_LATE : RESERVE_MAX_GANGS;
+	double share_max = late ? RESERVE_SHARE_LATE : RESERVE_SHARE;
+	uint32_t gangs = 0;
+	double cpus = total_cpus(candidate);
+	struct job *job, *next;
+
+	JOBS_FOR_EACH (core, job, next) {
+		if (!job->scheduling.reserving)
+			continue;
+		gangs++;
+		cpus += total_cpus(job);
+	}
+	return gangs < gangs_max || cpus <= share_max * usable_cpus(core);
+}
+
+/*
+ * Seconds of waiting before room is reserved as it falls free. Reserved room idles, and a large
+ * gang's would serve several small ones: one whose next objective is far can wait for it.
+ */
+static double reserve_after_s(const struct core *core, const struct job *job)
+{
+	double lead_begins = wait_objective_s(core, job) - RESERVE_LEAD_S;
+
+	return fmin(LATE_FIRST_S, fmax(RESERVE_AFTER_S, lead_begins));
+}
+
+bool reservation_may_begin(struct core *core, const struct job *job)
+{
+	double waited_s = core->wall - job->submitted_at;
+
+	return waited_s >= reserve_after_s(core, job) && is_within_limits(core, job, waited_s);
+}
+
+/* --- room that falls free --- */
+
+/* Whether the job, which the pools are marked for, may reserve the room; an empty zone: any. */
+static bool may_reserve_room(const struct scheduling_cycle *cycle, const struct machine_room *room,
+			     const struct job *job, const char *zone)
+{
+	const struct pool *pool = &cycle->pools[room->pool];
+
+	return pool->allowed && (!*zone || !strcmp(zone, pool->zone)) &&
+	       !machine_is_reserved_for_other(room->machine, job);
+}
+
+/* Slots of the zone that are free, and some of those in use: they fall free in time. */
+static double expected_slots(const struct scheduling_cycle *cycle, const struct job *job,
+			     const char *zone)
+{
+	double slots = 0;
+
+	for (size_t i = 0; i < cycle->room_count; i++) {
+		const struct machine_room *room = &cycle->rooms[i];
+		const struct machine_type *type = room->machine->type;
+
+		if (!may_reserve_room(cycle, room, job, zone))
+			continue;
+		slots += free_room_slots(&room->free, &job->spec) +
+			 RESERVE_USED_SHARE *
+			     room_slots(type->cpus, type->gpus, type->mem_gb, &job->spec);
+	}
+	return slots;
+}
+
+/* The zone with most room for the job, free or in use: there it falls free soonest. */
+static const char *roomiest_zone(const struct scheduling_cycle *cycle, const struct job *job)
+{
+	const char *best = NULL;
+	double most = 0;
+
+	for (size_t i = 0; i < cycle->pool_count; i++) {
+		double slots = expected_slots(cycle, job, cycle->pools[i].zone);
+
+		if (slots > most) {
+			most = slots;
+			best = cycle->pools[i].zone;
+		}
+	}
+	return best;
+}
+
+void reservation_renew(struct scheduling_cycle *cycle, struct job *job)
+{
+	uint32_t tasks_left = job->spec.task_count;
+
+	cycle_mark_allowed(cycle, &job->spec);
+	for (size_t i = 0; i < cycle->room_count; i++) {
+		const struct machine_room *room = &cycle->rooms[i];
+		uint32_t tasks;
+
+		if (!may_reserve_room(cycle, room, job, job->scheduling.reserved_zone))
+			continue;
+		tasks = free_room_slots(&room->free, &job->spec);
+		if (tasks > tasks_left)
+			tasks = tasks_left;
+		reservation_set(room->machine, job, tasks);
+		tasks_left -= tasks;
+	}
+	job->scheduling.reserved_until = cycle->core->now + RESERVE_EXTEND_S;
+}
+
+void reservation_begin(struct scheduling_cycle *cycle, struct job *job)
+{
+	struct job_scheduling *scheduling = &job->scheduling;
+	const char *zone;
+
+	cycle_mark_allowed(cycle, &job->spec);
+	zone = roomiest_zone(cycle, job);
+	if (!zone)
+		return;
+	if (job->spec.one_zone)
+		snprintf(scheduling->reserved_zone, sizeof(scheduling->reserved_zone), "%s", zone);
+	scheduling->reserving = true;
+	reservation_renew(cycle, job);
+	log_info("reservation_started", "job=%s tasks=%u zone=%s waited=%.1f", job->spec.id,
+		 job->spec.task_count, scheduling->reserved_zone,
+		 cycle->core->wall - job->submitted_at);
+}
--- a/src/core/scheduling/service_placement.c
+++ b/src/core/scheduling/service_placement.c
@@ -1,7 +1,7 @@
 #include "core/scheduling/service_placement.h"
 
 #include "core/scheduling/placement.h"
-#include "core/scheduling/preemption.h"
+#include "core/scheduling/reservation.h"
 #include "core/state.h"
 #include "util/log.h"
 
@@ -35,11 +35,9 @@
 	if (!may_be_moved(binding))
 		return;
 	target = find_machine(cycle, job, ROOM_ANY);
-	if (!target || (target->scheduling.reserved_for && target->scheduling.reserved_for != job))
+	if (!target || machine_is_reserved_for_other(target, job))
 		return;
-	target->scheduling.reserved_tasks =
-	    target->scheduling.reserved_for == job ? target->scheduling.reserved_tasks + 1 : 1;
-	target->scheduling.reserved_for = job;
+	reservation_add_task(target, job);
 	job->scheduling.reserved_until = cycle->core->now + PREEMPT_RESERVE_S;
 	cycle_take_room(cycle, target, &job->spec);
 	log_info("replica_moving", "job=%s task=%u machine=%s to=%s", job->spec.id, binding->task,
