--- a/src/constants.h
+++ b/src/constants.h
@@ -172,32 +172,32 @@
 #define PARTITION_MACHINES 3   /* machines heard of before that share means anything */
 
 /* --- scheduling --- */
-#define CYCLE_MIN_S 0.004	 /* seconds between rounds of decisions when nothing presses */
-#define CYCLE_PERIOD_S 0.5	 /* seconds between rounds without an event: backoffs end by time */
-#define CYCLE_JOB_S 0.0002	 /* seconds more per waiting job: rounds widen with the load */
+#define CYCLE_MIN_S 0.004	 /* seconds from an event to its cycle when nothing presses */
+#define CYCLE_PERIOD_S 0.5	 /* seconds between cycles without an event: backoffs end by time */
+#define CYCLE_JOB_S 0.0002	 /* seconds more per job: cycles are rarer under load */
 #define ERROR_BACKOFF_S 2.0	 /* seconds after a first failure; doubles */
 #define ERROR_BACKOFF_MAX_S 60.0 /* seconds: a job that fails everywhere costs one try a minute */
 #define ERROR_JOB_MACHINES 4	 /* machines remembered on which a job failed */
 #define REFUSED_BACKOFF_S 1.0	 /* seconds after a refused start: the description is on its way */
-#define SWITCH_QUANTUM_S 5.0	 /* seconds between pairings, from the design */
+#define SWITCH_QUANTUM_S 5.0	 /* seconds of a quantum of share switching, from the design */
 #define SWITCH_JITTER 0.4	 /* share of the quantum, so that controllers' loads spread */
-#define FREED_SLOT_S 2.0	 /* seconds a freed slot is kept for its job: a round or two */
+#define FREED_SLOT_S 2.0	 /* seconds a freed slot is kept for its job: a cycle or two */
 #define GPU_WASTE_S 3.0	    /* seconds: what taking room beside unused GPUs is worth in waiting */
-#define FIT_WEIGHT_S 0.5    /* seconds: the best fit matters less than a held image */
+#define FIT_WEIGHT_S 0.5    /* seconds: the best fit matters less than a cached image */
 #define PREEMPT_AFTER_S 0.2 /* seconds of waiting before lower work is stopped */
-#define PREEMPT_SHARE 0.1   /* share of the class's shortest wait aim that passes first */
-#define PREEMPT_RESERVE_S 20.0 /* seconds room is held for a gang that work was stopped for */
-#define PREEMPT_RETRY_S 2.0    /* seconds between looks for room to be made for one gang */
-/* seconds a gang waits before room is held for it as it falls free: within four minutes it has to
- * begin, others are to be served too */
+#define PREEMPT_SHARE 0.1   /* share of the class's tightest wait objective that passes first */
+#define PREEMPT_RESERVE_S 20.0 /* seconds room is reserved for a job that work was stopped for */
+#define PREEMPT_RETRY_S 2.0    /* seconds between attempts to preempt for one job */
+/* seconds a gang waits before room is reserved for it as it falls free: within four minutes it has
+ * to begin, others are to be served too */
 #define RESERVE_AFTER_S 45.0
-#define RESERVE_LEAD_S 60.0    /* seconds before a far aim: large gangs took up to 40 to gather */
-#define RESERVE_MAX_GANGS 2    /* gangs that hold so at once: held room is idle room */
-#define RESERVE_SHARE 0.05     /* share of a fleet's CPUs that may be held so, however many gangs */
-#define RESERVE_SHARE_LATE 0.1 /* with those that have waited long: four minutes are near */
-#define RESERVE_LATE_S 140.0   /* seconds of waiting after which more of them may */
+#define RESERVE_LEAD_S 60.0	 /* seconds before a far objective: large gangs took up to 40 */
+#define RESERVE_MAX_GANGS 2	 /* gangs with such a reservation at once: reserved room idles */
+#define RESERVE_SHARE 0.05	 /* share of a fleet's CPUs that may be reserved so by any number */
+#define RESERVE_SHARE_LATE 0.1	 /* with those that have waited long: four minutes are near */
+#define RESERVE_LATE_S 140.0	 /* seconds of waiting after which more of them may */
 #define RESERVE_MAX_GANGS_LATE 4 /* then */
-#define RESERVE_EXTEND_S 2.0	/* seconds held beyond the last round: rounds come twice a second */
+#define RESERVE_EXTEND_S 2.0 /* seconds reserved beyond the last cycle: they run twice a second */
 #define RESERVE_USED_SHARE 0.05 /* of room in use that falls free in the seconds that matter */
 #define RESTART_S 15.0		/* seconds to find room, start and fetch anew */
 /* times the estimate, for a task that begins anew: often wrong by half */
@@ -205,7 +205,7 @@
 #define NEED_START_S 10.0  /* seconds to start and fetch, off the time an array has left */
 #define LATE_FIRST_S 140.0 /* seconds of waiting after which a gang goes before all others */
 #define ORDER_FAR_S 1e6	   /* seconds: before or behind all that have a time of their own */
-#define ON_DEMAND_S 4.0	   /* seconds: an ordinary machine's worth to those who need one */
+#define ON_DEMAND_S 4.0	   /* seconds: an on-demand machine's worth to jobs that need one */
 /* seconds: a second replica on one machine, against a fetch elsewhere */
 #define REPLICA_MACHINE_S 8.0
 #define REPLICA_STEADY_S 20.0 /* seconds a replica runs before its end is no failure to start */
@@ -214,12 +214,12 @@
 #define REPLICA_ZONE_S 0.5  /* seconds: another replica in the same zone, if machines are alike */
 #define REPLICA_SPOT_S 20.0 /* seconds: a machine that may be taken back with a replica */
 #define ROOM_SLACK 1e-6	    /* CPUs, GPUs, GB: sums of decimal amounts */
-/* rooms looked at for single tasks in one round, at a whole core: 0.2 s of work */
+/* rooms visited for single tasks in one cycle, at a whole core: 0.2 s of work */
 #define CYCLE_VISITS_PER_CORE 2e7
 #define CYCLE_GANG_SHAPES_MAX                                                                      \
-	32		     /* shapes of waiting gangs whose room is left to them in a round      \
+	32		     /* shapes of waiting gangs whose room is left to them in a cycle      \
 			      */
-#define CYCLE_NO_FITS_MAX 32 /* shapes without room remembered in a round */
+#define CYCLE_NO_FITS_MAX 32 /* shapes without room remembered in a cycle */
 
 /* --- rentals --- */
 #define AUTOSCALE_EVERY_S 0.5  /* seconds between looks at what is missing */
--- a/src/core/scheduling/array_placement.c
+++ b/src/core/scheduling/array_placement.c
@@ -1,3 +1,8 @@
+/*
+ * Placement of job arrays, one task at a time. The steps go from what an array must have to what it
+ * may have beyond that; the last one fills the arrays level by level, so that the one with fewest
+ * slots is served first.
+ */
 #include "core/scheduling/array_placement.h"
 
 #include <stdlib.h>
--- a/src/core/scheduling/candidates.c
+++ b/src/core/scheduling/candidates.c
@@ -1,3 +1,4 @@
+/* Sorts, sums and the choice of a zone over the candidates of a cycle. */
 #include "core/scheduling/candidates.h"
 
 #include <math.h>
--- a/src/core/scheduling/cycle.c
+++ b/src/core/scheduling/cycle.c
@@ -1,3 +1,4 @@
+/* The compact copy of the machines' free room that one scheduling cycle works on. */
 #include "core/scheduling/cycle.h"
 
 #include <math.h>
--- a/src/core/scheduling/cycle_trigger.c
+++ b/src/core/scheduling/cycle_trigger.c
@@ -1,3 +1,4 @@
+/* When scheduling cycles run, and the steps of one. */
 #include "core/scheduling/cycle_trigger.h"
 
 #include <stdlib.h>
--- a/src/core/scheduling/free_room.c
+++ b/src/core/scheduling/free_room.c
@@ -1,9 +1,9 @@
+/* Sums of CPUs, GPUs and memory. They are of decimal amounts, hence the slack. */
 #include "core/scheduling/free_room.h"
 
 #include <math.h>
 #include <string.h>
 
-#include "constants.h"
 #include "core/model/machine.h"
 
 uint32_t room_slots(double cpus, double gpus, double mem_gb, const struct job_spec *spec)
@@ -29,12 +29,6 @@
 	return (struct free_room){machine->free_cpus, machine->free_gpus, machine->free_mem_gb};
 }
 
-bool free_room_fits(const struct free_room *room, const struct job_spec *spec)
-{
-	return room->cpus + ROOM_SLACK >= spec->cpus && room->gpus + ROOM_SLACK >= spec->gpus &&
-	       room->mem_gb + ROOM_SLACK >= spec->mem_gb;
-}
-
 void free_room_take(struct free_room *room, const struct job_spec *spec, double tasks)
 {
 	room->cpus -= tasks * spec->cpus;
--- a/src/core/scheduling/gang_placement.c
+++ b/src/core/scheduling/gang_placement.c
@@ -1,3 +1,7 @@
+/*
+ * Placement of gangs: first fit in the order of the jobs, all tasks or none, on the machines where
+ * they begin soonest.
+ */
 #include "core/scheduling/gang_placement.h"
 
 #include <math.h>
--- a/src/core/scheduling/job_counts.c
+++ b/src/core/scheduling/job_counts.c
@@ -1,3 +1,4 @@
+/* The table of slots per job. */
 #include "core/scheduling/job_counts.h"
 
 #include <stdio.h>
--- a/src/core/scheduling/job_order.c
+++ b/src/core/scheduling/job_order.c
@@ -1,3 +1,4 @@
+/* The order of waiting jobs: by priority, and within it by objectives, deadlines and size. */
 #include "core/scheduling/job_order.h"
 
 #include <stdlib.h>
--- a/src/core/scheduling/objectives.c
+++ b/src/core/scheduling/objectives.c
@@ -1,3 +1,4 @@
+/* Wait objectives and deadlines, from the settings and the descriptions of jobs. */
 #include "core/scheduling/objectives.h"
 
 #include <math.h>
@@ -33,8 +34,8 @@
 }
 
 /*
- * Slots that the array needs at once to be done by `factor` times its deadline, as far as the
- * estimate tells; 0: it is too late.
+ * Slots that the array needs at once to be done by `factor` times its deadline, by the job's
+ * estimate of a task's time; 0: it is too late.
  */
 static uint32_t slots_needed(const struct core *core, const struct job *job, double factor)
 {
--- a/src/core/scheduling/objectives.h
+++ b/src/core/scheduling/objectives.h
@@ -19,7 +19,7 @@
 struct array_need {
 	struct job *job;
 	double deadline_factor; /* times its deadline: the soonest end that it can still meet */
-	uint32_t slots;		/* at once, from now on, as far as the estimate tells; 0: none */
+	uint32_t slots;		/* at once, from now on, by the job's estimate; 0: none */
 };
 
 /* By the soonest of the times at which a deadline objective of its class counts. */
--- a/src/core/scheduling/placement.c
+++ b/src/core/scheduling/placement.c
@@ -1,3 +1,4 @@
+/* The search for the cheapest machine for one task, and the binding to it. */
 #include "core/scheduling/placement.h"
 
 #include <math.h>
--- a/src/core/scheduling/placement.h
+++ b/src/core/scheduling/placement.h
@@ -21,7 +21,7 @@
 /* A number that no other start of a task of the job has had. */
 uint64_t new_attempt(struct core *core);
 /*
- * Starts of tasks of arrays and services are told apart by it. None starts twice in a cycle, so
+ * Starts of tasks of arrays and services are distinguished by it. None starts twice in a cycle, so
  * that all of them share the cycle's attempt and a record names it once.
  */
 uint64_t cycle_attempt(struct scheduling_cycle *cycle);
--- a/src/core/scheduling/placement_cost.c
+++ b/src/core/scheduling/placement_cost.c
@@ -1,3 +1,4 @@
+/* Placement costs, in seconds of waiting. */
 #include "core/scheduling/placement_cost.h"
 
 #include <string.h>
--- a/src/core/scheduling/placement_cost.h
+++ b/src/core/scheduling/placement_cost.h
@@ -14,7 +14,7 @@
 /* Whether tasks of the job failed on the machine of late. */
 bool job_failed_on(const struct job *job, const struct machine *machine);
 /*
- * The cost of one task of the job on the machine, as far as it is known beforehand: fetching the
+ * The cost of one task of the job on the machine, as far as it can be foreseen: fetching the
  * image, bin packing (the best fit, and machines in use first), and earlier failures.
  */
 double placement_cost(const struct machine *machine, const struct job *job);
--- a/src/core/scheduling/preemption.c
+++ b/src/core/scheduling/preemption.c
@@ -1,3 +1,7 @@
+/*
+ * Preemption: chooses the machines where stopping lower work costs least, reserves their room for
+ * the job, and stops no more tasks there than it needs.
+ */
 #include "core/scheduling/preemption.h"
 
 #include <math.h>
--- a/src/core/scheduling/preemption_victims.c
+++ b/src/core/scheduling/preemption_victims.c
@@ -1,3 +1,7 @@
+/*
+ * Which tasks preemption may stop: those of arrays that are of lower priority, or of a team that
+ * uses more than its guarantee, unless just the restart would make them miss a deadline.
+ */
 #include "core/scheduling/preemption_victims.h"
 
 #include <string.h>
--- a/src/core/scheduling/reservation.c
+++ b/src/core/scheduling/reservation.c
@@ -1,3 +1,7 @@
+/*
+ * Reservations on single machines, and those of gangs that grow cycle by cycle with the room that
+ * falls free.
+ */
 #include "core/scheduling/reservation.h"
 
 #include <math.h>
--- a/src/core/scheduling/service_placement.c
+++ b/src/core/scheduling/service_placement.c
@@ -1,3 +1,4 @@
+/* Placement of replicas, and their move off machines that are about to go. */
 #include "core/scheduling/service_placement.h"
 
 #include "core/scheduling/placement.h"
--- a/src/core/scheduling/share_switching.c
+++ b/src/core/scheduling/share_switching.c
@@ -153,7 +153,7 @@
 	const char *id;
 	json_t *slots;
 
-	/* Counts of an earlier leader's quantum say nothing about this one. */
+	/* Counts of an earlier leader's quantum don't belong to this one. */
 	if ((uint64_t)token != work->part->token)
 		return;
 	if (counts_are_left_over(work, item))
--- a/src/core/scheduling/waiting_shapes.c
+++ b/src/core/scheduling/waiting_shapes.c
@@ -1,3 +1,4 @@
+/* The shapes of jobs that wait in a cycle. Room only shrinks while it lasts, so they stay true. */
 #include "core/scheduling/waiting_shapes.h"
 
 /* A job with reserved room, or with tasks somewhere, sees other room than its shape alone. */
--- a/src/core/scheduling/zones.c
+++ b/src/core/scheduling/zones.c
@@ -1,3 +1,4 @@
+/* The rules of jobs about zones, over the tasks that they have anywhere. */
 #include "core/scheduling/zones.h"
 
 #include "core/state.h"
