--- a/src/core/scheduling/share_switching_leader.c
+++ b/src/core/scheduling/share_switching_leader.c
@@ -123,8 +123,8 @@
 
 	MACHINES_FOR_EACH (core, machine, next)
 		slot_max += (size_t)machine->binding_count;
-	entries->slots = xcalloc(slot_max + 1, sizeof(*entries->slots));
-	entries->slot_list = xcalloc(slot_max + 1, sizeof(*entries->slot_list));
+	entries->slots = xcalloc(slot_max, sizeof(*entries->slots));
+	entries->slot_list = xcalloc(slot_max, sizeof(*entries->slot_list));
 	MACHINES_FOR_EACH (core, machine, next) {
 		if (controller_of_machine(core, machine->id) != controller)
 			continue;
