--- a/src/core/core.c
+++ b/src/core/core.c
@@ -35,7 +35,6 @@
 		core->teams[i].cpus = core->teams[i].gpus = 0;
 	core->jobs_watch.in_flight = false;
 	core->cycles.requested = false;
-	core->write_queue.new_token_wanted = false;
 	core->cycles.attempt_counter = 0;
 }
 
--- a/src/core/records/recovery.c
+++ b/src/core/records/recovery.c
@@ -99,8 +99,7 @@
 	}
 	election_note_recovered(core);
 	core->leading_since = core->now;
-	core->write_queue.put_limiter.refilled_at = core->now;
-	core->write_queue.put_limiter.tokens = limits_write_rps(core) * WRITE_SHARE_LEADER;
+	write_queue_start(core);
 	log_info("leader", "state=leading jobs=%u machines=%u", job_count(core),
 		 machine_count(core));
 	core->events->placement_needed(core);
--- a/src/core/records/task_records.c
+++ b/src/core/records/task_records.c
@@ -78,6 +78,16 @@
 	       limits_value_bytes(core);
 }
 
+bool task_record_is_idle(const struct chunk *chunk)
+{
+	return chunk->version && !chunk->binding_count && !chunk->queued_write && !chunk->in_flight;
+}
+
+bool task_record_is_obsolete(const struct job *job, uint32_t chunk_index)
+{
+	return job->orphan && !job->records.chunks[chunk_index].binding_count;
+}
+
 /* --- loading --- */
 
 /* A job whose final record is written, with tasks that may still be somewhere. */
--- /dev/null
+++ b/src/core/records/write_ops.c
@@ -0,0 +1,103 @@
+/*
+ * The changes that each kind of write makes in a transaction.
+ */
+#include "core/records/write_ops.h"
+
+#include <stdio.h>
+
+#include "core/state.h"
+
+#define FINAL_OPS 2 /* changes of a job's end beside its chunks: the open record and the final */
+
+enum job_state final_record_state(const struct job *job)
+{
+	/* Cancelled stays cancelled, even if the last task was done before its stop arrived. */
+	return job->cancelled ? JOB_STATE_CANCELLED : JOB_STATE_DONE;
+}
+
+void open_job_key(char key[KEY_MAX], const struct job *job)
+{
+	snprintf(key, KEY_MAX, KEY_OPEN_JOBS "%s", job->spec.id);
+}
+
+void final_record_unmark_chunks(struct job *job)
+{
+	for (uint32_t chunk_index = 0; chunk_index < job_chunk_count(job); chunk_index++)
+		job->records.chunks[chunk_index].ends_with_job = false;
+}
+
+static void add_delete(struct txn *txn, const char *key, uint64_t version)
+{
+	txn_guard(txn, key, version);
+	txn_drop(txn, key);
+}
+
+/* Deletes idle chunks with their job; those beyond `max_ops` are deleted one by one afterwards. */
+static void add_idle_chunks(struct txn *txn, const struct job *job, int max_ops)
+{
+	int op_count = FINAL_OPS;
+	char key[KEY_MAX];
+
+	for (uint32_t chunk_index = 0; chunk_index < job_chunk_count(job) && op_count < max_ops;
+	     chunk_index++) {
+		struct chunk *chunk = &job->records.chunks[chunk_index];
+
+		if (!task_record_is_idle(chunk))
+			continue;
+		task_record_key(key, job, chunk_index);
+		add_delete(txn, key, chunk->version);
+		chunk->ends_with_job = true;
+		op_count++;
+	}
+}
+
+static void add_final(struct txn *txn, const struct job *job, int max_ops)
+{
+	char open_key[KEY_MAX], final_key[KEY_MAX];
+	const char *state = wire_job_state(final_record_state(job));
+
+	open_job_key(open_key, job);
+	snprintf(final_key, sizeof(final_key), KEY_FINAL_JOBS "%s", job->spec.id);
+	txn_guard(txn, open_key, job->record_version);
+	txn_guard(txn, final_key, 0);
+	txn_drop(txn, open_key);
+	txn_put(txn, final_key,
+		json_pack("{s:s,s:i}", "state", state, "tasks", (int)job->spec.task_count), 0);
+	add_idle_chunks(txn, job, max_ops);
+}
+
+/* Returns the bytes of the chunk's value; 0 if its record is deleted. */
+static size_t add_chunk(struct txn *txn, const struct job *job, uint32_t chunk_index)
+{
+	char key[KEY_MAX];
+
+	task_record_key(key, job, chunk_index);
+	txn_guard(txn, key, job->records.chunks[chunk_index].version);
+	if (!task_record_is_obsolete(job, chunk_index))
+		return txn_put(txn, key, task_record_value(job, chunk_index), 0);
+	txn_drop(txn, key);
+	return 0;
+}
+
+size_t write_ops_add(struct txn *txn, const struct pending_write *write, int max_ops)
+{
+	if (write->kind == WRITE_CHUNK)
+		return add_chunk(txn, write->job, write->chunk_index);
+	if (write->kind == WRITE_FINAL)
+		add_final(txn, write->job, max_ops);
+	else
+		add_delete(txn, write->key, write->version);
+	return 0;
+}
+
+int write_ops_count(const struct pending_write *write, int max_ops)
+{
+	int op_count = FINAL_OPS;
+
+	if (write->kind != WRITE_FINAL)
+		return 1;
+	for (uint32_t chunk_index = 0;
+	     chunk_index < job_chunk_count(write->job) && op_count < max_ops; chunk_index++)
+		op_count += task_record_is_idle(&write->job->records.chunks[chunk_index]);
+	return op_count;
+}
