--- a/src/core/agents/heartbeats.c
+++ b/src/core/agents/heartbeats.c
@@ -356,7 +356,7 @@
 		return true;
 	/* A higher token than ours: another leads, and a 200 would hold the worker here in vain. */
 	if (!election_is_renewing_token(core))
-		election_step_down(core, "worker_saw_higher_token");
+		election_step_down(core, STEP_DOWN_HIGHER_TOKEN_SEEN);
 	core_reply_error(core, conn, STATUS_UNAVAILABLE, 0, "not leading");
 	return false;
 }
--- a/src/core/agents/machine_health.c
+++ b/src/core/agents/machine_health.c
@@ -131,7 +131,7 @@
 		return;
 	core->agents.next_scan_at = core->now + MACHINES_EVERY_S;
 	if (is_partitioned(core)) {
-		election_resign(core, "partitioned_from_agents");
+		election_resign(core, STEP_DOWN_PARTITIONED);
 		return;
 	}
 	MACHINES_FOR_EACH (core, machine, tmp) {
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -75,8 +75,7 @@
 	core->now = now.steady;
 	core->wall = now.wall;
 	core->next_call = 1;
-	core->election.format = FORMAT_LARGE_CHUNKS;
-	core->election.peers_confirmed_at = -1;
+	election_init(core);
 	core->peers.incarnation = seed;
 	core->rand48[0] = (unsigned short)seed;
 	core->rand48[1] = (unsigned short)(seed >> 16);
--- a/src/core/election/election.h
+++ b/src/core/election/election.h
@@ -1,39 +1,68 @@
 /*
- * Leadership: a key of the state service, held under a lease. Its revision is the fencing token.
+ * Leadership: a key of the state service, held under a lease. The key's revision is the fencing
+ * token, which guards every deciding transaction and orders the commands to agents.
+ *
+ * leader_key.h reads and watches the key, leader_lease.h claims it and renews its lease, and
+ * serving_deadline.c says how long a leader without the state service may answer.
  */
 #ifndef PLOVERLOFT_ELECTION_H
 #define PLOVERLOFT_ELECTION_H
 
 #include "core/runtime/call.h"
 
+/* Says in which format the records are; in the first format it is the leader's key as well. */
 #define LEADER_KEY "leader"
 
-enum leadership_role { ROLE_FOLLOWER, ROLE_RECOVERING, ROLE_LEADER };
+enum leadership_role {
+	ROLE_FOLLOWER,
+	ROLE_RECOVERING, /* holds the key, and reads the records */
+	ROLE_LEADER
+};
+
+/* Why a term ends. */
+enum step_down_reason {
+	STEP_DOWN_KEY_TAKEN,	     /* the leader's key was written by another */
+	STEP_DOWN_FORMAT_RAISED,     /* another raised the records' format */
+	STEP_DOWN_LEASE_ENDED,	     /* the state service does not know the lease any more */
+	STEP_DOWN_LEASE_REFUSED,     /* it refused a write of the leader's key */
+	STEP_DOWN_GUARD_FAILED,	     /* a transaction found another revision of the leader's key */
+	STEP_DOWN_WATCH_TOO_OLD,     /* changes of jobs may have been missed */
+	STEP_DOWN_STATE_UNREACHABLE, /* the deadline of serving_deadline.c has passed */
+	STEP_DOWN_PEER_LEADS,	     /* another controller leads under a newer token */
+	STEP_DOWN_HIGHER_TOKEN_SEEN, /* an agent has seen a newer token */
+	STEP_DOWN_PARTITIONED	     /* too many agents are silent at once */
+};
 
+/* Times are steady. */
 struct election {
 	enum leadership_role role;
-	char leader[CONF_NAME_MAX];
-	uint64_t key_revision;	 /* of the leader key; 0: absent */
-	uint64_t watch_revision; /* revision from which to watch */
-	int format;		 /* of the records, as the leader's keys say */
-	uint64_t gate_revision;	 /* of LEADER_KEY since the format is above 1 */
-	bool key_known;
-	bool read_in_flight, watch_in_flight, claim_in_flight;
-	uint64_t first_token; /* the term's first: who has seen it has heard this leader */
-	uint64_t token, lease;
-	double renewed_at; /* when the last renewal that succeeded was sent */
+	char leader[CONF_NAME_MAX]; /* as last read; empty: none */
+	int format;		    /* of the records, as the leader's keys say */
+	uint64_t key_revision;	    /* of the leader's key; 0: absent */
+	uint64_t gate_revision;	    /* of LEADER_KEY, in formats after the first */
+	uint64_t watch_revision;    /* from which to watch */
+	bool key_is_current;	    /* the key was read, and a watch can go on from there */
+	bool read_in_flight;
+	bool watch_in_flight;
+	bool claim_in_flight;
+	bool renewal_in_flight;	      /* of the lease */
+	bool token_renewal_in_flight; /* the term's own write of the leader's key */
+	uint64_t first_token;	      /* see election_first_token */
+	uint64_t token;		      /* 0: this controller does not lead */
+	uint64_t lease;		      /* 0: none */
+	double renewed_at;	      /* when the last renewal that succeeded was sent */
 	double next_renewal_at;
-	bool renewal_in_flight;
-	double retry_at;
-	bool token_renewing;	   /* the term's own write of the key is in flight */
-	double jobs_read_at;	   /* steady; when the newest read of the jobs' changes was sent */
-	double peers_confirmed_at; /* steady; see election_note_peers_confirmed; < 0: never */
-	double no_claim_before;	   /* no claim before */
+	double retry_at;	   /* no read of the key and no claim before */
+	double no_claim_before;	   /* after this controller resigned */
+	double jobs_read_at;	   /* when the newest read of the jobs' changes was sent */
+	double peers_confirmed_at; /* see election_note_peers_confirmed; < 0: never */
 };
 
+/* --- state --- */
+
 enum leadership_role election_role(const struct core *core);
 bool election_is_leader(const struct core *core);
-/* The leader's name as last read; empty: none known. */
+/* The leader's name as last read; empty if there is none. */
 const char *election_leader(const struct core *core);
 /* The fencing token under which this controller acts; 0: it does not lead. */
 uint64_t election_token(const struct core *core);
@@ -41,49 +70,63 @@
 uint64_t election_first_token(const struct core *core);
 /* The lease that holds the leader's key; 0: none. */
 uint64_t election_lease(const struct core *core);
-/* The format of the records that the leader's keys tell. */
+/* The format of the records, as the leader's keys say. */
 int election_format(const struct core *core);
 /* Seconds since the last renewal of the lease that succeeded was sent. */
 double election_renewal_age(const struct core *core);
+/* True if the call was made in an earlier term, or this controller does not lead. */
+bool election_call_is_stale(const struct core *core, const struct call *call);
+/* The term's own write of the leader's key is in flight: its answer says who leads. */
+bool election_is_renewing_token(const struct core *core);
 
+/* --- course of a term --- */
+
+void election_init(struct core *core);
+void election_tick(struct core *core);
 /* The records are read: this controller leads from now on. */
 void election_note_recovered(struct core *core);
 /* A write of the leader's key, which renews the token, is in flight, or is over. */
 void election_note_renewing(struct core *core, bool in_flight);
-/* The term's own write of the leader's key is in flight. */
-bool election_is_renewing_token(const struct core *core);
 /* The leader's key was written anew: its revision is the token from now on. */
 void election_note_token(struct core *core, uint64_t token);
-/* Reports that show an older token than today's do not count any more. */
+/* Reports that show an older token than the present one do not count any more. */
 void election_require_current_token(struct core *core);
+/* This term raised the records' format, by a commit at the revision. */
+void election_note_format(struct core *core, int format, uint64_t revision);
+/* Ends this controller's leadership. */
+void election_step_down(struct core *core, enum step_down_reason reason);
+/* The same, with the lease returned, so that another controller need not wait for its end. */
+void election_resign(struct core *core, enum step_down_reason reason);
+/* The same, since the named controller says that it leads: agents are redirected to it. */
+void election_deposed(struct core *core, const char *leader);
+/* Reads the leader's key anew. */
+void election_reread(struct core *core);
+
+/* --- the deadline to serve without the state service --- */
+
 /* The jobs' changes were read by a request sent at `at` (steady). */
 void election_note_jobs_read(struct core *core, double at);
 double election_jobs_read_at(const struct core *core);
-/* All that the other controllers told users by `at` (steady) is known here. */
+/* All cancellations that the other controllers confirmed by `at` (steady) are known here. */
 void election_note_peers_confirmed(struct core *core, double at);
-
-void election_tick(struct core *core);
-/* Ends this controller's leadership. */
-void election_step_down(struct core *core, const char *why);
-/* The same, with the lease returned, so that another controller need not wait for its end. */
-void election_resign(struct core *core, const char *why);
-/* The same, since the named controller leads by its own word. */
-void election_deposed(struct core *core, const char *leader);
-/* True while it may answer workers: a cancellation elsewhere is still carried out in time. */
+/* True while it may answer agents: a cancellation elsewhere is still carried out in time. */
 bool election_may_serve(const struct core *core);
-/* Steps down if it may not serve any more. */
+/*
+ * Steps down if it may not serve any more. Called before each answer, not only at ticks: a process
+ * that was frozen wakes with requests waiting.
+ */
 void election_check_deadline(struct core *core);
-/* Reads the leader's key again. */
-void election_reread(struct core *core);
-/* True if the call was made in an earlier term. */
-bool election_call_is_stale(const struct core *core, const struct call *call);
-/* What the leader's key holds while this controller leads. */
-json_t *election_leader_value(const struct core *core);
+
+/* --- the leader's key --- */
+
 /* The key whose holder leads in the given format of the records. */
 const char *election_key(int format);
-/* What LEADER_KEY holds for ever once the format is raised: no controller has this name. */
+/* What the leader's key holds while this controller leads. The caller owns the value. */
+json_t *election_leader_value(const struct core *core);
+/*
+ * What LEADER_KEY holds for ever once the format is raised: no controller has this name. The caller
+ * owns the value.
+ */
 json_t *election_gate_value(int format);
-/* Ours is the first term in the new format. */
-void election_note_format(struct core *core, int format, uint64_t revision);
 
 #endif
--- /dev/null
+++ b/src/core/election/leader_lease.c
@@ -0,0 +1,161 @@
+/*
+ * The lease under which this controller holds the leader's key: claim, renewal and return.
+ */
+#include "core/election/leader_lease.h"
+
+#include <stdio.h>
+
+#include "core/state.h"
+#include "util/log.h"
+#include "util/xalloc.h"
+#include "wire/names.h"
+
+/* --- return --- */
+
+/* The lease ends by itself if the request is lost. */
+static void on_returned(struct core *core, struct call *call, const struct call_answer *answer)
+{
+	(void)core;
+	(void)call;
+	(void)answer;
+}
+
+void leader_lease_return(struct core *core)
+{
+	if (core->election.lease)
+		core_call(
+		    core, core->conf->state, "DELETE",
+		    format_path(W_PATH_LEASES "/%llu", (unsigned long long)core->election.lease),
+		    NULL, CALL_STATE_S, on_returned, NULL);
+	core->election.lease = 0;
+}
+
+/* --- claim --- */
+
+static void begin_term(struct core *core, uint64_t token)
+{
+	struct election *election = &core->election;
+
+	election->token = token;
+	election->first_token = token;
+	election->key_revision = token;
+	snprintf(election->leader, sizeof(election->leader), "%s", core->conf->name);
+	election->role = ROLE_RECOVERING;
+	core_begin_term(core);
+	log_token(token);
+	log_info("leader", "state=recovering");
+	core->events->leadership_won(core);
+}
+
+static void on_claim(struct core *core, struct call *call, const struct call_answer *answer)
+{
+	struct election *election = &core->election;
+	json_t *answer_json;
+	uint64_t token;
+
+	election->claim_in_flight = false;
+	store_note_answer(core, answer);
+	if (answer->status != STATUS_OK || !core_call_is_current(core, call)) {
+		log_debug("claim_failed", "status=%d", answer->status);
+		election->lease = 0;
+		election->key_is_current = false;
+		election->retry_at = core->now + LEADER_REREAD_S;
+		return;
+	}
+	answer_json = wire_parse(answer->body, answer->len);
+	token = wire_revision(answer_json);
+	json_decref(answer_json);
+	begin_term(core, token);
+}
+
+/* Writes the leader's key, guarded by the keys as they were read before the lease was requested. */
+static void send_claim(struct core *core)
+{
+	const struct election *election = &core->election;
+	const char *key = election_key(election->format);
+	struct txn txn;
+
+	txn_begin(&txn);
+	txn_guard(&txn, key, election->key_revision);
+	if (election->format >= FORMAT_SMALL_CHUNKS)
+		txn_guard(&txn, LEADER_KEY, election->gate_revision);
+	txn_put(&txn, key, election_leader_value(core), election->lease);
+	store_commit(core, txn_finish(&txn), on_claim, NULL);
+}
+
+static void on_lease(struct core *core, struct call *call, const struct call_answer *answer)
+{
+	struct election *election = &core->election;
+	json_t *answer_json;
+
+	store_note_answer(core, answer);
+	if (answer->status != STATUS_OK || !core_call_is_current(core, call)) {
+		election->claim_in_flight = false;
+		election->retry_at = core->now + LEADER_REREAD_S;
+		return;
+	}
+	answer_json = wire_parse(answer->body, answer->len);
+	election->lease = wire_lease(answer_json);
+	json_decref(answer_json);
+	/* Another took the key while the lease was requested: it must not be overwritten. */
+	if (*election->leader) {
+		election->claim_in_flight = false;
+		leader_lease_return(core);
+		return;
+	}
+	election->renewed_at = call->sent_at;
+	election->next_renewal_at = call->sent_at + LEADER_RENEW_S;
+	send_claim(core);
+}
+
+static bool claim_is_due(const struct core *core)
+{
+	const struct election *election = &core->election;
+
+	return election->key_is_current && !*election->leader && !election->claim_in_flight &&
+	       core->now >= election->retry_at && core->now >= election->no_claim_before &&
+	       election->format <= FORMAT_NEWEST;
+}
+
+void leader_lease_claim_if_due(struct core *core)
+{
+	if (!claim_is_due(core))
+		return;
+	core->election.claim_in_flight = true;
+	core_call(core, core->conf->state, "POST", format_path(W_PATH_LEASES),
+		  wire_lease_body(LEADER_TTL_MS), CALL_STATE_S, on_lease, NULL);
+}
+
+/* --- renewal --- */
+
+static void on_renewed(struct core *core, struct call *call, const struct call_answer *answer)
+{
+	struct election *election = &core->election;
+
+	if (!core_call_is_current(core, call))
+		return;
+	election->renewal_in_flight = false;
+	store_note_answer(core, answer);
+	if (answer->status == STATUS_OK) {
+		election->renewed_at = call->sent_at;
+		election->next_renewal_at = call->sent_at + LEADER_RENEW_S;
+	} else if (answer->status == STATUS_NOT_FOUND) {
+		election_step_down(core, STEP_DOWN_LEASE_ENDED);
+	} else {
+		election->next_renewal_at = core->now + LEADER_RETRY_S;
+	}
+}
+
+void leader_lease_renew_if_due(struct core *core)
+{
+	struct election *election = &core->election;
+
+	if (election->renewal_in_flight || core->now < election->next_renewal_at ||
+	    !election->lease)
+		return;
+	election->renewal_in_flight = true;
+	core_call(
+	    core, core->conf->state, "POST",
+	    format_path(W_PATH_LEASES "/%llu" W_PATH_RENEW, (unsigned long long)election->lease),
+	    xstrdup("{}"), CALL_STATE_S, on_renewed, NULL);
+}
--- a/src/core/records/recovery.c
+++ b/src/core/records/recovery.c
@@ -180,7 +180,7 @@
 		return;
 	core->jobs_watch.in_flight = false;
 	if (answer->status == STATUS_GONE) {
-		election_step_down(core, "watch_too_old");
+		election_step_down(core, STEP_DOWN_WATCH_TOO_OLD);
 		return;
 	}
 	if (answer->status != STATUS_OK) {
--- a/src/core/records/transaction.c
+++ b/src/core/records/transaction.c
@@ -113,7 +113,7 @@
 	log_error("transaction_refused", "nops=%d largest=%zu body=%.*s", transaction->op_count,
 		  transaction->largest_value, logged_length(answer), answer->body);
 	if (transaction->renews_token) {
-		election_step_down(core, "lease_refused");
+		election_step_down(core, STEP_DOWN_LEASE_REFUSED);
 		return;
 	}
 	limits_note_refusal(core, transaction->op_count, transaction->largest_value);
--- a/src/core/records/transaction_conflict.c
+++ b/src/core/records/transaction_conflict.c
@@ -154,7 +154,7 @@
 	if (name && !strcmp(name, core->conf->name) && entry.version > election_token(core))
 		transaction_note_committed(core, entry.version);
 	else
-		election_step_down(core, "guard_failed");
+		election_step_down(core, STEP_DOWN_GUARD_FAILED);
 	json_decref(answer_json);
 }
 
@@ -163,7 +163,7 @@
 	if (core->write_queue.transaction.renews_token)
 		read_token_key(core);
 	else if (wire_failed_has(answer, election_key(election_format(core))))
-		election_step_down(core, "guard_failed");
+		election_step_down(core, STEP_DOWN_GUARD_FAILED);
 	else
 		read_written_keys(core);
 }
