--- a/src/core/core.c
+++ b/src/core/core.c
@@ -33,7 +33,7 @@
 		job_free(core, job);
 	for (size_t i = 0; i < core->conf->nteams; i++)
 		core->teams[i].cpus = core->teams[i].gpus = 0;
-	core->jobs_watch.in_flight = false;
+	jobs_watch_clear(core);
 	core->cycles.requested = false;
 	core->cycles.attempt_counter = 0;
 }
--- a/src/core/records/recovery.c
+++ b/src/core/records/recovery.c
@@ -1,98 +1,80 @@
-/* Take-over: all records are read before anything is decided; then the jobs' key range is watched.
+/*
+ * Recovery: all records are read before anything is decided.
+ *
+ * The records are read page by page. Changes of jobs that are committed meanwhile are found by the
+ * watch, which begins at the revision of the first page.
  */
+#include "core/records/recovery.h"
+
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
+#include "core/records/jobs_watch.h"
 #include "core/state.h"
 #include "util/log.h"
 #include "util/xalloc.h"
 
+#define OPEN_JOBS_INDEX 0 /* of KEY_OPEN_JOBS in the lists of prefixes */
+
 /* In this order: an older record of tasks counts only where no newer one was read. */
 static const char *const prefixes_large_chunks[] = {KEY_OPEN_JOBS, KEY_LARGE_CHUNKS, NULL};
 static const char *const prefixes_small_chunks[] = {KEY_OPEN_JOBS, KEY_SMALL_CHUNKS,
 						    KEY_LARGE_CHUNKS, NULL};
 
-static const char *load_prefix(const struct core *core, size_t at)
-{
-	return (election_format(core) >= FORMAT_SMALL_CHUNKS ? prefixes_small_chunks
-							     : prefixes_large_chunks)[at];
-}
-
+/* How far the reading has come; owned by the call for the next page. */
 struct recovery {
 	size_t prefix_index;
-	char cursor[200];
+	char cursor[KEY_MAX]; /* the last key read; empty: none under this prefix */
 	bool first_page;
 };
 
-void recovery_take_job_record(struct core *core, const char *id, json_t *value, uint64_t version)
+/* The prefix of the keys to be read next; NULL: all are read. */
+static const char *current_prefix(const struct core *core, const struct recovery *recovery)
 {
-	struct job *job = job_find(core, id);
-	struct job_spec spec;
-	const char *why;
-
-	if (!job) {
-		if (wire_job_decode(json_object_get(value, "spec"), &spec, &why)) {
-			log_error("record_unreadable", "job=%s field=%s", id, why);
-			wire_job_free(&spec);
-			return;
-		}
-		job = job_add(core, &spec);
-		job->submitted_at = json_number_value(json_object_get(value, "at"));
-	}
-	job->record_version = version;
-	/*
-	 * While loading, its bindings may not have been read yet: a job that seems to have none
-	 * would be closed at once, and its tasks run on with nobody to stop them.
-	 */
-	if (json_is_true(json_object_get(value, "cancelled"))) {
-		if (election_role(core) == ROLE_RECOVERING)
-			job->cancelled = true;
-		else
-			job_cancel(core, job);
-	}
-	core->events->placement_needed(core);
+	const char *const *prefixes = election_format(core) >= FORMAT_SMALL_CHUNKS
+					  ? prefixes_small_chunks
+					  : prefixes_large_chunks;
+
+	return prefixes[recovery->prefix_index];
 }
 
-struct recovery_context {
-	struct core *core;
-	struct recovery *recovery;
-};
+/* --- after the last page --- */
 
-static void load_item(void *ctx, const struct kv_item *it)
+static void stop_bindings(struct core *core, struct job *job)
 {
-	struct recovery_context *x = ctx;
+	struct binding *binding;
 
-	snprintf(x->recovery->cursor, sizeof(x->recovery->cursor), "%s", it->key);
-	if (x->recovery->prefix_index == 0)
-		recovery_take_job_record(x->core, it->key + strlen(KEY_OPEN_JOBS), it->value,
-					 it->version);
-	else
-		task_record_load(x->core, it);
+	DL_FOREACH2 (job->bindings, binding, job_next)
+		binding_stop(core, binding, 0);
 }
 
-static void load_finish(struct core *core)
+/* Part of a gang is bound: the leader before ended between two transactions of one placement. */
+static bool is_partial_gang(const struct job *job)
 {
-	struct job *job, *tmp;
-
-	JOBS_FOR_EACH (core, job, tmp) {
-		struct binding *binding;
-
-		for (uint32_t t = 0; t < job->spec.task_count; t++)
-			job->done_count += task_bit_test(job->done, t);
-		/* Part of a gang: the leader before ended between two transactions of one
-		 * placement. */
-		if (job->spec.kind == JOB_GANG && !job->orphan && job->bound_count &&
-		    job->bound_count < job->spec.task_count) {
-			job->gang_stopping = true;
-			DL_FOREACH2 (job->bindings, binding, job_next)
-				binding_stop(core, binding, 0);
-		}
-		if (job->cancelled)
-			DL_FOREACH2 (job->bindings, binding, job_next)
-				binding_stop(core, binding, 0);
+	return job->spec.kind == JOB_GANG && !job->orphan && job->bound_count &&
+	       job->bound_count < job->spec.task_count;
+}
+
+static void recover_job(struct core *core, struct job *job)
+{
+	for (uint32_t task = 0; task < job->spec.task_count; task++)
+		job->done_count += task_bit_test(job->done, task);
+	if (is_partial_gang(job)) {
+		job->gang_stopping = true;
+		stop_bindings(core, job);
 	}
-	JOBS_FOR_EACH (core, job, tmp) {
+	if (job->cancelled)
+		stop_bindings(core, job);
+}
+
+static void finish(struct core *core)
+{
+	struct job *job, *next;
+
+	JOBS_FOR_EACH (core, job, next)
+		recover_job(core, job);
+	JOBS_FOR_EACH (core, job, next) {
 		task_records_migrate(core, job);
 		job_check_end(core, job);
 		job_release_if_over(core, job);
@@ -105,101 +87,77 @@
 	core->events->placement_needed(core);
 }
 
-static void on_page(struct core *core, struct call *call, const struct call_answer *answer);
+/* --- reading --- */
 
-static void ask_page(struct core *core, struct recovery *load)
-{
-	store_range(core, load_prefix(core, load->prefix_index), load->cursor, on_page, load)
-	    ->free_arg = free;
-}
+struct page_context {
+	struct core *core;
+	struct recovery *recovery;
+};
 
-static void on_page(struct core *core, struct call *call, const struct call_answer *answer)
+static void load_entry(void *context, const struct kv_item *entry)
 {
-	struct recovery *load = call->arg;
-	struct recovery_context x = {core, load};
-	json_t *o;
+	const struct page_context *page = context;
+	struct recovery *recovery = page->recovery;
 
-	store_note_answer(core, answer);
-	if (election_call_is_stale(core, call)) {
-		free(load);
-		return;
-	}
-	if (answer->status != STATUS_OK) {
-		ask_page(core, load);
-		return;
-	}
-	o = wire_parse(answer->body, answer->len);
-	if (load->first_page) {
-		core->jobs_watch.revision = wire_revision(o);
-		core->jobs_watch.read_at = call->sent_at;
-		election_note_jobs_read(core, call->sent_at);
-	}
-	load->first_page = false;
-	wire_items(o, load_item, &x);
-	if (!wire_more(o)) {
-		load->prefix_index++;
-		load->cursor[0] = 0;
-	}
-	json_decref(o);
-	if (load_prefix(core, load->prefix_index)) {
-		ask_page(core, load);
-		return;
-	}
-	free(load);
-	load_finish(core);
+	snprintf(recovery->cursor, sizeof(recovery->cursor), "%s", entry->key);
+	if (recovery->prefix_index == OPEN_JOBS_INDEX)
+		job_record_load(page->core, entry->key + strlen(KEY_OPEN_JOBS), entry->value,
+				entry->version);
+	else
+		task_record_load(page->core, entry);
 }
 
-void recovery_start(struct core *core)
+static void load_page(struct core *core, struct recovery *recovery, const struct call *call,
+		      const struct call_answer *answer)
 {
-	struct recovery *load = xcalloc(1, sizeof(*load));
-
-	load->first_page = true;
-	ask_page(core, load);
+	struct page_context page = {core, recovery};
+	json_t *answer_json = wire_parse(answer->body, answer->len);
+
+	if (recovery->first_page)
+		jobs_watch_start(core, wire_revision(answer_json), call->sent_at);
+	recovery->first_page = false;
+	wire_items(answer_json, load_entry, &page);
+	if (!wire_more(answer_json)) {
+		recovery->prefix_index++;
+		recovery->cursor[0] = 0;
+	}
+	json_decref(answer_json);
 }
 
-static void watch_item(void *ctx, const struct kv_item *it)
-{
-	struct core *core = ctx;
-	struct job *job;
+static void on_page(struct core *core, struct call *call, const struct call_answer *answer);
 
-	size_t n = strlen(KEY_OPEN_JOBS);
+static void request_page(struct core *core, struct recovery *recovery)
+{
+	const char *prefix = current_prefix(core, recovery);
+	struct call *call = store_range(core, prefix, recovery->cursor, on_page, recovery);
 
-	if (strncmp(it->key, KEY_OPEN_JOBS, n) || !it->value)
-		return;
-	job = job_find(core, it->key + n);
-	if (job && (job->orphan || it->version <= job->record_version))
-		return;
-	recovery_take_job_record(core, it->key + n, it->value, it->version);
+	call->free_arg = free;
 }
 
-static void on_watch(struct core *core, struct call *call, const struct call_answer *answer)
+static void on_page(struct core *core, struct call *call, const struct call_answer *answer)
 {
-	json_t *o;
+	struct recovery *recovery = call->arg;
 
-	if (election_call_is_stale(core, call))
-		return;
-	core->jobs_watch.in_flight = false;
-	if (answer->status == STATUS_GONE) {
-		election_step_down(core, STEP_DOWN_WATCH_TOO_OLD);
+	store_note_answer(core, answer);
+	if (election_call_is_stale(core, call)) {
+		free(recovery);
 		return;
 	}
-	if (answer->status != STATUS_OK) {
-		core->jobs_watch.retry_at = core->now + LEADER_REREAD_S;
+	/* Without an answer, the same page is requested again. */
+	if (answer->status == STATUS_OK)
+		load_page(core, recovery, call, answer);
+	if (current_prefix(core, recovery)) {
+		request_page(core, recovery);
 		return;
 	}
-	o = wire_parse(answer->body, answer->len);
-	wire_items(o, watch_item, core);
-	if (wire_revision(o) > core->jobs_watch.revision)
-		core->jobs_watch.revision = wire_revision(o);
-	core->jobs_watch.read_at = call->sent_at;
-	election_note_jobs_read(core, call->sent_at);
-	json_decref(o);
+	free(recovery);
+	finish(core);
 }
 
-void jobs_watch_tick(struct core *core)
+void recovery_start(struct core *core)
 {
-	if (core->jobs_watch.in_flight || core->now < core->jobs_watch.retry_at)
-		return;
-	core->jobs_watch.in_flight = true;
-	store_watch(core, KEY_OPEN_JOBS, core->jobs_watch.revision, JOBS_WATCH_MS, on_watch, NULL);
+	struct recovery *recovery = xcalloc(1, sizeof(*recovery));
+
+	recovery->first_page = true;
+	request_page(core, recovery);
 }
--- a/src/core/records/task_records.h
+++ b/src/core/records/task_records.h
@@ -2,7 +2,11 @@
  * The records of a job's tasks: which are done, and which are bound to which machine.
  *
  * A record holds a range of the job's tasks, a chunk: LARGE_CHUNK_TASKS of them in the first
- * format, SMALL_CHUNK_TASKS since FORMAT_SMALL_CHUNKS.
+ * format, SMALL_CHUNK_TASKS since FORMAT_SMALL_CHUNKS. A newer record stands for its tasks whatever
+ * an older one says, so the change from one format to the other needs no transaction of its own.
+ *
+ * task_records.c makes the records' keys and values, task_record_load.c reads them, and
+ * task_record_migration.c replaces those of the older format.
  */
 #ifndef PLOVERLOFT_TASK_RECORDS_H
 #define PLOVERLOFT_TASK_RECORDS_H
@@ -13,8 +17,17 @@
 #define KEY_LARGE_CHUNKS "b/" /* of LARGE_CHUNK_TASKS tasks */
 #define KEY_SMALL_CHUNKS "t/" /* of SMALL_CHUNK_TASKS tasks, from FORMAT_SMALL_CHUNKS on */
 
+/*
+ * A record's value is {"done": TEXT, "bound": [GROUP, ...]}, with the done bits as by bits_encode.
+ * A group is the list of bindings of one attempt and zone: [attempt, zone, task, machine, task,
+ * machine, ...]
+ */
+enum task_group_index { GROUP_ATTEMPT, GROUP_ZONE, GROUP_FIRST_TASK };
+
 /* Writes the key of the chunk's record in the job's present format. */
 void task_record_key(char key[KEY_MAX], const struct job *job, uint32_t chunk_index);
+/* Writes the key of the record of a large chunk, whatever the job's present format is. */
+void task_record_large_key(char key[KEY_MAX], const struct job *job, uint32_t chunk_index);
 /* The record's value as the chunk is now. The caller owns it. */
 json_t *task_record_value(const struct job *job, uint32_t chunk_index);
 /* True if one more binding could make the task's record larger than one value may be. */
@@ -26,9 +39,12 @@
 
 /*
  * Takes a record that recovery has read: into its job, or into a job made for it if the job's own
- * record is gone. Keys that are none of a record of tasks are ignored.
+ * record was deleted. Keys that are none of a record of tasks are ignored.
  */
 void task_record_load(struct core *core, const struct kv_item *entry);
+
+/* Notes a record of the older format. */
+void task_record_note_old(struct job *job, uint32_t index, uint64_t version);
 /* The chunk's newer record is written or not needed: the older one may be deleted. */
 void task_record_note_superseded(struct core *core, struct job *job, uint32_t chunk_index);
 /* Writes the tasks of all jobs in the newest format from now on. */
--- a/src/core/state.h
+++ b/src/core/state.h
@@ -20,6 +20,7 @@
 #include "core/election/format_gate.h"
 #include "core/model/catalog.h"
 #include "core/model/job.h"
+#include "core/records/jobs_watch.h"
 #include "core/records/limits.h"
 #include "core/records/recovery.h"
 #include "core/model/machine.h"
