--- a/src/core/election/format_gate.c
+++ b/src/core/election/format_gate.c
@@ -1,48 +1,49 @@
 /*
  * The cluster's format version. Each controller commits the newest format that it reads under a key
- * of its own. Once all have, the leader raises the format of the records with one transaction
- * (commit.c); until then it writes only what every version reads. No controller has to be up for
- * it.
+ * of its own. Once all have, the leader raises the format of the records with one transaction,
+ * which renews its token as well; until then it writes only what every version reads. No controller
+ * has to be up for it: the versions are records.
  */
+#include "core/election/format_gate.h"
+
 #include <stdio.h>
 #include <string.h>
 
 #include "core/state.h"
-#include "util/log.h"
 
-#define VERSIONS "v/"
+#define KEY_VERSIONS "v/" /* one entry a controller */
 
-/* --- our own version --- */
+/* --- this controller's version --- */
 
 static void on_registered(struct core *core, struct call *call, const struct call_answer *answer)
 {
+	struct format_gate *gate = &core->format;
+
 	(void)call;
 	store_note_answer(core, answer);
-	core->format.register_in_flight = false;
-	core->format.registered = answer->status == STATUS_OK;
-	core->format.next_register_at = core->now + FORMAT_REGISTER_S;
+	gate->register_in_flight = false;
+	gate->registered = answer->status == STATUS_OK;
+	gate->next_register_at = core->now + FORMAT_REGISTER_S;
 }
 
 static void register_version(struct core *core)
 {
-	char key[CONF_NAME_MAX + sizeof(VERSIONS)];
+	int format = core->conf->hold_format ? FORMAT_LARGE_CHUNKS : FORMAT_NEWEST;
+	char key[CONF_NAME_MAX + sizeof(KEY_VERSIONS)];
 	struct txn txn;
 
-	snprintf(key, sizeof(key), VERSIONS "%s", core->conf->name);
+	snprintf(key, sizeof(key), KEY_VERSIONS "%s", core->conf->name);
 	txn_begin(&txn);
-	txn_put(&txn, key,
-		json_pack("{s:i}", "format",
-			  core->conf->hold_format ? FORMAT_LARGE_CHUNKS : FORMAT_NEWEST),
-		0);
+	txn_put(&txn, key, json_pack("{s:i}", "format", format), 0);
 	core->format.register_in_flight = true;
 	store_commit(core, txn_finish(&txn), on_registered, NULL);
 }
 
-/* --- the leader's look at all versions --- */
+/* --- the leader's scan of all versions --- */
 
-struct version_count {
-	struct core *core;
-	size_t newest; /* controllers of this cluster that read the newest format */
+struct version_scan {
+	const struct core *core;
+	size_t newest_count; /* controllers of this cluster that read the newest format */
 };
 
 static bool is_member(const struct core *core, const char *name)
@@ -55,19 +56,21 @@
 	return false;
 }
 
-static void count_version(void *ctx, const struct kv_item *item)
+static void count_version(void *context, const struct kv_item *entry)
 {
-	struct version_count *count = ctx;
-	json_int_t format = json_integer_value(json_object_get(item->value, "format"));
+	struct version_scan *scan = context;
+	const char *name = entry->key + strlen(KEY_VERSIONS);
+	json_int_t format = json_integer_value(json_object_get(entry->value, "format"));
 
-	if (format >= FORMAT_NEWEST && is_member(count->core, item->key + strlen(VERSIONS)))
-		count->newest++;
+	if (format >= FORMAT_NEWEST && is_member(scan->core, name))
+		scan->newest_count++;
 }
 
 static void on_versions(struct core *core, struct call *call, const struct call_answer *answer)
 {
-	struct version_count count = {core, 0};
-	json_t *object;
+	struct version_scan scan = {core, 0};
+	const size_t controller_count = core->conf->npeers + 1;
+	json_t *answer_json;
 
 	store_note_answer(core, answer);
 	if (election_call_is_stale(core, call))
@@ -75,30 +78,44 @@
 	core->format.scan_in_flight = false;
 	if (answer->status != STATUS_OK)
 		return;
-	object = wire_parse(answer->body, answer->len);
-	wire_items(object, count_version, &count);
-	json_decref(object);
-	core->format.all_read_newest = count.newest == core->conf->npeers + 1;
+	answer_json = wire_parse(answer->body, answer->len);
+	wire_items(answer_json, count_version, &scan);
+	json_decref(answer_json);
+	core->format.all_read_newest = scan.newest_count == controller_count;
 }
 
 bool format_raise_due(const struct core *core)
 {
-	return core->election.format < FORMAT_NEWEST && core->format.all_read_newest;
+	return election_format(core) < FORMAT_NEWEST && core->format.all_read_newest;
+}
+
+static bool registration_is_due(const struct core *core)
+{
+	const struct format_gate *gate = &core->format;
+
+	return !gate->registered && !gate->register_in_flight &&
+	       core->now >= gate->next_register_at;
+}
+
+static bool scan_is_due(const struct core *core)
+{
+	const struct format_gate *gate = &core->format;
+
+	return election_is_leader(core) && election_format(core) < FORMAT_NEWEST &&
+	       !gate->all_read_newest && !gate->scan_in_flight && core->now >= gate->next_scan_at;
 }
 
 void format_tick(struct core *core)
 {
-	struct format_gate *format = &core->format;
+	struct format_gate *gate = &core->format;
 
-	if (!format->registered && !format->register_in_flight &&
-	    core->now >= format->next_register_at)
+	if (registration_is_due(core))
 		register_version(core);
-	if (core->election.role != ROLE_LEADER || core->election.format >= FORMAT_NEWEST ||
-	    format->all_read_newest || format->scan_in_flight || core->now < format->next_scan_at)
+	if (!scan_is_due(core))
 		return;
-	format->scan_in_flight = true;
-	format->next_scan_at = core->now + FORMAT_LOOK_S;
-	store_range(core, VERSIONS, "", on_versions, NULL);
+	gate->scan_in_flight = true;
+	gate->next_scan_at = core->now + FORMAT_LOOK_S;
+	store_range(core, KEY_VERSIONS, "", on_versions, NULL);
 }
 
 void format_clear(struct core *core)
--- a/src/core/election/format_gate.h
+++ b/src/core/election/format_gate.h
@@ -8,19 +8,21 @@
 
 struct core;
 
-/* What is known of the formats that the controllers read. */
+/* What is known of the formats that the controllers read. Times are steady. */
 struct format_gate {
-	bool registered;	 /* ours is on record */
-	bool register_in_flight; /* the write is under way */
-	double next_register_at; /* steady; not before */
-	bool scan_in_flight;	 /* the leader reads all entries */
-	double next_scan_at;	 /* steady; not before */
-	bool all_read_newest;	 /* so the last look showed */
+	bool registered; /* this controller's version is on record */
+	bool register_in_flight;
+	double next_register_at;
+	bool scan_in_flight; /* the leader reads all controllers' versions */
+	double next_scan_at;
+	bool all_read_newest; /* as of the last scan */
 };
 
+/* Registers this controller's version; the leader also scans all versions until it may raise. */
 void format_tick(struct core *core);
 /* True if the leader is to raise the format: all controllers read the new one. */
 bool format_raise_due(const struct core *core);
+/* Forgets what the term's scans showed. */
 void format_clear(struct core *core);
 
 #endif
--- a/src/core/records/limits.c
+++ b/src/core/records/limits.c
@@ -1,3 +1,6 @@
+/*
+ * The limits of the state service in force.
+ */
 #include "core/records/limits.h"
 
 #include <math.h>
@@ -5,65 +8,71 @@
 #include "core/state.h"
 #include "util/log.h"
 
-/* The smaller of today's limit and the one to come, which need not be stated. */
-static double smaller(double today, double next)
+/* The smaller of the present limit and the one to come, which need not be stated. */
+static double smaller_limit(double present, double next)
 {
-	return next > 0 ? fmin(today, next) : today;
+	return next > 0 ? fmin(present, next) : present;
 }
 
-static bool learned_counts(const struct core *core)
+static bool learned_limits_hold(const struct core *core)
 {
 	return core->now < core->limits.expires_at;
 }
 
-static size_t with_learned(const struct core *core, double value_kb)
+/* The limit in bytes, or the learned one if that is smaller. */
+static size_t value_limit(const struct core *core, double value_kb)
 {
+	size_t learned_bytes = core->limits.value_bytes;
 	size_t bytes = (size_t)(value_kb * 1024);
 
-	if (learned_counts(core) && core->limits.value_bytes && core->limits.value_bytes < bytes)
-		bytes = core->limits.value_bytes;
+	if (learned_limits_hold(core) && learned_bytes && learned_bytes < bytes)
+		return learned_bytes;
 	return bytes;
 }
 
 size_t limits_value_bytes(const struct core *core)
 {
-	return election_format(core) >= FORMAT_SMALL_CHUNKS
-		   ? limits_job_record_bytes(core)
-		   : with_learned(core, core->conf->limits.value_kb);
+	if (election_format(core) >= FORMAT_SMALL_CHUNKS)
+		return limits_job_record_bytes(core);
+	return value_limit(core, core->conf->limits.value_kb);
 }
 
 size_t limits_job_record_bytes(const struct core *core)
 {
 	const struct conf *conf = core->conf;
 
-	return with_learned(core, smaller(conf->limits.value_kb, conf->next_limits.value_kb));
+	return value_limit(core, smaller_limit(conf->limits.value_kb, conf->next_limits.value_kb));
 }
 
 int limits_txn_ops(const struct core *core)
 {
 	const struct conf *conf = core->conf;
-	int most = (int)smaller(conf->limits.txn_ops, conf->next_limits.txn_ops);
+	int learned_ops = core->limits.txn_ops;
+	int ops = (int)smaller_limit(conf->limits.txn_ops, conf->next_limits.txn_ops);
 
-	if (learned_counts(core) && core->limits.txn_ops && core->limits.txn_ops < most)
-		most = core->limits.txn_ops;
-	return most;
+	if (learned_limits_hold(core) && learned_ops && learned_ops < ops)
+		return learned_ops;
+	return ops;
 }
 
 double limits_write_rps(const struct core *core)
 {
-	return smaller(core->conf->limits.write_rps, core->conf->next_limits.write_rps);
+	const struct conf *conf = core->conf;
+
+	return smaller_limit(conf->limits.write_rps, conf->next_limits.write_rps);
 }
 
-void limits_note_refusal(struct core *core, int nops, size_t largest)
+void limits_note_refusal(struct core *core, int op_count, size_t largest_value)
 {
 	struct learned_limits *learned = &core->limits;
+	int half = op_count / 2;
 
-	if (!learned_counts(core))
+	if (!learned_limits_hold(core))
 		*learned = (struct learned_limits){0};
-	if (nops > LIMITS_TXN_OPS_MIN)
-		learned->txn_ops = nops / 2 > LIMITS_TXN_OPS_MIN ? nops / 2 : LIMITS_TXN_OPS_MIN;
-	else if (largest > LIMITS_VALUE_FLOOR)
-		*learned = (struct learned_limits){.value_bytes = largest - 1};
+	if (op_count > LIMITS_TXN_OPS_MIN)
+		learned->txn_ops = half > LIMITS_TXN_OPS_MIN ? half : LIMITS_TXN_OPS_MIN;
+	else if (largest_value > LIMITS_VALUE_FLOOR)
+		*learned = (struct learned_limits){.value_bytes = largest_value - 1};
 	learned->expires_at = core->now + LIMITS_LEARNED_S;
 	log_info("limits_learned", "learned_ops=%d learned_bytes=%zu", learned->txn_ops,
 		 learned->value_bytes);
--- a/src/core/store/store_client.c
+++ b/src/core/store/store_client.c
@@ -1,12 +1,18 @@
+/*
+ * Requests to the state service.
+ */
+#include "core/store/store_client.h"
+
 #include <stdio.h>
-#include <string.h>
 
 #include "core/state.h"
 #include "wire/names.h"
 
-/* Notes whether the state service serves us; a 503 may concern this controller alone. */
+/* --- whether it serves this controller --- */
+
 void store_note_answer(struct core *core, const struct call_answer *answer)
 {
+	/* A 503 may concern this controller alone. */
 	core->store_unavailable =
 	    answer->outcome != CALL_ANSWERED || answer->status == STATUS_UNAVAILABLE;
 	if (!core->store_unavailable)
@@ -23,18 +29,20 @@
 	return core->now - core->store_answered_at;
 }
 
-struct call *store_get(struct core *core, const char *key, answer_fn fn, void *arg)
+/* --- requests --- */
+
+struct call *store_get(struct core *core, const char *key, answer_fn on_answer, void *arg)
 {
+	char *path = format_path(W_PATH_KEYS "/%s", key);
 	struct call *call =
-	    core_call(core, core->conf->state, "GET", format_path(W_PATH_KEYS "/%s", key), NULL,
-		      CALL_STATE_S, fn, arg);
+	    core_call(core, core->conf->state, "GET", path, NULL, CALL_STATE_S, on_answer, arg);
 
 	snprintf(call->key, sizeof(call->key), "%s", key);
 	return call;
 }
 
-struct call *store_range(struct core *core, const char *prefix, const char *after, answer_fn fn,
-			 void *arg)
+struct call *store_range(struct core *core, const char *prefix, const char *after,
+			 answer_fn on_answer, void *arg)
 {
 	char *path;
 
@@ -44,21 +52,21 @@
 	else
 		path =
 		    format_path(W_PATH_KEYS "?" W_PREFIX "=%s&" W_LIMIT "=%d", prefix, RANGE_LIMIT);
-	return core_call(core, core->conf->state, "GET", path, NULL, CALL_STATE_S, fn, arg);
+	return core_call(core, core->conf->state, "GET", path, NULL, CALL_STATE_S, on_answer, arg);
 }
 
-struct call *store_commit(struct core *core, char *body, answer_fn fn, void *arg)
+struct call *store_commit(struct core *core, char *body, answer_fn on_answer, void *arg)
 {
 	return core_call(core, core->conf->state, "POST", format_path(W_PATH_TXN), body,
-			 CALL_STATE_S, fn, arg);
+			 CALL_STATE_S, on_answer, arg);
 }
 
-struct call *store_watch(struct core *core, const char *prefix, uint64_t from, int wait_ms,
-			 answer_fn fn, void *arg)
+struct call *store_watch(struct core *core, const char *prefix, uint64_t after_revision,
+			 int wait_ms, answer_fn on_answer, void *arg)
 {
 	char *path = format_path(W_PATH_WATCH "?" W_PREFIX "=%s&" W_AFTER "=%llu&" W_WAIT "=%d",
-				 prefix, (unsigned long long)from, wait_ms);
+				 prefix, (unsigned long long)after_revision, wait_ms);
+	double timeout_s = wait_ms / 1000.0 + LEADER_WATCH_SLACK_S;
 
-	return core_call(core, core->conf->state, "GET", path, NULL,
-			 wait_ms / 1000.0 + LEADER_WATCH_SLACK_S, fn, arg);
+	return core_call(core, core->conf->state, "GET", path, NULL, timeout_s, on_answer, arg);
 }
