--- a/src/core/election/election.c
+++ b/src/core/election/election.c
@@ -78,9 +78,14 @@
 	core->election.role = ROLE_LEADER;
 }
 
-void election_note_renewing(struct core *core, bool in_flight)
+void election_note_token_renewal_sent(struct core *core)
 {
-	core->election.token_renewal_in_flight = in_flight;
+	core->election.token_renewal_in_flight = true;
+}
+
+void election_note_token_renewal_over(struct core *core)
+{
+	core->election.token_renewal_in_flight = false;
 }
 
 void election_note_token(struct core *core, uint64_t token)
--- a/src/core/election/election.h
+++ b/src/core/election/election.h
@@ -68,7 +68,7 @@
 uint64_t election_token(const struct core *core);
 /* The lowest token by which a report shows that its agent was there in this term. */
 uint64_t election_first_token(const struct core *core);
-/* The lease that holds the leader's key; 0: none. */
+/* The lease of the leader's key; 0: none. */
 uint64_t election_lease(const struct core *core);
 /* The format of the records, as the leader's keys say. */
 int election_format(const struct core *core);
@@ -85,8 +85,10 @@
 void election_tick(struct core *core);
 /* The records are read: this controller leads from now on. */
 void election_note_recovered(struct core *core);
-/* A write of the leader's key, which renews the token, is in flight, or is over. */
-void election_note_renewing(struct core *core, bool in_flight);
+/* A write of the leader's key, which renews the token, is sent. */
+void election_note_token_renewal_sent(struct core *core);
+/* No such write is in flight any more. */
+void election_note_token_renewal_over(struct core *core);
 /* The leader's key was written anew: its revision is the token from now on. */
 void election_note_token(struct core *core, uint64_t token);
 /* Reports that show an older token than the present one do not count any more. */
@@ -107,7 +109,7 @@
 /* The jobs' changes were read by a request sent at `at` (steady). */
 void election_note_jobs_read(struct core *core, double at);
 double election_jobs_read_at(const struct core *core);
-/* All cancellations that the other controllers confirmed by `at` (steady) are known here. */
+/* All cancellations that the other controllers confirmed by `at` (steady) were received. */
 void election_note_peers_confirmed(struct core *core, double at);
 /* True while it may answer agents: a cancellation elsewhere is still carried out in time. */
 bool election_may_serve(const struct core *core);
@@ -121,11 +123,11 @@
 
 /* The key whose holder leads in the given format of the records. */
 const char *election_key(int format);
-/* What the leader's key holds while this controller leads. The caller owns the value. */
+/* The value of the leader's key while this controller leads. The caller owns it. */
 json_t *election_leader_value(const struct core *core);
 /*
- * What LEADER_KEY holds for ever once the format is raised: no controller has this name. The caller
- * owns the value.
+ * The value that LEADER_KEY keeps for ever once the format is raised: no controller has this name.
+ * The caller owns it.
  */
 json_t *election_gate_value(int format);
 
--- a/src/core/election/format_gate.h
+++ b/src/core/election/format_gate.h
@@ -8,7 +8,7 @@
 
 struct core;
 
-/* What is known of the formats that the controllers read. Times are steady. */
+/* The formats that the controllers read, as far as registered and scanned. Times are steady. */
 struct format_gate {
 	bool registered; /* this controller's version is on record */
 	bool register_in_flight;
--- a/src/core/election/leader_key.h
+++ b/src/core/election/leader_key.h
@@ -9,7 +9,7 @@
 
 struct core;
 
-/* Reads the keys if what is known of them may be out of date, and else keeps a watch on them. */
+/* Reads the keys if what was read of them may be out of date, and else keeps a watch on them. */
 void leader_key_tick(struct core *core);
 
 #endif
--- a/src/core/records/recovery.c
+++ b/src/core/records/recovery.c
@@ -68,7 +68,7 @@
 		stop_bindings(core, job);
 }
 
-static void finish(struct core *core)
+static void finish_recovery(struct core *core)
 {
 	struct job *job, *next;
 
@@ -151,7 +151,7 @@
 		return;
 	}
 	free(recovery);
-	finish(core);
+	finish_recovery(core);
 }
 
 void recovery_start(struct core *core)
--- a/src/core/records/task_record_load.c
+++ b/src/core/records/task_record_load.c
@@ -40,7 +40,7 @@
 	return record->chunk_index < JOB_TASKS_MAX / record->tasks_per_chunk + 1;
 }
 
-/* The record holds the task, and no newer record does: an older one counts only without. */
+/* The record covers the task. An older record counts only for tasks without a newer one. */
 static bool record_counts_for(const struct job *job, const struct task_record *record,
 			      uint32_t task)
 {
--- a/src/core/records/task_record_migration.c
+++ b/src/core/records/task_record_migration.c
@@ -1,8 +1,8 @@
 /*
  * The change from records of large chunks to records of small ones.
  *
- * A large chunk's record is deleted once each of its small chunks that holds anything has a record
- * of its own.
+ * A large chunk's record is deleted once each of its small chunks that needs a record has one of
+ * its own.
  */
 #include <stdlib.h>
 
@@ -12,7 +12,7 @@
 
 #define SMALL_PER_LARGE_CHUNK (LARGE_CHUNK_TASKS / SMALL_CHUNK_TASKS)
 
-void task_record_note_old(struct job *job, uint32_t index, uint64_t version)
+void task_record_note_old(struct job *job, uint32_t old_index, uint64_t version)
 {
 	struct job_records *records = &job->records;
 	uint32_t count = (job->spec.task_count + LARGE_CHUNK_TASKS - 1) / LARGE_CHUNK_TASKS;
@@ -23,15 +23,15 @@
 	for (uint32_t i = records->old_chunk_count; i < count; i++)
 		records->old_chunks[i] = (struct old_chunk){0};
 	records->old_chunk_count = count;
-	records->old_chunks[index].version = version;
+	records->old_chunks[old_index].version = version;
 }
 
-static void delete_old_record(struct core *core, struct job *job, uint32_t index)
+static void delete_old_record(struct core *core, struct job *job, uint32_t old_index)
 {
-	struct old_chunk *old_chunk = &job->records.old_chunks[index];
+	struct old_chunk *old_chunk = &job->records.old_chunks[old_index];
 	char key[KEY_MAX];
 
-	task_record_large_key(key, job, index);
+	task_record_large_key(key, job, old_index);
 	write_queue_add_delete(core, key, old_chunk->version);
 	old_chunk->version = 0;
 }
@@ -59,7 +59,7 @@
 	return false;
 }
 
-/* The chunk holds something that has to be on record. */
+/* The chunk has bindings or done tasks that have to be on record. */
 static bool chunk_needs_record(const struct job *job, uint32_t chunk_index)
 {
 	const struct chunk *chunk = &job->records.chunks[chunk_index];
@@ -91,22 +91,22 @@
 		return;
 	for (uint32_t chunk_index = 0; chunk_index < job_chunk_count(job); chunk_index++)
 		migrate_chunk(core, job, chunk_index);
-	for (uint32_t index = 0; index < records->old_chunk_count; index++)
-		if (records->old_chunks[index].version &&
-		    !records->old_chunks[index].pending_chunks)
-			delete_old_record(core, job, index);
+	for (uint32_t old_index = 0; old_index < records->old_chunk_count; old_index++)
+		if (records->old_chunks[old_index].version &&
+		    !records->old_chunks[old_index].pending_chunks)
+			delete_old_record(core, job, old_index);
 }
 
-/* Replaces the job's large chunks by small ones, which take over what the large ones held. */
+/* Replaces the job's large chunks by small ones, which cover the same tasks and bindings. */
 static void raise_job(struct core *core, struct job *job)
 {
 	struct chunk *large_chunks = job->records.chunks;
 	uint32_t large_count = job_chunk_count(job);
 	struct binding *binding;
 
-	for (uint32_t index = 0; index < large_count; index++)
-		if (large_chunks[index].version)
-			task_record_note_old(job, index, large_chunks[index].version);
+	for (uint32_t old_index = 0; old_index < large_count; old_index++)
+		if (large_chunks[old_index].version)
+			task_record_note_old(job, old_index, large_chunks[old_index].version);
 	job->records.tasks_per_chunk = SMALL_CHUNK_TASKS;
 	job->records.chunks = xcalloc(job_chunk_count(job), sizeof(*job->records.chunks));
 	DL_FOREACH2 (job->bindings, binding, job_next)
--- a/src/core/records/task_records.h
+++ b/src/core/records/task_records.h
@@ -1,7 +1,7 @@
 /*
  * The records of a job's tasks: which are done, and which are bound to which machine.
  *
- * A record holds a range of the job's tasks, a chunk: LARGE_CHUNK_TASKS of them in the first
+ * A record covers a range of the job's tasks, a chunk: LARGE_CHUNK_TASKS of them in the first
  * format, SMALL_CHUNK_TASKS since FORMAT_SMALL_CHUNKS. A newer record stands for its tasks whatever
  * an older one says, so the change from one format to the other needs no transaction of its own.
  *
@@ -43,8 +43,8 @@
  */
 void task_record_load(struct core *core, const struct kv_item *entry);
 
-/* Notes a record of the older format. */
-void task_record_note_old(struct job *job, uint32_t index, uint64_t version);
+/* Notes the record of a large chunk, which counts until newer records replace it. */
+void task_record_note_old(struct job *job, uint32_t old_index, uint64_t version);
 /* The chunk's newer record is written or not needed: the older one may be deleted. */
 void task_record_note_superseded(struct core *core, struct job *job, uint32_t chunk_index);
 /* Writes the tasks of all jobs in the newest format from now on. */
--- a/src/core/records/transaction.h
+++ b/src/core/records/transaction.h
@@ -30,11 +30,14 @@
 	int reads_in_flight;  /* after a conflict: keys whose present values are being read */
 };
 
-/* Sends the writes of `core->write_queue.transaction` with the given text, which is consumed. */
+/*
+ * Sends the transaction whose writes are in `core->write_queue.transaction`. `txn` is its text, and
+ * is empty afterwards.
+ */
 void transaction_send(struct core *core, struct txn *txn);
 /* Sends the transaction in flight again if it awaits that and its time has come. */
 void transaction_retry_if_due(struct core *core);
-/* Ends the transaction: frees what it holds, and stops waiting for an answer. */
+/* Ends the transaction: frees what it owns, and ignores answers from now on. */
 void transaction_clear(struct core *core);
 /* Ends the transaction; its writes go to the head of their queues. */
 void transaction_requeue(struct core *core);
--- a/src/core/records/transaction_build.c
+++ b/src/core/records/transaction_build.c
@@ -14,7 +14,7 @@
 #include "core/state.h"
 #include "util/log.h"
 
-/* A binding that the chunk's last record does not hold and no transaction carries; NULL: none. */
+/* A binding that is neither in the chunk's record nor in a transaction; NULL: none. */
 static struct binding *unrecorded_binding(const struct chunk *chunk)
 {
 	struct binding *binding;
@@ -92,7 +92,7 @@
 	if (value_bytes > limits_value_bytes(core)) {
 		txn_rollback(txn, &mark);
 		shrink_chunk(core, write);
-		return BATCH_FULL; /* other writes may have left the queue with it */
+		return BATCH_FULL; /* the queue may have changed with it */
 	}
 	write_queue_remove(write);
 	DL_APPEND(core->write_queue.transaction.writes, write);
@@ -143,7 +143,7 @@
 	return true;
 }
 
-/* Adds all writes of a queue without chunks; false if there is no room for all. */
+/* Adds all writes of a queue without chunks, which are never blocked; false: no room for all. */
 static bool batch_all(struct core *core, struct txn *txn, struct pending_write **queue)
 {
 	while (*queue)
@@ -201,6 +201,6 @@
 	queue->transaction.raises_format = raises_format;
 	queue->new_token_wanted = false;
 	queue->token_renewed_at = core->now;
-	election_note_renewing(core, true);
+	election_note_token_renewal_sent(core);
 	transaction_send(core, &txn);
 }
--- a/src/core/records/transaction_conflict.c
+++ b/src/core/records/transaction_conflict.c
@@ -6,17 +6,16 @@
 #include <string.h>
 
 #include "core/records/transaction.h"
-#include "core/records/write_ops.h"
 #include "core/state.h"
 
-/* The state service said what the key holds, or that it is absent. */
+/* The state service returned the key's value, or said that it is absent. */
 static bool is_definite(const struct call_answer *answer)
 {
 	return answer->status == STATUS_OK || answer->status == STATUS_NOT_FOUND;
 }
 
 /*
- * What a definite answer to a read of one key holds; entry->value is NULL if the key is absent. The
+ * Parses a definite answer to a read of one key; entry->value is NULL if the key is absent. The
  * entry's fields live as long as the returned document, which the caller releases.
  */
 static json_t *parse_entry(const struct call_answer *answer, struct kv_item *entry)
@@ -42,7 +41,7 @@
 		job_cancel(core, job);
 }
 
-/* Takes what the key holds now into the writes that concern it. */
+/* Takes the key's present version into the writes that concern it. */
 static void adopt_entry(struct core *core, const char *key, const struct kv_item *entry)
 {
 	struct pending_write *write;
@@ -56,7 +55,7 @@
 			if (!strcmp(write_key, key))
 				job->records.chunks[write->chunk_index].version = entry->version;
 		} else if (write->kind == WRITE_FINAL) {
-			open_job_key(write_key, job);
+			store_open_job_key(write_key, job->spec.id);
 			if (!strcmp(write_key, key))
 				adopt_open_job(core, job, entry->value, entry->version);
 		}
@@ -111,7 +110,7 @@
 		if (write->kind == WRITE_CHUNK)
 			task_record_key(key, write->job, write->chunk_index);
 		else
-			open_job_key(key, write->job);
+			store_open_job_key(key, write->job->spec.id);
 		transaction->reads_in_flight++;
 		store_get(core, key, on_written_key, NULL);
 	}
@@ -134,7 +133,7 @@
 
 /*
  * A new token without an answer may have been written all the same, and its second copy then finds
- * it: only our own transaction writes our name over the token that this term holds.
+ * it: only our own transaction, guarded by this term's token, writes our name over it.
  */
 static void on_token_key(struct core *core, struct call *call, const struct call_answer *answer)
 {
--- a/src/core/records/write_ops.c
+++ b/src/core/records/write_ops.c
@@ -3,8 +3,6 @@
  */
 #include "core/records/write_ops.h"
 
-#include <stdio.h>
-
 #include "core/state.h"
 
 #define FINAL_OPS 2 /* changes of a job's end beside its chunks: the open record and the final */
@@ -15,11 +13,6 @@
 	return job->cancelled ? JOB_STATE_CANCELLED : JOB_STATE_DONE;
 }
 
-void open_job_key(char key[KEY_MAX], const struct job *job)
-{
-	snprintf(key, KEY_MAX, KEY_OPEN_JOBS "%s", job->spec.id);
-}
-
 void final_record_unmark_chunks(struct job *job)
 {
 	for (uint32_t chunk_index = 0; chunk_index < job_chunk_count(job); chunk_index++)
@@ -56,8 +49,8 @@
 	char open_key[KEY_MAX], final_key[KEY_MAX];
 	const char *state = wire_job_state(final_record_state(job));
 
-	open_job_key(open_key, job);
-	snprintf(final_key, sizeof(final_key), KEY_FINAL_JOBS "%s", job->spec.id);
+	store_open_job_key(open_key, job->spec.id);
+	store_final_job_key(final_key, job->spec.id);
 	txn_guard(txn, open_key, job->record_version);
 	txn_guard(txn, final_key, 0);
 	txn_drop(txn, open_key);
--- a/src/core/records/write_ops.h
+++ b/src/core/records/write_ops.h
@@ -22,8 +22,6 @@
 
 /* The state in the job's final record. */
 enum job_state final_record_state(const struct job *job);
-/* Writes the key of the record of an open job. */
-void open_job_key(char key[KEY_MAX], const struct job *job);
 /* Takes back the marks of a final record's transaction that is not sent, or was not committed. */
 void final_record_unmark_chunks(struct job *job);
 
--- a/src/core/records/write_queue.h
+++ b/src/core/records/write_queue.h
@@ -33,7 +33,7 @@
 struct write_queue {
 	struct pending_write *finals;	  /* ends of jobs */
 	struct pending_write *chunks;	  /* changed chunks */
-	struct pending_write *migrations; /* chunks that only a record of an older format holds */
+	struct pending_write *migrations; /* chunks that are only in a record of an older format */
 	struct pending_write *deletes;	  /* records that are not needed any more */
 	struct transaction transaction;
 	double retry_at;		 /* steady; no transaction before */
@@ -42,9 +42,9 @@
 	double token_renewed_at;	 /* steady; when a renewal of it was last sent */
 };
 
-/* The chunk that holds the task is to be written, at the latest `delay_s` from now. */
+/* The chunk of the task is to be written, at the latest `delay_s` from now. */
 void write_queue_add_chunk(struct core *core, struct job *job, uint32_t task, double delay_s);
-/* The chunk is written when there is room: so far a record of an older format holds it. */
+/* The chunk, so far in a record of an older format, is written when there is room. */
 void write_queue_add_migration(struct core *core, struct job *job, uint32_t chunk_index);
 /* The key is to be deleted, if it still has the version. */
 void write_queue_add_delete(struct core *core, const char *key, uint64_t version);
@@ -70,7 +70,7 @@
 
 /* Takes the write out of the queue that it waits in. The caller owns it. */
 void write_queue_remove(struct pending_write *write);
-/* Puts a write that no queue holds at the head of its kind's queue, which owns it again. */
+/* Puts a write that is in no queue at the head of its kind's queue, which owns it from then on. */
 void write_queue_put_back(struct core *core, struct pending_write *write);
 /* Frees all writes of a list. */
 void pending_writes_free(struct pending_write **list);
