--- a/src/core/records/transaction.h
+++ b/src/core/records/transaction.h
@@ -4,8 +4,8 @@
  * transaction.c sends it and takes its answer, transaction_commit.c applies a commit, and
  * transaction_conflict.c finds out what a conflict means. transaction_build.h has what goes in.
  */
-#ifndef PLOVERLOFT_TRANSACTION_H
-#define PLOVERLOFT_TRANSACTION_H
+#ifndef PLOVERLOFT_RECORDS_TRANSACTION_H
+#define PLOVERLOFT_RECORDS_TRANSACTION_H
 
 #include <stdbool.h>
 #include <stddef.h>
