--- a/src/core/records/task_record_load.c
+++ b/src/core/records/task_record_load.c
@@ -96,7 +96,7 @@
 		uint32_t task = first + i;
 
 		if (task_bit_test(bits, i) && record_counts_for(job, record, task))
-			job->done[task / 8] |= (uint8_t)(1u << (task % 8));
+			task_bit_set(job->done, task);
 	}
 }
 
