--- a/src/core/election/leader_key.c
+++ b/src/core/election/leader_key.c
@@ -72,7 +72,7 @@
 struct key_scan {
 	struct core *core;
 	/* False for an entry from before the term's own write of the key. */
-	bool (*is_present)(const struct core *core, const struct kv_item *entry);
+	bool (*is_current)(const struct core *core, const struct kv_item *entry);
 	bool leader_found;
 };
 
@@ -80,7 +80,7 @@
 {
 	const struct key_scan *scan = context;
 
-	if (!strcmp(entry->key, LEADER_KEY) && scan->is_present(scan->core, entry))
+	if (!strcmp(entry->key, LEADER_KEY) && scan->is_current(scan->core, entry))
 		take_format_key(scan->core, entry);
 }
 
@@ -91,7 +91,7 @@
 	if (strcmp(entry->key, election_key(scan->core->election.format)))
 		return;
 	scan->leader_found = true;
-	if (scan->is_present(scan->core, entry))
+	if (scan->is_current(scan->core, entry))
 		take_leader_key(scan->core, entry);
 }
 
@@ -105,7 +105,7 @@
 /* --- reading --- */
 
 /* Versions of a key only grow: a smaller one is from before the term's own write. */
-static bool read_is_present(const struct core *core, const struct kv_item *entry)
+static bool read_is_current(const struct core *core, const struct kv_item *entry)
 {
 	return core->election.role == ROLE_FOLLOWER || !entry->version ||
 	       entry->version >= core->election.token;
@@ -113,7 +113,7 @@
 
 static void on_read(struct core *core, struct call *call, const struct call_answer *answer)
 {
-	struct key_scan scan = {.core = core, .is_present = read_is_present};
+	struct key_scan scan = {.core = core, .is_current = read_is_current};
 	const struct kv_item absent = {0};
 	json_t *answer_json;
 
@@ -135,7 +135,7 @@
 /* --- watching --- */
 
 /* The watch may lag behind the answers to the term's own writes. */
-static bool change_is_present(const struct core *core, const struct kv_item *entry)
+static bool change_is_current(const struct core *core, const struct kv_item *entry)
 {
 	return !election_is_renewing_token(core) &&
 	       (core->election.role == ROLE_FOLLOWER || entry->version > core->election.token);
@@ -143,7 +143,7 @@
 
 static void on_watch(struct core *core, struct call *call, const struct call_answer *answer)
 {
-	struct key_scan scan = {.core = core, .is_present = change_is_present};
+	struct key_scan scan = {.core = core, .is_current = change_is_current};
 	struct election *election = &core->election;
 	json_t *answer_json;
 
--- a/src/core/records/transaction_conflict.c
+++ b/src/core/records/transaction_conflict.c
@@ -32,7 +32,7 @@
 
 static void adopt_open_job(struct core *core, struct job *job, json_t *value, uint64_t version)
 {
-	/* Only this controller writes final records: without an open one, ours is there already. */
+	/* Without an open record there is a final one, and it was our own write. */
 	job->final_committed = !value;
 	if (!value)
 		return;
