--- a/src/core/core.c
+++ b/src/core/core.c
@@ -33,9 +33,8 @@
 		job_free(core, job);
 	for (size_t i = 0; i < core->conf->nteams; i++)
 		core->teams[i].cpus = core->teams[i].gpus = 0;
-	core->jobs_watch.in_flight = false;
+	jobs_watch_clear(core);
 	core->cycles.requested = false;
-	core->write_queue.new_token_wanted = false;
 	core->cycles.attempt_counter = 0;
 }
 
@@ -76,8 +75,7 @@
 	core->now = now.steady;
 	core->wall = now.wall;
 	core->next_call = 1;
-	core->election.format = FORMAT_LARGE_CHUNKS;
-	core->election.peers_confirmed_at = -1;
+	election_init(core);
 	core->peers.incarnation = seed;
 	core->rand48[0] = (unsigned short)seed;
 	core->rand48[1] = (unsigned short)(seed >> 16);
--- a/src/core/state.h
+++ b/src/core/state.h
@@ -23,6 +23,7 @@
 #include "core/model/chunk.h"
 #include "core/model/job.h"
 #include "core/model/job_failures.h"
+#include "core/records/jobs_watch.h"
 #include "core/records/limits.h"
 #include "core/records/recovery.h"
 #include "core/model/machine.h"
