--- /dev/null
+++ b/src/core/agents/agent_calls.c
@@ -0,0 +1,37 @@
+#include "core/agents/agent_calls.h"
+
+#include <stdio.h>
+
+#include "core/state.h"
+
+/*
+ * Agents that do not answer keep a socket for each call until it is given up. When many machines
+ * fail at once, the sockets that users and reports need must not all wait for them.
+ */
+bool agent_calls_exhausted(const struct core *core)
+{
+	return core->agents.direct_in_flight >= core->conf->max_connections * DIRECT_SHARE;
+}
+
+struct call *agent_call(struct core *core, const struct machine *machine, const char *path,
+			char *body, double timeout_s, answer_fn on_answer)
+{
+	const char *method = body ? "POST" : "GET";
+	struct call *call = core_call(core, machine->addr, method, format_path("%s", path), body,
+				      timeout_s, on_answer, NULL);
+
+	core->agents.direct_in_flight++;
+	snprintf(call->key, sizeof(call->key), "%s", machine->id);
+	call->token = election_token(core);
+	call->incarnation = machine->agent.incarnation;
+	call->sequence = machine->agent.sequence;
+	return call;
+}
+
+struct machine *agent_call_end(struct core *core, const struct call *call)
+{
+	core->agents.direct_in_flight--;
+	if (election_call_is_stale(core, call))
+		return NULL;
+	return machine_find(core, call->key);
+}
--- /dev/null
+++ b/src/core/agents/agent_restart.c
@@ -0,0 +1,68 @@
+#include "core/agents/agent_restart.h"
+
+#include "core/agents/reconciliation.h"
+#include "core/state.h"
+#include "util/log.h"
+
+/*
+ * All that ran on the machine has ended; but a start from before may still be under way. So a new
+ * token is taken, and nothing that the agent or a copy reports under an older one counts.
+ */
+void agent_note_restart(struct core *core, struct machine *machine)
+{
+	if (machine->agent.restarted)
+		return;
+	log_info("machine_restarted", "machine=%s incarnation=%llu sequence=%llu bound=%d",
+		 machine->id, (unsigned long long)machine->agent.incarnation,
+		 (unsigned long long)machine->agent.sequence, machine->binding_count);
+	machine->agent.restarted = true;
+	machine->agent.reachable = false;
+	machine->agent.unreachable_since = core->now;
+	write_queue_request_token(core);
+}
+
+static void reset_agent(const struct core *core, struct machine *machine)
+{
+	struct machine_agent *agent = &machine->agent;
+
+	agent->restarted = false;
+	agent->min_token = election_token(core);
+	agent->incarnation = 0;
+	agent->sequence = 0;
+	agent->token = 0;
+	agent->last_message_at = -1;
+	agent->last_heartbeat_at = -1;
+	agent->last_report_at = -1;
+	agent->up_at = core->now;
+	machine->cloud.rented_at = core->now;
+	leftovers_clear(machine);
+}
+
+/* The end of such a binding is proved by a report under the new token that lacks it. */
+static void reset_binding(const struct core *core, struct binding *binding)
+{
+	binding->recovered = true;
+	binding->observed = false;
+	binding->start_incarnation = 0;
+	binding->start_sequence = 0;
+	binding->listed_sequence = 0;
+	binding->min_token = election_token(core);
+}
+
+static void restart_incarnation(const struct core *core, struct machine *machine)
+{
+	struct binding *binding;
+
+	reset_agent(core, machine);
+	DL_FOREACH2 (machine->bindings, binding, machine_next)
+		reset_binding(core, binding);
+}
+
+void agents_token_renewed(struct core *core)
+{
+	struct machine *machine, *next;
+
+	MACHINES_FOR_EACH (core, machine, next)
+		if (machine->agent.restarted)
+			restart_incarnation(core, machine);
+}
--- a/src/core/agents/direct_commands.h
+++ b/src/core/agents/direct_commands.h
@@ -1,20 +1,17 @@
-/* Messages to workers that are not answers to their reports: questions, and commands sent directly.
+/*
+ * Commands that are sent to agents directly, not with the answer to a heartbeat. One message at a
+ * time is under way to each machine; commands that become due meanwhile go with the next.
  */
 #ifndef PLOVERLOFT_DIRECT_COMMANDS_H
 #define PLOVERLOFT_DIRECT_COMMANDS_H
 
-#include <stdbool.h>
-
 #include "core/model/machine.h"
 
-/* Commands are due for the machine: they are sent in turn. */
+/* Commands are due for the machine: it joins the queue of those to be sent to. */
 void commands_request(struct core *core, struct machine *machine);
+/* Nothing is to be sent to the machine for now. */
 void commands_withdraw(struct core *core, struct machine *machine);
-/* Asks the worker for its report; false if too many were asked of late. */
-bool probe_machine(struct core *core, struct machine *machine);
-/* The same for a machine with replicas, within an allowance and a time of their own. */
-bool probe_replica_machine(struct core *core, struct machine *machine);
-/* Sends the commands that are due. */
+/* Sends the queued machines their commands, as far as the allowance of sockets goes. */
 void direct_commands_tick(struct core *core);
 
 #endif
--- a/src/core/agents/machine_health.c
+++ b/src/core/agents/machine_health.c
@@ -1,55 +1,71 @@
-/*
- * Which machines are lost, overdue or cut off, judged by their agents' messages and the cloud's
- * inventory.
- */
+/* Machines are judged by their agents' messages and by the cloud's inventory. */
 #include "core/agents/machine_health.h"
 
 #include <math.h>
 #include <string.h>
 
+#include "core/agents/probes.h"
 #include "core/state.h"
 #include "util/log.h"
 
-static bool boot_overdue(const struct core *core, const struct machine *machine)
+static bool has_message(const struct machine *machine)
+{
+	return machine->agent.last_message_at >= 0;
+}
+
+static bool boot_is_overdue(const struct core *core, const struct machine *machine)
 {
-	double boot = machine->type ? machine->type->boot_s : 0;
+	double boot_s = machine->type ? machine->type->boot_s : 0;
+	double limit_s = MACHINE_BOOT_FACTOR * boot_s + MACHINE_BOOT_EXTRA_S;
 
-	return machine->agent.last_message_at < 0 &&
-	       core->now - machine->cloud.rented_at >
-		   MACHINE_BOOT_FACTOR * boot + MACHINE_BOOT_EXTRA_S;
+	return core->now - machine->cloud.rented_at > limit_s;
+}
+
+/* No heartbeat has come for longer than the agent's lease, so its tasks have ended by now. */
+static bool lease_is_over(const struct core *core, const struct machine *machine)
+{
+	double since = machine->agent.last_heartbeat_at;
+	double limit_s = core->conf->lease_s * (1 + CLOCK_DRIFT) + MACHINE_DEAD_MARGIN_S;
+
+	if (!has_message(machine) && !machine->bindings)
+		return boot_is_overdue(core, machine);
+	if (since < 0)
+		since = fmax(machine->agent.up_at, core->leading_since);
+	return core->now - since > limit_s;
+}
+
+/* The cloud lists it no more, and its agent is silent. */
+static bool has_vanished(const struct core *core, const struct machine *machine)
+{
+	return machine->cloud.missed_inventories >= MACHINE_MISSED_INVENTORIES &&
+	       !machine_is_responsive(core, machine);
 }
 
-static bool silent_too_long(const struct core *core, const struct machine *machine)
+/* Our messages have not reached it for long, while its lease must have ended its tasks. */
+static bool is_unreachable_too_long(const struct core *core, const struct machine *machine)
 {
-	double since = machine->agent.last_heartbeat_at >= 0
-			   ? machine->agent.last_heartbeat_at
-			   : fmax(machine->agent.up_at, core->leading_since);
-	double most = core->conf->lease_s * (1 + CLOCK_DRIFT) + MACHINE_DEAD_MARGIN_S;
-
-	if (machine->agent.last_message_at < 0 && !machine->bindings)
-		return boot_overdue(core, machine);
-	return core->now - since > most;
+	return !machine->agent.reachable && !machine->binding_count &&
+	       core->now - machine->agent.unreachable_since > MACHINE_UNREACHABLE_S;
 }
 
 /*
- * Asks a machine that has not been heard of in this term. All report to a new leader by themselves
- * within two intervals; a question to each before that would cost it as much again.
+ * All agents report to a new leader by themselves within two intervals; a probe to each before that
+ * would cost as much again.
  */
 void probe_unseen_machine(struct core *core, struct machine *machine)
 {
-	if (machine->agent.last_message_at < 0 &&
-	    core->now - machine->probes.sent_at > PROBE_UNSEEN_S &&
+	if (!has_message(machine) && core->now - machine->probes.sent_at > PROBE_UNSEEN_S &&
 	    core->now - core->leading_since > PROBE_UNSEEN_REPORTS * core->conf->report_s)
 		probe_machine(core, machine);
 }
 
 void machine_give_up(struct core *core, struct machine *machine)
 {
+	double age_s = has_message(machine) ? core->now - machine->agent.last_message_at : -1.0;
+
 	log_info("machine_lost",
 		 "machine=%s failed=%d missed_inventories=%d last_message_age=%.1f bound=%d",
-		 machine->id, machine->cloud.failed, machine->cloud.missed_inventories,
-		 machine->agent.last_message_at < 0 ? -1.0
-						    : core->now - machine->agent.last_message_at,
+		 machine->id, machine->cloud.failed, machine->cloud.missed_inventories, age_s,
 		 machine->binding_count);
 	machine->cloud.deleting = true;
 	core->events->machine_given_up(core); /* its delete proves the ends of its tasks */
@@ -57,84 +73,99 @@
 
 static void check_machine(struct core *core, struct machine *machine)
 {
-	bool vanished = machine->cloud.missed_inventories >= MACHINE_MISSED_INVENTORIES &&
-			!machine_is_responsive(core, machine);
-
-	/* Held room that can't be used any more. */
+	/* Resources are not reserved where they can't be used any more. */
 	if (machine->scheduling.reserved_for && !machine_is_usable(core, machine))
 		machine->scheduling.reserved_for = NULL;
 	if (machine->cloud.deleting)
 		return;
-	if (machine->cloud.failed || vanished || silent_too_long(core, machine)) {
+	if (machine->cloud.failed || has_vanished(core, machine) || lease_is_over(core, machine)) {
 		machine_give_up(core, machine);
 		return;
 	}
-	/* Known from a record or the list, but not heard of under this leader. */
 	if (machine->binding_count)
 		probe_unseen_machine(core, machine);
-	/* Deaf since long, while the lease must have taken its tasks: it is replaced. */
-	if (!machine->agent.reachable && !machine->binding_count &&
-	    core->now - machine->agent.unreachable_since > MACHINE_UNREACHABLE_S) {
+	if (is_unreachable_too_long(core, machine)) {
 		log_info("machine_unreachable_deleted", "machine=%s", machine->id);
 		machine->cloud.deleting = true;
 	}
 }
 
-int contact_ages_within(const struct contact_ages *words, double age_s)
+int contact_ages_within(const struct contact_ages *ages, double age_s)
 {
-	int heard = 0;
+	int count = 0;
 
 	for (int age = 0; age < CONTACT_AGES && (age + 1) * CONTACT_AGE_S <= age_s; age++)
-		heard += words->by_age[age];
-	return heard;
+		count += ages->by_age[age];
+	return count;
 }
 
 static void count_contact(struct core *core, const struct machine *machine)
 {
-	struct contact_ages *words = &core->agents.contact_ages;
+	struct contact_ages *ages = &core->agents.contact_ages;
 	double age = (core->now - machine->agent.last_message_at) / CONTACT_AGE_S;
 
-	if (machine->agent.last_message_at < 0 && !machine->binding_count)
+	if (!has_message(machine) && !machine->binding_count)
 		return;
-	words->expected++;
-	if (machine->agent.last_message_at >= 0 && age < CONTACT_AGES)
-		words->by_age[(int)age]++;
+	ages->expected++;
+	if (has_message(machine) && age < CONTACT_AGES)
+		ages->by_age[(int)age]++;
 }
 
-/* If nearly all fall silent at once, it is this controller that is cut off. */
-static bool is_partitioned(struct core *core)
+/* How many machines have sent a message in this term, and how many of them are silent now. */
+struct contact_summary {
+	int seen, silent;
+};
+
+static void summarize_contact(const struct core *core, const struct machine *machine,
+			      struct contact_summary *summary)
 {
-	int heard = 0, silent = 0;
-	bool leave = false;
-	struct machine *machine, *tmp;
+	if (!has_message(machine))
+		return;
+	summary->seen++;
+	if (!machine_is_responsive(core, machine))
+		summary->silent++;
+}
+
+/* Renews what is kept of all machines together. */
+static struct contact_summary scan_machines(struct core *core)
+{
+	struct contact_summary summary = {0, 0};
+	struct machine *machine, *next;
 
 	memset(&core->agents.contact_ages, 0, sizeof(core->agents.contact_ages));
-	MACHINES_FOR_EACH (core, machine, tmp) {
+	core->agents.replicas_must_move = false;
+	MACHINES_FOR_EACH (core, machine, next) {
 		if (machine->cloud.deleting)
 			continue;
 		count_contact(core, machine);
-		leave |= machine->replica_count && replica_must_move(core, machine);
-		if (machine->agent.last_message_at < 0)
-			continue;
-		heard++;
-		silent += !machine_is_responsive(core, machine);
+		summarize_contact(core, machine, &summary);
+		if (machine->replica_count && replica_must_move(core, machine))
+			core->agents.replicas_must_move = true;
 	}
-	core->agents.replicas_must_move = leave;
-	return heard >= PARTITION_MACHINES && silent > PARTITION_SHARE * heard;
+	return summary;
+}
+
+/* If nearly all agents fall silent at once, it is this controller that is partitioned off. */
+static bool is_partitioned(const struct contact_summary *summary)
+{
+	return summary->seen >= PARTITION_MACHINES &&
+	       summary->silent > PARTITION_SHARE * summary->seen;
 }
 
 void machines_tick(struct core *core)
 {
-	struct machine *machine, *tmp;
+	struct contact_summary summary;
+	struct machine *machine, *next;
 
 	if (core->now < core->agents.next_scan_at)
 		return;
 	core->agents.next_scan_at = core->now + MACHINES_EVERY_S;
-	if (is_partitioned(core)) {
+	summary = scan_machines(core);
+	if (is_partitioned(&summary)) {
 		election_resign(core, "partitioned_from_agents");
 		return;
 	}
-	MACHINES_FOR_EACH (core, machine, tmp) {
+	MACHINES_FOR_EACH (core, machine, next) {
 		check_machine(core, machine);
 		if (machine->cloud.deleted && !machine->bindings) {
 			commands_withdraw(core, machine);
--- /dev/null
+++ b/src/core/agents/reachability.c
@@ -0,0 +1,78 @@
+#include "core/agents/reachability.h"
+
+#include <math.h>
+
+#include "core/state.h"
+#include "util/log.h"
+
+/*
+ * Signs of an outbound partition: the agent's incarnation rises while we answered all along, since
+ * its lease ran out, or starts are ignored.
+ */
+void machine_mark_unreachable(struct core *core, struct machine *machine, const char *reason)
+{
+	if (machine->agent.reachable) {
+		log_info("machine_unreachable", "machine=%s reason=%s", machine->id, reason);
+		machine->agent.unreachable_since = core->now;
+	}
+	machine->agent.reachable = false;
+	machine->agent.ignored_starts = 0;
+}
+
+void machine_mark_reachable(struct core *core, struct machine *machine)
+{
+	if (!machine->agent.reachable)
+		core->events->placement_needed(core);
+	machine->agent.reachable = true;
+	machine->agent.ignored_starts = 0;
+	machine->agent.stale_reports = 0;
+}
+
+/* A start that went with the answer to an earlier heartbeat is not on the newest. */
+static bool start_ignored(const struct machine *machine, const struct binding *binding)
+{
+	return binding->start_sequence && !binding->observed &&
+	       binding->listed_sequence != machine->agent.sequence;
+}
+
+static bool any_start_ignored(const struct machine *machine)
+{
+	const struct binding *binding;
+
+	DL_FOREACH2 (machine->bindings, binding, machine_next)
+		if (start_ignored(machine, binding))
+			return true;
+	return false;
+}
+
+void machine_check_ignored_starts(struct core *core, struct machine *machine)
+{
+	if (!any_start_ignored(machine)) {
+		machine->agent.ignored_starts = 0;
+		return;
+	}
+	machine->agent.ignored_starts++;
+	if (machine->agent.ignored_starts >= MACHINE_IGNORED_STARTS)
+		machine_mark_unreachable(core, machine, "starts_ignored");
+}
+
+/*
+ * A copy of an old report proves nothing as long as newer ones come; an agent that was restarted
+ * sends none. With a fleet's copies, a probe for each would cost more than the reports themselves.
+ */
+bool machine_heartbeat_overdue(const struct core *core, const struct machine *machine)
+{
+	return core->now - machine->agent.last_heartbeat_at >
+		   MACHINE_STALE_REPORTS * core->conf->report_s &&
+	       core->now - machine->probes.sent_at > PROBE_INTERVAL_S;
+}
+
+bool machine_is_partitioned_inbound(const struct core *core, const struct machine *machine)
+{
+	double since =
+	    fmax(machine->agent.last_report_at, fmax(machine->agent.up_at, core->leading_since));
+
+	return machine->agent.incarnation && !machine->cloud.deleting &&
+	       machine_is_responsive(core, machine) &&
+	       core->now - since > REPLICA_MOVE_LEASES * core->conf->lease_s;
+}
--- a/src/core/agents/report_cache.h
+++ b/src/core/agents/report_cache.h
@@ -9,7 +9,7 @@
 
 #include "wire/wire.h"
 
-struct report_cache_entry;
+struct report_cache_entry; /* owned by the cache, even where a machine's slot points to it */
 
 /* Entries by the hash of their text; NULL is the empty cache. */
 struct report_cache {
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -3,6 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
+#include "core/agents/agent_restart.h"
 #include "core/api/forwarding.h"
 #include "core/api/peer_requests.h"
 #include "core/scheduling/cycle.h"
