--- /dev/null
+++ b/src/core/api/cancel_requests.c
@@ -0,0 +1,96 @@
+#include "core/api/cancel_requests.h"
+
+#include "core/api/cancellations.h"
+#include "core/api/job_record.h"
+#include "core/api/lookups.h"
+#include "core/api/user_requests.h"
+#include "core/state.h"
+#include "util/log.h"
+#include "wire/names.h"
+
+/* The job's tasks are stopped by whoever leads, who may not read of it for a while. */
+static void on_committed(struct core *core, const char *id, uint64_t version)
+{
+	log_info("cancel_committed", "job=%s", id);
+	job_cancel_committed(core, id, version);
+	cancellations_announce(core, id, version);
+	cancellations_note_confirmed(core, id, version);
+}
+
+static uint64_t revision_of(const struct call_answer *answer)
+{
+	json_t *document = wire_parse(answer->body, answer->len);
+	uint64_t revision = wire_revision(document);
+
+	json_decref(document);
+	return revision;
+}
+
+static void on_commit_answer(struct core *core, struct call *call, const struct call_answer *answer)
+{
+	struct user_request *request = call->arg;
+
+	store_note_answer(core, answer);
+	if (answer->status == STATUS_OK) {
+		on_committed(core, request->id, revision_of(answer));
+		user_request_answer_cancelled(core, request);
+	} else if (answer->status == STATUS_CONFLICT) {
+		user_request_lookup(core, request);
+	} else if (answer->outcome == CALL_UNANSWERED) {
+		request->outcome_unknown = true;
+		user_request_lookup(core, request);
+	} else {
+		user_request_unserved(core, request, answer);
+	}
+}
+
+static void commit(struct core *core, struct user_request *request, const struct kv_item *item)
+{
+	json_t *value = job_record_cancelled_value(item->value);
+	struct txn txn;
+
+	/* A record made before a limit was lowered: where its job might run matters no more. */
+	if (wire_value_bytes(value) > limits_value_bytes(core))
+		job_record_drop_types(value);
+	txn_begin(&txn);
+	txn_guard(&txn, item->key, item->version);
+	txn_put(&txn, item->key, value, 0);
+	store_commit(core, txn_finish(&txn), on_commit_answer, request)->free_arg =
+	    user_request_free;
+}
+
+static void cancel_open_job(struct core *core, struct user_request *request,
+			    const struct kv_item *item)
+{
+	bool too_late = core->now - request->received_at > USER_WAIT_S;
+
+	if (job_record_is_cancelled(item->value))
+		user_request_answer_cancelled(core, request);
+	else if (request->outcome_unknown || too_late)
+		user_request_fail(core, request, USER_ERROR_UNKNOWN_OUTCOME);
+	else
+		commit(core, request, item);
+}
+
+static void on_open_record(struct core *core, struct call *call, const struct call_answer *answer)
+{
+	struct user_request *request = lookup_end_read(core, call, answer);
+	struct kv_item item;
+	json_t *document;
+
+	if (answer->status == STATUS_NOT_FOUND) {
+		lookup_read_final(core, request);
+		return;
+	}
+	document = lookup_parse_record(answer, &item);
+	if (document)
+		cancel_open_job(core, request, &item);
+	else
+		user_request_unserved(core, request, answer);
+	json_decref(document);
+}
+
+void cancel_request_start(struct core *core, struct user_request *request)
+{
+	lookup_read_record(core, request, RECORD_OPEN, on_open_record);
+}
--- a/src/core/api/cancellations.c
+++ b/src/core/api/cancellations.c
@@ -1,175 +1,199 @@
-/*
- * Cancellations that users were told of. Whoever leads has to learn of them in time, also while it
- * can't read the records: each is announced to all controllers at once, and while the state service
- * is silent all ask each other what they told users.
- */
 #include "core/api/cancellations.h"
 
 #include <math.h>
 #include <stdio.h>
 #include <stdlib.h>
-#include <string.h>
 
 #include "core/state.h"
 #include "peer.pb-c.h"
-#include "util/log.h"
 #include "util/xalloc.h"
-#include "wire/names.h"
 
-static void on_cancelled_answer(struct core *core, struct call *call,
-				const struct call_answer *answer)
+/* --- announcements --- */
+
+static void on_announce_answer(struct core *core, struct call *call,
+			       const struct call_answer *answer)
 {
 	peer_note_answer(core, (size_t)(uintptr_t)call->arg, answer);
 }
 
+static void announce_to(struct core *core, size_t peer, const char *id, uint64_t version)
+{
+	Peer__Cancelled message = PEER__CANCELLED__INIT;
+	uint8_t *packed;
+	size_t len;
+
+	message.job = (char *)id;
+	message.version = version;
+	packed = peers_pack(&message.base, &len);
+	core_call_packed(core, core->conf->peers[peer].addr, CANCELLED_PATH, packed, len,
+			 on_announce_answer, (void *)(uintptr_t)peer);
+}
+
 /*
- * The leader may be refused by the state service alone, or be cut from it and deposed without
- * knowing, while workers still report to it: a cancellation goes to all, whoever leads.
+ * The leader may be refused by the state service alone, or be cut off from it and deposed without
+ * knowing, while agents still report to it: a cancellation goes to all, whoever leads.
  */
-void peers_announce_cancelled(struct core *core, const char *id, uint64_t version)
+void cancellations_announce(struct core *core, const char *id, uint64_t version)
 {
-	for (size_t i = 0; i < core->conf->npeers; i++) {
-		Peer__Cancelled out = PEER__CANCELLED__INIT;
-		uint8_t *buf;
-		size_t len;
-
-		out.job = (char *)id;
-		out.version = version;
-		buf = peers_pack(&out.base, &len);
-		core_call_packed(core, core->conf->peers[i].addr, CANCELLED_PATH, buf, len,
-				 on_cancelled_answer, (void *)(uintptr_t)i);
-	}
+	for (size_t i = 0; i < core->conf->npeers; i++)
+		announce_to(core, i, id, version);
 }
 
-void cancelled_take(struct core *core, const struct core_request *request)
+void cancellations_receive(struct core *core, const struct core_request *request)
 {
-	Peer__Cancelled *in =
+	Peer__Cancelled *message =
 	    peer__cancelled__unpack(NULL, request->len, (const uint8_t *)request->body);
 
-	if (!in) {
+	if (!message) {
 		core_reply_error(core, request->conn, STATUS_BAD_REQUEST, 0, "cancelled");
 		return;
 	}
-	job_cancel_committed(core, in->job, in->version);
-	peer__cancelled__free_unpacked(in, NULL);
+	job_cancel_committed(core, message->job, message->version);
+	peer__cancelled__free_unpacked(message, NULL);
 	core_reply(core, request->conn, STATUS_OK, 0, xstrdup("{}"));
 }
 
-/* --- what users were told of cancellations, while the state service is silent --- */
+/* --- the cancellations confirmed here --- */
 
-void peers_note_confirmed(struct core *core, const char *id, uint64_t version)
+static void remove_confirmed(struct core *core, struct confirmed_cancel *confirmed)
 {
-	struct confirmed_cancel *told, *tmp;
+	HASH_DEL(core->api.cancellations.confirmed, confirmed);
+	free(confirmed);
+}
 
-	HASH_ITER (hh, core->api.confirmed, told, tmp) {
-		bool old =
-		    core->now - told->confirmed_at > CONFIRMED_KEEP_CANCELS * core->conf->cancel_s;
+/* Removes those that no leader needs any more, and the oldest if there are too many. */
+static void trim_confirmed(struct core *core)
+{
+	double keep_s = CONFIRMED_KEEP_CANCELS * core->conf->cancel_s;
+	struct confirmed_cancel *confirmed, *next;
 
-		if (!old && HASH_COUNT(core->api.confirmed) < CONFIRMED_MAX)
+	HASH_ITER (hh, core->api.cancellations.confirmed, confirmed, next) {
+		bool expired = core->now - confirmed->confirmed_at > keep_s;
+
+		if (!expired && HASH_COUNT(core->api.cancellations.confirmed) < CONFIRMED_MAX)
 			break; /* oldest first */
-		/* What is forgotten before its time must not pass for never told. */
-		if (!old)
+		/* What is removed before its time must not pass for never confirmed. */
+		if (!expired)
 			peers_renew_incarnation(core);
-		HASH_DEL(core->api.confirmed, told);
-		free(told);
+		remove_confirmed(core, confirmed);
 	}
-	HASH_FIND_STR(core->api.confirmed, id, told);
-	if (told)
+}
+
+void cancellations_note_confirmed(struct core *core, const char *id, uint64_t version)
+{
+	struct confirmed_cancel *confirmed;
+
+	trim_confirmed(core);
+	HASH_FIND_STR(core->api.cancellations.confirmed, id, confirmed);
+	if (confirmed)
 		return;
-	told = xcalloc(1, sizeof(*told));
-	snprintf(told->id, sizeof(told->id), "%s", id);
-	told->version = version;
-	told->confirmed_at = core->now;
-	HASH_ADD_STR(core->api.confirmed, id, told);
+	confirmed = xcalloc(1, sizeof(*confirmed));
+	snprintf(confirmed->id, sizeof(confirmed->id), "%s", id);
+	confirmed->version = version;
+	confirmed->confirmed_at = core->now;
+	HASH_ADD_STR(core->api.cancellations.confirmed, id, confirmed);
 }
 
-void confirmed_reply(struct core *core, uint64_t conn)
+static void fill_cancelled(Peer__Cancelled *cancelled, struct confirmed_cancel *confirmed)
 {
-	size_t n = HASH_COUNT(core->api.confirmed), len;
-	Peer__Cancelled *all = xcalloc(n + 1, sizeof(*all)), **list = xcalloc(n + 1, sizeof(*list));
-	Peer__Confirmed out = PEER__CONFIRMED__INIT;
-	struct confirmed_cancel *told, *tmp;
-	uint8_t *buf;
-
-	HASH_ITER (hh, core->api.confirmed, told, tmp) {
-		Peer__Cancelled *x = &all[out.n_cancelled];
-
-		peer__cancelled__init(x);
-		x->job = told->id;
-		x->version = told->version;
-		list[out.n_cancelled++] = x;
+	peer__cancelled__init(cancelled);
+	cancelled->job = confirmed->id;
+	cancelled->version = confirmed->version;
+}
+
+void cancellations_reply_confirmed(struct core *core, uint64_t connection)
+{
+	size_t count = HASH_COUNT(core->api.cancellations.confirmed), len;
+	Peer__Cancelled *entries = xcalloc(count + 1, sizeof(*entries));
+	Peer__Cancelled **list = xcalloc(count + 1, sizeof(*list));
+	Peer__Confirmed message = PEER__CONFIRMED__INIT;
+	struct confirmed_cancel *confirmed, *next;
+	uint8_t *packed;
+
+	HASH_ITER (hh, core->api.cancellations.confirmed, confirmed, next) {
+		Peer__Cancelled *entry = &entries[message.n_cancelled];
+
+		fill_cancelled(entry, confirmed);
+		list[message.n_cancelled++] = entry;
 	}
-	out.incarnation = peers_incarnation(core);
-	out.token = election_is_leader(core) ? election_token(core) : 0;
-	out.cancelled = list;
-	buf = peers_pack(&out.base, &len);
-	core_reply_packed(core, conn, buf, len);
-	free(all);
+	message.incarnation = peers_incarnation(core);
+	message.token = election_is_leader(core) ? election_token(core) : 0;
+	message.cancelled = list;
+	packed = peers_pack(&message.base, &len);
+	core_reply_packed(core, connection, packed, len);
+	free(entries);
 	free(list);
 }
 
-/* The moment up to which all that the others told users is known here; < 0: none. */
-static double peers_confirmed_until(const struct core *core)
+void cancellations_clear(struct core *core)
 {
-	double least = core->now;
+	struct confirmed_cancel *confirmed, *next;
+
+	HASH_ITER (hh, core->api.cancellations.confirmed, confirmed, next)
+		remove_confirmed(core, confirmed);
+}
+
+/* --- the cancellations confirmed by the others --- */
+
+/* Steady time up to which all cancellations confirmed by the others are known here; < 0: none. */
+static double confirmed_until(const struct core *core)
+{
+	double oldest = core->now;
 
 	for (size_t i = 0; i < core->conf->npeers; i++)
-		least = fmin(least, peer_get(core, i)->confirmed_until);
-	return core->conf->npeers ? least : -1;
+		oldest = fmin(oldest, peer_get(core, i)->confirmed_until);
+	return core->conf->npeers ? oldest : -1;
 }
 
 /*
- * All that the peer told users before the question left is in its answer, or it was told by a
- * process before this one, that is before we first heard of this one. If the jobs' changes were
- * read after that, we know of those too; if not, the answer proves nothing.
+ * All that the peer confirmed before the request was sent is in its answer, or was confirmed by a
+ * process before this one, that is before the first answer under this incarnation. If the jobs'
+ * changes were read after that, those are known too; if not, the answer proves nothing.
  */
-static void confirmed_take(struct core *core, size_t i, double asked, const Peer__Confirmed *in)
+static void apply_confirmed(struct core *core, size_t index, double sent_at,
+			    const Peer__Confirmed *message)
 {
-	struct peer *peer = peer_get(core, i);
-
-	peers_note_incarnation(core, i, in->incarnation);
-	if (in->token > election_token(core))
-		election_deposed(core, core->conf->peers[i].name);
-	for (size_t k = 0; k < in->n_cancelled; k++)
-		job_cancel_committed(core, in->cancelled[k]->job, in->cancelled[k]->version);
+	struct peer *peer = peer_get(core, index);
+
+	peers_note_incarnation(core, index, message->incarnation);
+	if (message->token > election_token(core))
+		election_deposed(core, core->conf->peers[index].name);
+	for (size_t i = 0; i < message->n_cancelled; i++)
+		job_cancel_committed(core, message->cancelled[i]->job,
+				     message->cancelled[i]->version);
 	if (election_is_leader(core) && peer->incarnation_since <= election_jobs_read_at(core))
-		peer->confirmed_until = asked;
-	election_note_peers_confirmed(core, peers_confirmed_until(core));
+		peer->confirmed_until = sent_at;
+	election_note_peers_confirmed(core, confirmed_until(core));
 }
 
 static void on_confirmed(struct core *core, struct call *call, const struct call_answer *answer)
 {
-	size_t i = (size_t)(uintptr_t)call->arg;
-	Peer__Confirmed *in =
-	    answer->status == STATUS_OK
-		? peer__confirmed__unpack(NULL, answer->len, (const uint8_t *)answer->body)
-		: NULL;
-
-	peer_note_answer(core, i, answer);
-	if (!in)
+	size_t peer = (size_t)(uintptr_t)call->arg;
+	Peer__Confirmed *message;
+
+	peer_note_answer(core, peer, answer);
+	if (answer->status != STATUS_OK)
+		return;
+	message = peer__confirmed__unpack(NULL, answer->len, (const uint8_t *)answer->body);
+	if (!message)
 		return;
-	confirmed_take(core, i, call->sent_at, in);
-	peer__confirmed__free_unpacked(in, NULL);
+	apply_confirmed(core, peer, call->sent_at, message);
+	peer__confirmed__free_unpacked(message, NULL);
 }
 
-/* While the state service is silent, the others are asked what they told users; it is a sign of
- * life too. */
-void cancellations_tick(struct core *core)
+/* The message is empty. */
+static void request_confirmed(struct core *core, size_t peer)
 {
-	if (!store_is_unavailable(core) || core->now < core->api.next_ping_at)
-		return;
-	core->api.next_ping_at = core->now + PEER_PING_S;
-	for (size_t i = 0; i < core->conf->npeers; i++)
-		core_call(core, core->conf->peers[i].addr, "POST", format_path(CONFIRMED_PATH),
-			  xstrdup(""), CALL_PEER_S, on_confirmed, (void *)(uintptr_t)i);
+	core_call(core, core->conf->peers[peer].addr, "POST", format_path(CONFIRMED_PATH),
+		  xstrdup(""), CALL_PEER_S, on_confirmed, (void *)(uintptr_t)peer);
 }
 
-void cancellations_clear(struct core *core)
+/* An answer also shows that the peer is alive. */
+void cancellations_tick(struct core *core)
 {
-	struct confirmed_cancel *confirmed, *next;
-
-	HASH_ITER (hh, core->api.confirmed, confirmed, next) {
-		HASH_DEL(core->api.confirmed, confirmed);
-		free(confirmed);
-	}
+	if (!store_is_unavailable(core) || core->now < core->api.cancellations.next_request_at)
+		return;
+	core->api.cancellations.next_request_at = core->now + PEER_PING_S;
+	for (size_t i = 0; i < core->conf->npeers; i++)
+		request_confirmed(core, i);
 }
--- a/src/core/api/forwarding.c
+++ b/src/core/api/forwarding.c
@@ -1,145 +1,192 @@
-/*
- * Forwarding of users' requests: a controller that the state service does not serve hands them to
- * one that it may serve, and passes the answer on.
- */
 #include "core/api/forwarding.h"
 
-#include <math.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
+#include "core/api/user_requests.h"
 #include "core/state.h"
 #include "peer.pb-c.h"
-#include "util/log.h"
 #include "util/xalloc.h"
 #include "wire/names.h"
 
-/* The bytes of a message as a string of their own. */
-static char *text_of(const ProtobufCBinaryData *d)
+/* The bytes of a message's field as a string, which the caller owns. */
+static char *text_of(const ProtobufCBinaryData *field)
+{
+	return field->len ? xstrndup((const char *)field->data, field->len) : xstrdup("");
+}
+
+static struct forwarded_request *find_forwarded(const struct core *core, uint64_t connection)
 {
-	char *s = d->len ? xstrndup((const char *)d->data, d->len) : xstrdup("");
+	struct forwarded_request *forwarded;
 
-	return s;
+	HASH_FIND(hh, core->api.forwarded, &connection, sizeof(connection), forwarded);
+	return forwarded;
 }
 
+static void remove_forwarded(struct core *core, struct forwarded_request *forwarded)
+{
+	HASH_DEL(core->api.forwarded, forwarded);
+	free(forwarded);
+}
+
+/* --- from here to another controller --- */
+
+/* Which request a call forwards. */
 struct forward_context {
-	uint64_t conn;
+	uint64_t conn; /* of the user */
 	size_t peer;
 };
 
-static void on_forwarded(struct core *core, struct call *call, const struct call_answer *answer)
+static void on_forward_answer(struct core *core, struct call *call,
+			      const struct call_answer *answer)
 {
-	struct forward_context *handed = call->arg;
-	struct peer *peer = peer_get(core, handed->peer);
-	Peer__Forwarded *in =
-	    answer->status == STATUS_OK
-		? peer__forwarded__unpack(NULL, answer->len, (const uint8_t *)answer->body)
-		: NULL;
-
-	peer_note_answer(core, handed->peer, answer);
-	/* It can't serve either, or is not there: the outage is everybody's for now. */
-	if (!in || in->status == STATUS_UNAVAILABLE)
+	struct forward_context *context = call->arg;
+	struct peer *peer = peer_get(core, context->peer);
+	Peer__Forwarded *message = NULL;
+
+	if (answer->status == STATUS_OK)
+		message = peer__forwarded__unpack(NULL, answer->len, (const uint8_t *)answer->body);
+	peer_note_answer(core, context->peer, answer);
+	/* It is not served either, or does not answer: the outage concerns all for now. */
+	if (!message || message->status == STATUS_UNAVAILABLE)
 		peer->no_forward_before = core->now + PEER_BACKOFF_S;
-	if (in)
-		core_reply(core, handed->conn, (int)in->status, (int)in->retry_after,
-			   text_of(&in->body));
+	if (message) {
+		core_reply(core, context->conn, (int)message->status, (int)message->retry_after,
+			   text_of(&message->body));
+		peer__forwarded__free_unpacked(message, NULL);
+	} else {
+		core_reply_error(core, context->conn, STATUS_UNAVAILABLE, RETRY_AFTER_S, "state");
+	}
+	free(context);
+}
+
+/* The path by which the user's request came. */
+static void request_path(char path[HTTP_PATH_MAX], const struct user_request *request)
+{
+	if (request->kind == USER_SUBMIT)
+		snprintf(path, HTTP_PATH_MAX, W_PATH_JOBS);
 	else
-		core_reply_error(core, handed->conn, STATUS_UNAVAILABLE, RETRY_AFTER_S, "state");
-	if (in)
-		peer__forwarded__free_unpacked(in, NULL);
-	free(handed);
+		snprintf(path, HTTP_PATH_MAX, W_PATH_JOBS "/%s%s", request->id,
+			 request->kind == USER_CANCEL ? W_PATH_CANCEL : "");
 }
 
-static void forward_to(struct core *core, size_t i, const struct user_request *request)
+static uint8_t *pack_request(const struct user_request *request, size_t *len)
 {
-	Peer__Forward out = PEER__FORWARD__INIT;
-	struct forward_context *handed = xcalloc(1, sizeof(*handed));
+	Peer__Forward message = PEER__FORWARD__INIT;
 	char path[HTTP_PATH_MAX];
+
+	request_path(path, request);
+	message.method = request->kind == USER_POLL ? "GET" : "POST";
+	message.path = path;
+	message.body.data = (uint8_t *)request->body;
+	message.body.len = request->body ? strlen(request->body) : 0;
+	return peers_pack(&message.base, len);
+}
+
+static void forward_to(struct core *core, size_t peer, const struct user_request *request)
+{
+	struct forward_context *context = xcalloc(1, sizeof(*context));
 	struct call *call;
-	uint8_t *buf;
+	uint8_t *packed;
 	size_t len;
 
-	if (request->kind == USER_SUBMIT)
-		snprintf(path, sizeof(path), W_PATH_JOBS);
-	else
-		snprintf(path, sizeof(path), W_PATH_JOBS "/%s%s", request->id,
-			 request->kind == USER_CANCEL ? W_PATH_CANCEL : "");
-	out.method = request->kind == USER_POLL ? "GET" : "POST";
-	out.path = path;
-	out.body.data = (uint8_t *)request->body;
-	out.body.len = request->body ? strlen(request->body) : 0;
-	buf = peers_pack(&out.base, &len);
-	handed->conn = request->conn;
-	handed->peer = i;
-	call = core_call_packed(core, core->conf->peers[i].addr, FORWARD_PATH, buf, len,
-				on_forwarded, handed);
+	context->conn = request->conn;
+	context->peer = peer;
+	packed = pack_request(request, &len);
+	call = core_call_packed(core, core->conf->peers[peer].addr, FORWARD_PATH, packed, len,
+				on_forward_answer, context);
 	call->free_arg = free;
 }
 
-/* Hands the request to a controller that the state service may serve; false if there is none. */
-bool forward_user_request(struct core *core, struct user_request *request)
+/* The peer that answered last of those not backed off from; the number of peers if there is none.
+ */
+static size_t choose_peer(const struct core *core)
 {
 	size_t best = core->conf->npeers;
-	struct forwarded_request *wrapped;
-
-	HASH_FIND(hh, core->api.forwarded, &request->conn, sizeof(request->conn), wrapped);
-	if (wrapped)
-		return false; /* handed on once already */
-	for (size_t i = 0; i < core->conf->npeers; i++)
-		if (core->now >= peer_get(core, i)->no_forward_before &&
-		    (best == core->conf->npeers ||
-		     peer_get(core, i)->answered_at > peer_get(core, best)->answered_at))
+
+	for (size_t i = 0; i < core->conf->npeers; i++) {
+		const struct peer *peer = peer_get(core, i);
+
+		if (core->now < peer->no_forward_before)
+			continue;
+		if (best == core->conf->npeers ||
+		    peer->answered_at > peer_get(core, best)->answered_at)
 			best = i;
-	if (best == core->conf->npeers)
+	}
+	return best;
+}
+
+bool forward_user_request(struct core *core, const struct user_request *request)
+{
+	size_t peer;
+
+	if (find_forwarded(core, request->conn))
 		return false;
-	forward_to(core, best, request);
+	peer = choose_peer(core);
+	if (peer == core->conf->npeers)
+		return false;
+	forward_to(core, peer, request);
 	return true;
 }
 
-void forward_take(struct core *core, const struct core_request *r)
+/* --- from another controller to here --- */
+
+static void note_forwarded(struct core *core, uint64_t connection)
 {
-	Peer__Forward *in = peer__forward__unpack(NULL, r->len, (const uint8_t *)r->body);
-	struct core_request q = {r->conn, CORE_BACK, NULL, NULL, NULL, 0};
-	struct forwarded_request *wrapped;
-	char *body;
+	struct forwarded_request *forwarded = xcalloc(1, sizeof(*forwarded));
 
-	if (!in) {
-		core_reply_error(core, r->conn, STATUS_BAD_REQUEST, 0, "forward");
+	forwarded->conn = connection;
+	HASH_ADD(hh, core->api.forwarded, conn, sizeof(forwarded->conn), forwarded);
+}
+
+static void handle_forwarded(struct core *core, uint64_t connection, const Peer__Forward *message)
+{
+	char *body = text_of(&message->body);
+	struct core_request request = {
+	    .conn = connection,
+	    .side = CORE_BACK,
+	    .method = message->method,
+	    .path = message->path,
+	    .body = body,
+	    .len = strlen(body),
+	};
+
+	api_request(core, &request);
+	free(body);
+}
+
+void forwarding_receive(struct core *core, const struct core_request *request)
+{
+	Peer__Forward *message =
+	    peer__forward__unpack(NULL, request->len, (const uint8_t *)request->body);
+
+	if (!message) {
+		core_reply_error(core, request->conn, STATUS_BAD_REQUEST, 0, "forward");
 		return;
 	}
-	wrapped = xcalloc(1, sizeof(*wrapped));
-	body = text_of(&in->body);
-	wrapped->conn = r->conn;
-	HASH_ADD(hh, core->api.forwarded, conn, sizeof(wrapped->conn), wrapped);
-	q.method = in->method;
-	q.path = in->path;
-	q.body = body;
-	q.len = strlen(body);
-	api_request(core, &q);
-	free(body);
-	peer__forward__free_unpacked(in, NULL);
+	note_forwarded(core, request->conn);
+	handle_forwarded(core, request->conn, message);
+	peer__forward__free_unpacked(message, NULL);
 }
 
-bool peers_wrap_answer(struct core *core, uint64_t conn, int *status, int retry_after, char **body,
-		       size_t *len)
+bool forwarding_wrap_answer(struct core *core, uint64_t connection, int *status, int retry_after,
+			    char **body, size_t *len)
 {
-	Peer__Forwarded out = PEER__FORWARDED__INIT;
-	struct forwarded_request *wrapped;
-	uint8_t *buf;
+	struct forwarded_request *forwarded = find_forwarded(core, connection);
+	Peer__Forwarded message = PEER__FORWARDED__INIT;
+	uint8_t *packed;
 
-	HASH_FIND(hh, core->api.forwarded, &conn, sizeof(conn), wrapped);
-	if (!wrapped)
+	if (!forwarded)
 		return false;
-	HASH_DEL(core->api.forwarded, wrapped);
-	free(wrapped);
-	out.status = (uint32_t)*status;
-	out.retry_after = (uint32_t)retry_after;
-	out.body.data = (uint8_t *)*body;
-	out.body.len = *len;
-	buf = peers_pack(&out.base, len);
+	remove_forwarded(core, forwarded);
+	message.status = (uint32_t)*status;
+	message.retry_after = (uint32_t)retry_after;
+	message.body.data = (uint8_t *)*body;
+	message.body.len = *len;
+	packed = peers_pack(&message.base, len);
 	free(*body);
-	*body = (char *)buf;
+	*body = (char *)packed;
 	*status = STATUS_OK;
 	return true;
 }
@@ -148,8 +195,6 @@
 {
 	struct forwarded_request *forwarded, *next;
 
-	HASH_ITER (hh, core->api.forwarded, forwarded, next) {
-		HASH_DEL(core->api.forwarded, forwarded);
-		free(forwarded);
-	}
+	HASH_ITER (hh, core->api.forwarded, forwarded, next)
+		remove_forwarded(core, forwarded);
 }
--- /dev/null
+++ b/src/core/api/job_index.c
@@ -0,0 +1,131 @@
+#include "core/api/job_index.h"
+
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+
+#include "core/api/job_record.h"
+#include "core/state.h"
+#include "util/xalloc.h"
+
+struct indexed_job *job_index_find(const struct core *core, const char *id)
+{
+	struct indexed_job *entry;
+
+	HASH_FIND_STR(core->api.index.entries, id, entry);
+	return entry;
+}
+
+/* NULL if the id is too long for a job's. */
+static struct indexed_job *find_or_add(struct core *core, const char *id)
+{
+	struct indexed_job *entry = job_index_find(core, id);
+
+	if (entry || strlen(id) >= ID_MAX)
+		return entry;
+	entry = xcalloc(1, sizeof(*entry));
+	snprintf(entry->id, sizeof(entry->id), "%s", id);
+	HASH_ADD_STR(core->api.index.entries, id, entry);
+	return entry;
+}
+
+static void remove_entry(struct core *core, struct indexed_job *entry)
+{
+	struct job_index *index = &core->api.index;
+
+	if (entry->final) {
+		DL_DELETE(index->finals, entry);
+		index->final_count--;
+	}
+	HASH_DEL(index->entries, entry);
+	free(entry);
+}
+
+/* The oldest final states go first; their records can be read again. */
+static void trim_finals(struct core *core)
+{
+	while (core->api.index.final_count > FINAL_CACHE_MAX)
+		remove_entry(core, core->api.index.finals);
+}
+
+void job_index_note_final(struct core *core, const char *id, enum job_state state,
+			  uint32_t task_count)
+{
+	struct job_index *index = &core->api.index;
+	struct indexed_job *entry = find_or_add(core, id);
+
+	if (!entry || entry->final)
+		return;
+	entry->final = true;
+	entry->status.state = state;
+	entry->status.done_count = state == JOB_STATE_DONE ? task_count : 0;
+	entry->status.running_count = 0;
+	DL_APPEND(index->finals, entry);
+	index->final_count++;
+	trim_finals(core);
+}
+
+static void note_open(struct core *core, const char *id, json_t *value)
+{
+	struct indexed_job *entry = find_or_add(core, id);
+	bool cancelled = job_record_is_cancelled(value);
+
+	if (!entry || entry->final)
+		return;
+	entry->status.state = cancelled ? JOB_STATE_CANCELLED : JOB_STATE_QUEUED;
+}
+
+/*
+ * The open record is deleted: the final record comes with the same transaction. Without one,
+ * nothing is known of the job.
+ */
+static void note_open_deleted(struct core *core, const char *id)
+{
+	struct indexed_job *entry = job_index_find(core, id);
+
+	if (entry && !entry->final)
+		remove_entry(core, entry);
+}
+
+/* What follows the prefix in the key; NULL if it has another prefix. */
+static const char *after_prefix(const char *key, const char *prefix)
+{
+	size_t len = strlen(prefix);
+
+	return strncmp(key, prefix, len) ? NULL : key + len;
+}
+
+void job_index_apply(struct core *core, const struct kv_item *item)
+{
+	const char *final_id = after_prefix(item->key, KEY_FINAL_JOBS);
+	const char *open_id = after_prefix(item->key, KEY_OPEN_JOBS);
+	struct job_outcome outcome;
+
+	if (final_id && item->value) {
+		outcome = job_record_outcome(item->value);
+		job_index_note_final(core, final_id, outcome.state, outcome.task_count);
+	} else if (open_id && item->value) {
+		note_open(core, open_id, item->value);
+	} else if (open_id) {
+		note_open_deleted(core, open_id);
+	}
+}
+
+/* An open job may be over by now, so none is known to be open. */
+void job_index_invalidate(struct core *core)
+{
+	struct indexed_job *entry, *next;
+
+	core->api.index.valid = false;
+	HASH_ITER (hh, core->api.index.entries, entry, next)
+		if (!entry->final)
+			remove_entry(core, entry);
+}
+
+void job_index_clear(struct core *core)
+{
+	struct indexed_job *entry, *next;
+
+	HASH_ITER (hh, core->api.index.entries, entry, next)
+		remove_entry(core, entry);
+}
--- /dev/null
+++ b/src/core/api/lookups.c
@@ -0,0 +1,207 @@
+#include "core/api/lookups.h"
+
+#include "core/api/cancel_requests.h"
+#include "core/api/task_counts.h"
+#include "core/state.h"
+
+/* --- one record --- */
+
+void lookup_read_record(struct core *core, struct user_request *request, enum job_record_kind kind,
+			answer_fn on_answer)
+{
+	char key[KEY_MAX];
+
+	job_record_key(key, kind, request->id);
+	core->api.lookups.count++;
+	store_get(core, key, on_answer, request)->free_arg = user_request_free;
+}
+
+struct user_request *lookup_end_read(struct core *core, const struct call *call,
+				     const struct call_answer *answer)
+{
+	core->api.lookups.count--;
+	store_note_answer(core, answer);
+	return call->arg;
+}
+
+json_t *lookup_parse_record(const struct call_answer *answer, struct kv_item *item)
+{
+	json_t *document;
+
+	if (answer->status != STATUS_OK)
+		return NULL;
+	document = wire_parse(answer->body, answer->len);
+	if (document && !wire_kv(document, item))
+		return document;
+	json_decref(document);
+	return NULL;
+}
+
+/* The job has no record, and had none when the request came. */
+static void answer_no_record(struct core *core, struct user_request *request)
+{
+	if (request->kind != USER_SUBMIT)
+		user_request_fail(core, request, USER_ERROR_NO_SUCH_JOB);
+	else if (request->admission.outcome != ADMISSION_ACCEPTED)
+		user_request_reject(core, request);
+	else
+		user_request_fail(core, request, USER_ERROR_UNKNOWN_OUTCOME);
+}
+
+static void on_final_record(struct core *core, struct call *call, const struct call_answer *answer)
+{
+	struct user_request *request = lookup_end_read(core, call, answer);
+	struct job_outcome outcome;
+	struct kv_item item;
+	json_t *document;
+
+	if (answer->status == STATUS_NOT_FOUND) {
+		answer_no_record(core, request);
+		return;
+	}
+	document = lookup_parse_record(answer, &item);
+	if (!document) {
+		user_request_unserved(core, request, answer);
+		return;
+	}
+	outcome = job_record_outcome(item.value);
+	json_decref(document);
+	job_index_note_final(core, request->id, outcome.state, outcome.task_count);
+	if (!user_request_answer_final(core, request))
+		user_request_fail(core, request, USER_ERROR_STORE_UNAVAILABLE);
+}
+
+void lookup_read_final(struct core *core, struct user_request *request)
+{
+	lookup_read_record(core, request, RECORD_FINAL, on_final_record);
+}
+
+/* --- many requests, one read of changes --- */
+
+/* A cancellation needs the record itself, which it is to replace. */
+void user_request_lookup(struct core *core, struct user_request *request)
+{
+	struct lookup_queue *queue = &core->api.lookups;
+
+	if (user_request_answer_final(core, request))
+		return;
+	if (queue->count >= USER_READS_SHARE * core->conf->max_connections) {
+		user_request_fail(core, request, USER_ERROR_BUSY);
+	} else if (request->kind == USER_CANCEL) {
+		cancel_request_start(core, request);
+	} else {
+		DL_APPEND(queue->waiting, request);
+		queue->count++;
+	}
+}
+
+/* Only the leader knows how a job's tasks stand; others, what the leader has sent of late. */
+static struct job_status open_status(const struct core *core, const struct indexed_job *entry,
+				     const struct job *job)
+{
+	struct job_status status = {JOB_STATE_QUEUED, 0, 0};
+
+	if (job) {
+		status.done_count = job->done_count;
+		status.running_count = job->running_count;
+	} else if (task_counts_are_fresh(core)) {
+		status.done_count = entry->status.done_count;
+		status.running_count = entry->status.running_count;
+	}
+	if (status.running_count)
+		status.state = JOB_STATE_RUNNING;
+	return status;
+}
+
+static void answer_open(struct core *core, struct user_request *request,
+			const struct indexed_job *entry)
+{
+	const struct job *job = election_is_leader(core) ? job_find(core, request->id) : NULL;
+
+	task_counts_note_demand(core);
+	user_request_answer(core, request, STATUS_OK, open_status(core, entry, job));
+}
+
+static void answer_from_index(struct core *core, struct user_request *request)
+{
+	const struct indexed_job *entry = job_index_find(core, request->id);
+
+	core->api.lookups.count--;
+	if (!entry)
+		lookup_read_final(core, request);
+	else if (entry->final)
+		user_request_answer(core, request, STATUS_OK, entry->status);
+	else if (entry->status.state == JOB_STATE_CANCELLED)
+		user_request_answer_cancelled(core, request);
+	else
+		answer_open(core, request, entry);
+}
+
+bool lookups_waiting(const struct core *core)
+{
+	return core->api.lookups.waiting != NULL;
+}
+
+void lookups_begin_batch(struct core *core)
+{
+	struct lookup_queue *queue = &core->api.lookups;
+
+	queue->batch = queue->waiting;
+	queue->waiting = NULL;
+}
+
+void lookups_answer_batch(struct core *core)
+{
+	struct user_request *batch = core->api.lookups.batch;
+	struct user_request *request, *next;
+
+	core->api.lookups.batch = NULL;
+	DL_FOREACH_SAFE (batch, request, next) {
+		DL_DELETE(batch, request);
+		answer_from_index(core, request);
+	}
+}
+
+bool lookups_batch_may_wait(const struct core *core)
+{
+	const struct user_request *oldest = core->api.lookups.batch;
+
+	return oldest && core->now - oldest->received_at < LOOKUP_MAX_WAIT_S;
+}
+
+void lookups_requeue_batch(struct core *core)
+{
+	struct lookup_queue *queue = &core->api.lookups;
+
+	DL_CONCAT(queue->batch, queue->waiting);
+	queue->waiting = queue->batch;
+	queue->batch = NULL;
+}
+
+static void fail_all(struct core *core, struct user_request **list,
+		     const struct call_answer *answer)
+{
+	struct user_request *request, *next;
+
+	DL_FOREACH_SAFE (*list, request, next) {
+		DL_DELETE(*list, request);
+		core->api.lookups.count--;
+		user_request_unserved(core, request, answer);
+	}
+}
+
+void lookups_fail_batch(struct core *core, const struct call_answer *answer)
+{
+	fail_all(core, &core->api.lookups.batch, answer);
+}
+
+void lookups_fail_waiting(struct core *core, const struct call_answer *answer)
+{
+	fail_all(core, &core->api.lookups.waiting, answer);
+}
+
+void lookups_clear(struct core *core)
+{
+	user_requests_clear(&core->api.lookups.waiting);
+	user_requests_clear(&core->api.lookups.batch);
+}
--- a/src/core/api/peer_requests.c
+++ b/src/core/api/peer_requests.c
@@ -1,28 +1,34 @@
-/* Requests of other controllers on the back link, but for those of share switching. */
 #include "core/api/peer_requests.h"
 
 #include <string.h>
 
 #include "core/api/cancellations.h"
 #include "core/api/forwarding.h"
+#include "core/api/task_counts.h"
 #include "core/state.h"
 
+static void request_counts(struct core *core, const struct core_request *request)
+{
+	if (election_is_leader(core))
+		task_counts_reply(core, request->conn);
+	else
+		core_reply_error(core, request->conn, STATUS_MISDIRECTED, 0, "not leading");
+}
+
 void peers_request(struct core *core, const struct core_request *request)
 {
 	if (strcmp(request->method, "POST"))
 		core_reply_error(core, request->conn, STATUS_METHOD_NOT_ALLOWED, 0, "method");
 	else if (!strcmp(request->path, FORWARD_PATH))
-		forward_take(core, request);
+		forwarding_receive(core, request);
 	else if (!strcmp(request->path, CANCELLED_PATH))
-		cancelled_take(core, request);
+		cancellations_receive(core, request);
 	else if (!strcmp(request->path, CONFIRMED_PATH))
-		confirmed_reply(core, request->conn);
-	else if (strcmp(request->path, COUNTS_PATH))
-		core_reply_error(core, request->conn, STATUS_NOT_FOUND, 0, "no such path");
-	else if (election_is_leader(core))
-		task_counts_reply(core, request->conn);
+		cancellations_reply_confirmed(core, request->conn);
+	else if (!strcmp(request->path, COUNTS_PATH))
+		request_counts(core, request);
 	else
-		core_reply_error(core, request->conn, STATUS_MISDIRECTED, 0, "not leading");
+		core_reply_error(core, request->conn, STATUS_NOT_FOUND, 0, "no such path");
 }
 
 void peers_tick(struct core *core)
--- a/src/core/api/peer_requests.h
+++ b/src/core/api/peer_requests.h
@@ -1,17 +1,15 @@
-/* Requests of other controllers, and what is asked of them regularly. */
+/* Requests of other controllers, but for those of share switching, and what is requested of them.
+ */
 #ifndef PLOVERLOFT_PEER_REQUESTS_H
 #define PLOVERLOFT_PEER_REQUESTS_H
 
-#include "core/core.h"
-
-#define COUNTS_PATH "/counts"
+struct core;
+struct core_request;
 
+/* Answers a request on the back link. */
 void peers_request(struct core *core, const struct core_request *request);
+/* Sends the requests to other controllers that are due. */
 void peers_tick(struct core *core);
 void peers_clear(struct core *core);
 
-/* task_counts.c */
-void task_counts_reply(struct core *core, uint64_t conn);
-void task_counts_tick(struct core *core);
-
 #endif
--- a/src/core/api/task_counts.c
+++ b/src/core/api/task_counts.c
@@ -1,99 +1,148 @@
-/*
- * How many tasks of each job are done and running: only the leader knows. The others ask it for
- * them while users poll, and show them for some seconds.
- */
-#include "core/api/peer_requests.h"
-
-#include <math.h>
-#include <stdio.h>
+#include "core/api/task_counts.h"
+
 #include <stdlib.h>
 #include <string.h>
 
 #include "core/state.h"
 #include "peer.pb-c.h"
-#include "util/log.h"
 #include "util/xalloc.h"
-#include "wire/names.h"
 
-void task_counts_reply(struct core *core, uint64_t conn)
+void task_counts_init(struct core *core)
+{
+	core->api.counts.received_at = core->now - COUNTS_DEMAND_S;
+	core->api.counts.wanted_at = core->now - COUNTS_DEMAND_S;
+}
+
+void task_counts_note_demand(struct core *core)
+{
+	core->api.counts.wanted_at = core->now;
+}
+
+bool task_counts_are_fresh(const struct core *core)
+{
+	return core->now - core->api.counts.received_at < COUNTS_KEEP_S;
+}
+
+/* --- the leader's answer --- */
+
+/* Jobs with neither done nor running tasks are left out. */
+static bool has_counts(const struct job *job)
+{
+	return !job->orphan && (job->done_count || job->running_count);
+}
+
+static void fill_count(Peer__Count *count, const struct job *job)
+{
+	peer__count__init(count);
+	count->job = (char *)job->spec.id;
+	count->done = job->done_count;
+	count->running = job->running_count;
+}
+
+void task_counts_reply(struct core *core, uint64_t connection)
 {
-	size_t n = job_count(core), len;
-	Peer__Count *all = xcalloc(n + 1, sizeof(*all)), **list = xcalloc(n + 1, sizeof(*list));
-	Peer__Counts out = PEER__COUNTS__INIT;
-	struct job *job, *tmp;
-	uint8_t *buf;
+	size_t max = job_count(core), len;
+	Peer__Count *counts = xcalloc(max + 1, sizeof(*counts));
+	Peer__Count **list = xcalloc(max + 1, sizeof(*list));
+	Peer__Counts message = PEER__COUNTS__INIT;
+	struct job *job, *next;
+	uint8_t *packed;
 
-	JOBS_FOR_EACH (core, job, tmp) {
-		Peer__Count *x = &all[out.n_counts];
+	JOBS_FOR_EACH (core, job, next) {
+		Peer__Count *count = &counts[message.n_counts];
 
-		if (job->orphan || (!job->done_count && !job->running_count))
+		if (!has_counts(job))
 			continue;
-		peer__count__init(x);
-		x->job = job->spec.id;
-		x->done = job->done_count;
-		x->running = job->running_count;
-		list[out.n_counts++] = x;
+		fill_count(count, job);
+		list[message.n_counts++] = count;
 	}
-	out.token = election_token(core);
-	out.counts = list;
-	buf = peers_pack(&out.base, &len);
-	core_reply_packed(core, conn, buf, len);
-	free(all);
+	message.token = election_token(core);
+	message.counts = list;
+	packed = peers_pack(&message.base, &len);
+	core_reply_packed(core, connection, packed, len);
+	free(counts);
 	free(list);
 }
 
-static void counts_take(struct core *core, const uint8_t *data, size_t len)
+/* --- the others' requests --- */
+
+/* Jobs that the leader does not list have neither done nor running tasks. */
+static void reset_counts(struct core *core)
 {
-	Peer__Counts *in = peer__counts__unpack(NULL, len, data);
-	struct indexed_job *known, *tmp;
-
-	/* What a deposed leader still believes is no news. */
-	if (in && in->token >= core->api.counts_token) {
-		core->api.counts_token = in->token;
-		core->api.counts_received_at = core->now;
-		HASH_ITER (hh, core->api.index, known, tmp)
-			if (!known->final)
-				known->done_count = known->running_count = 0;
-		for (size_t i = 0; i < in->n_counts; i++) {
-			HASH_FIND_STR(core->api.index, in->counts[i]->job, known);
-			if (!known || known->final)
-				continue;
-			known->done_count = in->counts[i]->done;
-			known->running_count = in->counts[i]->running;
-		}
+	struct indexed_job *entry, *next;
+
+	HASH_ITER (hh, core->api.index.entries, entry, next) {
+		if (entry->final)
+			continue;
+		entry->status.done_count = 0;
+		entry->status.running_count = 0;
 	}
-	if (in)
-		peer__counts__free_unpacked(in, NULL);
+}
+
+static void apply_count(struct core *core, const Peer__Count *count)
+{
+	struct indexed_job *entry = job_index_find(core, count->job);
+
+	if (!entry || entry->final)
+		return;
+	entry->status.done_count = count->done;
+	entry->status.running_count = count->running;
+}
+
+static void apply_counts(struct core *core, const Peer__Counts *message)
+{
+	struct task_counts *state = &core->api.counts;
+
+	/* From a leader that was deposed since. */
+	if (message->token < state->token)
+		return;
+	state->token = message->token;
+	state->received_at = core->now;
+	reset_counts(core);
+	for (size_t i = 0; i < message->n_counts; i++)
+		apply_count(core, message->counts[i]);
 }
 
 static void on_counts(struct core *core, struct call *call, const struct call_answer *answer)
 {
-	size_t i = (size_t)(uintptr_t)call->arg;
+	size_t peer = (size_t)(uintptr_t)call->arg;
+	Peer__Counts *message;
 
-	core->api.counts_in_flight = false;
-	peer_note_answer(core, i, answer);
-	if (answer->status == STATUS_OK)
-		counts_take(core, (const uint8_t *)answer->body, answer->len);
+	core->api.counts.in_flight = false;
+	peer_note_answer(core, peer, answer);
+	if (answer->status != STATUS_OK)
+		return;
+	message = peer__counts__unpack(NULL, answer->len, (const uint8_t *)answer->body);
+	if (!message)
+		return;
+	apply_counts(core, message);
+	peer__counts__free_unpacked(message, NULL);
 }
 
-/* The message is empty: its path says all. */
-static void counts_ask(struct core *core, size_t i)
+static void request_counts(struct core *core, size_t peer)
 {
-	core_call(core, core->conf->peers[i].addr, "POST", format_path(COUNTS_PATH), xstrdup(""),
-		  CALL_PEER_S, on_counts, (void *)(uintptr_t)i);
+	struct task_counts *state = &core->api.counts;
+
+	state->in_flight = true;
+	state->next_read_at = core->now + COUNTS_EVERY_S;
+	/* The message is empty. */
+	core_call(core, core->conf->peers[peer].addr, "POST", format_path(COUNTS_PATH), xstrdup(""),
+		  CALL_PEER_S, on_counts, (void *)(uintptr_t)peer);
+}
+
+static bool read_due(const struct core *core)
+{
+	const struct task_counts *state = &core->api.counts;
+
+	return !election_is_leader(core) && !state->in_flight && core->now >= state->next_read_at &&
+	       core->now - state->wanted_at <= COUNTS_DEMAND_S;
 }
 
 void task_counts_tick(struct core *core)
 {
-	if (election_is_leader(core) || core->api.counts_in_flight ||
-	    core->now < core->api.next_counts_at ||
-	    core->now - core->api.counts_wanted_at > COUNTS_DEMAND_S)
+	if (!read_due(core))
 		return;
-	for (size_t i = 0; i < core->conf->npeers; i++) {
-		if (strcmp(core->conf->peers[i].name, election_leader(core)))
-			continue;
-		core->api.counts_in_flight = true;
-		core->api.next_counts_at = core->now + COUNTS_EVERY_S;
-		counts_ask(core, i);
-	}
+	for (size_t i = 0; i < core->conf->npeers; i++)
+		if (!strcmp(core->conf->peers[i].name, election_leader(core)))
+			request_counts(core, i);
 }
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -65,7 +65,7 @@
     .machine_forgotten = on_machine_forgotten,
     .job_forgotten = reservation_release,
     .machine_given_up = autoscale_request_scan,
-    .wrap_forwarded_answer = peers_wrap_answer,
+    .wrap_forwarded_answer = forwarding_wrap_answer,
 };
 
 struct core *core_new(const struct conf *conf, uint64_t seed, struct core_time now)
@@ -88,7 +88,7 @@
 	for (size_t i = 0; i < conf->npeers; i++)
 		core->peers.list[i].confirmed_until = -1;
 	core->store_answered_at = core->now;
-	core->api.counts_received_at = core->api.counts_wanted_at = core->now - COUNTS_DEMAND_S;
+	api_init(core);
 	core->share_switching.peer_live =
 	    xcalloc(conf->npeers + 1, sizeof(*core->share_switching.peer_live));
 	for (size_t i = 0; i < conf->nteams; i++)
