--- a/src/core/api/cancellations.c
+++ b/src/core/api/cancellations.c
@@ -13,7 +13,7 @@
 static void on_announce_answer(struct core *core, struct call *call,
 			       const struct call_answer *answer)
 {
-	peer_note_answer(core, (size_t)(uintptr_t)call->arg, answer);
+	peer_note_answer(core, peer_of_call(call), answer);
 }
 
 static void announce_to(struct core *core, size_t peer, const char *id, uint64_t version)
@@ -25,8 +25,7 @@
 	message.job = (char *)id;
 	message.version = version;
 	packed = peers_pack(&message.base, &len);
-	core_call_packed(core, core->conf->peers[peer].addr, CANCELLED_PATH, packed, len,
-			 on_announce_answer, (void *)(uintptr_t)peer);
+	peer_send(core, peer, CANCELLED_PATH, packed, len, on_announce_answer);
 }
 
 /*
@@ -168,7 +167,7 @@
 
 static void on_confirmed(struct core *core, struct call *call, const struct call_answer *answer)
 {
-	size_t peer = (size_t)(uintptr_t)call->arg;
+	size_t peer = peer_of_call(call);
 	Peer__Confirmed *message;
 
 	peer_note_answer(core, peer, answer);
@@ -181,13 +180,6 @@
 	peer__confirmed__free_unpacked(message, NULL);
 }
 
-/* The message is empty. */
-static void request_confirmed(struct core *core, size_t peer)
-{
-	core_call(core, core->conf->peers[peer].addr, "POST", format_path(CONFIRMED_PATH),
-		  xstrdup(""), CALL_PEER_S, on_confirmed, (void *)(uintptr_t)peer);
-}
-
 /* An answer also shows that the peer is alive. */
 void cancellations_tick(struct core *core)
 {
@@ -195,5 +187,5 @@
 		return;
 	core->api.cancellations.next_request_at = core->now + PEER_PING_S;
 	for (size_t i = 0; i < core->conf->npeers; i++)
-		request_confirmed(core, i);
+		peer_send_empty(core, i, CONFIRMED_PATH, on_confirmed);
 }
--- a/src/core/api/task_counts.c
+++ b/src/core/api/task_counts.c
@@ -105,11 +105,10 @@
 
 static void on_counts(struct core *core, struct call *call, const struct call_answer *answer)
 {
-	size_t peer = (size_t)(uintptr_t)call->arg;
 	Peer__Counts *message;
 
 	core->api.counts.in_flight = false;
-	peer_note_answer(core, peer, answer);
+	peer_note_answer(core, peer_of_call(call), answer);
 	if (answer->status != STATUS_OK)
 		return;
 	message = peer__counts__unpack(NULL, answer->len, (const uint8_t *)answer->body);
@@ -125,9 +124,7 @@
 
 	state->in_flight = true;
 	state->next_read_at = core->now + COUNTS_EVERY_S;
-	/* The message is empty. */
-	core_call(core, core->conf->peers[peer].addr, "POST", format_path(COUNTS_PATH), xstrdup(""),
-		  CALL_PEER_S, on_counts, (void *)(uintptr_t)peer);
+	peer_send_empty(core, peer, COUNTS_PATH, on_counts);
 }
 
 static bool read_due(const struct core *core)
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -8,32 +8,53 @@
 #include "core/api/peer_requests.h"
 #include "core/scheduling/cycle.h"
 #include "core/state.h"
-#include "util/log.h"
 #include "util/xalloc.h"
 #include "wire/names.h"
 
-/* All that only a leader knows; what the next one needs is in the records. */
-static void leader_state_clear(struct core *core)
+static void clear_machine(struct core *core, struct machine *machine)
+{
+	struct binding *binding, *next;
+
+	DL_FOREACH_SAFE2 (machine->bindings, binding, next, machine_next)
+		free(binding);
+	machine_free(core, machine);
+}
+
+static void clear_machines(struct core *core)
+{
+	struct machine *machine, *next;
+
+	core->agents.command_queue = NULL;
+	MACHINES_FOR_EACH (core, machine, next)
+		clear_machine(core, machine);
+}
+
+static void clear_jobs(struct core *core)
 {
-	struct machine *machine, *mtmp;
-	struct job *job, *jtmp;
+	struct job *job, *next;
 
+	JOBS_FOR_EACH (core, job, next)
+		job_free(core, job);
+}
+
+static void clear_team_usage(struct core *core)
+{
+	for (size_t i = 0; i < core->conf->nteams; i++) {
+		core->teams[i].cpus = 0;
+		core->teams[i].gpus = 0;
+	}
+}
+
+/* Drops all state that only a leader has; what the next one needs is in the records. */
+static void leader_state_clear(struct core *core)
+{
 	write_queue_clear(core);
 	autoscale_clear(core);
 	tombstones_clear(core);
 	format_clear(core);
-	core->agents.command_queue = NULL;
-	MACHINES_FOR_EACH (core, machine, mtmp) {
-		struct binding *binding, *tmp;
-
-		DL_FOREACH_SAFE2 (machine->bindings, binding, tmp, machine_next)
-			free(binding);
-		machine_free(core, machine);
-	}
-	JOBS_FOR_EACH (core, job, jtmp)
-		job_free(core, job);
-	for (size_t i = 0; i < core->conf->nteams; i++)
-		core->teams[i].cpus = core->teams[i].gpus = 0;
+	clear_machines(core);
+	clear_jobs(core);
+	clear_team_usage(core);
 	core->jobs_watch.in_flight = false;
 	core->cycles.requested = false;
 	core->write_queue.new_token_wanted = false;
@@ -68,6 +89,28 @@
     .wrap_forwarded_answer = forwarding_wrap_answer,
 };
 
+static void init_random(struct core *core, uint64_t seed)
+{
+	core->rand48[0] = (unsigned short)seed;
+	core->rand48[1] = (unsigned short)(seed >> 16);
+	core->rand48[2] = (unsigned short)(seed >> 32);
+}
+
+static void init_teams(struct core *core)
+{
+	const struct conf *conf = core->conf;
+
+	core->teams = xcalloc(conf->nteams + 1, sizeof(*core->teams));
+	for (size_t i = 0; i < conf->nteams; i++)
+		core->teams[i].conf = &conf->teams[i];
+}
+
+static void init_share_switching(struct core *core)
+{
+	core->share_switching.peer_live =
+	    xcalloc(core->conf->npeers + 1, sizeof(*core->share_switching.peer_live));
+}
+
 struct core *core_new(const struct conf *conf, uint64_t seed, struct core_time now)
 {
 	struct core *core = xcalloc(1, sizeof(*core));
@@ -79,20 +122,12 @@
 	core->next_call = 1;
 	core->election.format = FORMAT_LARGE_CHUNKS;
 	core->election.peers_confirmed_at = -1;
-	core->peers.incarnation = seed;
-	core->rand48[0] = (unsigned short)seed;
-	core->rand48[1] = (unsigned short)(seed >> 16);
-	core->rand48[2] = (unsigned short)(seed >> 32);
-	core->teams = xcalloc(conf->nteams + 1, sizeof(*core->teams));
-	core->peers.list = xcalloc(conf->npeers + 1, sizeof(*core->peers.list));
-	for (size_t i = 0; i < conf->npeers; i++)
-		core->peers.list[i].confirmed_until = -1;
 	core->store_answered_at = core->now;
+	init_random(core, seed);
+	init_teams(core);
+	init_share_switching(core);
+	peer_link_init(core, seed);
 	api_init(core);
-	core->share_switching.peer_live =
-	    xcalloc(conf->npeers + 1, sizeof(*core->share_switching.peer_live));
-	for (size_t i = 0; i < conf->nteams; i++)
-		core->teams[i].conf = &conf->teams[i];
 	return core;
 }
 
@@ -103,62 +138,57 @@
 	core->wall = now.wall;
 }
 
-void core_request(struct core *core, struct core_time now, const struct core_request *request)
+static void heartbeat_request(struct core *core, const struct core_request *request)
 {
-	set_time(core, now);
-	if (!strcmp(request->path, W_PATH_HEARTBEAT)) {
-		if (strcmp(request->method, "POST"))
-			core_reply_error(core, request->conn, STATUS_METHOD_NOT_ALLOWED, 0,
-					 "method");
-		else
-			agent_heartbeat(core, request);
-	} else if (request->side == CORE_BACK && !strcmp(request->path, SHARE_SWITCHING_PATH)) {
+	if (!strcmp(request->method, "POST"))
+		agent_heartbeat(core, request);
+	else
+		core_reply_error(core, request->conn, STATUS_METHOD_NOT_ALLOWED, 0, "method");
+}
+
+static void back_request(struct core *core, const struct core_request *request)
+{
+	if (!strcmp(request->path, SHARE_SWITCHING_PATH))
 		share_switching_request(core, request);
-	} else if (request->side == CORE_BACK) {
+	else
 		peers_request(core, request);
-	} else {
+}
+
+void core_request(struct core *core, struct core_time now, const struct core_request *request)
+{
+	set_time(core, now);
+	if (!strcmp(request->path, W_PATH_HEARTBEAT))
+		heartbeat_request(core, request);
+	else if (request->side == CORE_BACK)
+		back_request(core, request);
+	else
 		api_request(core, request);
-	}
 	core_tick(core, now);
 }
 
-/* The status of the interface says two things in one; inside, they are apart. */
-static struct call_answer call_answer_of(const struct core_answer *a)
+/* The status of the interface holds outcome and HTTP status; inside, they are apart. */
+static struct call_answer call_answer_of(const struct core_answer *answer)
 {
-	struct call_answer answer = {CALL_ANSWERED, a->status, a->body, a->len};
+	struct call_answer ended = {CALL_ANSWERED, answer->status, answer->body, answer->len};
 
-	if (a->status <= 0) {
-		answer.outcome = a->status < 0 ? CALL_NOT_SENT : CALL_UNANSWERED;
-		answer.status = 0;
-	}
-	return answer;
+	if (answer->status > 0)
+		return ended;
+	ended.outcome = answer->status < 0 ? CALL_NOT_SENT : CALL_UNANSWERED;
+	ended.status = 0;
+	return ended;
 }
 
-void core_answer(struct core *core, struct core_time now, const struct core_answer *a)
+void core_answer(struct core *core, struct core_time now, const struct core_answer *answer)
 {
-	struct call_answer answer = call_answer_of(a);
-	struct call *call;
+	struct call_answer ended = call_answer_of(answer);
 
 	set_time(core, now);
-	HASH_FIND(hh, core->calls, &a->id, sizeof(a->id), call);
-	if (!call)
-		return;
-	HASH_DEL(core->calls, call);
-	call->on_answer(core, call, &answer);
-	free(call);
-	core_tick(core, now);
+	if (core_call_end(core, answer->id, &ended))
+		core_tick(core, now);
 }
 
-void core_tick(struct core *core, struct core_time now)
+static void leader_tick(struct core *core)
 {
-	set_time(core, now);
-	election_tick(core);
-	format_tick(core);
-	catalog_tick(core);
-	api_tick(core);
-	peers_tick(core);
-	if (core->election.role != ROLE_LEADER)
-		return;
 	jobs_watch_tick(core);
 	machines_tick(core);
 	replica_supervision_tick(core);
@@ -170,16 +200,27 @@
 	direct_commands_tick(core);
 }
 
-/* The parts look at their own due times; a coarse beat covers them, rounds and commits come first.
- */
+void core_tick(struct core *core, struct core_time now)
+{
+	set_time(core, now);
+	election_tick(core);
+	format_tick(core);
+	catalog_tick(core);
+	api_tick(core);
+	peers_tick(core);
+	if (core->election.role == ROLE_LEADER)
+		leader_tick(core);
+}
+
+/* Each part checks its own due times: a coarse period is enough for all but scheduling cycles. */
 double core_next(const struct core *core)
 {
-	double next = core->now + TICK_S;
+	double periodic = core->now + TICK_S;
 
 	if (core->election.role == ROLE_LEADER && core->cycles.requested &&
-	    core->cycles.next_at < next)
-		next = core->cycles.next_at;
-	return next;
+	    core->cycles.next_at < periodic)
+		return core->cycles.next_at;
+	return periodic;
 }
 
 struct core_action *core_take(struct core *core)
@@ -201,22 +242,16 @@
 void core_free(struct core *core)
 {
 	struct core_action *action;
-	struct call *call, *tmp;
 
 	leader_state_clear(core);
 	api_clear(core);
 	peers_clear(core);
 	while ((action = core_take(core)))
 		core_action_free(action);
-	HASH_ITER (hh, core->calls, call, tmp) {
-		HASH_DEL(core->calls, call);
-		if (call->free_arg)
-			call->free_arg(call->arg);
-		free(call);
-	}
+	core_calls_clear(core);
 	catalog_free(core);
+	peer_link_clear(core);
 	free(core->teams);
 	free(core->share_switching.peer_live);
-	free(core->peers.list);
 	free(core);
 }
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -1,6 +1,9 @@
 /*
  * The core: a state machine. It is given what arrived and the time, and returns what to send and
  * answer. It reads no clock, no socket and no global.
+ *
+ * Each function that is given the time carries out what is due by then; afterwards the caller takes
+ * the actions, until there are none, and asks for the time of the next tick.
  */
 #ifndef PLOVERLOFT_CORE_H
 #define PLOVERLOFT_CORE_H
@@ -12,26 +15,35 @@
 
 struct core;
 
-enum core_action_kind { ACT_SEND, ACT_ANSWER };
+enum core_action_kind {
+	ACT_SEND,  /* send a request, and give the answer to core_answer */
+	ACT_ANSWER /* answer a request that was given to core_request */
+};
 
+/* What the caller is to carry out. */
 struct core_action {
 	enum core_action_kind kind;
-	uint64_t id; /* of the call, or the connection answered */
-	char addr[CONF_NAME_MAX];
-	const char *method;
-	char *path;
-	char *body;
-	size_t len;
-	double timeout_s;
-	int status;
-	int retry_after; /* seconds; 0: none */
+	uint64_t id;		  /* of the call, or the connection answered */
+	char addr[CONF_NAME_MAX]; /* the receiver of a request */
+	const char *method;	  /* of a request; static */
+	char *path;		  /* of a request */
+	char *body;		  /* NULL: none */
+	size_t len;		  /* bytes of the body */
+	double timeout_s;	  /* of a request: then it counts as not answered */
+	int status;		  /* of an answer: HTTP */
+	int retry_after;	  /* of an answer: seconds; 0: none */
 	struct core_action *prev, *next;
 };
 
-enum core_side { CORE_FRONT, CORE_BACK };
+/* The listener that a request came by. */
+enum core_side {
+	CORE_FRONT, /* for users and agents */
+	CORE_BACK   /* for other controllers */
+};
 
+/* A request that arrived; its strings need to last only for the call. */
 struct core_request {
-	uint64_t conn;
+	uint64_t conn; /* names the connection that is to be answered */
 	enum core_side side;
 	const char *method;
 	const char *path;
@@ -39,9 +51,12 @@
 	size_t len;
 };
 
-/* Answer to a call. status 0: no answer, it may still be carried out. -1: it never left. */
+/*
+ * The end of a call. status 0: no answer came, and it may still be carried out. -1: it was never
+ * sent.
+ */
 struct core_answer {
-	uint64_t id;
+	uint64_t id; /* of the call, from its action */
 	int status;
 	const char *body;
 	size_t len;
@@ -52,14 +67,21 @@
 	double wall;   /* seconds since 1970 */
 };
 
+/*
+ * `seed` is to differ between processes. The settings are to outlive the core, which the caller
+ * frees with core_free.
+ */
 struct core *core_new(const struct conf *conf, uint64_t seed, struct core_time now);
 void core_free(struct core *core);
+/* A request arrived: it is answered by an action, now or after a later call. */
 void core_request(struct core *core, struct core_time now, const struct core_request *request);
-void core_answer(struct core *core, struct core_time now, const struct core_answer *a);
+/* A call has ended. An answer to a call that is not under way is ignored. */
+void core_answer(struct core *core, struct core_time now, const struct core_answer *answer);
+/* Carries out what is due. */
 void core_tick(struct core *core, struct core_time now);
 /* The steady time by which the next tick is wanted. */
 double core_next(const struct core *core);
-/* The next action, NULL if none; the caller frees it. */
+/* The next action, which the caller frees with core_action_free; NULL if there is none. */
 struct core_action *core_take(struct core *core);
 void core_action_free(struct core_action *action);
 
--- a/src/core/peers/peer_link.c
+++ b/src/core/peers/peer_link.c
@@ -1,4 +1,3 @@
-/* The link to the other controllers: messages in protobuf, and what their answers tell of them. */
 #include "core/peers/peer_link.h"
 
 #include <stdlib.h>
@@ -7,22 +6,52 @@
 #include "peer.pb-c.h"
 #include "util/xalloc.h"
 
+void peer_link_init(struct core *core, uint64_t incarnation)
+{
+	core->peers.incarnation = incarnation;
+	core->peers.list = xcalloc(core->conf->npeers + 1, sizeof(*core->peers.list));
+	for (size_t i = 0; i < core->conf->npeers; i++)
+		core->peers.list[i].confirmed_until = -1;
+}
+
+void peer_link_clear(struct core *core)
+{
+	free(core->peers.list);
+	core->peers.list = NULL;
+}
+
 struct peer *peer_get(const struct core *core, size_t index)
 {
 	return &core->peers.list[index];
 }
 
-uint8_t *peers_pack(const struct ProtobufCMessage *m, size_t *len)
+uint8_t *peers_pack(const struct ProtobufCMessage *message, size_t *len)
+{
+	uint8_t *packed;
+
+	*len = protobuf_c_message_get_packed_size(message);
+	packed = xmalloc(*len + 1);
+	protobuf_c_message_pack(message, packed);
+	return packed;
+}
+
+void peer_send(struct core *core, size_t peer, const char *path, uint8_t *packed, size_t len,
+	       answer_fn on_answer)
+{
+	core_call_packed(core, core->conf->peers[peer].addr, path, packed, len, on_answer,
+			 (void *)(uintptr_t)peer);
+}
+
+void peer_send_empty(struct core *core, size_t peer, const char *path, answer_fn on_answer)
 {
-	uint8_t *buf;
+	peer_send(core, peer, path, (uint8_t *)xstrdup(""), 0, on_answer);
+}
 
-	*len = protobuf_c_message_get_packed_size(m);
-	buf = xmalloc(*len + 1);
-	protobuf_c_message_pack(m, buf);
-	return buf;
+size_t peer_of_call(const struct call *call)
+{
+	return (size_t)(uintptr_t)call->arg;
 }
 
-/* Whatever it says, it is there. */
 void peer_note_answer(struct core *core, size_t peer, const struct call_answer *answer)
 {
 	if (answer->outcome == CALL_ANSWERED)
@@ -31,12 +60,12 @@
 
 void peers_note_incarnation(struct core *core, size_t peer, uint64_t incarnation)
 {
-	struct peer *p = &core->peers.list[peer];
+	struct peer *entry = &core->peers.list[peer];
 
-	if (p->incarnation == incarnation && p->incarnation_since > 0)
+	if (entry->incarnation == incarnation && entry->incarnation_since > 0)
 		return;
-	p->incarnation = incarnation;
-	p->incarnation_since = core->now;
+	entry->incarnation = incarnation;
+	entry->incarnation_since = core->now;
 }
 
 void peers_renew_incarnation(struct core *core)
@@ -50,9 +79,9 @@
 }
 
 /*
- * An outage of the state service is everybody's: turning users away would only make them come back
- * later. A controller that hears neither the state service nor any other controller is of no use to
- * them, while others may be.
+ * An outage of the state service concerns all controllers: if users were turned away, they would
+ * only come back later. A controller that reaches neither the state service nor any other
+ * controller is of no use to them, while others may be.
  */
 bool peers_ready(const struct core *core)
 {
--- a/src/core/runtime/call.c
+++ b/src/core/runtime/call.c
@@ -1,7 +1,5 @@
-/* Calls to other parties, answers to requests, random numbers and rate limiters. */
 #include "core/runtime/call.h"
 
-#include <math.h>
 #include <stdarg.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -15,31 +13,15 @@
 	return erand48(core->rand48);
 }
 
-void rate_limiter_refill(const struct core *core, struct rate_limiter *a, double rate)
+char *format_path(const char *format, ...)
 {
-	a->tokens = fmin(rate, a->tokens + (core->now - a->refilled_at) * rate);
-	a->refilled_at = core->now;
-}
-
-char *format_path(const char *fmt, ...)
-{
-	char *s = xmalloc(HTTP_PATH_MAX);
-	va_list ap;
+	char *path = xmalloc(HTTP_PATH_MAX);
+	va_list arguments;
 
-	va_start(ap, fmt);
-	vsnprintf(s, HTTP_PATH_MAX, fmt, ap);
-	va_end(ap);
-	return s;
-}
-
-void core_begin_term(struct core *core)
-{
-	core->term++;
-}
-
-bool core_call_is_current(const struct core *core, const struct call *call)
-{
-	return call->term == core->term;
+	va_start(arguments, format);
+	vsnprintf(path, HTTP_PATH_MAX, format, arguments);
+	va_end(arguments);
+	return path;
 }
 
 static struct core_action *action_add(struct core *core, enum core_action_kind kind, uint64_t id)
@@ -52,20 +34,33 @@
 	return action;
 }
 
-struct call *core_call(struct core *core, const char *addr, const char *method, char *path,
-		       char *body, double timeout_s, answer_fn fn, void *arg)
+static struct core_action *last_action(const struct core *core)
+{
+	return core->actions->prev;
+}
+
+/* --- calls --- */
+
+static struct call *call_add(struct core *core, double timeout_s, answer_fn on_answer, void *arg)
 {
 	struct call *call = xcalloc(1, sizeof(*call));
-	struct core_action *action;
 
 	call->id = core->next_call++;
-	call->on_answer = fn;
+	call->on_answer = on_answer;
 	call->arg = arg;
 	call->term = core->term;
 	call->sent_at = core->now;
 	call->timeout_s = timeout_s;
 	HASH_ADD(hh, core->calls, id, sizeof(call->id), call);
-	action = action_add(core, ACT_SEND, call->id);
+	return call;
+}
+
+struct call *core_call(struct core *core, const char *addr, const char *method, char *path,
+		       char *body, double timeout_s, answer_fn on_answer, void *arg)
+{
+	struct call *call = call_add(core, timeout_s, on_answer, arg);
+	struct core_action *action = action_add(core, ACT_SEND, call->id);
+
 	snprintf(action->addr, sizeof(action->addr), "%s", addr);
 	action->method = method;
 	action->path = path;
@@ -75,43 +70,81 @@
 	return call;
 }
 
-struct call *core_call_packed(struct core *core, const char *addr, const char *path, uint8_t *buf,
-			      size_t len, answer_fn fn, void *arg)
+struct call *core_call_packed(struct core *core, const char *addr, const char *path,
+			      uint8_t *packed, size_t len, answer_fn on_answer, void *arg)
 {
-	struct call *call =
-	    core_call(core, addr, "POST", format_path("%s", path), NULL, CALL_PEER_S, fn, arg);
-	struct core_action *action = core->actions->prev;
+	struct call *call = core_call(core, addr, "POST", format_path("%s", path), NULL,
+				      CALL_PEER_S, on_answer, arg);
+	struct core_action *action = last_action(core);
 
-	action->body = (char *)buf;
+	action->body = (char *)packed;
 	action->len = len;
 	return call;
 }
 
-void core_reply_packed(struct core *core, uint64_t conn, uint8_t *buf, size_t len)
+bool core_call_end(struct core *core, uint64_t id, const struct call_answer *answer)
 {
-	struct core_action *action;
+	struct call *call;
+
+	HASH_FIND(hh, core->calls, &id, sizeof(id), call);
+	if (!call)
+		return false;
+	HASH_DEL(core->calls, call);
+	call->on_answer(core, call, answer);
+	free(call);
+	return true;
+}
 
-	core_reply(core, conn, STATUS_OK, 0, NULL);
-	action = core->actions->prev;
-	action->body = (char *)buf;
-	action->len = len;
+void core_calls_clear(struct core *core)
+{
+	struct call *call, *next;
+
+	HASH_ITER (hh, core->calls, call, next) {
+		HASH_DEL(core->calls, call);
+		if (call->free_arg)
+			call->free_arg(call->arg);
+		free(call);
+	}
 }
 
-void core_reply(struct core *core, uint64_t conn, int status, int retry_after, char *body)
+void core_begin_term(struct core *core)
+{
+	core->term++;
+}
+
+bool core_call_is_current(const struct core *core, const struct call *call)
 {
-	struct core_action *action = action_add(core, ACT_ANSWER, conn);
+	return call->term == core->term;
+}
+
+/* --- answers --- */
+
+void core_reply(struct core *core, uint64_t connection, int status, int retry_after, char *body)
+{
+	struct core_action *action = action_add(core, ACT_ANSWER, connection);
 	size_t len = body ? strlen(body) : 0;
 
-	if (core->events->wrap_forwarded_answer(core, conn, &status, retry_after, &body, &len))
-		retry_after = 0;
+	if (core->events->wrap_forwarded_answer(core, connection, &status, retry_after, &body,
+						&len))
+		retry_after = 0; /* it is in the message */
 	action->status = status;
 	action->retry_after = retry_after;
 	action->body = body;
 	action->len = len;
 }
 
-void core_reply_error(struct core *core, uint64_t conn, int status, int retry_after,
-		      const char *why)
+void core_reply_error(struct core *core, uint64_t connection, int status, int retry_after,
+		      const char *text)
 {
-	core_reply(core, conn, status, retry_after, format_path("{\"error\":\"%s\"}", why));
+	core_reply(core, connection, status, retry_after, format_path("{\"error\":\"%s\"}", text));
+}
+
+void core_reply_packed(struct core *core, uint64_t connection, uint8_t *packed, size_t len)
+{
+	struct core_action *action;
+
+	core_reply(core, connection, STATUS_OK, 0, NULL);
+	action = last_action(core);
+	action->body = (char *)packed;
+	action->len = len;
 }
--- a/src/core/runtime/events.h
+++ b/src/core/runtime/events.h
@@ -1,7 +1,7 @@
 /*
- * What a folder tells the folders above it. Calls go downwards only; where a lower folder has news
- * for a higher one, it calls a member of this table, which core.c fills in once. All of them run at
- * once, before the call returns.
+ * Events: how a folder notifies the folders above it. Calls go downwards only; where something
+ * happens that concerns a higher folder, a member of this table is called, which core.c fills in
+ * once. Each handler has run when the call returns. All members are set.
  */
 #ifndef PLOVERLOFT_EVENTS_H
 #define PLOVERLOFT_EVENTS_H
@@ -17,9 +17,9 @@
 struct machine;
 
 struct core_events {
-	/* election: this controller holds the key, and is to read the records */
+	/* election: this controller holds the leader's key, and is to read the records */
 	void (*leadership_won)(struct core *core);
-	/* election: all that only a leader knows is to be forgotten */
+	/* election: all state that only a leader has is to be dropped */
 	void (*leadership_lost)(struct core *core);
 	/* model: the record that holds the task is to be written, `delay_s` from now at the latest
 	 */
@@ -32,7 +32,7 @@
 	/* records: the final record of a job is committed */
 	void (*job_finished)(struct core *core, const char *id, enum job_state state,
 			     uint32_t task_count);
-	/* model, agents: something happened that placements may follow from */
+	/* model, records, agents: something changed that may allow a placement */
 	void (*placement_needed)(struct core *core);
 	/* model, records: a binding of the machine is to be started or stopped */
 	void (*commands_due)(struct core *core, struct machine *machine);
@@ -45,9 +45,9 @@
 	/* agents: a machine is given up, and is to be deleted at once */
 	void (*machine_given_up)(struct core *core);
 	/*
-	 * runtime: an answer is about to leave. If another controller forwarded the request, the
-	 * answer is replaced by a message that holds it; true if so. *body stays owned by the
-	 * caller.
+	 * runtime: an answer is about to be queued. If another controller forwarded the request,
+	 * *status, *body and *len are replaced by those of a message to it that holds the answer;
+	 * true if so. *body stays owned by the caller.
 	 */
 	bool (*wrap_forwarded_answer)(struct core *core, uint64_t connection, int *status,
 				      int retry_after, char **body, size_t *len);
