--- a/src/constants.h
+++ b/src/constants.h
@@ -47,7 +47,7 @@
 #define CALL_PEER_S 1.5	  /* seconds: a user waits 2 s for a poll */
 
 /* --- core --- */
-#define TICK_S 0.1 /* seconds between looks at due times: below what any of them needs */
+#define TICK_S 0.1 /* seconds between checks of due times: below what any of them needs */
 
 /* --- election --- */
 #define LEADER_TTL_MS 2500   /* ms: take-over time against false losses when the state is slow */
@@ -65,23 +65,23 @@
 #define USER_WAIT_S 3.5	      /* seconds: a user gives up at 5, the answer has to travel */
 #define USER_QUEUE_LEAST 400  /* waiting submissions at least: beyond it 429 */
 #define USER_QUEUE_S 5.0      /* seconds of writes that may wait: longer, and users have given up */
-#define INDEX_IDLE_S 10.0 /* seconds without questions before the changes are read all the same */
+#define INDEX_IDLE_S 10.0     /* seconds without lookups before the changes are read all the same */
 /* changes that one answer may hold: some 2 MB, a fraction of what is kept of them */
 #define INDEX_CHANGES_MAX 4000
-#define INDEX_BATCH_S 0.05    /* seconds between reads of changes: questions gather meanwhile */
-#define INDEX_RETRY_S 0.2     /* seconds before a read that was refused is tried again */
-#define LOOKUP_MAX_WAIT_S 1.0 /* seconds a question waits for that: a poll is given up at 2 */
-#define COUNTS_EVERY_S 2.0    /* seconds between questions for counts: what is shown may lag by 3 */
-#define COUNTS_KEEP_S 6.0     /* seconds the leader's counts are shown */
-/* seconds after a poll during which they are asked for: polls come every 5 */
+#define INDEX_BATCH_S 0.05    /* seconds between reads of changes: lookups gather meanwhile */
+#define INDEX_RETRY_S 0.2     /* seconds before a read that was refused is retried */
+#define LOOKUP_MAX_WAIT_S 1.0 /* seconds a lookup waits for that: a poll is given up at 2 */
+#define COUNTS_EVERY_S 2.0    /* seconds between requests for counts: users' may lag by 3 */
+#define COUNTS_KEEP_S 6.0     /* seconds users are answered with the leader's counts */
+/* seconds after a poll during which they are requested: polls come every 5 */
 #define COUNTS_DEMAND_S 10.0
-/* seconds between questions to others while the state service is silent */
+/* seconds between requests to the other controllers while the state service is silent */
 #define PEER_PING_S 1.0
-/* times cancel_s that what users were told is kept: a leader asks sooner */
+/* times cancel_s that a confirmed cancellation is kept: a leader requests it sooner */
 #define CONFIRMED_KEEP_CANCELS 2.0
-#define CONFIRMED_MAX 4096   /* cancellations kept so: some 0.5 MB */
+#define CONFIRMED_MAX 4096   /* confirmed cancellations kept: some 0.5 MB */
 #define PEER_ALONE_S 4.0     /* seconds without state service and peers before /ready says so */
-#define PEER_BACKOFF_S 2.0   /* seconds nothing is handed to a peer that could not serve either */
+#define PEER_BACKOFF_S 2.0   /* seconds nothing is forwarded to a peer that was not served either */
 #define RETRY_AFTER_S 1	     /* seconds: the least a user waits anyway */
 #define RETRY_AFTER_BUSY_S 2 /* seconds: a full queue drains in about this time */
 #define FINAL_CACHE_MAX 4096 /* final states kept: about 0.5 MB; the oldest go first */
@@ -127,16 +127,16 @@
 #define MACHINE_FRESH_REPORTS 2.5 /* reports missed before a machine gets no new tasks */
 /* seconds beyond the worker's lease: its tasks are lost anyway */
 #define MACHINE_DEAD_MARGIN_S 1.0
-#define PROBE_INTERVAL_S 1.0 /* seconds between questions to one machine */
-#define PROBES_PER_S 40.0 /* questions a second to all at least: each costs as much as a report */
-#define PROBE_ALL_LEASES 0.5 /* leases within which all machines can be asked */
-#define DIRECT_SHARE 0.125   /* share of the sockets that direct commands and questions may hold */
+#define PROBE_INTERVAL_S 1.0 /* seconds between probes of one machine */
+#define PROBES_PER_S 40.0    /* probes a second of all at least: each costs as much as a report */
+#define PROBE_ALL_LEASES 0.5 /* leases within which all machines can be probed */
+#define DIRECT_SHARE 0.125   /* share of the sockets that direct commands and probes may hold */
 #define MACHINE_IGNORED_STARTS                                                                     \
 	2			   /* reports in a row that ignore a start: one answer may be lost \
 				    */
-#define MACHINE_STALE_REPORTS 1.5  /* report intervals without news: one may be a quarter late */
-#define MACHINE_UNREACHABLE_S 60.0 /* seconds a machine that does not hear us is kept */
-#define PROBE_UNSEEN_S 3.0 /* seconds between questions to a machine not heard of this term */
+#define MACHINE_STALE_REPORTS 1.5  /* report intervals without a new one, with some slack */
+#define MACHINE_UNREACHABLE_S 60.0 /* seconds a machine is kept that our messages do not reach */
+#define PROBE_UNSEEN_S 3.0 /* seconds between probes of a machine without a message this term */
 /* report intervals in which all find a new leader by themselves */
 #define PROBE_UNSEEN_REPORTS 2.0
 /* times the boot time before a machine counts as never coming up */
@@ -150,26 +150,26 @@
 #define COMMANDS_MAX 300      /* commands in one message: 64 KiB is the limit of a line */
 #define TOKEN_RENEW_S 2.0     /* seconds between new tokens for the sake of unanswered commands */
 #define INVENTORY_EVERY_S 3.0 /* seconds between machine lists: they lag by more */
-#define MACHINES_EVERY_S 0.5  /* seconds between looks at all machines */
-#define PARTITION_SHARE 0.7   /* share of machines silent at once: then it is us who are cut */
+#define MACHINES_EVERY_S 0.5  /* seconds between scans of all machines */
+#define PARTITION_SHARE 0.7   /* share of machines silent at once: this controller is cut off */
 /* share of the other machines that may be silent when one is deleted early: more, and it may be
  * this controller that is cut off */
 #define SILENT_SHARE 0.34
-#define CONTACT_AGES 80	    /* ages told apart: up to what a lease may be */
+#define CONTACT_AGES 80	    /* ages distinguished: up to what a lease may be */
 #define CONTACT_AGE_S 0.25  /* seconds that one of them spans */
-#define REPLICA_PROBE_S 0.8 /* seconds between words of a machine with replicas */
+#define REPLICA_PROBE_S 0.8 /* seconds between messages of a machine with replicas */
 /* seconds for an answer: usually ms, with a lost packet some hundred */
 #define REPLICA_PROBE_TIMEOUT_S 0.8
-#define REPLICA_UNANSWERED_PROBES 2    /* questions in a row without an answer: one may be lost */
-#define REPLICA_PROBES_PER_S 10.0      /* such questions a second at least */
-#define REPLICA_PROBE_SHARE 0.34       /* such questions at most, as a share of the reports */
-#define REPLICA_SUPERVISION_LATE_S 0.5 /* seconds late: no questions are sent in this turn */
-/* leases without a report after which replicas move off a machine that answers questions */
+#define REPLICA_UNANSWERED_PROBES 2    /* probes in a row without an answer: one may be dropped */
+#define REPLICA_PROBES_PER_S 10.0      /* such probes a second at least */
+#define REPLICA_PROBE_SHARE 0.34       /* such probes at most, as a share of the reports */
+#define REPLICA_SUPERVISION_LATE_S 0.5 /* seconds late: no probes are sent in this tick */
+/* leases without a report after which replicas move off a machine that answers probes */
 #define REPLICA_MOVE_LEASES 0.5
 /* report intervals since a machine's last message after which replicas rather go elsewhere */
 #define REPLICA_OVERDUE_REPORTS 1.25
 #define REPLICA_OVERDUE_S 20.0 /* seconds: what that is worth in waiting for an image */
-#define PARTITION_MACHINES 3   /* machines heard of before that share means anything */
+#define PARTITION_MACHINES 3   /* machines with a message before that share means anything */
 
 /* --- scheduling --- */
 #define CYCLE_MIN_S 0.004	 /* seconds between rounds of decisions when nothing presses */
--- a/src/core/agents/commands.c
+++ b/src/core/agents/commands.c
@@ -10,7 +10,7 @@
 	       machine->agent.token > machine->commands.unanswered_token;
 }
 
-/* Further commands than fit in one message are left out: they are due again with the next. */
+/* NULL if the message is full. The caller notes the command as sent all the same. */
 static struct command *add_command(struct command_list *list, enum command_op op, const char *job,
 				   uint32_t task, uint64_t attempt)
 {
@@ -51,8 +51,8 @@
 	return channel == CHANNEL_HEARTBEAT || sent_at <= 0 || core->now - sent_at > START_RESEND_S;
 }
 
-static void send_start(struct core *core, struct binding *binding, enum command_channel channel,
-		       struct command_list *list)
+static void add_start(struct core *core, struct binding *binding, enum command_channel channel,
+		      struct command_list *list)
 {
 	const struct machine_agent *agent = &binding->machine->agent;
 
@@ -65,7 +65,7 @@
 }
 
 /* A second stop with less grace would end a save early: it is repeated unchanged. */
-static void send_stop(struct core *core, struct binding *binding, struct command_list *list)
+static void add_stop(struct core *core, struct binding *binding, struct command_list *list)
 {
 	struct command *command =
 	    add_command(list, OP_STOP, binding->job->spec.id, binding->task, binding->attempt);
@@ -79,9 +79,9 @@
 			    enum command_channel channel, struct command_list *list)
 {
 	if (may_start(binding) && may_send(core, channel, binding->start_sent_at))
-		send_start(core, binding, channel, list);
+		add_start(core, binding, channel, list);
 	else if (may_stop(binding) && may_send(core, channel, binding->stop_sent_at))
-		send_stop(core, binding, list);
+		add_stop(core, binding, list);
 }
 
 /* The end must be on record before the agent forgets it: until then its list is the only proof. */
--- a/src/core/agents/commands.h
+++ b/src/core/agents/commands.h
@@ -23,7 +23,10 @@
  * way, and the agent has shown a newer token than that of any start that was left unanswered.
  */
 bool machine_fenced(const struct machine *machine);
-/* Fills *list with the commands that are due, and notes them as sent through the channel. */
+/*
+ * Fills *list with the commands that are due, COMMANDS_MAX at most, and notes all that are due as
+ * sent through the channel.
+ */
 void commands_collect(struct core *core, struct machine *machine, enum command_channel channel,
 		      struct command_list *list);
 
--- a/src/core/api/api.c
+++ b/src/core/api/api.c
@@ -22,7 +22,7 @@
 	core_reply_error(core, request->conn, STATUS_NOT_FOUND, 0, "no such path");
 }
 
-static void request_ready(struct core *core, const struct core_request *request)
+static void handle_ready(struct core *core, const struct core_request *request)
 {
 	enum http_status status = peers_ready(core) ? STATUS_OK : STATUS_UNAVAILABLE;
 
@@ -30,15 +30,15 @@
 		core_reply(core, request->conn, status, 0, xstrdup("{}"));
 }
 
-static void request_submission(struct core *core, const struct core_request *request)
+static void handle_submission(struct core *core, const struct core_request *request)
 {
 	if (check_method(core, request, "POST"))
-		submissions_take(core, request);
+		submissions_receive(core, request);
 }
 
 /* A poll, or a cancellation. */
-static void request_job(struct core *core, const struct core_request *request, enum user_kind kind,
-			const char *id)
+static void handle_job(struct core *core, const struct core_request *request, enum user_kind kind,
+		       const char *id)
 {
 	if (!check_method(core, request, kind == USER_CANCEL ? "POST" : "GET"))
 		return;
@@ -60,9 +60,9 @@
 	memcpy(id, rest, len);
 	id[len] = 0;
 	if (!slash)
-		request_job(core, request, USER_POLL, id);
+		handle_job(core, request, USER_POLL, id);
 	else if (!strcmp(slash, W_PATH_CANCEL))
-		request_job(core, request, USER_CANCEL, id);
+		handle_job(core, request, USER_CANCEL, id);
 	else
 		reply_no_such_path(core, request);
 }
@@ -72,9 +72,9 @@
 	size_t prefix_len = strlen(W_PATH_JOBS "/");
 
 	if (!strcmp(request->path, W_PATH_READY))
-		request_ready(core, request);
+		handle_ready(core, request);
 	else if (!strcmp(request->path, W_PATH_JOBS))
-		request_submission(core, request);
+		handle_submission(core, request);
 	else if (!strncmp(request->path, W_PATH_JOBS "/", prefix_len))
 		route_job(core, request, request->path + prefix_len);
 	else
--- a/src/core/api/forwarding.c
+++ b/src/core/api/forwarding.c
@@ -34,7 +34,7 @@
 
 /* Which request a call forwards. */
 struct forward_context {
-	uint64_t conn; /* of the user */
+	uint64_t connection; /* of the user */
 	size_t peer;
 };
 
@@ -52,11 +52,12 @@
 	if (!message || message->status == STATUS_UNAVAILABLE)
 		peer->no_forward_before = core->now + PEER_BACKOFF_S;
 	if (message) {
-		core_reply(core, context->conn, (int)message->status, (int)message->retry_after,
-			   text_of(&message->body));
+		core_reply(core, context->connection, (int)message->status,
+			   (int)message->retry_after, text_of(&message->body));
 		peer__forwarded__free_unpacked(message, NULL);
 	} else {
-		core_reply_error(core, context->conn, STATUS_UNAVAILABLE, RETRY_AFTER_S, "state");
+		core_reply_error(core, context->connection, STATUS_UNAVAILABLE, RETRY_AFTER_S,
+				 "state");
 	}
 	free(context);
 }
@@ -91,7 +92,7 @@
 	uint8_t *packed;
 	size_t len;
 
-	context->conn = request->conn;
+	context->connection = request->connection;
 	context->peer = peer;
 	packed = pack_request(request, &len);
 	call = core_call_packed(core, core->conf->peers[peer].addr, FORWARD_PATH, packed, len,
@@ -121,7 +122,7 @@
 {
 	size_t peer;
 
-	if (find_forwarded(core, request->conn))
+	if (find_forwarded(core, request->connection))
 		return false;
 	peer = choose_peer(core);
 	if (peer == core->conf->npeers)
@@ -136,8 +137,8 @@
 {
 	struct forwarded_request *forwarded = xcalloc(1, sizeof(*forwarded));
 
-	forwarded->conn = connection;
-	HASH_ADD(hh, core->api.forwarded, conn, sizeof(forwarded->conn), forwarded);
+	forwarded->connection = connection;
+	HASH_ADD(hh, core->api.forwarded, connection, sizeof(forwarded->connection), forwarded);
 }
 
 static void handle_forwarded(struct core *core, uint64_t connection, const Peer__Forward *message)
--- a/src/core/api/forwarding.h
+++ b/src/core/api/forwarding.h
@@ -19,7 +19,7 @@
 
 /* A request that another controller forwarded: its answer goes back in a message to it. */
 struct forwarded_request {
-	uint64_t conn;
+	uint64_t connection; /* of the controller that forwarded it */
 	UT_hash_handle hh;
 };
 
--- a/src/core/api/peer_requests.c
+++ b/src/core/api/peer_requests.c
@@ -7,7 +7,7 @@
 #include "core/api/task_counts.h"
 #include "core/state.h"
 
-static void request_counts(struct core *core, const struct core_request *request)
+static void handle_counts(struct core *core, const struct core_request *request)
 {
 	if (election_is_leader(core))
 		task_counts_reply(core, request->conn);
@@ -15,7 +15,7 @@
 		core_reply_error(core, request->conn, STATUS_MISDIRECTED, 0, "not leading");
 }
 
-void peers_request(struct core *core, const struct core_request *request)
+void peer_requests_receive(struct core *core, const struct core_request *request)
 {
 	if (strcmp(request->method, "POST"))
 		core_reply_error(core, request->conn, STATUS_METHOD_NOT_ALLOWED, 0, "method");
@@ -26,18 +26,18 @@
 	else if (!strcmp(request->path, CONFIRMED_PATH))
 		cancellations_reply_confirmed(core, request->conn);
 	else if (!strcmp(request->path, COUNTS_PATH))
-		request_counts(core, request);
+		handle_counts(core, request);
 	else
 		core_reply_error(core, request->conn, STATUS_NOT_FOUND, 0, "no such path");
 }
 
-void peers_tick(struct core *core)
+void peer_requests_tick(struct core *core)
 {
 	task_counts_tick(core);
 	cancellations_tick(core);
 }
 
-void peers_clear(struct core *core)
+void peer_requests_clear(struct core *core)
 {
 	forwarding_clear(core);
 	cancellations_clear(core);
--- a/src/core/api/peer_requests.h
+++ b/src/core/api/peer_requests.h
@@ -7,9 +7,9 @@
 struct core_request;
 
 /* Answers a request on the back link. */
-void peers_request(struct core *core, const struct core_request *request);
+void peer_requests_receive(struct core *core, const struct core_request *request);
 /* Sends the requests to other controllers that are due. */
-void peers_tick(struct core *core);
-void peers_clear(struct core *core);
+void peer_requests_tick(struct core *core);
+void peer_requests_clear(struct core *core);
 
 #endif
--- a/src/core/api/submissions.c
+++ b/src/core/api/submissions.c
@@ -229,8 +229,8 @@
 
 /* A description that is not admitted may be of a job that was accepted before: that is looked up.
  */
-static void take_document(struct core *core, const struct core_request *received, const char *id,
-			  json_t *document)
+static void receive_document(struct core *core, const struct core_request *received, const char *id,
+			     json_t *document)
 {
 	struct user_request *request = user_request_new(core, received->conn, USER_SUBMIT, id);
 
@@ -242,7 +242,7 @@
 		user_request_lookup(core, request);
 }
 
-void submissions_take(struct core *core, const struct core_request *received)
+void submissions_receive(struct core *core, const struct core_request *received)
 {
 	json_t *document = wire_parse(received->body, received->len);
 	const char *id = json_string_value(json_object_get(document, W_ID));
@@ -253,7 +253,7 @@
 				 document ? W_ID : "not JSON");
 	} else {
 		log_debug("submission", "body=%.600s", received->body);
-		take_document(core, received, id, document);
+		receive_document(core, received, id, document);
 	}
 	json_decref(document);
 }
--- a/src/core/api/submissions.h
+++ b/src/core/api/submissions.h
@@ -16,7 +16,7 @@
 };
 
 /* A user submits a job. A submission that is repeated is answered with the job's status. */
-void submissions_take(struct core *core, const struct core_request *request);
+void submissions_receive(struct core *core, const struct core_request *request);
 /* Commits what has gathered, one transaction at a time. */
 void submissions_tick(struct core *core);
 /* Frees all submissions that wait. */
--- a/src/core/api/user_requests.c
+++ b/src/core/api/user_requests.c
@@ -21,7 +21,7 @@
 {
 	struct user_request *request = xcalloc(1, sizeof(*request));
 
-	request->conn = connection;
+	request->connection = connection;
 	request->kind = kind;
 	request->received_at = core->now;
 	request->received_wall_at = core->wall;
@@ -57,7 +57,7 @@
 
 	if (status.state == JOB_STATE_CANCELLED)
 		cancellations_note_confirmed(core, request->id, 0);
-	core_reply(core, request->conn, http_status, 0, body);
+	core_reply(core, request->connection, http_status, 0, body);
 	user_request_free(request);
 }
 
@@ -80,7 +80,7 @@
 
 static void fail_with(struct core *core, struct user_request *request, struct error_reply reply)
 {
-	core_reply_error(core, request->conn, reply.status, reply.retry_after_s, reply.text);
+	core_reply_error(core, request->connection, reply.status, reply.retry_after_s, reply.text);
 	user_request_free(request);
 }
 
--- a/src/core/api/user_requests.h
+++ b/src/core/api/user_requests.h
@@ -14,7 +14,7 @@
 enum user_kind { USER_SUBMIT, USER_POLL, USER_CANCEL };
 
 struct user_request {
-	uint64_t conn; /* the connection that is to be answered */
+	uint64_t connection; /* the connection that is to be answered */
 	enum user_kind kind;
 	char id[ID_MAX];	 /* of the job */
 	double received_at;	 /* steady */
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -138,7 +138,7 @@
 	core->wall = now.wall;
 }
 
-static void heartbeat_request(struct core *core, const struct core_request *request)
+static void handle_heartbeat(struct core *core, const struct core_request *request)
 {
 	if (!strcmp(request->method, "POST"))
 		agent_heartbeat(core, request);
@@ -146,21 +146,21 @@
 		core_reply_error(core, request->conn, STATUS_METHOD_NOT_ALLOWED, 0, "method");
 }
 
-static void back_request(struct core *core, const struct core_request *request)
+static void handle_back_request(struct core *core, const struct core_request *request)
 {
 	if (!strcmp(request->path, SHARE_SWITCHING_PATH))
 		share_switching_request(core, request);
 	else
-		peers_request(core, request);
+		peer_requests_receive(core, request);
 }
 
 void core_request(struct core *core, struct core_time now, const struct core_request *request)
 {
 	set_time(core, now);
 	if (!strcmp(request->path, W_PATH_HEARTBEAT))
-		heartbeat_request(core, request);
+		handle_heartbeat(core, request);
 	else if (request->side == CORE_BACK)
-		back_request(core, request);
+		handle_back_request(core, request);
 	else
 		api_request(core, request);
 	core_tick(core, now);
@@ -207,7 +207,7 @@
 	format_tick(core);
 	catalog_tick(core);
 	api_tick(core);
-	peers_tick(core);
+	peer_requests_tick(core);
 	if (core->election.role == ROLE_LEADER)
 		leader_tick(core);
 }
@@ -245,7 +245,7 @@
 
 	leader_state_clear(core);
 	api_clear(core);
-	peers_clear(core);
+	peer_requests_clear(core);
 	while ((action = core_take(core)))
 		core_action_free(action);
 	core_calls_clear(core);
