--- a/src/core/core.c
+++ b/src/core/core.c
@@ -6,7 +6,7 @@
 #include "core/agents/agent_restart.h"
 #include "core/api/forwarding.h"
 #include "core/api/peer_requests.h"
-#include "core/scheduling/cycle.h"
+#include "core/scheduling/reservation.h"
 #include "core/state.h"
 #include "util/xalloc.h"
 #include "wire/names.h"
--- /dev/null
+++ b/tests/runner/core_inspection.c
@@ -0,0 +1,34 @@
+/* Reads the core's state; never changes it. */
+#include "core_inspection.h"
+
+#include "core/state.h"
+
+bool inspect_leads(const struct core *core)
+{
+	return core->election.role == ROLE_LEADER;
+}
+
+bool inspect_reached_step(const struct core *core, enum crash_step step)
+{
+	switch (step) {
+	case CRASH_WITH_LEASE:
+		return core->election.claim_in_flight && core->election.lease;
+	case CRASH_LOADING:
+		return core->election.role == ROLE_RECOVERING;
+	case CRASH_LEADING:
+		return inspect_leads(core);
+	case CRASH_NEVER:
+		break;
+	}
+	return false;
+}
+
+double inspect_direct_commands(const struct core *core)
+{
+	return core->agents.direct_in_flight;
+}
+
+double inspect_share_switches(const struct core *core)
+{
+	return (double)core->share_switching.switches;
+}
