--- a/daemon/controller.c
+++ b/daemon/controller.c
@@ -29,7 +29,7 @@
 {
 	struct controller *controller = context;
 	struct core_request request = {
-	    .conn = connection,
+	    .connection = connection,
 	    .side = side == NET_FRONT ? CORE_FRONT : CORE_BACK,
 	    .method = method,
 	    .path = path,
@@ -94,9 +94,9 @@
 
 static void log_start(const struct conf *conf)
 {
-	log_info("start", "version=%s front=%s back=%s", PLOVERLOFT_VERSION, conf->front,
-		 conf->back);
-	for (size_t i = 0; i < conf->nobjectives; i++) {
+	log_info("start", "version=%s front=%s back=%s", PLOVERLOFT_VERSION, conf->front_addr,
+		 conf->back_addr);
+	for (size_t i = 0; i < conf->objective_count; i++) {
 		const struct conf_objective *objective = &conf->objectives[i];
 
 		log_info("objective", "kind=%d class=%s within_s=%g share=%g times=%g most=%g",
@@ -114,8 +114,9 @@
 	double idle_max_s = fmax(conf->lease_s, NET_IDLE_S) + NET_SLOW_S;
 	struct net *net = net_new(&ops, controller, connections_max, idle_max_s);
 
-	if (net_listen(net, NET_FRONT, conf->front) || net_listen(net, NET_BACK, conf->back)) {
-		log_error("listen", "front=%s back=%s", conf->front, conf->back);
+	if (net_listen(net, NET_FRONT, conf->front_addr) ||
+	    net_listen(net, NET_BACK, conf->back_addr)) {
+		log_error("listen", "front=%s back=%s", conf->front_addr, conf->back_addr);
 		net_free(net);
 		return NULL;
 	}
--- a/src/conf/conf.c
+++ b/src/conf/conf.c
@@ -5,7 +5,7 @@
 
 int conf_has(const struct conf *conf, enum objective_kind kind)
 {
-	for (size_t i = 0; i < conf->nobjectives; i++)
+	for (size_t i = 0; i < conf->objective_count; i++)
 		if (conf->objectives[i].kind == kind)
 			return 1;
 	return 0;
--- a/src/conf/conf.h
+++ b/src/conf/conf.h
@@ -63,20 +63,20 @@
 	/* This controller, and where it listens: users and workers in front, controllers behind. */
 	char name[CONF_NAME_MAX];
 	char zone[CONF_NAME_MAX];
-	char front[CONF_NAME_MAX];
-	char back[CONF_NAME_MAX];
+	char front_addr[CONF_NAME_MAX];
+	char back_addr[CONF_NAME_MAX];
 
 	/* Addresses that it calls. */
-	char cloud[CONF_NAME_MAX];
-	char state[CONF_NAME_MAX];
+	char cloud_addr[CONF_NAME_MAX];
+	char store_addr[CONF_NAME_MAX];
 
 	/* Owned arrays. */
 	struct conf_peer *peers;
-	size_t npeers;
+	size_t peer_count;
 	struct conf_team *teams;
-	size_t nteams;
+	size_t team_count;
 	struct conf_objective *objectives;
-	size_t nobjectives;
+	size_t objective_count;
 
 	double skew_ms; /* by how much clocks of different machines may differ */
 
@@ -89,11 +89,11 @@
 
 	/* The state service, now, and as announced for a time that is not known. */
 	struct conf_limits limits;
-	struct conf_limits next_limits;
+	struct conf_limits upcoming_limits;
 
 	/* The cloud. */
 	double cloud_rps;
-	double list_lag_s; /* by which its list of machines may be out of date */
+	double inventory_lag_s; /* by which its list of machines may be out of date */
 
 	/* What this process may use. */
 	double cores;
--- a/src/conf/toml.cc
+++ b/src/conf/toml.cc
@@ -101,9 +101,9 @@
 	read_workers(facts["workers"], conf);
 	read_limits(facts["state"], &conf->limits, presence::required);
 	facts["state"]["next"].require_table_if_present();
-	read_limits(facts["state"]["next"], &conf->next_limits, presence::optional);
+	read_limits(facts["state"]["next"], &conf->upcoming_limits, presence::optional);
 	facts["cloud"].required("rps", &conf->cloud_rps, above_zero);
-	facts["cloud"].required("list_lag_s", &conf->list_lag_s, not_negative);
+	facts["cloud"].required("list_lag_s", &conf->inventory_lag_s, not_negative);
 	read_resources(facts["resources"], conf);
 }
 
@@ -114,13 +114,13 @@
 
 	settings.text("label", conf->name);
 	settings.text("location", conf->zone);
-	settings.address("front", conf->front);
-	settings.address("back", conf->back);
-	settings["endpoints"].address("cloud", conf->cloud);
-	settings["endpoints"].address("state", conf->state);
-	settings.array("known", &conf->peers, &conf->npeers, read_peer);
-	facts.array("teams", &conf->teams, &conf->nteams, read_team);
-	facts.array("objectives", &conf->objectives, &conf->nobjectives, read_objective);
+	settings.address("front", conf->front_addr);
+	settings.address("back", conf->back_addr);
+	settings["endpoints"].address("cloud", conf->cloud_addr);
+	settings["endpoints"].address("state", conf->store_addr);
+	settings.array("known", &conf->peers, &conf->peer_count, read_peer);
+	facts.array("teams", &conf->teams, &conf->team_count, read_team);
+	facts.array("objectives", &conf->objectives, &conf->objective_count, read_objective);
 	read_facts(facts, conf);
 }
 
--- a/src/constants.h
+++ b/src/constants.h
@@ -44,10 +44,10 @@
 #define OPERATOR_HEADROOM_MAX 4.0
 
 /* --- calls --- */
-#define CALL_STATE_S 1.5  /* seconds: answers take 10 ms, now and then some hundred */
-#define CALL_CLOUD_S 8.0  /* seconds: rentals are answered in some hundred ms */
-#define CALL_WORKER_S 2.5 /* seconds: below it a retry by report is no faster */
-#define CALL_PEER_S 1.5	  /* seconds: a user waits 2 s for a poll */
+#define CALL_STORE_S 1.5 /* seconds: answers take 10 ms, now and then some hundred */
+#define CALL_CLOUD_S 8.0 /* seconds: rentals are answered in some hundred ms */
+#define CALL_AGENT_S 2.5 /* seconds: below it a retry by report is no faster */
+#define CALL_PEER_S 1.5	 /* seconds: a user waits 2 s for a poll */
 
 /* --- core --- */
 #define TICK_S 0.1 /* seconds between ticks: below what any due time needs */
@@ -69,7 +69,7 @@
 
 /* --- users --- */
 /* share of the sockets whose users wait for reads: beyond it 429 */
-#define USER_READS_SHARE 0.25
+#define LOOKUPS_SHARE 0.25
 #define USER_WAIT_S 3.5	     /* seconds: a user gives up at 5, the answer has to travel */
 #define USER_QUEUE_LEAST 400 /* waiting submissions at least: beyond it 429 */
 /* seconds of writes that may wait: longer, and users have given up */
@@ -131,7 +131,7 @@
 #define FORMAT_SMALL_CHUNKS 2 /* bindings in records of SMALL_CHUNK_TASKS tasks */
 #define FORMAT_NEWEST FORMAT_SMALL_CHUNKS
 #define FORMAT_REGISTER_S 1.0 /* seconds before our own version is written again */
-#define FORMAT_LOOK_S 1.0     /* seconds between the leader's reads of all versions */
+#define FORMAT_SCAN_S 1.0     /* seconds between the leader's reads of all versions */
 /* tasks whose bindings fit a value of 2 KiB, each of another start */
 #define SMALL_CHUNK_TASKS 32
 
@@ -275,7 +275,7 @@
 /* deleted machines remembered before a new token makes the older ones needless: some 1 MB */
 #define TOMBSTONES_MAX 8192
 /* seconds beyond the lag until an inventory is read and applied */
-#define TOMBSTONE_LISTS_S 60.0
+#define TOMBSTONE_INVENTORIES_S 60.0
 #define NOTICE_MARGIN_S 2.0 /* seconds beyond the save: the stop has to arrive */
 /* seconds before a refused type, zone and kind is requested again */
 #define SCALE_OUT_REFUSED_S 10.0
--- a/src/core/agents/heartbeats.c
+++ b/src/core/agents/heartbeats.c
@@ -117,10 +117,10 @@
 	struct report report;
 
 	if (wire_report_decode(request->body, request->len, &report)) {
-		core_reply_error(core, request->conn, STATUS_BAD_REQUEST, 0, "report");
+		core_reply_error(core, request->connection, STATUS_BAD_REQUEST, 0, "report");
 		return;
 	}
-	if (answer_report(core, request->conn, &report))
+	if (answer_report(core, request->connection, &report))
 		cache_report(core, request, &report);
 	wire_report_free(&report);
 }
@@ -131,16 +131,16 @@
 
 	election_check_deadline(core);
 	if (election_role(core) == ROLE_FOLLOWER) {
-		reply_misdirected(core, request->conn);
+		reply_misdirected(core, request->connection);
 		return;
 	}
 	if (election_role(core) == ROLE_RECOVERING) {
-		core_reply_error(core, request->conn, STATUS_UNAVAILABLE, 0, "taking over");
+		core_reply_error(core, request->connection, STATUS_UNAVAILABLE, 0, "taking over");
 		return;
 	}
 	cached = report_cache_find(&core->agents.report_cache, request->body, request->len);
 	if (cached)
-		answer_report(core, request->conn, cached);
+		answer_report(core, request->connection, cached);
 	else
 		decode_and_answer(core, request);
 }
--- a/src/core/api/api.c
+++ b/src/core/api/api.c
@@ -13,13 +13,13 @@
 {
 	if (!strcmp(request->method, method))
 		return true;
-	core_reply_error(core, request->conn, STATUS_METHOD_NOT_ALLOWED, 0, "method");
+	core_reply_error(core, request->connection, STATUS_METHOD_NOT_ALLOWED, 0, "method");
 	return false;
 }
 
 static void reply_no_such_path(struct core *core, const struct core_request *request)
 {
-	core_reply_error(core, request->conn, STATUS_NOT_FOUND, 0, "no such path");
+	core_reply_error(core, request->connection, STATUS_NOT_FOUND, 0, "no such path");
 }
 
 static void handle_ready(struct core *core, const struct core_request *request)
@@ -27,7 +27,7 @@
 	enum http_status status = peers_ready(core) ? STATUS_OK : STATUS_UNAVAILABLE;
 
 	if (check_method(core, request, "GET"))
-		core_reply(core, request->conn, status, 0, xstrdup("{}"));
+		core_reply(core, request->connection, status, 0, xstrdup("{}"));
 }
 
 static void handle_submission(struct core *core, const struct core_request *request)
@@ -43,9 +43,9 @@
 	if (!check_method(core, request, kind == USER_CANCEL ? "POST" : "GET"))
 		return;
 	if (wire_job_id_ok(id))
-		user_request_lookup(core, user_request_new(core, request->conn, kind, id));
+		user_request_lookup(core, user_request_new(core, request->connection, kind, id));
 	else
-		core_reply_error(core, request->conn, STATUS_NOT_FOUND, 0, "no such job");
+		core_reply_error(core, request->connection, STATUS_NOT_FOUND, 0, "no such job");
 }
 
 /* `rest` is what follows the path of all jobs: an id, and for a cancellation its path. */
--- a/src/core/api/cancellations.c
+++ b/src/core/api/cancellations.c
@@ -18,7 +18,7 @@
 
 static void announce_to(struct core *core, size_t peer, const char *id, uint64_t version)
 {
-	Peer__Cancelled message = PEER__CANCELLED__INIT;
+	Peer__Cancellation message = PEER__CANCELLATION__INIT;
 	uint8_t *packed;
 	size_t len;
 
@@ -34,22 +34,22 @@
  */
 void cancellations_announce(struct core *core, const char *id, uint64_t version)
 {
-	for (size_t i = 0; i < core->conf->npeers; i++)
+	for (size_t i = 0; i < core->conf->peer_count; i++)
 		announce_to(core, i, id, version);
 }
 
 void cancellations_receive(struct core *core, const struct core_request *request)
 {
-	Peer__Cancelled *message =
-	    peer__cancelled__unpack(NULL, request->len, (const uint8_t *)request->body);
+	Peer__Cancellation *message =
+	    peer__cancellation__unpack(NULL, request->len, (const uint8_t *)request->body);
 
 	if (!message) {
-		core_reply_error(core, request->conn, STATUS_BAD_REQUEST, 0, "cancelled");
+		core_reply_error(core, request->connection, STATUS_BAD_REQUEST, 0, "cancelled");
 		return;
 	}
 	job_cancel_committed(core, message->job, message->version);
-	peer__cancelled__free_unpacked(message, NULL);
-	core_reply(core, request->conn, STATUS_OK, 0, xstrdup("{}"));
+	peer__cancellation__free_unpacked(message, NULL);
+	core_reply(core, request->connection, STATUS_OK, 0, xstrdup("{}"));
 }
 
 /* --- the cancellations confirmed here --- */
@@ -93,9 +93,9 @@
 	HASH_ADD_STR(core->api.cancellations.confirmed, id, confirmed);
 }
 
-static void fill_cancelled(Peer__Cancelled *cancelled, struct confirmed_cancel *confirmed)
+static void fill_cancelled(Peer__Cancellation *cancelled, struct confirmed_cancel *confirmed)
 {
-	peer__cancelled__init(cancelled);
+	peer__cancellation__init(cancelled);
 	cancelled->job = confirmed->id;
 	cancelled->version = confirmed->version;
 }
@@ -103,14 +103,14 @@
 void cancellations_reply_confirmed(struct core *core, uint64_t connection)
 {
 	size_t count = HASH_COUNT(core->api.cancellations.confirmed), len;
-	Peer__Cancelled *entries = xcalloc(count + 1, sizeof(*entries));
-	Peer__Cancelled **list = xcalloc(count + 1, sizeof(*list));
-	Peer__Confirmed message = PEER__CONFIRMED__INIT;
+	Peer__Cancellation *entries = xcalloc(count + 1, sizeof(*entries));
+	Peer__Cancellation **list = xcalloc(count + 1, sizeof(*list));
+	Peer__ConfirmedCancellations message = PEER__CONFIRMED_CANCELLATIONS__INIT;
 	struct confirmed_cancel *confirmed, *next;
 	uint8_t *packed;
 
 	HASH_ITER (hh, core->api.cancellations.confirmed, confirmed, next) {
-		Peer__Cancelled *entry = &entries[message.n_cancelled];
+		Peer__Cancellation *entry = &entries[message.n_cancelled];
 
 		fill_cancelled(entry, confirmed);
 		list[message.n_cancelled++] = entry;
@@ -139,9 +139,9 @@
 {
 	double oldest = core->now;
 
-	for (size_t i = 0; i < core->conf->npeers; i++)
+	for (size_t i = 0; i < core->conf->peer_count; i++)
 		oldest = fmin(oldest, peer_get(core, i)->confirmed_until);
-	return core->conf->npeers ? oldest : -1;
+	return core->conf->peer_count ? oldest : -1;
 }
 
 /*
@@ -150,7 +150,7 @@
  * changes were read after that, those are known too; if not, the answer proves nothing.
  */
 static void apply_confirmed(struct core *core, size_t index, double sent_at,
-			    const Peer__Confirmed *message)
+			    const Peer__ConfirmedCancellations *message)
 {
 	struct peer *peer = peer_get(core, index);
 
@@ -168,16 +168,17 @@
 static void on_confirmed(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	size_t peer = peer_of_call(call);
-	Peer__Confirmed *message;
+	Peer__ConfirmedCancellations *message;
 
 	peer_note_answer(core, peer, answer);
 	if (answer->status != STATUS_OK)
 		return;
-	message = peer__confirmed__unpack(NULL, answer->len, (const uint8_t *)answer->body);
+	message =
+	    peer__confirmed_cancellations__unpack(NULL, answer->len, (const uint8_t *)answer->body);
 	if (!message)
 		return;
 	apply_confirmed(core, peer, call->sent_at, message);
-	peer__confirmed__free_unpacked(message, NULL);
+	peer__confirmed_cancellations__free_unpacked(message, NULL);
 }
 
 /* An answer also shows that the peer is alive. */
@@ -186,6 +187,6 @@
 	if (!store_is_unavailable(core) || core->now < core->api.cancellations.next_request_at)
 		return;
 	core->api.cancellations.next_request_at = core->now + PEER_PING_S;
-	for (size_t i = 0; i < core->conf->npeers; i++)
+	for (size_t i = 0; i < core->conf->peer_count; i++)
 		peer_send_empty(core, i, CONFIRMED_PATH, on_confirmed);
 }
--- a/src/core/api/forwarding.c
+++ b/src/core/api/forwarding.c
@@ -43,10 +43,11 @@
 {
 	struct forward_context *context = call->arg;
 	struct peer *peer = peer_get(core, context->peer);
-	Peer__Forwarded *message = NULL;
+	Peer__ForwardedAnswer *message = NULL;
 
 	if (answer->status == STATUS_OK)
-		message = peer__forwarded__unpack(NULL, answer->len, (const uint8_t *)answer->body);
+		message = peer__forwarded_answer__unpack(NULL, answer->len,
+							 (const uint8_t *)answer->body);
 	peer_note_answer(core, context->peer, answer);
 	/* It is not served either, or does not answer: the outage concerns all for now. */
 	if (!message || message->status == STATUS_UNAVAILABLE)
@@ -54,7 +55,7 @@
 	if (message) {
 		core_reply(core, context->connection, (int)message->status,
 			   (int)message->retry_after, text_of(&message->body));
-		peer__forwarded__free_unpacked(message, NULL);
+		peer__forwarded_answer__free_unpacked(message, NULL);
 	} else {
 		core_reply_error(core, context->connection, STATUS_UNAVAILABLE, RETRY_AFTER_S,
 				 "state");
@@ -74,7 +75,7 @@
 
 static uint8_t *pack_request(const struct user_request *request, size_t *len)
 {
-	Peer__Forward message = PEER__FORWARD__INIT;
+	Peer__ForwardedRequest message = PEER__FORWARDED_REQUEST__INIT;
 	char path[HTTP_PATH_MAX];
 
 	request_path(path, request);
@@ -104,14 +105,14 @@
  */
 static size_t choose_peer(const struct core *core)
 {
-	size_t best = core->conf->npeers;
+	size_t best = core->conf->peer_count;
 
-	for (size_t i = 0; i < core->conf->npeers; i++) {
+	for (size_t i = 0; i < core->conf->peer_count; i++) {
 		const struct peer *peer = peer_get(core, i);
 
 		if (core->now < peer->no_forward_before)
 			continue;
-		if (best == core->conf->npeers ||
+		if (best == core->conf->peer_count ||
 		    peer->answered_at > peer_get(core, best)->answered_at)
 			best = i;
 	}
@@ -125,7 +126,7 @@
 	if (find_forwarded(core, request->connection))
 		return false;
 	peer = choose_peer(core);
-	if (peer == core->conf->npeers)
+	if (peer == core->conf->peer_count)
 		return false;
 	forward_to(core, peer, request);
 	return true;
@@ -141,11 +142,12 @@
 	HASH_ADD(hh, core->api.forwarded, connection, sizeof(forwarded->connection), forwarded);
 }
 
-static void handle_forwarded(struct core *core, uint64_t connection, const Peer__Forward *message)
+static void handle_forwarded(struct core *core, uint64_t connection,
+			     const Peer__ForwardedRequest *message)
 {
 	char *body = text_of(&message->body);
 	struct core_request request = {
-	    .conn = connection,
+	    .connection = connection,
 	    .side = CORE_BACK,
 	    .method = message->method,
 	    .path = message->path,
@@ -159,23 +161,23 @@
 
 void forwarding_receive(struct core *core, const struct core_request *request)
 {
-	Peer__Forward *message =
-	    peer__forward__unpack(NULL, request->len, (const uint8_t *)request->body);
+	Peer__ForwardedRequest *message =
+	    peer__forwarded_request__unpack(NULL, request->len, (const uint8_t *)request->body);
 
 	if (!message) {
-		core_reply_error(core, request->conn, STATUS_BAD_REQUEST, 0, "forward");
+		core_reply_error(core, request->connection, STATUS_BAD_REQUEST, 0, "forward");
 		return;
 	}
-	note_forwarded(core, request->conn);
-	handle_forwarded(core, request->conn, message);
-	peer__forward__free_unpacked(message, NULL);
+	note_forwarded(core, request->connection);
+	handle_forwarded(core, request->connection, message);
+	peer__forwarded_request__free_unpacked(message, NULL);
 }
 
 bool forwarding_wrap_answer(struct core *core, uint64_t connection, int *status, int retry_after,
 			    char **body, size_t *len)
 {
 	struct forwarded_request *forwarded = find_forwarded(core, connection);
-	Peer__Forwarded message = PEER__FORWARDED__INIT;
+	Peer__ForwardedAnswer message = PEER__FORWARDED_ANSWER__INIT;
 	uint8_t *packed;
 
 	if (!forwarded)
--- a/src/core/api/peer_requests.c
+++ b/src/core/api/peer_requests.c
@@ -10,25 +10,25 @@
 static void handle_counts(struct core *core, const struct core_request *request)
 {
 	if (election_is_leader(core))
-		task_counts_reply(core, request->conn);
+		task_counts_reply(core, request->connection);
 	else
-		core_reply_error(core, request->conn, STATUS_MISDIRECTED, 0, "not leading");
+		core_reply_error(core, request->connection, STATUS_MISDIRECTED, 0, "not leading");
 }
 
 void peer_requests_receive(struct core *core, const struct core_request *request)
 {
 	if (strcmp(request->method, "POST"))
-		core_reply_error(core, request->conn, STATUS_METHOD_NOT_ALLOWED, 0, "method");
+		core_reply_error(core, request->connection, STATUS_METHOD_NOT_ALLOWED, 0, "method");
 	else if (!strcmp(request->path, FORWARD_PATH))
 		forwarding_receive(core, request);
 	else if (!strcmp(request->path, CANCELLED_PATH))
 		cancellations_receive(core, request);
 	else if (!strcmp(request->path, CONFIRMED_PATH))
-		cancellations_reply_confirmed(core, request->conn);
+		cancellations_reply_confirmed(core, request->connection);
 	else if (!strcmp(request->path, COUNTS_PATH))
 		handle_counts(core, request);
 	else
-		core_reply_error(core, request->conn, STATUS_NOT_FOUND, 0, "no such path");
+		core_reply_error(core, request->connection, STATUS_NOT_FOUND, 0, "no such path");
 }
 
 void peer_requests_tick(struct core *core)
--- a/src/core/api/submissions.c
+++ b/src/core/api/submissions.c
@@ -232,7 +232,8 @@
 static void receive_document(struct core *core, const struct core_request *received, const char *id,
 			     json_t *document)
 {
-	struct user_request *request = user_request_new(core, received->conn, USER_SUBMIT, id);
+	struct user_request *request =
+	    user_request_new(core, received->connection, USER_SUBMIT, id);
 
 	request->body = xstrndup(received->body, received->len);
 	decode_and_admit(core, request, document);
@@ -249,7 +250,7 @@
 
 	/* Without a valid id it can't be a job that was accepted. */
 	if (!id || !wire_job_id_ok(id)) {
-		core_reply_error(core, received->conn, STATUS_BAD_REQUEST, 0,
+		core_reply_error(core, received->connection, STATUS_BAD_REQUEST, 0,
 				 document ? W_ID : "not JSON");
 	} else {
 		log_debug("submission", "body=%.600s", received->body);
--- a/src/core/api/task_counts.c
+++ b/src/core/api/task_counts.c
@@ -31,9 +31,9 @@
 	return !job->orphan && (job->done_count || job->running_count);
 }
 
-static void fill_count(Peer__Count *count, const struct job *job)
+static void fill_count(Peer__TaskCount *count, const struct job *job)
 {
-	peer__count__init(count);
+	peer__task_count__init(count);
 	count->job = (char *)job->spec.id;
 	count->done = job->done_count;
 	count->running = job->running_count;
@@ -42,14 +42,14 @@
 void task_counts_reply(struct core *core, uint64_t connection)
 {
 	size_t max = job_count(core), len;
-	Peer__Count *counts = xcalloc(max + 1, sizeof(*counts));
-	Peer__Count **list = xcalloc(max + 1, sizeof(*list));
-	Peer__Counts message = PEER__COUNTS__INIT;
+	Peer__TaskCount *counts = xcalloc(max + 1, sizeof(*counts));
+	Peer__TaskCount **list = xcalloc(max + 1, sizeof(*list));
+	Peer__TaskCounts message = PEER__TASK_COUNTS__INIT;
 	struct job *job, *next;
 	uint8_t *packed;
 
 	JOBS_FOR_EACH (core, job, next) {
-		Peer__Count *count = &counts[message.n_counts];
+		Peer__TaskCount *count = &counts[message.n_counts];
 
 		if (!has_counts(job))
 			continue;
@@ -79,7 +79,7 @@
 	}
 }
 
-static void apply_count(struct core *core, const Peer__Count *count)
+static void apply_count(struct core *core, const Peer__TaskCount *count)
 {
 	struct indexed_job *entry = job_index_find(core, count->job);
 
@@ -89,7 +89,7 @@
 	entry->status.running_count = count->running;
 }
 
-static void apply_counts(struct core *core, const Peer__Counts *message)
+static void apply_counts(struct core *core, const Peer__TaskCounts *message)
 {
 	struct task_counts *state = &core->api.counts;
 
@@ -105,17 +105,17 @@
 
 static void on_counts(struct core *core, struct call *call, const struct call_answer *answer)
 {
-	Peer__Counts *message;
+	Peer__TaskCounts *message;
 
 	core->api.counts.in_flight = false;
 	peer_note_answer(core, peer_of_call(call), answer);
 	if (answer->status != STATUS_OK)
 		return;
-	message = peer__counts__unpack(NULL, answer->len, (const uint8_t *)answer->body);
+	message = peer__task_counts__unpack(NULL, answer->len, (const uint8_t *)answer->body);
 	if (!message)
 		return;
 	apply_counts(core, message);
-	peer__counts__free_unpacked(message, NULL);
+	peer__task_counts__free_unpacked(message, NULL);
 }
 
 static void request_counts(struct core *core, size_t peer)
@@ -139,7 +139,7 @@
 {
 	if (!read_due(core))
 		return;
-	for (size_t i = 0; i < core->conf->npeers; i++)
+	for (size_t i = 0; i < core->conf->peer_count; i++)
 		if (!strcmp(core->conf->peers[i].name, election_leader(core)))
 			request_counts(core, i);
 }
--- a/src/core/autoscale/catalog_reader.c
+++ b/src/core/autoscale/catalog_reader.c
@@ -128,6 +128,6 @@
 	    (catalog_is_known(core) && !election_is_leader(core)))
 		return;
 	reader->in_flight = true;
-	core_call(core, core->conf->cloud, "GET", format_path(W_PATH_TYPES), NULL, CALL_CLOUD_S,
-		  on_cloud_catalog, NULL);
+	core_call(core, core->conf->cloud_addr, "GET", format_path(W_PATH_TYPES), NULL,
+		  CALL_CLOUD_S, on_cloud_catalog, NULL);
 }
--- a/src/core/autoscale/inventory.c
+++ b/src/core/autoscale/inventory.c
@@ -97,8 +97,8 @@
 	inventory->in_flight = true;
 	if (!*inventory->cursor)
 		inventory->number++;
-	core_call(core, core->conf->cloud, "GET", page_path(inventory->cursor), NULL, CALL_CLOUD_S,
-		  on_page, NULL);
+	core_call(core, core->conf->cloud_addr, "GET", page_path(inventory->cursor), NULL,
+		  CALL_CLOUD_S, on_page, NULL);
 }
 
 void inventory_tick(struct core *core)
--- a/src/core/autoscale/rental_requests.c
+++ b/src/core/autoscale/rental_requests.c
@@ -128,7 +128,7 @@
 				 request->count);
 
 	request->in_flight = true;
-	call = core_call(core, core->conf->cloud, "POST", format_path(W_PATH_MACHINES), body,
+	call = core_call(core, core->conf->cloud_addr, "POST", format_path(W_PATH_MACHINES), body,
 			 CALL_CLOUD_S, on_rental_answer, NULL);
 	snprintf(call->key, sizeof(call->key), "%s", request->name);
 }
--- a/src/core/autoscale/scale_in.c
+++ b/src/core/autoscale/scale_in.c
@@ -169,7 +169,7 @@
 		ids[batch->count] = batch->ids[batch->count];
 		batch->count++;
 	}
-	call = core_call(core, core->conf->cloud, "POST", format_path(W_PATH_DELETE),
+	call = core_call(core, core->conf->cloud_addr, "POST", format_path(W_PATH_DELETE),
 			 wire_delete(ids, batch->count), CALL_CLOUD_S, on_delete_answer, batch);
 	call->free_arg = free;
 }
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -39,7 +39,7 @@
 
 static void clear_team_usage(struct core *core)
 {
-	for (size_t i = 0; i < core->conf->nteams; i++) {
+	for (size_t i = 0; i < core->conf->team_count; i++) {
 		core->teams[i].cpus = 0;
 		core->teams[i].gpus = 0;
 	}
@@ -99,15 +99,15 @@
 {
 	const struct conf *conf = core->conf;
 
-	core->teams = xcalloc(conf->nteams + 1, sizeof(*core->teams));
-	for (size_t i = 0; i < conf->nteams; i++)
+	core->teams = xcalloc(conf->team_count + 1, sizeof(*core->teams));
+	for (size_t i = 0; i < conf->team_count; i++)
 		core->teams[i].conf = &conf->teams[i];
 }
 
 static void init_share_switching(struct core *core)
 {
 	core->share_switching.peer_live =
-	    xcalloc(core->conf->npeers + 1, sizeof(*core->share_switching.peer_live));
+	    xcalloc(core->conf->peer_count + 1, sizeof(*core->share_switching.peer_live));
 }
 
 struct core *core_new(const struct conf *conf, uint64_t seed, struct core_time now)
@@ -141,7 +141,7 @@
 	if (!strcmp(request->method, "POST"))
 		agent_heartbeat(core, request);
 	else
-		core_reply_error(core, request->conn, STATUS_METHOD_NOT_ALLOWED, 0, "method");
+		core_reply_error(core, request->connection, STATUS_METHOD_NOT_ALLOWED, 0, "method");
 }
 
 static void handle_back_request(struct core *core, const struct core_request *request)
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -43,7 +43,7 @@
 
 /* A request that arrived; its strings need to last only for the call. */
 struct core_request {
-	uint64_t conn; /* names the connection that is to be answered */
+	uint64_t connection; /* names the connection that is to be answered */
 	enum core_side side;
 	const char *method;
 	const char *path;
--- a/src/core/election/format_gate.c
+++ b/src/core/election/format_gate.c
@@ -50,7 +50,7 @@
 {
 	if (!strcmp(name, core->conf->name))
 		return true;
-	for (size_t i = 0; i < core->conf->npeers; i++)
+	for (size_t i = 0; i < core->conf->peer_count; i++)
 		if (!strcmp(name, core->conf->peers[i].name))
 			return true;
 	return false;
@@ -69,7 +69,7 @@
 static void on_versions(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	struct version_scan scan = {core, 0};
-	const size_t controller_count = core->conf->npeers + 1;
+	const size_t controller_count = core->conf->peer_count + 1;
 	json_t *answer_json;
 
 	store_note_answer(core, answer);
@@ -114,7 +114,7 @@
 	if (!scan_is_due(core))
 		return;
 	gate->scan_in_flight = true;
-	gate->next_scan_at = core->now + FORMAT_LOOK_S;
+	gate->next_scan_at = core->now + FORMAT_SCAN_S;
 	store_range(core, KEY_VERSIONS, "", on_versions, NULL);
 }
 
--- a/src/core/election/leader_lease.c
+++ b/src/core/election/leader_lease.c
@@ -24,9 +24,9 @@
 {
 	if (core->election.lease)
 		core_call(
-		    core, core->conf->state, "DELETE",
+		    core, core->conf->store_addr, "DELETE",
 		    format_path(W_PATH_LEASES "/%llu", (unsigned long long)core->election.lease),
-		    NULL, CALL_STATE_S, on_returned, NULL);
+		    NULL, CALL_STORE_S, on_returned, NULL);
 	core->election.lease = 0;
 }
 
@@ -122,8 +122,8 @@
 	if (!claim_is_due(core))
 		return;
 	core->election.claim_in_flight = true;
-	core_call(core, core->conf->state, "POST", format_path(W_PATH_LEASES),
-		  wire_lease_body(LEADER_TTL_MS), CALL_STATE_S, on_lease, NULL);
+	core_call(core, core->conf->store_addr, "POST", format_path(W_PATH_LEASES),
+		  wire_lease_body(LEADER_TTL_MS), CALL_STORE_S, on_lease, NULL);
 }
 
 /* --- renewal --- */
@@ -155,7 +155,7 @@
 		return;
 	election->renewal_in_flight = true;
 	core_call(
-	    core, core->conf->state, "POST",
+	    core, core->conf->store_addr, "POST",
 	    format_path(W_PATH_LEASES "/%llu" W_PATH_RENEW, (unsigned long long)election->lease),
-	    xstrdup("{}"), CALL_STATE_S, on_renewed, NULL);
+	    xstrdup("{}"), CALL_STORE_S, on_renewed, NULL);
 }
--- a/src/core/model/team.c
+++ b/src/core/model/team.c
@@ -8,7 +8,7 @@
 
 struct team *team_find(const struct core *core, const char *name)
 {
-	for (size_t i = 0; i < core->conf->nteams; i++)
+	for (size_t i = 0; i < core->conf->team_count; i++)
 		if (!strcmp(core->teams[i].conf->name, name))
 			return &core->teams[i];
 	return NULL;
@@ -32,7 +32,7 @@
 {
 	uint32_t tasks = spec->kind == JOB_ARRAY ? 1 : spec->task_count;
 
-	for (size_t i = 0; i < conf->nteams; i++) {
+	for (size_t i = 0; i < conf->team_count; i++) {
 		const struct conf_team *team = &conf->teams[i];
 
 		if (!strcmp(team->name, spec->team))
--- a/src/core/peers/peer_link.c
+++ b/src/core/peers/peer_link.c
@@ -9,8 +9,8 @@
 void peer_link_init(struct core *core, uint64_t incarnation)
 {
 	core->peers.incarnation = incarnation;
-	core->peers.list = xcalloc(core->conf->npeers + 1, sizeof(*core->peers.list));
-	for (size_t i = 0; i < core->conf->npeers; i++)
+	core->peers.list = xcalloc(core->conf->peer_count + 1, sizeof(*core->peers.list));
+	for (size_t i = 0; i < core->conf->peer_count; i++)
 		core->peers.list[i].confirmed_until = -1;
 }
 
@@ -85,9 +85,9 @@
  */
 bool peers_ready(const struct core *core)
 {
-	if (!core->conf->npeers || store_silence_s(core) < PEER_ALONE_S)
+	if (!core->conf->peer_count || store_silence_s(core) < PEER_ALONE_S)
 		return true;
-	for (size_t i = 0; i < core->conf->npeers; i++)
+	for (size_t i = 0; i < core->conf->peer_count; i++)
 		if (core->now - core->peers.list[i].answered_at < PEER_ALONE_S)
 			return true;
 	return false;
--- a/src/core/records/limits.c
+++ b/src/core/records/limits.c
@@ -41,14 +41,15 @@
 {
 	const struct conf *conf = core->conf;
 
-	return value_limit(core, smaller_limit(conf->limits.value_kb, conf->next_limits.value_kb));
+	return value_limit(core,
+			   smaller_limit(conf->limits.value_kb, conf->upcoming_limits.value_kb));
 }
 
 int limits_txn_ops(const struct core *core)
 {
 	const struct conf *conf = core->conf;
 	int learned_ops = core->limits.txn_ops;
-	int ops = (int)smaller_limit(conf->limits.txn_ops, conf->next_limits.txn_ops);
+	int ops = (int)smaller_limit(conf->limits.txn_ops, conf->upcoming_limits.txn_ops);
 
 	if (learned_limits_hold(core) && learned_ops && learned_ops < ops)
 		return learned_ops;
@@ -59,7 +60,7 @@
 {
 	const struct conf *conf = core->conf;
 
-	return smaller_limit(conf->limits.write_rps, conf->next_limits.write_rps);
+	return smaller_limit(conf->limits.write_rps, conf->upcoming_limits.write_rps);
 }
 
 void limits_note_refusal(struct core *core, int op_count, size_t largest_value)
--- a/src/core/scheduling/objectives.c
+++ b/src/core/scheduling/objectives.c
@@ -11,7 +11,7 @@
 {
 	double tightest = 0;
 
-	for (size_t i = 0; i < core->conf->nobjectives; i++) {
+	for (size_t i = 0; i < core->conf->objective_count; i++) {
 		const struct conf_objective *objective = &core->conf->objectives[i];
 
 		if (objective->kind != OBJECTIVE_WAIT || objective->within_s <= beyond_s ||
@@ -61,7 +61,7 @@
 	if (job->spec.deadline_s < 0)
 		return need;
 	need.slots = slots_needed(core, job, 1);
-	for (size_t i = 0; i < core->conf->nobjectives; i++) {
+	for (size_t i = 0; i < core->conf->objective_count; i++) {
 		const struct conf_objective *objective = &core->conf->objectives[i];
 		uint32_t slots;
 
--- a/src/core/scheduling/share_switching.c
+++ b/src/core/scheduling/share_switching.c
@@ -96,7 +96,7 @@
 		core_reply_packed(core, work->connection, message, len);
 		return;
 	}
-	share_switching_apply(core, core->conf->npeers, message, len);
+	share_switching_apply(core, core->conf->peer_count, message, len);
 	free(message);
 }
 
@@ -279,5 +279,6 @@
 
 void share_switching_request(struct core *core, const struct core_request *request)
 {
-	share_switching_decide(core, request->conn, (const uint8_t *)request->body, request->len);
+	share_switching_decide(core, request->connection, (const uint8_t *)request->body,
+			       request->len);
 }
--- a/src/core/scheduling/share_switching_leader.c
+++ b/src/core/scheduling/share_switching_leader.c
@@ -50,7 +50,7 @@
 
 	if (!switches)
 		return;
-	if (peer < core->conf->npeers)
+	if (peer < core->conf->peer_count)
 		peers_note_incarnation(core, peer, switches->incarnation);
 	if (switches->token == election_token(core))
 		for (size_t i = 0; i < switches->n_switches; i++)
@@ -73,10 +73,10 @@
  */
 static size_t controller_of_machine(const struct core *core, const char *machine)
 {
-	size_t best = core->conf->npeers;
+	size_t best = core->conf->peer_count;
 	XXH64_hash_t best_weight = rendezvous_weight(machine, core->conf->name);
 
-	for (size_t i = 0; i < core->conf->npeers; i++) {
+	for (size_t i = 0; i < core->conf->peer_count; i++) {
 		XXH64_hash_t weight = rendezvous_weight(machine, core->conf->peers[i].name);
 
 		if (core->share_switching.peer_live[i] && weight > best_weight) {
@@ -90,7 +90,7 @@
 /* The entries of a Part message: the lists point into the arrays, whose texts are borrowed. */
 struct part_entries {
 	Peer__Slot *slots, **slot_list;
-	Peer__Open *open_jobs, **open_list;
+	Peer__OpenJob *open_jobs, **open_list;
 	size_t slot_count, open_count;
 };
 
@@ -141,13 +141,13 @@
 	entries->open_jobs = xcalloc(job_count(core), sizeof(*entries->open_jobs));
 	entries->open_list = xcalloc(job_count(core), sizeof(*entries->open_list));
 	JOBS_FOR_EACH (core, job, next) {
-		Peer__Open *open = &entries->open_jobs[entries->open_count];
+		Peer__OpenJob *open = &entries->open_jobs[entries->open_count];
 
 		/* A job whose team is at its limit, or with nothing waiting, is not drawn. */
 		if (job->spec.kind != JOB_ARRAY || !job_waiting_count(job) ||
 		    !team_has_room(core, &job->spec, 1))
 			continue;
-		peer__open__init(open);
+		peer__open_job__init(open);
 		open->job = job->spec.id;
 		entries->open_list[entries->open_count++] = open;
 	}
@@ -188,7 +188,7 @@
 	size_t len;
 	uint8_t *message = pack_part(core, controller, &len);
 
-	if (controller < core->conf->npeers) {
+	if (controller < core->conf->peer_count) {
 		core_call_packed(core, core->conf->peers[controller].addr, SHARE_SWITCHING_PATH,
 				 message, len, on_part_answer, (void *)(uintptr_t)controller);
 		return;
@@ -205,6 +205,6 @@
 		return;
 	core->share_switching.next_at =
 	    core->now + SWITCH_QUANTUM_S * (1 + SWITCH_JITTER * (core_random(core) - 0.5));
-	for (size_t i = 0; i <= core->conf->npeers; i++)
+	for (size_t i = 0; i <= core->conf->peer_count; i++)
 		send_part(core, i);
 }
--- a/src/core/store/store_client.c
+++ b/src/core/store/store_client.c
@@ -46,8 +46,8 @@
 struct call *store_get(struct core *core, const char *key, answer_fn on_answer, void *arg)
 {
 	char *path = format_path(W_PATH_KEYS "/%s", key);
-	struct call *call =
-	    core_call(core, core->conf->state, "GET", path, NULL, CALL_STATE_S, on_answer, arg);
+	struct call *call = core_call(core, core->conf->store_addr, "GET", path, NULL, CALL_STORE_S,
+				      on_answer, arg);
 
 	snprintf(call->key, sizeof(call->key), "%s", key);
 	return call;
@@ -64,13 +64,14 @@
 	else
 		path =
 		    format_path(W_PATH_KEYS "?" W_PREFIX "=%s&" W_LIMIT "=%d", prefix, RANGE_LIMIT);
-	return core_call(core, core->conf->state, "GET", path, NULL, CALL_STATE_S, on_answer, arg);
+	return core_call(core, core->conf->store_addr, "GET", path, NULL, CALL_STORE_S, on_answer,
+			 arg);
 }
 
 struct call *store_commit(struct core *core, char *body, answer_fn on_answer, void *arg)
 {
-	return core_call(core, core->conf->state, "POST", format_path(W_PATH_TXN), body,
-			 CALL_STATE_S, on_answer, arg);
+	return core_call(core, core->conf->store_addr, "POST", format_path(W_PATH_TXN), body,
+			 CALL_STORE_S, on_answer, arg);
 }
 
 struct call *store_watch(struct core *core, const char *prefix, uint64_t after_revision,
@@ -80,5 +81,6 @@
 				 prefix, (unsigned long long)after_revision, wait_ms);
 	double timeout_s = wait_ms / 1000.0 + LEADER_WATCH_SLACK_S;
 
-	return core_call(core, core->conf->state, "GET", path, NULL, timeout_s, on_answer, arg);
+	return core_call(core, core->conf->store_addr, "GET", path, NULL, timeout_s, on_answer,
+			 arg);
 }
--- a/tests/bench_report.c
+++ b/tests/bench_report.c
@@ -273,10 +273,10 @@
 	double unchanged;
 
 	log_setup("-", "error");
-	snprintf(b.conf.state, CONF_NAME_MAX, "10.2.0.1:2379");
-	snprintf(b.conf.cloud, CONF_NAME_MAX, "10.2.0.2:8443");
+	snprintf(b.conf.store_addr, CONF_NAME_MAX, "10.2.0.1:2379");
+	snprintf(b.conf.cloud_addr, CONF_NAME_MAX, "10.2.0.2:8443");
 	b.conf.teams = &team;
-	b.conf.nteams = 1;
+	b.conf.team_count = 1;
 	b.conf.report_s = REPORT_S;
 	b.conf.lease_s = 22;
 	b.conf.cancel_s = 1e6;
--- a/tests/loopback.c
+++ b/tests/loopback.c
@@ -321,7 +321,7 @@
 	if (!s->max_connections)
 		s->max_connections = LOOPBACK_CONNECTIONS;
 	s->conf.teams = &team;
-	s->conf.nteams = 1;
+	s->conf.team_count = 1;
 	s->conf.limits.txn_ops = 16;
 	s->conf.limits.rps = 500;
 	s->conf.limits.write_rps = 200;
@@ -331,7 +331,7 @@
 	s->conf.gang_wait_s = 20;
 	s->conf.gang_peer_s = 5;
 	s->conf.cancel_s = 30;
-	s->conf.list_lag_s = 1;
+	s->conf.inventory_lag_s = 1;
 	si_init(&s->si, &si_ops, s, &s->conf);
 	si_type(&s->si, &type, 0, false);
 	s->si.now = net_now();
--- a/tests/runner/clients.c
+++ b/tests/runner/clients.c
@@ -47,7 +47,7 @@
 	};
 
 	client->connection = ++world->last_client_connection;
-	request.conn = client->connection;
+	request.connection = client->connection;
 	controller_request(world, controller, &request);
 	outbox_send(world, controller);
 }
--- a/tests/runner/controllers.c
+++ b/tests/runner/controllers.c
@@ -64,14 +64,14 @@
 
 static void configure_peers(const struct world *world, int index, struct conf *conf)
 {
-	conf->npeers = 0;
+	conf->peer_count = 0;
 	conf->peers = xcalloc((size_t)world->controller_count, sizeof(*conf->peers));
 	for (int i = 0; i < world->controller_count; i++) {
 		struct conf_peer *peer;
 
 		if (i == index)
 			continue;
-		peer = &conf->peers[conf->npeers++];
+		peer = &conf->peers[conf->peer_count++];
 		name_of(i, peer->name, sizeof(peer->name));
 		peer_address(i, peer->addr, sizeof(peer->addr));
 	}
@@ -85,8 +85,8 @@
 	*conf = world->conf;
 	name_of(index, conf->name, sizeof(conf->name));
 	name_of(index, world->standin.node_names[index], sizeof(world->standin.node_names[index]));
-	snprintf(conf->front, sizeof(conf->front), "10.0.0.%d:8080", index + 1);
-	peer_address(index, conf->back, sizeof(conf->back));
+	snprintf(conf->front_addr, sizeof(conf->front_addr), "10.0.0.%d:8080", index + 1);
+	peer_address(index, conf->back_addr, sizeof(conf->back_addr));
 	configure_peers(world, index, conf);
 	/* The first three clocks are half of the allowed skew behind, exact, and half ahead. */
 	controller->clock_skew_s = (index - 1) * world->conf.skew_ms / (2 * MS_PER_S);
--- a/tests/runner/delivery.c
+++ b/tests/runner/delivery.c
@@ -43,7 +43,7 @@
 	pending->incarnation = message->incarnation;
 	pending->from = message->from;
 	HASH_ADD(hh, world->peer_requests, connection, sizeof(pending->connection), pending);
-	request.conn = pending->connection;
+	request.connection = pending->connection;
 	controller_request(world, message->to, &request);
 }
 
@@ -173,7 +173,7 @@
 static void deliver_report(struct world *world, const struct message *message)
 {
 	struct core_request request = {
-	    .conn = report_connection(message->from - HOST_MACHINES, message->report_number),
+	    .connection = report_connection(message->from - HOST_MACHINES, message->report_number),
 	    .side = CORE_FRONT,
 	    .method = "POST",
 	    .path = W_PATH_HEARTBEAT,
--- a/tests/runner/outbox.c
+++ b/tests/runner/outbox.c
@@ -20,12 +20,12 @@
 {
 	const struct si_machine *machine;
 
-	if (!strcmp(address, world->conf.state))
+	if (!strcmp(address, world->conf.store_addr))
 		return HOST_STATE;
-	if (!strcmp(address, world->conf.cloud))
+	if (!strcmp(address, world->conf.cloud_addr))
 		return HOST_CLOUD;
 	for (int i = 0; i < world->controller_count; i++)
-		if (!strcmp(address, world->controllers[i].conf.back))
+		if (!strcmp(address, world->controllers[i].conf.back_addr))
 			return i;
 	machine = si_machine_at(&world->standin, address);
 	return machine ? HOST_MACHINES + (int)(machine - world->standin.machines) : HOST_ANY;
--- a/tests/runner/setup.c
+++ b/tests/runner/setup.c
@@ -71,9 +71,9 @@
 	override_number(line, "rps", &conf->limits.rps);
 	override_number(line, "write_rps", &conf->limits.write_rps);
 	override_number(line, "value_kb", &conf->limits.value_kb);
-	override_integer(line, "next_txn_ops", &conf->next_limits.txn_ops);
-	override_number(line, "next_write_rps", &conf->next_limits.write_rps);
-	override_number(line, "next_value_kb", &conf->next_limits.value_kb);
+	override_integer(line, "next_txn_ops", &conf->upcoming_limits.txn_ops);
+	override_number(line, "next_write_rps", &conf->upcoming_limits.write_rps);
+	override_number(line, "next_value_kb", &conf->upcoming_limits.value_kb);
 	apply_limits(&world->standin.state, &conf->limits);
 	world->standin.state.keep = (size_t)line_option_number(line, "keep", 0);
 }
@@ -106,8 +106,8 @@
 	struct conf_objective *objective;
 
 	conf->objectives =
-	    xreallocarray(conf->objectives, conf->nobjectives + 1, sizeof(*objective));
-	objective = &conf->objectives[conf->nobjectives++];
+	    xreallocarray(conf->objectives, conf->objective_count + 1, sizeof(*objective));
+	objective = &conf->objectives[conf->objective_count++];
 	memset(objective, 0, sizeof(*objective));
 	objective->kind = objective_kind(line_word(line, 1));
 	snprintf(objective->class_name, sizeof(objective->class_name), "%s",
--- a/tests/runner/world.c
+++ b/tests/runner/world.c
@@ -25,8 +25,8 @@
 
 static void default_conf(struct conf *conf)
 {
-	snprintf(conf->state, sizeof(conf->state), "10.2.0.1:2379");
-	snprintf(conf->cloud, sizeof(conf->cloud), "10.2.0.2:8443");
+	snprintf(conf->store_addr, sizeof(conf->store_addr), "10.2.0.1:2379");
+	snprintf(conf->cloud_addr, sizeof(conf->cloud_addr), "10.2.0.2:8443");
 	conf->skew_ms = 200;
 	conf->report_s = 2;
 	conf->lease_s = 10;
@@ -38,7 +38,7 @@
 	conf->limits.value_kb = 8;
 	conf->limits.txn_ops = 16;
 	conf->cloud_rps = 5;
-	conf->list_lag_s = 3;
+	conf->inventory_lag_s = 3;
 	conf->cores = 0.1;
 	conf->mem_mb = 64;
 	conf->max_connections = 1000;
@@ -78,8 +78,8 @@
 	struct conf *conf = &world->conf;
 	struct conf_team *team;
 
-	conf->teams = xreallocarray(conf->teams, conf->nteams + 1, sizeof(*team));
-	team = &conf->teams[conf->nteams++];
+	conf->teams = xreallocarray(conf->teams, conf->team_count + 1, sizeof(*team));
+	team = &conf->teams[conf->team_count++];
 	memset(team, 0, sizeof(*team));
 	snprintf(team->name, sizeof(team->name), "%s", name);
 	return team;
@@ -108,7 +108,7 @@
 	if (world->started)
 		return;
 	world->started = true;
-	if (!world->conf.nteams)
+	if (!world->conf.team_count)
 		world_add_team(world, DEFAULT_TEAM);
 	controllers_start_all(world);
 }
--- a/tests/standin_cloud.c
+++ b/tests/standin_cloud.c
@@ -75,7 +75,7 @@
 
 static void cloud_list(struct standin *s, uint64_t handle)
 {
-	double lag = s->conf->list_lag_s;
+	double lag = s->conf->inventory_lag_s;
 	json_t *list = json_array();
 
 	for (int i = 0; i < s->nmachines; i++) {
--- a/tests/standin_rules.c
+++ b/tests/standin_rules.c
@@ -24,7 +24,7 @@
 
 static bool team_limited(const struct standin *s, const char *team)
 {
-	for (size_t i = 0; i < s->conf->nteams; i++)
+	for (size_t i = 0; i < s->conf->team_count; i++)
 		if (!strcmp(s->conf->teams[i].name, team))
 			return s->conf->teams[i].cpus_max > 0 || s->conf->teams[i].gpus_max > 0;
 	return false;
@@ -48,7 +48,7 @@
 			gpus += o->spec.gpus;
 		}
 	}
-	for (size_t i = 0; i < s->conf->nteams; i++) {
+	for (size_t i = 0; i < s->conf->team_count; i++) {
 		const struct conf_team *t = &s->conf->teams[i];
 
 		if (!strcmp(t->name, j->spec.team) &&
@@ -138,7 +138,7 @@
 
 static const struct conf_team *team_of(const struct standin *s, const struct si_job *j)
 {
-	for (size_t i = 0; i < s->conf->nteams; i++)
+	for (size_t i = 0; i < s->conf->team_count; i++)
 		if (!strcmp(s->conf->teams[i].name, j->spec.team))
 			return &s->conf->teams[i];
 	return NULL;
