--- a/src/conf/conf.c
+++ b/src/conf/conf.c
@@ -1,4 +1,4 @@
-/* What is asked of settings that were read. See conf.h. */
+/* Questions about settings that were read. See conf.h. */
 #include "conf/conf.h"
 
 #include <stdlib.h>
--- a/src/conf/conf.h
+++ b/src/conf/conf.h
@@ -60,7 +60,7 @@
 };
 
 struct conf {
-	/* This controller, and where it listens: users and workers in front, controllers behind. */
+	/* This controller, and where it listens: users and agents in front, controllers behind. */
 	char name[CONF_NAME_MAX];
 	char zone[CONF_NAME_MAX];
 	char front_addr[CONF_NAME_MAX];
@@ -80,9 +80,9 @@
 
 	double skew_ms; /* by how much clocks of different machines may differ */
 
-	/* Workers. */
-	double report_s;    /* between a worker's reports */
-	double lease_s;	    /* for which a worker keeps its tasks without an answer */
+	/* Agents. */
+	double report_s;    /* between an agent's reports */
+	double lease_s;	    /* for which an agent keeps its tasks without an answer */
 	double gang_wait_s; /* for which a started part of a gang waits for the others */
 	double gang_peer_s; /* until a part of a gang notices that another has stopped */
 	double cancel_s;    /* within which a job whose cancellation was confirmed has ended */
--- a/src/conf/hcl.c
+++ b/src/conf/hcl.c
@@ -1,5 +1,5 @@
 /*
- * The operators' own settings. They asked for HCL, which no C library reads; libucl, the nearest
+ * The operators' own settings. HCL was wished for, which no C library reads; libucl, the nearest
  * kin, is not packaged by Debian (its libucl is a compressor). libconfuse is packaged and reads
  * what these settings need of HCL: blocks, `key = value`, comments. See docs/operating.md.
  */
--- a/src/constants.h
+++ b/src/constants.h
@@ -16,7 +16,7 @@
 #define NET_ACCEPT_BATCH 32 /* connections taken per turn: answers are not starved */
 /* of the sockets for callers, one in so many is kept free if it can be */
 #define NET_CROWD_PART 50
-/* sockets kept back for our own calls to state, cloud, workers */
+/* sockets kept back for our own calls to state, cloud, agents */
 #define NET_CONNS_RESERVED 64
 #define NET_SLOW_S 10.0	 /* seconds a half-sent request may take: it holds a socket */
 #define NET_IDLE_S 40.0	 /* seconds a kept client connection idles: reconnects cost more */
@@ -141,7 +141,7 @@
 
 /* --- machines --- */
 #define MACHINE_FRESH_REPORTS 2.5 /* reports missed before a machine gets no new tasks */
-/* seconds beyond the worker's lease: its tasks are lost anyway */
+/* seconds beyond the agent's lease: its tasks are lost anyway */
 #define MACHINE_DEAD_MARGIN_S 1.0
 #define PROBE_INTERVAL_S 1.0 /* seconds between probes of one machine */
 #define PROBES_PER_S 40.0    /* probes a second at least: each costs as much as a report */
@@ -199,7 +199,7 @@
 #define CYCLE_MIN_S 0.004 /* seconds between scheduling cycles at least */
 /* seconds between cycles without an event: backoffs end by time */
 #define CYCLE_PERIOD_S 0.5
-#define CYCLE_JOB_S 0.0002  /* seconds more per waiting job: cycles widen with the load */
+#define CYCLE_JOB_S 0.0002  /* seconds more per job: cycles widen with the load */
 #define ERROR_BACKOFF_S 2.0 /* seconds after a first failure; doubles */
 /* seconds: a job that fails everywhere costs one try a minute */
 #define ERROR_BACKOFF_MAX_S 60.0
--- a/src/core/agents/report_cache.h
+++ b/src/core/agents/report_cache.h
@@ -1,5 +1,5 @@
 /*
- * Recognition of unchanged worker reports. Most reports repeat the previous one of their machine
+ * Recognition of unchanged agent reports. Most reports repeat the previous one of their machine
  * but for the sequence number; such a report is found by its bytes and need not be parsed again.
  */
 #ifndef PLOVERLOFT_REPORT_CACHE_H
--- a/src/core/agents/reports.h
+++ b/src/core/agents/reports.h
@@ -1,7 +1,7 @@
 /*
  * Agents' reports: which count, and what they change in what is known of their machine.
  *
- * A report may be a copy from seconds or minutes ago, from before a take-over, or of a machine that
+ * A report may be a copy from seconds or minutes ago, from before a failover, or of a machine that
  * is deleted. An agent that has seen this term's token was there in this term; within the term,
  * (incarnation, sequence) orders its messages. An agent that has not seen the token yet is
  * answered, so that it will, and its reports count from then on.
--- a/src/core/api/cancellations.h
+++ b/src/core/api/cancellations.h
@@ -42,6 +42,7 @@
 void cancellations_reply_confirmed(struct core *core, uint64_t connection);
 /* Requests the others' confirmed cancellations, while the state service is silent. */
 void cancellations_tick(struct core *core);
+/* Frees the list of confirmed cancellations. */
 void cancellations_clear(struct core *core);
 
 #endif
--- a/src/core/api/forwarding.h
+++ b/src/core/api/forwarding.h
@@ -33,6 +33,7 @@
 /* See wrap_forwarded_answer in struct core_events. */
 bool forwarding_wrap_answer(struct core *core, uint64_t connection, int *status, int retry_after,
 			    char **body, size_t *len);
+/* Forgets whose requests were forwarded here. */
 void forwarding_clear(struct core *core);
 
 #endif
--- a/src/core/api/job_index.h
+++ b/src/core/api/job_index.h
@@ -48,6 +48,7 @@
 void job_index_apply(struct core *core, const struct kv_item *item);
 /* The open jobs are to be read again, page by page: too much has changed since the last read. */
 void job_index_invalidate(struct core *core);
+/* Frees all entries. */
 void job_index_clear(struct core *core);
 
 /* job_index_reads.c: reads pages or changes, when requests wait for them or it is due. */
--- a/src/core/api/lookups.h
+++ b/src/core/api/lookups.h
@@ -47,6 +47,7 @@
 void lookups_requeue_batch(struct core *core);
 /* The state service refused the read that the batch, or those that wait, needed. */
 void lookups_fail_batch(struct core *core, const struct call_answer *answer);
+/* The read that all waiting lookups wait for has failed: they end as `answer` says. */
 void lookups_fail_waiting(struct core *core, const struct call_answer *answer);
 /* Frees all requests that wait. */
 void lookups_clear(struct core *core);
--- a/src/core/api/peer_requests.h
+++ b/src/core/api/peer_requests.h
@@ -10,6 +10,7 @@
 void peer_requests_receive(struct core *core, const struct core_request *request);
 /* Sends the requests to other controllers that are due. */
 void peer_requests_tick(struct core *core);
+/* Frees what requests of other controllers have left behind. */
 void peer_requests_clear(struct core *core);
 
 #endif
--- a/src/core/api/task_counts.h
+++ b/src/core/api/task_counts.h
@@ -21,6 +21,7 @@
 	bool in_flight;
 };
 
+/* No counts are known, and none are wanted. */
 void task_counts_init(struct core *core);
 /* A user is answered with counts: they are to be kept current for some seconds. */
 void task_counts_note_demand(struct core *core);
--- a/src/core/autoscale/autoscale.c
+++ b/src/core/autoscale/autoscale.c
@@ -48,7 +48,7 @@
 	inventory_tick(core);
 	scale_in_send_deletes(core);
 	rental_requests_retry(core);
-	/* Before all workers have reported, room that is there would be missing in a plan. */
+	/* Before all agents have reported, room that is there would be missing in a plan. */
 	if (core->now - core->leading_since > AUTOSCALE_SETTLE_S)
 		scale_out_scan(core);
 }
--- a/src/core/autoscale/autoscale.h
+++ b/src/core/autoscale/autoscale.h
@@ -28,6 +28,7 @@
 	double retry_at; /* no request before: the last one failed */
 };
 
+/* Scans for idle and missing machines when it is due. Only the leader calls it. */
 void autoscale_tick(struct core *core);
 /* The next tick scans at once: machines are to be deleted. */
 void autoscale_request_scan(struct core *core);
--- a/src/core/autoscale/capacity_refusals.h
+++ b/src/core/autoscale/capacity_refusals.h
@@ -43,6 +43,7 @@
 void capacity_refusal_note(struct core *core, struct capacity_pool pool);
 /* The pool has machines again: they may be requested at once. */
 void capacity_refusal_lift(struct core *core, struct capacity_pool pool);
+/* Forgets all refusals. */
 void capacity_refusals_clear(struct core *core);
 
 #endif
--- a/src/core/autoscale/inventory.h
+++ b/src/core/autoscale/inventory.h
@@ -18,6 +18,7 @@
 
 /* Reads the inventory, or its next page, when it is due and the cloud's rate allows. */
 void inventory_tick(struct core *core);
+/* The next inventory is read from its first page. Leadership has ended. */
 void inventory_clear(struct core *core);
 
 #endif
--- a/src/core/autoscale/planned_rooms.h
+++ b/src/core/autoscale/planned_rooms.h
@@ -46,6 +46,7 @@
 
 /* All rooms that there are or that were requested already. */
 void planned_rooms_init(const struct core *core, struct planned_rooms *rooms);
+/* Frees the list; it is empty afterwards. */
 void planned_rooms_clear(struct planned_rooms *rooms);
 /* Adds the room of a machine that is to be requested. */
 void planned_rooms_request(struct planned_rooms *rooms, const struct machine_offer *offer);
--- a/src/core/autoscale/rental_requests.h
+++ b/src/core/autoscale/rental_requests.h
@@ -30,6 +30,7 @@
 void rental_request_send(struct core *core, struct capacity_pool pool, int count);
 /* Repeats the requests whose time has come, as far as the cloud's rate allows. */
 void rental_requests_retry(struct core *core);
+/* Frees all requests; answers to them are void. Leadership has ended. */
 void rental_requests_clear(struct core *core);
 
 #endif
--- a/src/core/autoscale/scale_out.c
+++ b/src/core/autoscale/scale_out.c
@@ -10,7 +10,7 @@
 	struct machine_offer offer;
 
 	/* A job may have a hundred thousand tasks: not all of them need to be planned for now. */
-	if (rooms->to_request_count >= SCALE_OUT_BATCH_MAX * core->conf->cloud_rps)
+	if ((double)rooms->to_request_count >= SCALE_OUT_BATCH_MAX * core->conf->cloud_rps)
 		return false;
 	if (!machine_offer_cheapest(core, demand, &offer))
 		return false;
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -72,6 +72,7 @@
  * frees with core_free.
  */
 struct core *core_new(const struct conf *conf, uint64_t seed, struct core_time now);
+/* Frees the core and the actions that were not taken. */
 void core_free(struct core *core);
 /* A request arrived: it is answered by an action, now or after a later call. */
 void core_request(struct core *core, struct core_time now, const struct core_request *request);
@@ -83,6 +84,7 @@
 double core_next(const struct core *core);
 /* The next action, which the caller frees with core_action_free; NULL if there is none. */
 struct core_action *core_take(struct core *core);
+/* Frees an action with its path and body. */
 void core_action_free(struct core_action *action);
 
 #endif
--- a/src/core/election/election.c
+++ b/src/core/election/election.c
@@ -1,7 +1,7 @@
 /*
  * Leadership: the role of this controller, and the end of its terms.
  *
- * Every deciding transaction is guarded by the fencing token, so an early take-over wastes work but
+ * Every deciding transaction is guarded by the fencing token, so an early failover wastes work but
  * breaks nothing.
  */
 #include "core/election/election.h"
--- a/src/core/election/election.h
+++ b/src/core/election/election.h
@@ -61,6 +61,7 @@
 /* --- state --- */
 
 enum leadership_role election_role(const struct core *core);
+/* Whether this controller leads, its records read. */
 bool election_is_leader(const struct core *core);
 /* The leader's name as last read; empty if there is none. */
 const char *election_leader(const struct core *core);
@@ -82,6 +83,7 @@
 /* --- course of a term --- */
 
 void election_init(struct core *core);
+/* Reads, watches, claims or renews the leader's key, as is due. */
 void election_tick(struct core *core);
 /* The records are read: this controller leads from now on. */
 void election_note_recovered(struct core *core);
@@ -108,6 +110,7 @@
 
 /* The jobs' changes were read by a request sent at `at` (steady). */
 void election_note_jobs_read(struct core *core, double at);
+/* When the newest such request was sent (steady). */
 double election_jobs_read_at(const struct core *core);
 /* All cancellations that the other controllers confirmed by `at` (steady) were received. */
 void election_note_peers_confirmed(struct core *core, double at);
--- a/src/core/model/binding.h
+++ b/src/core/model/binding.h
@@ -1,6 +1,8 @@
 /*
  * Bindings: one attempt of a task, placed on a machine. A binding is on record before the start is
- * sent, and ends by proof only: the worker reports the end, or the machine is deleted.
+ * sent, and ends by proof only: the agent reports the end, or a report that counts lacks it, or its
+ * incarnation is newer, or the machine is deleted. One whose start was never sent ends at once.
+ * docs/failure-model.md has the proofs.
  */
 #ifndef PLOVERLOFT_BINDING_H
 #define PLOVERLOFT_BINDING_H
@@ -19,8 +21,9 @@
 	struct job *job;
 	uint32_t task;
 	uint64_t attempt;
-	uint64_t min_token;	    /* a report proves absence only if its worker saw this token */
-	uint64_t start_incarnation; /* session of the newest start sent this term; 0: none sent */
+	uint64_t min_token;	    /* a report proves absence only if its agent saw this token */
+	uint64_t start_incarnation; /* of the agent when the newest start of this term was sent; 0:
+				       none sent */
 	uint64_t start_sequence;    /* report whose answer carried the newest start */
 	uint64_t listed_sequence;   /* newest message that lists it */
 	double start_sent_at;	    /* steady */
@@ -30,7 +33,7 @@
 	uint32_t record_bytes;	    /* in its chunk's record, at most */
 	bool committed, in_flight;
 	bool recovered; /* made by an earlier leader */
-	bool observed;	/* listed by its worker under this leader */
+	bool observed;	/* listed by its agent under this leader */
 	bool stopping;
 	char switched_to[ID_MAX]; /* the array that its slot serves next; empty: none */
 	enum task_state state;
--- a/src/core/model/catalog.h
+++ b/src/core/model/catalog.h
@@ -16,6 +16,7 @@
 
 /* Whether it was read, from the cloud or from its copy on record. */
 bool catalog_is_known(const struct core *core);
+/* 0 while the catalog is not known. */
 size_t catalog_type_count(const struct core *core);
 /* The types in the order of the catalog; `index` is below their count. */
 const struct machine_type *catalog_type(const struct core *core, size_t index);
--- a/src/core/model/chunk.h
+++ b/src/core/model/chunk.h
@@ -37,11 +37,13 @@
 	uint32_t old_chunk_count;
 };
 
+/* How many chunks the job's tasks take. */
 uint32_t job_chunk_count(const struct job *job);
 /* The index of the chunk that holds the task. */
 uint32_t job_chunk_of(const struct job *job, uint32_t task);
 /* Adds the binding to the chunk that holds its task, and notes its size in the record. */
 void chunk_add_binding(struct binding *binding);
+/* Takes the binding out of its chunk; the record is not written. */
 void chunk_remove_binding(struct binding *binding);
 /* Whether another binding of the same task is left in its chunk. */
 bool chunk_binds_task_again(const struct binding *binding);
--- a/src/core/model/job.c
+++ b/src/core/model/job.c
@@ -176,7 +176,7 @@
 	}
 	if (job->done_count < job->spec.task_count)
 		return;
-	/* The last tasks of a gang are heard of within moments: one transaction for all. */
+	/* The ends of a gang's last tasks are reported within moments: one transaction for all. */
 	if (job->all_done_at <= 0)
 		job->all_done_at = core->now;
 	if (!job->bindings || core->now - job->all_done_at >= FINAL_WAIT_S)
--- a/src/core/model/job.h
+++ b/src/core/model/job.h
@@ -52,6 +52,7 @@
 /* All jobs; `next` is a second cursor, so that `job` may be freed. */
 #define JOBS_FOR_EACH(core, job, next) HASH_ITER (hh, (core)->jobs, job, next)
 
+/* How many jobs are known, orphans included. */
 unsigned job_count(const struct core *core);
 /* NULL if there is none of this id. */
 struct job *job_find(const struct core *core, const char *id);
@@ -59,6 +60,7 @@
 struct job *job_add(struct core *core, const struct job_spec *spec);
 /* Makes room for so many tasks of a job whose description was not read. */
 void job_grow(struct job *job, uint32_t task_count);
+/* Forgets the job and frees it; it has no bindings any more, or leadership has ended. */
 void job_free(struct core *core, struct job *job);
 /* Frees a job that is over once nothing of it is bound or being written. */
 void job_release_if_over(struct core *core, struct job *job);
@@ -74,14 +76,16 @@
 /* The task ended with success, and if it is of a gang, all tasks of the gang did. */
 void job_note_task_done(struct core *core, struct job *job, uint32_t task);
 /*
- * A worker lists a task as done that is not bound to it any more: the leader before recorded the
+ * An agent lists a task as done that is not bound to it any more: the leader before recorded the
  * end of its binding, and ended before its result was on record. Any other attempt is needless.
  */
 void job_note_done_unbound(struct core *core, const char *id, uint32_t task);
 
 /* Checks whether the job is over; to be called after anything that ends a task or a binding. */
 void job_check_end(struct core *core, struct job *job);
+/* Ends jobs whose last tasks are done, when it is due. Only the leader calls it. */
 void job_tick(struct core *core);
+/* Stops all tasks of the job; its final record follows once their ends are proved. */
 void job_cancel(struct core *core, struct job *job);
 /* A cancellation is on record, with this version of the job's key: the leader stops its tasks. */
 void job_cancel_committed(struct core *core, const char *id, uint64_t version);
--- a/src/core/model/job_failures.h
+++ b/src/core/model/job_failures.h
@@ -13,12 +13,13 @@
 void job_note_failure(const struct core *core, struct job *job, const struct machine *machine);
 /* A task of the job did what it is for: the next failure counts as the first. */
 void job_reset_failures(struct job *job);
-/* A worker refused to start a task of the job. */
+/* An agent refused to start a task of the job. */
 void job_note_refused_start(const struct core *core, struct job *job);
-/* The worker has no room: nothing is started there for a while. */
+/* The agent has no room: nothing is started there for a while. */
 void machine_note_refused_start(const struct core *core, struct machine *machine);
 /* The job failed on the machine, which is drained if that happened to several jobs. */
 void machine_note_failed_job(struct machine *machine, const struct job *job);
+/* A task succeeded on the machine: earlier failures do not count any more. */
 void machine_reset_failed_jobs(struct machine *machine);
 
 #endif
--- a/src/core/model/machine.c
+++ b/src/core/model/machine.c
@@ -139,7 +139,7 @@
 }
 
 /*
- * Only reports keep a worker's lease: one that answers direct commands but reports to nobody, or to
+ * Only reports keep an agent's lease: one that answers direct commands but reports to nobody, or to
  * a leader of before, will lose what runs on it. So messages alone do not make it usable.
  */
 bool machine_is_usable(const struct core *core, const struct machine *machine)
--- a/src/core/model/machine.h
+++ b/src/core/model/machine.h
@@ -24,7 +24,7 @@
 };
 
 /*
- * The agent, which is the worker process on the machine, by its own messages. Times are
+ * The agent, which is the agent process on the machine, by its own messages. Times are
  * steady seconds; < 0: never in this term.
  */
 struct machine_agent {
@@ -44,7 +44,7 @@
 	double up_at;		  /* its first message this term */
 	double notice_s;	  /* preemption notice: remaining seconds when it came; < 0: none */
 	double notice_received_at;
-	struct report_cache_entry *cached_report; /* in fleet.report_cache */
+	struct report_cache_entry *cached_report; /* in agents.report_cache */
 	struct unbound_task *leftovers;		  /* listed, but bound no more */
 	size_t leftover_count;
 };
@@ -64,7 +64,7 @@
 	int in_flight;
 	bool announce_token; /* it may report to an earlier leader: our token brings it here */
 	bool due;	     /* commands wait to be sent */
-	bool queued;	     /* in the list of those whose turn it is */
+	bool queued;	     /* in agents.command_queue */
 	struct machine *queue_prev, *queue_next;
 };
 
@@ -75,7 +75,7 @@
 	bool failed;		   /* the cloud says so */
 	uint64_t inventory_number; /* the newest inventory that named it */
 	int missed_inventories;	   /* in a row, without it */
-	double rented_at;	   /* steady; when it was requested, as far as can be told */
+	double rented_at;	   /* steady; when it was requested, as far as is known */
 	double idle_since;	   /* steady */
 	bool draining;		   /* it gets no new tasks, and is deleted once it is empty */
 	bool deleting;		   /* a delete was decided: it gets no tasks any more */
@@ -119,9 +119,11 @@
 /* All machines; `next` is a second cursor, so that `machine` may be freed. */
 #define MACHINES_FOR_EACH(core, machine, next) HASH_ITER (hh, (core)->machines, machine, next)
 
+/* How many machines are known, those about to be deleted included. */
 unsigned machine_count(const struct core *core);
 /* NULL if there is none of this id. */
 struct machine *machine_find(const struct core *core, const char *id);
+/* A machine that is added has only its name. */
 struct machine *machine_find_or_add(struct core *core, const char *id);
 /* All of its bindings must have been freed. */
 void machine_free(struct core *core, struct machine *machine);
@@ -134,7 +136,7 @@
 /* The catalog was replaced: all machines refer to its types from now on. */
 void machines_apply_catalog(const struct core *core);
 
-/* Its agent was heard of lately, be it by a report or by an answer. */
+/* A message of its agent came lately, be it a report or an answer. */
 bool machine_is_responsive(const struct core *core, const struct machine *machine);
 /* It has a preemption notice, or is drained, and no delete was decided yet. */
 bool machine_is_leaving(const struct machine *machine);
@@ -144,6 +146,7 @@
 bool machine_type_allowed(const struct machine_type *type, const char *zone, bool spot,
 			  const struct job_spec *spec);
 
+/* Whether the image is probably in the machine's cache. */
 bool machine_has_image(const struct machine *machine, const char *image);
 /* The machine fetched the image, so it is probably in its cache. */
 void machine_note_image(struct machine *machine, const char *image);
--- a/src/core/model/task_bitmap.h
+++ b/src/core/model/task_bitmap.h
@@ -11,8 +11,11 @@
 
 /* Bytes of a bitmap of so many tasks: one more than they fill. */
 size_t task_bitmap_bytes(uint32_t task_count);
+/* Whether the task's bit is set. */
 bool task_bit_test(const uint8_t *bits, uint32_t task);
+/* Sets the task's bit. */
 void task_bit_set(uint8_t *bits, uint32_t task);
+/* Clears the task's bit. */
 void task_bit_clear(uint8_t *bits, uint32_t task);
 
 /* The first `nbits` bits as text, which the caller frees. */
--- a/src/core/model/tombstones.h
+++ b/src/core/model/tombstones.h
@@ -24,6 +24,7 @@
 	double trimmed_at;	/* steady; when a new token last allowed it */
 };
 
+/* Whether a machine of this name was deleted in this term. */
 bool machine_has_tombstone(const struct core *core, const char *id);
 /* The machine is deleted: inventories and copies of its reports that still name it are void. */
 void tombstone_add(struct core *core, const char *id);
@@ -35,6 +36,7 @@
  * void under it, and so are tombstones that no inventory needs any more.
  */
 void tombstones_trim(struct core *core, double fenced_at);
+/* Frees all tombstones. Leadership has ended. */
 void tombstones_clear(struct core *core);
 
 #endif
--- a/src/core/peers/peer_link.h
+++ b/src/core/peers/peer_link.h
@@ -26,6 +26,7 @@
 
 /* `incarnation` is to differ from that of any earlier process of this controller. */
 void peer_link_init(struct core *core, uint64_t incarnation);
+/* Frees what peer_link_init has made. */
 void peer_link_clear(struct core *core);
 
 /* The peer of this index in the settings; it stays owned by the link. */
--- a/src/core/scheduling/candidates.h
+++ b/src/core/scheduling/candidates.h
@@ -15,7 +15,9 @@
 	double cost;	  /* seconds; INFINITY: there is not enough room */
 };
 
+/* Cheapest first. */
 void candidates_sort_by_cost(struct scheduling_cycle *cycle);
+/* Cheapest for each slot first. */
 void candidates_sort_by_cost_per_slot(struct scheduling_cycle *cycle);
 /* The slots of the zone, or of all if it is NULL; not counted on once there are `enough`. */
 uint32_t candidates_slots(const struct scheduling_cycle *cycle, const char *zone, uint32_t enough);
--- a/src/core/scheduling/cycle.h
+++ b/src/core/scheduling/cycle.h
@@ -70,6 +70,7 @@
  * the open ones; with an empty list, all rooms are open. cycle_end frees what the cycle owns.
  */
 void cycle_begin(struct core *core, struct scheduling_cycle *cycle, const struct job_list *jobs);
+/* Frees what cycle_begin has made. */
 void cycle_end(struct scheduling_cycle *cycle);
 /* A task of the job was bound to the machine, or is to be. */
 void cycle_take_room(struct scheduling_cycle *cycle, const struct machine *machine,
--- a/src/core/scheduling/free_room.h
+++ b/src/core/scheduling/free_room.h
@@ -17,6 +17,7 @@
 
 /* Tasks of the job that fit in so much room, with ROOM_SLACK for sums of decimal amounts. */
 uint32_t room_slots(double cpus, double gpus, double mem_gb, const struct job_spec *spec);
+/* How many tasks of this shape the room takes. */
 uint32_t free_room_slots(const struct free_room *room, const struct job_spec *spec);
 /* The room that the machine has now. */
 struct free_room free_room_of(const struct machine *machine);
--- a/src/core/scheduling/share_switching_leader.c
+++ b/src/core/scheduling/share_switching_leader.c
@@ -197,7 +197,7 @@
 	free(message);
 }
 
-/* Nothing is switched after a take-over until agents have had the time to report. */
+/* Nothing is switched after a failover until agents have had the time to report. */
 void share_switching_tick(struct core *core)
 {
 	if (core->now < core->share_switching.next_at ||
--- a/src/core/state.h
+++ b/src/core/state.h
@@ -61,7 +61,7 @@
 	double leading_since;
 	struct jobs_watch jobs_watch;
 	struct job *jobs;
-	double next_job_scan_at; /* steady; a look at all jobs */
+	double next_job_scan_at; /* steady; when job_tick checks all jobs */
 	struct team *teams;
 	struct machine *machines;
 	struct tombstones tombstones;
--- a/src/net/client_pool.h
+++ b/src/net/client_pool.h
@@ -54,6 +54,7 @@
 	struct client_connection *closed; /* list; freed at the end of the iteration */
 };
 
+/* An empty pool; the connection set outlives it. */
 void client_pool_init(struct client_pool *pool, struct connection_set *set);
 
 /* Closes and frees all connections; calls under way end without a word. */
@@ -61,6 +62,7 @@
 
 /* The endpoint of an address, new if need be. It stays until client_pool_release_endpoint(). */
 struct endpoint *client_pool_hold_endpoint(struct client_pool *pool, const char *address);
+/* Drops a reference to the endpoint, which is freed with its last one. */
 void client_pool_release_endpoint(struct client_pool *pool, struct endpoint *endpoint);
 
 /* An idle connection to the endpoint, or NULL. The caller begins a call on it at once. */
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -47,7 +47,9 @@
 	struct buf output; /* to be sent */
 };
 
+/* An empty set with an epoll descriptor of its own. */
 void connection_set_init(struct connection_set *set);
+/* Closes the epoll descriptor; the connections are closed before. */
 void connection_set_free(struct connection_set *set);
 
 /*
--- a/src/net/http_client.c
+++ b/src/net/http_client.c
@@ -97,7 +97,7 @@
 	struct buf received = connection->base.input;
 
 	memset(&connection->base.input, 0, sizeof(connection->base.input));
-	/* Bytes beyond the response were not asked for: what follows could not be trusted. */
+	/* Bytes beyond the response were not requested: what follows could not be trusted. */
 	if (response->close || received.len > response->head_len + response->body_len)
 		client_pool_close(client->pool, connection);
 	else
@@ -113,7 +113,7 @@
 	struct http_msg response;
 
 	if (connection->state == CLIENT_IDLE) {
-		client_pool_close(client->pool, connection); /* nothing was asked */
+		client_pool_close(client->pool, connection); /* no request was sent */
 		return;
 	}
 	switch (http_parse(&response, buf_at(input), input->len, HTTP_RESPONSE, HTTP_REPLY_MAX)) {
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -14,7 +14,7 @@
 	STATUS_PAYLOAD_TOO_LARGE = 413,
 };
 
-/* The protocol limits users and workers; what controllers tell each other grows with the fleet. */
+/* The protocol limits users and agents; what controllers tell each other grows with the fleet. */
 static size_t body_max(const struct server_connection *connection)
 {
 	return connection->side == NET_BACK ? HTTP_REPLY_MAX : HTTP_BODY_MAX;
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -29,6 +29,7 @@
 void listener_accept(const struct listener *listener, struct connection_limit *limit,
 		     struct server_connections *connections);
 
+/* Closes the socket. */
 void listener_free(struct listener *listener);
 
 #endif
--- a/src/net/net.c
+++ b/src/net/net.c
@@ -161,7 +161,7 @@
 
 /*
  * What answers our own calls goes before what others ask, and only some of that is taken in one
- * iteration: when thousands of workers report at once to a controller that is slow, its renewals
+ * iteration: when thousands of agents report at once to a controller that is slow, its renewals
  * must not wait behind all of them.
  */
 void net_poll(struct net *net, double wait_s)
--- a/src/net/net.h
+++ b/src/net/net.h
@@ -15,7 +15,7 @@
 
 /* Which of the listening sockets a caller came in by. */
 enum net_side {
-	NET_FRONT, /* users and workers: bodies up to HTTP_BODY_MAX */
+	NET_FRONT, /* users and agents: bodies up to HTTP_BODY_MAX */
 	NET_BACK   /* other controllers: bodies up to HTTP_REPLY_MAX */
 };
 
--- a/src/net/server_connections.h
+++ b/src/net/server_connections.h
@@ -1,5 +1,5 @@
 /*
- * The connections that callers made: users, workers, other controllers. They are kept by the id
+ * The connections that callers made: users, agents, other controllers. They are kept by the id
  * that requests are answered under, and by how long they have been silent.
  */
 #ifndef PLOVERLOFT_SERVER_CONNECTIONS_H
@@ -37,6 +37,7 @@
 	struct server_connection *closed;      /* list; freed at the end of the iteration */
 };
 
+/* No connections; `set` outlives them. */
 void server_connections_init(struct server_connections *connections, struct connection_set *set);
 
 /* Closes and frees all connections. */
--- a/src/net/tcp.h
+++ b/src/net/tcp.h
@@ -19,7 +19,8 @@
 /* Begins to connect: the socket becomes writable when that has ended; see tcp_connect_failed(). */
 int tcp_connect(const struct sockaddr_in *address);
 
-/* Whether a connection that was begun has failed. To be asked once, when the socket is writable. */
+/* Whether a connection that was begun has failed. To be called once, when the socket is writable.
+ */
 int tcp_connect_failed(int fd);
 
 /* Sends small messages at once, in place of gathering them. */
--- a/src/wire/job_codec.h
+++ b/src/wire/job_codec.h
@@ -17,7 +17,7 @@
 /* The most urgent first. */
 enum job_priority { PRIO_PRODUCTION, PRIO_HIGH, PRIO_NORMAL, PRIO_LOW };
 
-/* What users are told of a job; the last two are final. */
+/* The states of a job as users see them; the last two are final. */
 enum job_state { JOB_STATE_QUEUED, JOB_STATE_RUNNING, JOB_STATE_DONE, JOB_STATE_CANCELLED };
 
 /* What a user asks for. Times are in seconds, sizes in GB. */
--- a/src/wire/names.h
+++ b/src/wire/names.h
@@ -6,7 +6,7 @@
 #ifndef PLOVERLOFT_NAMES_H
 #define PLOVERLOFT_NAMES_H
 
-/* Paths of requests: of users (the first three), of workers, of the cloud, of the state service. */
+/* Paths of requests: of users (the first three), of agents, of the cloud, of the state service. */
 #define W_PATH_JOBS "/api/jobs"
 #define W_PATH_CANCEL "/abort"
 #define W_PATH_READY "/ready"
@@ -64,7 +64,7 @@
 #define W_DONE "done"	    /* number of tasks */
 #define W_RUNNING "running" /* number of tasks */
 
-/* Reports of workers and commands to them. */
+/* Reports of agents and commands to them. */
 #define W_MACHINE "poleiro"
 #define W_MACHINES_LIST "poleiros"
 #define W_ADDR "endpoint"
--- a/src/wire/report_codec.c
+++ b/src/wire/report_codec.c
@@ -1,4 +1,4 @@
-/* The reports of workers, and the commands that answer them or are sent directly. */
+/* The reports of agents, and the commands that answer them or are sent directly. */
 #include "wire/report_codec.h"
 
 #include <stdio.h>
@@ -168,13 +168,13 @@
 	return wire_serialize(object);
 }
 
-char *wire_direct_commands(uint64_t token, uint64_t session, const struct command *commands,
+char *wire_direct_commands(uint64_t token, uint64_t incarnation, const struct command *commands,
 			   size_t count)
 {
 	json_t *object = json_object();
 
 	json_object_set_new(object, W_TOKEN, json_integer((json_int_t)token));
-	json_object_set_new(object, W_INCARNATION, json_integer((json_int_t)session));
+	json_object_set_new(object, W_INCARNATION, json_integer((json_int_t)incarnation));
 	json_object_set_new(object, W_COMMANDS, encode_commands(commands, count));
 	return wire_serialize(object);
 }
--- a/src/wire/report_codec.h
+++ b/src/wire/report_codec.h
@@ -1,4 +1,4 @@
-/* The reports of workers, and the commands that answer them or are sent directly. */
+/* The reports of agents, and the commands that answer them or are sent directly. */
 #ifndef PLOVERLOFT_REPORT_CODEC_H
 #define PLOVERLOFT_REPORT_CODEC_H
 
@@ -26,10 +26,10 @@
 	END_ERROR,
 	END_NO_ROOM,	/* refused: the machine's CPUs, GPUs or memory do not suffice */
 	END_BUSY,	/* refused: the machine runs another attempt of the task */
-	END_UNKNOWN_JOB /* refused: the worker does not know the job's description yet */
+	END_UNKNOWN_JOB /* refused: the agent does not know the job's description yet */
 };
 
-/* One attempt of a task, as its worker reports it. */
+/* One attempt of a task, as its agent reports it. */
 struct report_task {
 	char job[ID_MAX];
 	uint32_t task; /* its index in the job */
@@ -39,16 +39,16 @@
 	int saved; /* true if its state was saved when it was stopped */
 };
 
-/* One message of a worker: its machine and all attempts that it knows of. */
+/* One message of an agent: its machine and all attempts that it knows of. */
 struct report {
 	char machine[ID_MAX];
-	char addr[NAME_MAX_LEN]; /* where the worker takes direct commands */
+	char addr[NAME_MAX_LEN]; /* where the agent takes direct commands */
 	char type[NAME_MAX_LEN];
 	char zone[NAME_MAX_LEN];
 	int spot;	      /* true if the cloud may take the machine back */
-	uint64_t incarnation; /* rises each time the worker's lease has run out */
-	uint64_t sequence;    /* rises with each report of a session */
-	uint64_t token;	      /* newest fencing token that the worker has seen */
+	uint64_t incarnation; /* rises each time the agent's lease has run out */
+	uint64_t sequence;    /* rises with each report of an incarnation */
+	uint64_t token;	      /* newest fencing token that the agent has seen */
 	double notice_s;      /* seconds until the cloud takes the machine back; < 0: no notice */
 	struct report_task *tasks;
 	size_t task_count;
@@ -57,10 +57,10 @@
 enum command_op {
 	OP_START,
 	OP_STOP,
-	OP_FORGET /* an exited attempt, which the worker need not report any longer */
+	OP_FORGET /* an exited attempt, which the agent need not report any longer */
 };
 
-/* What a worker is told to do with one attempt of a task. */
+/* What an agent is to do with one attempt of a task. */
 struct command {
 	enum command_op op;
 	char job[ID_MAX];
@@ -81,8 +81,8 @@
 /* The answer to a report: fencing token and commands. The caller frees the text. */
 char *wire_heartbeat_answer(uint64_t token, const struct command *commands, size_t count);
 
-/* Commands sent to the worker for the given session of it only. The caller frees the text. */
-char *wire_direct_commands(uint64_t token, uint64_t session, const struct command *commands,
+/* Commands that only the given incarnation of the agent carries out. The caller frees the text. */
+char *wire_direct_commands(uint64_t token, uint64_t incarnation, const struct command *commands,
 			   size_t count);
 
 /*
