--- a/src/core/autoscale/autoscale.c
+++ b/src/core/autoscale/autoscale.c
@@ -1,36 +1,10 @@
+/* The scan that scales the fleet, and its end with leadership. */
 #include "core/autoscale/autoscale.h"
 
 #include "core/autoscale/scale_in.h"
 #include "core/autoscale/scale_out.h"
 #include "core/state.h"
 
-bool cloud_request_allowed(struct core *core)
-{
-	struct rate_limiter *limiter = &core->autoscale.request_limiter;
-
-	rate_limiter_refill(core, limiter, core->conf->cloud_rps * CLOUD_SHARE);
-	if (limiter->tokens < 1)
-		return false;
-	limiter->tokens -= 1;
-	return true;
-}
-
-void cloud_note_answer(struct core *core, const struct call_answer *answer)
-{
-	if (answer->status != STATUS_OK)
-		core->autoscale.retry_at = core->now + CLOUD_BACKOFF_S;
-}
-
-/*
- * A guarantee is a standing promise of room, so room is kept standing for it. Without one, or
- * with an objective in money, machines are had for work and deleted after it.
- */
-bool autoscale_minimises_cost(const struct core *core)
-{
-	return !conf_has(core->conf, OBJECTIVE_GUARANTEE) ||
-	       conf_has(core->conf, OBJECTIVE_PRICE) || conf_has(core->conf, OBJECTIVE_USEFUL);
-}
-
 void autoscale_request_scan(struct core *core)
 {
 	core->autoscale.next_scan_at = core->now;
--- a/src/core/autoscale/autoscale.h
+++ b/src/core/autoscale/autoscale.h
@@ -10,6 +10,8 @@
 
 #include "core/autoscale/capacity_refusals.h"
 #include "core/autoscale/catalog_reader.h"
+#include "core/autoscale/cloud_link.h"
+#include "core/autoscale/cost_policy.h"
 #include "core/autoscale/inventory.h"
 #include "core/autoscale/rental_requests.h"
 #include "core/runtime/call.h"
@@ -34,12 +36,5 @@
 void autoscale_request_scan(struct core *core);
 /* Leadership ended: all but the catalog reader's state is dropped. */
 void autoscale_clear(struct core *core);
-/* Whether money is among the objectives, so that machines are had for work and deleted after it. */
-bool autoscale_minimises_cost(const struct core *core);
-
-/* Takes one request of the cloud's rate, which all requests share; false if none is left. */
-bool cloud_request_allowed(struct core *core);
-/* An answer came: all requests wait for a while after an error. */
-void cloud_note_answer(struct core *core, const struct call_answer *answer);
 
 #endif
--- a/src/core/autoscale/catalog_reader.c
+++ b/src/core/autoscale/catalog_reader.c
@@ -18,6 +18,7 @@
 	if (wire_types_decode(message, &types, &count))
 		return false;
 	catalog_set(core, types, count);
+	machines_apply_catalog(core);
 	return true;
 }
 
--- a/src/core/election/election.c
+++ b/src/core/election/election.c
@@ -8,8 +8,6 @@
 
 #include <stdio.h>
 
-#include "core/election/leader_key.h"
-#include "core/election/leader_lease.h"
 #include "core/state.h"
 #include "util/log.h"
 
@@ -147,16 +145,6 @@
 	election_reread(core);
 }
 
-void election_resign(struct core *core, enum step_down_reason reason)
-{
-	uint64_t lease = core->election.lease;
-
-	core->election.no_claim_before = core->now + LEADER_RESIGN_S;
-	election_step_down(core, reason);
-	core->election.lease = lease;
-	leader_lease_return(core);
-}
-
 void election_deposed(struct core *core, const char *leader)
 {
 	if (core->election.role == ROLE_FOLLOWER)
@@ -165,14 +153,3 @@
 	/* Agents are redirected there, though the key may be out of reach. */
 	snprintf(core->election.leader, sizeof(core->election.leader), "%s", leader);
 }
-
-void election_tick(struct core *core)
-{
-	leader_key_tick(core);
-	if (core->election.role == ROLE_FOLLOWER) {
-		leader_lease_claim_if_due(core);
-		return;
-	}
-	leader_lease_renew_if_due(core);
-	election_check_deadline(core);
-}
--- a/src/core/election/leader_lease.c
+++ b/src/core/election/leader_lease.c
@@ -159,3 +159,13 @@
 	    format_path(W_PATH_LEASES "/%llu" W_PATH_RENEW, (unsigned long long)election->lease),
 	    xstrdup("{}"), CALL_STORE_S, on_renewed, NULL);
 }
+
+void election_resign(struct core *core, enum step_down_reason reason)
+{
+	uint64_t lease = core->election.lease;
+
+	core->election.no_claim_before = core->now + LEADER_RESIGN_S;
+	election_step_down(core, reason);
+	core->election.lease = lease;
+	leader_lease_return(core);
+}
--- a/src/core/model/catalog.c
+++ b/src/core/model/catalog.c
@@ -32,7 +32,6 @@
 	catalog_free(core);
 	core->catalog.types = types;
 	core->catalog.type_count = count;
-	machines_apply_catalog(core);
 }
 
 void catalog_free(struct core *core)
--- a/src/core/model/catalog.h
+++ b/src/core/model/catalog.h
@@ -22,7 +22,10 @@
 const struct machine_type *catalog_type(const struct core *core, size_t index);
 /* NULL if the catalog has no type of this name. */
 const struct machine_type *catalog_find(const struct core *core, const char *name);
-/* Replaces the catalog, which owns the types from then on; machines refer to the new types. */
+/*
+ * Replaces the catalog, which owns the types from then on. Machines still refer to the old ones:
+ * machines_apply_catalog is to follow.
+ */
 void catalog_set(struct core *core, struct machine_type *types, size_t count);
 /* Frees the types; the catalog is not to be used afterwards, except by catalog_set. */
 void catalog_free(struct core *core);
