--- a/src/core/api/admission.c
+++ b/src/core/api/admission.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-#include "core/api/job_record.h"
+#include "core/records/job_record.h"
 #include "core/state.h"
 
 /* The text of a malformed description is the decoder's. */
--- a/src/core/api/cancel_requests.c
+++ b/src/core/api/cancel_requests.c
@@ -1,7 +1,7 @@
 #include "core/api/cancel_requests.h"
 
 #include "core/api/cancellations.h"
-#include "core/api/job_record.h"
+#include "core/records/job_record.h"
 #include "core/api/lookups.h"
 #include "core/api/user_requests.h"
 #include "core/state.h"
--- a/src/core/api/job_index.c
+++ b/src/core/api/job_index.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "core/api/job_record.h"
+#include "core/records/job_record.h"
 #include "core/state.h"
 #include "util/xalloc.h"
 
--- a/src/core/api/lookups.h
+++ b/src/core/api/lookups.h
@@ -7,7 +7,7 @@
 
 #include <stdbool.h>
 
-#include "core/api/job_record.h"
+#include "core/records/job_record.h"
 #include "core/api/user_requests.h"
 
 struct lookup_queue {
--- a/src/core/api/submissions.c
+++ b/src/core/api/submissions.c
@@ -3,7 +3,7 @@
 #include <math.h>
 #include <string.h>
 
-#include "core/api/job_record.h"
+#include "core/records/job_record.h"
 #include "core/api/lookups.h"
 #include "core/api/user_requests.h"
 #include "core/state.h"
--- a/src/core/api/job_record.c
+++ b/src/core/records/job_record.c
@@ -1,4 +1,4 @@
-#include "core/api/job_record.h"
+#include "core/records/job_record.h"
 
 #include <stdio.h>
 #include <string.h>
@@ -50,12 +50,28 @@
 	return bytes;
 }
 
-bool job_record_is_cancelled(json_t *value)
+int job_record_spec(const json_t *value, struct job_spec *spec, const char **field)
+{
+	return wire_job_decode(json_object_get(value, FIELD_SPEC), spec, field);
+}
+
+double job_record_submitted_at(const json_t *value)
+{
+	return json_number_value(json_object_get(value, FIELD_SUBMITTED_AT));
+}
+
+json_t *job_record_final_value(const struct job_outcome *outcome)
+{
+	return json_pack("{s:s,s:i}", FIELD_STATE, wire_job_state(outcome->state), FIELD_TASK_COUNT,
+			 (int)outcome->task_count);
+}
+
+bool job_record_is_cancelled(const json_t *value)
 {
 	return json_is_true(json_object_get(value, FIELD_CANCELLED));
 }
 
-struct job_outcome job_record_outcome(json_t *value)
+struct job_outcome job_record_outcome(const json_t *value)
 {
 	const char *state = json_string_value(json_object_get(value, FIELD_STATE));
 	bool done = state && !strcmp(state, W_JOB_DONE);
--- a/src/core/api/job_record.h
+++ b/src/core/records/job_record.h
@@ -1,6 +1,7 @@
 /*
- * The records of jobs in the state service, as users' requests read and write them: an open job's
- * (KEY_OPEN_JOBS) holds its description, a final one's (KEY_FINAL_JOBS) how it ended.
+ * The records of jobs in the state service, as submissions, cancellations and the leader write
+ * them: an open job's (KEY_OPEN_JOBS) holds its description, a final one's (KEY_FINAL_JOBS) how it
+ * ended.
  */
 #ifndef PLOVERLOFT_JOB_RECORD_H
 #define PLOVERLOFT_JOB_RECORD_H
@@ -29,9 +30,15 @@
 void job_record_drop_types(json_t *value);
 /* Bytes of an open job's record at most: a cancellation is noted in it later. */
 size_t job_record_bytes(const struct job_spec *spec, double submitted_at);
+/* 0, or -1 with the field that is wrong; either way the caller frees what the description holds. */
+int job_record_spec(const json_t *value, struct job_spec *spec, const char **field);
+/* When the job was submitted (wall). */
+double job_record_submitted_at(const json_t *value);
+/* The value of a final record, which the caller owns. */
+json_t *job_record_final_value(const struct job_outcome *outcome);
 /* A cancellation is noted in the value of an open job's record. */
-bool job_record_is_cancelled(json_t *value);
+bool job_record_is_cancelled(const json_t *value);
 /* What the value of a final record holds. */
-struct job_outcome job_record_outcome(json_t *value);
+struct job_outcome job_record_outcome(const json_t *value);
 
 #endif
--- a/src/core/records/jobs_watch.c
+++ b/src/core/records/jobs_watch.c
@@ -5,6 +5,7 @@
 
 #include <string.h>
 
+#include "core/records/job_record.h"
 #include "core/state.h"
 #include "util/log.h"
 
@@ -15,13 +16,13 @@
 	struct job *job;
 	const char *field;
 
-	if (wire_job_decode(json_object_get(value, "spec"), &spec, &field)) {
+	if (job_record_spec(value, &spec, &field)) {
 		log_error("record_unreadable", "job=%s field=%s", job_id, field);
 		wire_job_free(&spec);
 		return NULL;
 	}
 	job = job_add(core, &spec);
-	job->submitted_at = json_number_value(json_object_get(value, "at"));
+	job->submitted_at = job_record_submitted_at(value);
 	return job;
 }
 
@@ -38,7 +39,7 @@
 	 * During recovery, its bindings may not have been read yet: a job that seems to have none
 	 * would be closed at once, and its tasks run on with nobody to stop them.
 	 */
-	if (json_is_true(json_object_get(value, "cancelled"))) {
+	if (job_record_is_cancelled(value)) {
 		if (election_role(core) == ROLE_RECOVERING)
 			job->cancelled = true;
 		else
--- a/src/core/records/transaction_conflict.c
+++ b/src/core/records/transaction_conflict.c
@@ -6,6 +6,7 @@
 #include <string.h>
 
 #include "core/records/transaction.h"
+#include "core/records/job_record.h"
 #include "core/state.h"
 
 /* The state service returned the key's value, or said that it is absent. */
@@ -37,7 +38,7 @@
 	if (!value)
 		return;
 	job->record_version = version;
-	if (json_is_true(json_object_get(value, "cancelled")))
+	if (job_record_is_cancelled(value))
 		job_cancel(core, job);
 }
 
@@ -55,7 +56,7 @@
 			if (!strcmp(write_key, key))
 				job->records.chunks[write->chunk_index].version = entry->version;
 		} else if (write->kind == WRITE_FINAL) {
-			store_open_job_key(write_key, job->spec.id);
+			job_record_key(write_key, RECORD_OPEN, job->spec.id);
 			if (!strcmp(write_key, key))
 				adopt_open_job(core, job, entry->value, entry->version);
 		}
@@ -110,7 +111,7 @@
 		if (write->kind == WRITE_CHUNK)
 			task_record_key(key, write->job, write->chunk_index);
 		else
-			store_open_job_key(key, write->job->spec.id);
+			job_record_key(key, RECORD_OPEN, write->job->spec.id);
 		transaction->reads_in_flight++;
 		store_get(core, key, on_written_key, NULL);
 	}
--- a/src/core/records/write_ops.c
+++ b/src/core/records/write_ops.c
@@ -3,6 +3,7 @@
  */
 #include "core/records/write_ops.h"
 
+#include "core/records/job_record.h"
 #include "core/state.h"
 
 #define FINAL_OPS 2 /* changes of a job's end beside its chunks: the open record and the final */
@@ -47,15 +48,14 @@
 static void add_final(struct txn *txn, const struct job *job, int max_ops)
 {
 	char open_key[KEY_MAX], final_key[KEY_MAX];
-	const char *state = wire_job_state(final_record_state(job));
+	struct job_outcome outcome = {final_record_state(job), job->spec.task_count};
 
-	store_open_job_key(open_key, job->spec.id);
-	store_final_job_key(final_key, job->spec.id);
+	job_record_key(open_key, RECORD_OPEN, job->spec.id);
+	job_record_key(final_key, RECORD_FINAL, job->spec.id);
 	txn_guard(txn, open_key, job->record_version);
 	txn_guard(txn, final_key, 0);
 	txn_drop(txn, open_key);
-	txn_put(txn, final_key,
-		json_pack("{s:s,s:i}", "state", state, "tasks", (int)job->spec.task_count), 0);
+	txn_put(txn, final_key, job_record_final_value(&outcome), 0);
 	add_idle_chunks(txn, job, max_ops);
 }
 
--- a/src/core/scheduling/share_switching_leader.c
+++ b/src/core/scheduling/share_switching_leader.c
@@ -174,7 +174,7 @@
 
 static void on_part_answer(struct core *core, struct call *call, const struct call_answer *answer)
 {
-	size_t peer = (size_t)(uintptr_t)call->arg;
+	size_t peer = peer_of_call(call);
 
 	if (election_call_is_stale(core, call))
 		return;
@@ -189,8 +189,7 @@
 	uint8_t *message = pack_part(core, controller, &len);
 
 	if (controller < core->conf->peer_count) {
-		core_call_packed(core, core->conf->peers[controller].addr, SHARE_SWITCHING_PATH,
-				 message, len, on_part_answer, (void *)(uintptr_t)controller);
+		peer_send(core, controller, SHARE_SWITCHING_PATH, message, len, on_part_answer);
 		return;
 	}
 	share_switching_decide(core, 0, message, len);
--- a/src/core/store/store_client.c
+++ b/src/core/store/store_client.c
@@ -8,18 +8,6 @@
 #include "core/state.h"
 #include "wire/names.h"
 
-/* --- keys --- */
-
-void store_open_job_key(char key[KEY_MAX], const char *job_id)
-{
-	snprintf(key, KEY_MAX, KEY_OPEN_JOBS "%s", job_id);
-}
-
-void store_final_job_key(char key[KEY_MAX], const char *job_id)
-{
-	snprintf(key, KEY_MAX, KEY_FINAL_JOBS "%s", job_id);
-}
-
 /* --- whether it serves this controller --- */
 
 void store_note_answer(struct core *core, const struct call_answer *answer)
--- a/src/core/store/store_client.h
+++ b/src/core/store/store_client.h
@@ -14,11 +14,6 @@
 #define KEY_OPEN_JOBS "u/j/"
 #define KEY_FINAL_JOBS "u/f/"
 
-/* Writes the key of the record of an open job. */
-void store_open_job_key(char key[KEY_MAX], const char *job_id);
-/* Writes the key of the final record of a job. */
-void store_final_job_key(char key[KEY_MAX], const char *job_id);
-
 /* Reads one key. The call keeps it in `key`. */
 struct call *store_get(struct core *core, const char *key, answer_fn on_answer, void *arg);
 /* Reads one page of the keys with the prefix, from behind `after` on; NULL or empty: the first. */
