--- a/tests/loopback.c
+++ b/tests/loopback.c
@@ -74,17 +74,18 @@
 	(void)side;
 	(void)len;
 	if (v->index == 0)
-		si_state_request(&v->s->si, 0, handle, method, path, body);
+		standin_state_request(&v->s->si, 0, handle, method, path, body);
 	else if (v->index == 1)
-		si_cloud_request(&v->s->si, handle, method, path, body);
+		standin_cloud_request(&v->s->si, handle, method, path, body);
 	else
-		si_worker_request(&v->s->si, &v->s->si.machines[v->index - 2], handle, path, body);
+		standin_agent_request(&v->s->si, &v->s->si.machines[v->index - 2], handle, path,
+				      body);
 }
 
 static void si_report(void *ctx, int machine, int node, const char *body)
 {
 	struct loopback *s = ctx;
-	const struct si_machine *m = &s->si.machines[machine];
+	const struct standin_machine *m = &s->si.machines[machine];
 	struct net_call call = {(uint64_t)CALL_REPORT << 56 | (uint64_t)machine << 40 | m->seq,
 				s->front[node],
 				"POST",
@@ -109,21 +110,21 @@
 	switch ((enum call_kind)(id >> 56)) {
 	case CALL_REPORT: {
 		int machine = (int)(id >> 40 & 0xffff);
-		struct si_machine *m = &s->si.machines[machine];
+		struct standin_machine *m = &s->si.machines[machine];
 
 		if (m->report_seq == (id & 0xffffffffffull))
-			si_worker_answer(&s->si, machine, m->report_session, m->report_seq,
-					 status > 0 ? status : 503, len ? body : "{}");
+			standin_agent_answer(&s->si, machine, m->report_session, m->report_seq,
+					     status > 0 ? status : 503, len ? body : "{}");
 		break;
 	}
 	case CALL_SUBMIT:
-		si_told_submit(&s->si, name, status);
+		standin_submission_answered(&s->si, name, status);
 		break;
 	case CALL_CANCEL:
-		si_told_cancel(&s->si, name, status, text, s->si.now);
+		standin_cancellation_answered(&s->si, name, status, text, s->si.now);
 		break;
 	case CALL_POLL:
-		si_told_state(&s->si, name, status, text, s->si.now);
+		standin_lookup_answered(&s->si, name, status, text, s->si.now);
 		s->done[id & 0xff] |=
 		    strstr(text, "\"" W_JOB_DONE "\"}") || strstr(text, ":\"" W_JOB_DONE "\"");
 		break;
@@ -152,12 +153,12 @@
 	json_t *o;
 
 	snprintf(name, sizeof(name), W_JOB_PREFIX "%d", job);
-	o = wire_job_encode(&si_job(&s->si, name)->spec);
+	o = wire_job_encode(&standin_job_find(&s->si, name)->spec);
 	body = json_dumps(o, JSON_COMPACT);
 	json_decref(o);
 	if (!body)
 		abort();
-	si_job(&s->si, name)->asked = true;
+	standin_job_find(&s->si, name)->asked = true;
 	user_call(s, CALL_SUBMIT, job, node, "POST", W_PATH_JOBS, body);
 	free(body);
 }
@@ -175,7 +176,7 @@
 	char path[64], name[ID_MAX];
 
 	snprintf(name, sizeof(name), W_JOB_PREFIX "%d", job);
-	si_job(&s->si, name)->cancel_asked = true;
+	standin_job_find(&s->si, name)->cancel_asked = true;
 	snprintf(path, sizeof(path), W_PATH_JOBS "/%s" W_PATH_CANCEL, name);
 	user_call(s, CALL_CANCEL, job, node, "POST", path, "");
 }
@@ -249,7 +250,7 @@
 
 void loopback_job(struct loopback *s, int job, enum job_kind kind, uint32_t tasks, double run_s)
 {
-	struct si_job *j = calloc(1, sizeof(*j));
+	struct standin_job *j = calloc(1, sizeof(*j));
 
 	if (!j)
 		abort();
@@ -272,7 +273,7 @@
 	double from = net_now(), t;
 
 	while ((t = net_now()) - from < seconds) {
-		si_tick(&s->si, t);
+		standin_tick(&s->si, t);
 		net_poll(s->net, 0.005);
 		for (int i = 0; i < 2 + LOOPBACK_MACHINES; i++)
 			net_poll(s->servers[i], 0);
@@ -294,7 +295,7 @@
 
 const char *loopback_leader(struct loopback *s, const char *key)
 {
-	struct si_key *found;
+	struct standin_key *found;
 
 	HASH_FIND_STR(s->si.state.keys, key, found);
 	return found ? json_string_value(json_object_get(found->value, "name")) : NULL;
@@ -303,7 +304,7 @@
 int loopback_init(struct loopback *s)
 {
 	static const struct net_ops server_ops = {on_request, NULL}, user_ops = {NULL, on_reply};
-	static const struct si_ops si_ops = {si_reply, si_report};
+	static const struct standin_callbacks si_ops = {si_reply, si_report};
 	static struct conf_team team = {.name = "core"};
 	struct machine_type type = {.name = "g",
 				    .cpus = LOOPBACK_MACHINE_CPUS,
@@ -332,8 +333,8 @@
 	s->conf.gang_peer_s = 5;
 	s->conf.cancel_s = 30;
 	s->conf.list_lag_s = 1;
-	si_init(&s->si, &si_ops, s, &s->conf);
-	si_type(&s->si, &type, 0, false);
+	standin_init(&s->si, &si_ops, s, &s->conf);
+	standin_type_add(&s->si, &type, 0, false);
 	s->si.now = net_now();
 	s->si.nnodes = LOOPBACK_NODES;
 	for (int i = 0; i < LOOPBACK_NODES; i++) {
@@ -349,7 +350,7 @@
 		if (net_listen(s->servers[i], NET_FRONT, s->addrs[i]))
 			return -1;
 		if (i >= 2) {
-			struct si_machine *m = si_machine(&s->si, "g", "a", false);
+			struct standin_machine *m = standin_machine_add(&s->si, "g", "a", false);
 
 			snprintf(m->addr, sizeof(m->addr), "%s", s->addrs[i]);
 			m->up_at = s->si.now;
@@ -366,5 +367,5 @@
 	for (int i = 0; i < 2 + LOOPBACK_MACHINES; i++)
 		net_free(s->servers[i]);
 	net_free(s->net);
-	si_free(&s->si);
+	standin_free(&s->si);
 }
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -9,7 +9,7 @@
 
 #include "conf/conf.h"
 #include "net/net.h"
-#include "standin.h"
+#include "standins/standin.h"
 
 #define LOOPBACK_NODES 3
 #define LOOPBACK_MACHINES 3
--- a/tests/rollout.c
+++ b/tests/rollout.c
@@ -46,12 +46,12 @@
 	return true;
 }
 
-static const struct si_job *job_of(struct loopback *s, int job)
+static const struct standin_job *job_of(struct loopback *s, int job)
 {
 	char id[ID_MAX];
 
 	snprintf(id, sizeof(id), "job-%d", job);
-	return si_job(&s->si, id);
+	return standin_job_find(&s->si, id);
 }
 
 uint32_t rollout_running(struct loopback *s, int job)
@@ -59,7 +59,7 @@
 	uint32_t n = 0;
 
 	for (int i = 0; i < s->si.nmachines; i++)
-		for (struct si_task *t = s->si.machines[i].tasks; t; t = t->next)
+		for (struct standin_task *t = s->si.machines[i].tasks; t; t = t->next)
 			n += t->state == TASK_RUNNING && !strcmp(t->job, job_of(s, job)->spec.id);
 	return n;
 }
@@ -107,7 +107,7 @@
 
 void rollout_submit(struct loopback *s, int job)
 {
-	const struct si_job *known = job_of(s, job);
+	const struct standin_job *known = job_of(s, job);
 
 	for (int i = 0; !known->accepted && i < 40; i++) {
 		loopback_submit(s, job, i % LOOPBACK_NODES);
@@ -117,7 +117,7 @@
 
 void rollout_cancel(struct loopback *s, int job)
 {
-	const struct si_job *known = job_of(s, job);
+	const struct standin_job *known = job_of(s, job);
 
 	for (int i = 0; !known->told_cancelled && i < 40; i++) {
 		loopback_cancel(s, job, i % LOOPBACK_NODES);
--- a/tests/runner/clients.c
+++ b/tests/runner/clients.c
@@ -54,7 +54,7 @@
 
 static void send_submission(struct world *world, struct client_request *client, int controller)
 {
-	struct si_job *job = si_job(&world->standin, client->job);
+	struct standin_job *job = standin_job_find(&world->standin, client->job);
 	json_t *spec = wire_job_encode(&job->spec);
 	char *body = json_dumps(spec, JSON_COMPACT);
 
@@ -74,7 +74,7 @@
 
 static void send_cancellation(struct world *world, struct client_request *client, int controller)
 {
-	struct si_job *job = si_job(&world->standin, client->job);
+	struct standin_job *job = standin_job_find(&world->standin, client->job);
 	char path[HTTP_PATH_MAX];
 
 	snprintf(path, sizeof(path), W_PATH_JOBS "/%s%s", client->job, W_PATH_CANCEL);
@@ -146,18 +146,18 @@
 
 	switch (client->kind) {
 	case CLIENT_SUBMIT:
-		si_told_submit(standin, client->job, answer->status);
+		standin_submission_answered(standin, client->job, answer->status);
 		if (accepted)
-			si_told_state(standin, client->job, ANSWER_OK, answer->body,
-				      client->sent_at_s);
+			standin_lookup_answered(standin, client->job, ANSWER_OK, answer->body,
+						client->sent_at_s);
 		break;
 	case CLIENT_POLL:
-		si_told_state(standin, client->job, answer->status, answer->body,
-			      client->sent_at_s);
+		standin_lookup_answered(standin, client->job, answer->status, answer->body,
+					client->sent_at_s);
 		break;
 	case CLIENT_CANCEL:
-		si_told_cancel(standin, client->job, answer->status, answer->body,
-			       client->sent_at_s);
+		standin_cancellation_answered(standin, client->job, answer->status, answer->body,
+					      client->sent_at_s);
 		break;
 	case CLIENT_RAW:
 		break;
@@ -214,7 +214,7 @@
 
 void clients_tick(struct world *world)
 {
-	struct si_job *job, *next;
+	struct standin_job *job, *next;
 
 	retry_unanswered(world);
 	HASH_ITER (hh, world->standin.jobs, job, next)
@@ -225,12 +225,12 @@
 void clients_cancel_at_end(struct world *world)
 {
 	char id[ID_MAX];
-	const struct si_job *job;
+	const struct standin_job *job;
 
 	if (!world->cancel_at_end)
 		return;
 	snprintf(id, sizeof(id), W_JOB_PREFIX "%06d", world->cancel_at_end);
-	job = si_job(&world->standin, id);
+	job = standin_job_find(&world->standin, id);
 	if (!job || job->ndone < job->spec.task_count)
 		return;
 	world->cancel_at_end = 0;
--- a/tests/runner/controllers.c
+++ b/tests/runner/controllers.c
@@ -159,7 +159,7 @@
 
 struct controller *controller_of_host(struct world *world, int host)
 {
-	return host < SI_NODES ? &world->controllers[host] : NULL;
+	return host < STANDIN_CONTROLLERS_MAX ? &world->controllers[host] : NULL;
 }
 
 int controller_leader(struct world *world)
--- a/tests/runner/delivery.c
+++ b/tests/runner/delivery.c
@@ -86,16 +86,16 @@
 
 static void deliver_machine_request(struct world *world, const struct message *message)
 {
-	struct si_machine *machine = &world->standin.machines[message->to - HOST_MACHINES];
+	struct standin_machine *machine = &world->standin.machines[message->to - HOST_MACHINES];
 
-	if (machine->power != SI_UP)
+	if (machine->power != POWER_UP)
 		return;
 	if (machine->hanging) {
 		wait_for_machine(world, message);
 		return;
 	}
-	si_worker_request(&world->standin, machine, service_request_new(message), message->path,
-			  message->body);
+	standin_agent_request(&world->standin, machine, service_request_new(message), message->path,
+			      message->body);
 }
 
 static void deliver_request(struct world *world, const struct message *message)
@@ -103,11 +103,11 @@
 	if (message->to < HOST_STATE)
 		deliver_peer_request(world, message);
 	else if (message->to == HOST_STATE)
-		si_state_request(&world->standin, message->from, service_request_new(message),
-				 message->method, message->path, message->body);
+		standin_state_request(&world->standin, message->from, service_request_new(message),
+				      message->method, message->path, message->body);
 	else if (message->to == HOST_CLOUD)
-		si_cloud_request(&world->standin, service_request_new(message), message->method,
-				 message->path, message->body);
+		standin_cloud_request(&world->standin, service_request_new(message),
+				      message->method, message->path, message->body);
 	else
 		deliver_machine_request(world, message);
 }
@@ -134,7 +134,7 @@
 
 void service_requests_free(struct world *world)
 {
-	for (struct si_watch *watch = world->standin.state.watches; watch; watch = watch->next)
+	for (struct standin_watch *watch = world->standin.state.watches; watch; watch = watch->next)
 		free((struct service_request *)(uintptr_t)watch->handle);
 }
 
@@ -188,11 +188,11 @@
 static void deliver_report_reply(struct world *world, const struct message *message)
 {
 	int index = message->to - HOST_MACHINES;
-	const struct si_machine *machine = &world->standin.machines[index];
+	const struct standin_machine *machine = &world->standin.machines[index];
 
 	if (report_connection_is(message->id, machine->report_seq))
-		si_worker_answer(&world->standin, index, machine->report_session,
-				 machine->report_seq, message->status, message->body);
+		standin_agent_answer(&world->standin, index, machine->report_session,
+				     machine->report_seq, message->status, message->body);
 }
 
 /* --- replies to controllers and clients --- */
--- a/tests/runner/delivery.h
+++ b/tests/runner/delivery.h
@@ -8,8 +8,8 @@
 void deliver_message(struct world *world, struct message *message);
 
 /*
- * The stand-ins' callbacks (struct si_ops); `context` is the world. The handle is the one that came
- * with the request, and is freed. Bodies are copied.
+ * The stand-ins' callbacks (struct standin_callbacks); `context` is the world. The handle is the
+ * one that came with the request, and is freed. Bodies are copied.
  */
 void standin_reply(void *context, uint64_t handle, int status, const char *body);
 void standin_report(void *context, int machine, int controller, const char *body);
--- a/tests/runner/expectations.c
+++ b/tests/runner/expectations.c
@@ -18,38 +18,38 @@
 /* --- of one job, whose number is the argument --- */
 
 /* NULL if it was never submitted. */
-static const struct si_job *job_numbered(struct world *world, const char *number)
+static const struct standin_job *job_numbered(struct world *world, const char *number)
 {
 	char id[ID_MAX];
 
 	format_job_id(id, atoi(number));
-	return si_job(&world->standin, id);
+	return standin_job_find(&world->standin, id);
 }
 
 static double client_knows_done(struct world *world, const char *argument)
 {
-	const struct si_job *job = job_numbered(world, argument);
+	const struct standin_job *job = job_numbered(world, argument);
 
 	return job && job->told_done;
 }
 
 static double client_knows_cancelled(struct world *world, const char *argument)
 {
-	const struct si_job *job = job_numbered(world, argument);
+	const struct standin_job *job = job_numbered(world, argument);
 
 	return job && job->told_cancelled;
 }
 
 static double tasks_done(struct world *world, const char *argument)
 {
-	const struct si_job *job = job_numbered(world, argument);
+	const struct standin_job *job = job_numbered(world, argument);
 
 	return job ? job->ndone : NO_SUCH_JOB;
 }
 
 static double task_starts(struct world *world, const char *argument)
 {
-	const struct si_job *job = job_numbered(world, argument);
+	const struct standin_job *job = job_numbered(world, argument);
 
 	return job ? job->starts : NO_SUCH_JOB;
 }
@@ -57,7 +57,7 @@
 /* Tasks shown as running by the newest answer to its client. */
 static double tasks_shown_running(struct world *world, const char *argument)
 {
-	const struct si_job *job = job_numbered(world, argument);
+	const struct standin_job *job = job_numbered(world, argument);
 
 	return job ? job->shown_running : NO_SUCH_JOB;
 }
@@ -65,7 +65,7 @@
 /* Share of a service's replica time in which a replica ran. */
 static double served_share(struct world *world, const char *argument)
 {
-	const struct si_job *job = job_numbered(world, argument);
+	const struct standin_job *job = job_numbered(world, argument);
 
 	return job && job->replica_s > 0 ? job->served_s / job->replica_s : 0;
 }
@@ -73,7 +73,7 @@
 /* Seconds from its acceptance until it began. */
 static double wait_time(struct world *world, const char *argument)
 {
-	const struct si_job *job = job_numbered(world, argument);
+	const struct standin_job *job = job_numbered(world, argument);
 
 	return job && job->began_at >= 0 ? job->began_at - job->accepted_at : INFINITY;
 }
@@ -86,7 +86,7 @@
 
 	format_job_id(id, atoi(argument));
 	for (int i = 0; i < world->standin.nmachines; i++) {
-		const struct si_task *task = world->standin.machines[i].tasks;
+		const struct standin_task *task = world->standin.machines[i].tasks;
 
 		for (; task; task = task->next)
 			count += task->state == TASK_RUNNING && !strcmp(task->job, id);
@@ -145,7 +145,7 @@
 /* puts, toolarge, requests or refused */
 static double state_service_count(struct world *world, const char *argument)
 {
-	const struct si_state *state = &world->standin.state;
+	const struct standin_state_service *state = &world->standin.state;
 
 	if (!strcmp(argument, "puts"))
 		return (double)state->puts;
@@ -159,7 +159,7 @@
 /* Records whose key begins with the argument. */
 static double keys_with_prefix(struct world *world, const char *argument)
 {
-	const struct si_key *key = world->standin.state.keys;
+	const struct standin_key *key = world->standin.state.keys;
 	int count = 0;
 
 	for (; key; key = key->hh.next)
@@ -201,9 +201,10 @@
 	int count = 0;
 
 	for (int i = 0; i < world->standin.nmachines; i++) {
-		const struct si_machine *machine = &world->standin.machines[i];
+		const struct standin_machine *machine = &world->standin.machines[i];
 
-		count += machine->power == SI_UP && (any || !strcmp(machine->type->name, argument));
+		count +=
+		    machine->power == POWER_UP && (any || !strcmp(machine->type->name, argument));
 	}
 	return count;
 }
@@ -288,9 +289,9 @@
 {
 	struct standin *standin = &world->standin;
 
-	si_check_served(standin);
+	standin_check_served(standin);
 	if (!standin->starts_total)
-		si_broken(standin, RULE_NOTHING_RAN, "no start");
+		standin_rule_broken(standin, RULE_NOTHING_RAN, "no start");
 	for (int rule = 0; rule < RULES; rule++)
 		if (standin->broken[rule] && !strstr(permitted, rule_names[rule]))
 			world_fail(world, "rule broken: %s", standin->why);
--- a/tests/runner/faults.c
+++ b/tests/runner/faults.c
@@ -105,7 +105,7 @@
 		world->standin.cloud.down = begins(line);
 		return;
 	}
-	si_state_outage(&world->standin, true);
+	standin_state_outage(&world->standin, true);
 	world->state_outage_until_s = end_time(world, line);
 }
 
@@ -279,7 +279,7 @@
 /* --- machines --- */
 
 typedef void machine_fault(struct world *world, const struct scenario_line *line,
-			   struct si_machine *machine);
+			   struct standin_machine *machine);
 
 /* Applies a fault to machine K, or to the machines K..L. */
 static void for_machines(struct world *world, const struct scenario_line *line,
@@ -293,10 +293,10 @@
 }
 
 static void kill_one(struct world *world, const struct scenario_line *line,
-		     struct si_machine *machine)
+		     struct standin_machine *machine)
 {
 	(void)line;
-	si_machine_off(&world->standin, machine, false);
+	standin_machine_off(&world->standin, machine, false);
 }
 
 /* kill K: it loses its power */
@@ -306,10 +306,10 @@
 }
 
 static void take_one(struct world *world, const struct scenario_line *line,
-		     struct si_machine *machine)
+		     struct standin_machine *machine)
 {
 	(void)line;
-	si_machine_off(&world->standin, machine, true);
+	standin_machine_off(&world->standin, machine, true);
 }
 
 /* take K: the cloud takes it back */
@@ -319,10 +319,10 @@
 }
 
 static void restart_one(struct world *world, const struct scenario_line *line,
-			struct si_machine *machine)
+			struct standin_machine *machine)
 {
 	(void)line;
-	si_machine_restart(&world->standin, machine);
+	standin_machine_restart(&world->standin, machine);
 }
 
 /* restart K: back at once, all forgotten */
@@ -332,7 +332,7 @@
 }
 
 static void notify_one(struct world *world, const struct scenario_line *line,
-		       struct si_machine *machine)
+		       struct standin_machine *machine)
 {
 	machine->notice_until = world->now_s + line_option_number(line, "for", DEFAULT_NOTICE_S);
 	machine->changed = true;
@@ -345,7 +345,7 @@
 }
 
 static void hang_one(struct world *world, const struct scenario_line *line,
-		     struct si_machine *machine)
+		     struct standin_machine *machine)
 {
 	(void)world;
 	machine->hanging = begins(line);
--- a/tests/runner/outbox.c
+++ b/tests/runner/outbox.c
@@ -18,7 +18,7 @@
 /* The host that listens at an address; HOST_ANY if none does. */
 static int host_at_address(struct world *world, const char *address)
 {
-	const struct si_machine *machine;
+	const struct standin_machine *machine;
 
 	if (!strcmp(address, world->conf.state))
 		return HOST_STATE;
@@ -27,7 +27,7 @@
 	for (int i = 0; i < world->controller_count; i++)
 		if (!strcmp(address, world->controllers[i].conf.back))
 			return i;
-	machine = si_machine_at(&world->standin, address);
+	machine = standin_machine_at(&world->standin, address);
 	return machine ? HOST_MACHINES + (int)(machine - world->standin.machines) : HOST_ANY;
 }
 
--- a/tests/runner/requests.c
+++ b/tests/runner/requests.c
@@ -74,7 +74,7 @@
 /* Tells the stand-ins of a job, unless they know it already. */
 static void declare_job(struct world *world, const struct scenario_line *line, const char *id)
 {
-	struct si_job *job = si_job(&world->standin, id);
+	struct standin_job *job = standin_job_find(&world->standin, id);
 
 	if (job)
 		return;
@@ -160,12 +160,13 @@
 
 	format_job_id(id, line_integer(line, 2));
 	if (!strcmp(what, "start"))
-		si_force_start(standin, &standin->machines[line_integer(line, 3)], id,
-			       (uint32_t)line_integer(line, 4));
+		standin_force_start(standin, &standin->machines[line_integer(line, 3)], id,
+				    (uint32_t)line_integer(line, 4));
 	else if (!strcmp(what, "accept"))
-		si_told_submit(standin, id, ANSWER_CREATED);
+		standin_submission_answered(standin, id, ANSWER_CREATED);
 	else
-		si_told_state(standin, id, line_integer(line, 3), line_word(line, 4), world->now_s);
+		standin_lookup_answered(standin, id, line_integer(line, 3), line_word(line, 4),
+					world->now_s);
 }
 
 const struct scenario_keyword request_keywords[] = {
--- a/tests/runner/setup.c
+++ b/tests/runner/setup.c
@@ -24,7 +24,7 @@
 }
 
 /* What the state service allows from now on; limits of 0 stay as they are. */
-static void apply_limits(struct si_state *state, const struct conf_limits *limits)
+static void apply_limits(struct standin_state_service *state, const struct conf_limits *limits)
 {
 	if (limits->txn_ops)
 		state->txn_ops = limits->txn_ops;
@@ -146,7 +146,7 @@
 	type.spot_price = line_option_number(line, "spotprice", type.price / 3);
 	type.boot_s = line_option_number(line, "boot", 5);
 	add_zones(&type.zones, line_option(line, "zones", "a"));
-	si_type(&world->standin, &type, capacity, line_option_set(line, "reuse"));
+	standin_type_add(&world->standin, &type, capacity, line_option_set(line, "reuse"));
 }
 
 /* team NAME cpus= cpus_max= gpus= gpus_max= */
@@ -167,9 +167,9 @@
 	int count = line_integer(line, 2);
 
 	for (int i = 0; i < count; i++) {
-		struct si_machine *machine =
-		    si_machine(&world->standin, type, line_option(line, "zone", "a"),
-			       line_option_set(line, "spot"));
+		struct standin_machine *machine =
+		    standin_machine_add(&world->standin, type, line_option(line, "zone", "a"),
+					line_option_set(line, "spot"));
 
 		machine->up_at = line_option_number(line, "up", 0);
 		machine->faulty = line_option_set(line, "faulty");
--- a/tests/runner/world.c
+++ b/tests/runner/world.c
@@ -48,7 +48,7 @@
 
 void world_init(struct world *world, const char *scenario_path)
 {
-	static const struct si_ops operations = {standin_reply, standin_report};
+	static const struct standin_callbacks operations = {standin_reply, standin_report};
 
 	memset(world, 0, sizeof(*world));
 	world->scenario_path = scenario_path;
@@ -56,7 +56,7 @@
 	world->seed = 1;
 	world->random_state[0] = 7;
 	default_conf(&world->conf);
-	si_init(&world->standin, &operations, world, &world->conf);
+	standin_init(&world->standin, &operations, world, &world->conf);
 }
 
 void world_free(struct world *world)
@@ -69,7 +69,7 @@
 		free(world->captured_reports[i]);
 	peer_requests_free(world);
 	service_requests_free(world);
-	si_free(&world->standin);
+	standin_free(&world->standin);
 	conf_free(&world->conf);
 }
 
@@ -132,14 +132,14 @@
 		network_deliver_until(world, next_s);
 		world->now_s = next_s;
 		if (world->standin.state.down && next_s >= world->state_outage_until_s)
-			si_state_outage(&world->standin, false);
-		si_tick(&world->standin, next_s);
+			standin_state_outage(&world->standin, false);
+		standin_tick(&world->standin, next_s);
 		controllers_tick(world);
 		if (second_began(next_s)) {
 			clients_tick(world);
-			si_check_room(&world->standin, world->quiet_since_s);
+			standin_check_room(&world->standin, world->quiet_since_s);
 		}
 		clients_cancel_at_end(world);
-		si_check_answers(&world->standin, world->quiet_since_s);
+		standin_check_answers(&world->standin, world->quiet_since_s);
 	}
 }
--- a/tests/runner/world.h
+++ b/tests/runner/world.h
@@ -17,7 +17,7 @@
 #include "conf/conf.h"
 #include "core/core.h"
 #include "core_inspection.h"
-#include "standin.h"
+#include "standins/standin.h"
 
 #define CAPTURED_REPORTS 8 /* machines whose report can be captured */
 #define STATUS_COUNT 600   /* HTTP statuses are below */
@@ -137,7 +137,7 @@
 	double now_s;
 	struct conf conf; /* from which the controllers' own are made */
 	struct standin standin;
-	struct controller controllers[SI_NODES];
+	struct controller controllers[STANDIN_CONTROLLERS_MAX];
 	int controller_count;
 	bool started; /* the controllers were started */
 
--- a/tests/standin_workers.c
+++ b/tests/standins/agents.c
@@ -6,9 +6,9 @@
 #include "conf/conf.h"
 #include "core/state.h"
 #include "wire/names.h"
-#include "standin_private.h"
+#include "standins/private.h"
 
-struct si_machine *si_machine_at(struct standin *s, const char *addr)
+struct standin_machine *standin_machine_at(struct standin *s, const char *addr)
 {
 	int high, low;
 
@@ -25,9 +25,10 @@
 	return NULL;
 }
 
-struct si_machine *si_machine(struct standin *s, const char *type, const char *zone, bool spot)
+struct standin_machine *standin_machine_add(struct standin *s, const char *type, const char *zone,
+					    bool spot)
 {
-	struct si_machine *m;
+	struct standin_machine *m;
 
 	if (s->nmachines == s->machines_cap)
 		abort();
@@ -43,7 +44,7 @@
 	if (!m->type)
 		abort();
 	m->spot = spot;
-	m->power = SI_BOOTING;
+	m->power = POWER_BOOTING;
 	m->rented_at = s->now;
 	m->up_at = s->now + m->type->boot_s;
 	m->notice_until = -1;
@@ -51,40 +52,40 @@
 	return m;
 }
 
-static void worker_up(struct standin *s, struct si_machine *m)
+static void worker_up(struct standin *s, struct standin_machine *m)
 {
-	m->power = SI_UP;
+	m->power = POWER_UP;
 	m->session = 1;
 	m->lease_from = s->now;
 	m->next_report = s->now;
 	m->node = (int)((m - s->machines) % s->nnodes);
 }
 
-static void free_task(struct si_task *t)
+static void free_task(struct standin_task *t)
 {
 	if (t->of)
 		DL_DELETE2(t->of->tasks, t, jprev, jnext);
 	free(t);
 }
 
-void drop_tasks(struct si_machine *m)
+void drop_tasks(struct standin_machine *m)
 {
 	while (m->tasks) {
-		struct si_task *t = m->tasks;
+		struct standin_task *t = m->tasks;
 
 		m->tasks = t->next;
 		free_task(t);
 	}
 }
 
-void si_machine_off(struct standin *s, struct si_machine *m, bool deleted)
+void standin_machine_off(struct standin *s, struct standin_machine *m, bool deleted)
 {
-	m->power = deleted ? SI_DELETED : SI_OFF;
+	m->power = deleted ? POWER_DELETED : POWER_OFF;
 	m->off_at = s->now;
 	drop_tasks(m);
 }
 
-void si_machine_restart(struct standin *s, struct si_machine *m)
+void standin_machine_restart(struct standin *s, struct standin_machine *m)
 {
 	drop_tasks(m);
 	m->session = 1;
@@ -94,12 +95,12 @@
 	m->next_report = s->now + 0.2;
 }
 
-static json_t *report(struct standin *s, struct si_machine *m)
+static json_t *report(struct standin *s, struct standin_machine *m)
 {
 	json_t *tasks = json_array(), *o;
 
 	m->seq++;
-	for (struct si_task *t = m->tasks; t; t = t->next) {
+	for (struct standin_task *t = m->tasks; t; t = t->next) {
 		static const char *const states[] = {W_TASK_FETCHING, W_TASK_WAITING,
 						     W_TASK_RUNNING, W_TASK_SAVING, W_TASK_EXITED};
 		static const char *const whys[] = {
@@ -124,19 +125,19 @@
 	return o;
 }
 
-static void exit_task(struct si_machine *m, struct si_task *t, enum task_end_reason why)
+static void exit_task(struct standin_machine *m, struct standin_task *t, enum task_end_reason why)
 {
 	t->state = TASK_EXITED;
 	t->why = why;
 	m->changed = true;
 }
 
-static bool done_before(const struct si_job *j, uint32_t task)
+static bool done_before(const struct standin_job *j, uint32_t task)
 {
 	return j->done[task / 8] >> (task % 8) & 1;
 }
 
-static void mark_done(struct si_job *j, uint32_t task)
+static void mark_done(struct standin_job *j, uint32_t task)
 {
 	if (done_before(j, task))
 		return;
@@ -144,16 +145,16 @@
 	j->ndone++;
 }
 
-static enum task_end_reason refuse(struct standin *s, struct si_machine *m, const char *job,
+static enum task_end_reason refuse(struct standin *s, struct standin_machine *m, const char *job,
 				   uint32_t task)
 {
-	struct si_job *j = si_job(s, job);
+	struct standin_job *j = standin_job_find(s, job);
 	double cpus = m->type->cpus, gpus = m->type->gpus, mem = m->type->mem_gb;
 
 	if (!j || !j->asked || task >= j->spec.task_count)
 		return END_UNKNOWN_JOB;
-	for (struct si_task *t = m->tasks; t; t = t->next) {
-		struct si_job *o = t->of;
+	for (struct standin_task *t = m->tasks; t; t = t->next) {
+		struct standin_job *o = t->of;
 
 		if (t->state == TASK_EXITED)
 			continue;
@@ -168,17 +169,17 @@
 	return END_NONE;
 }
 
-static void start_task(struct standin *s, struct si_machine *m, const char *job, uint32_t task,
+static void start_task(struct standin *s, struct standin_machine *m, const char *job, uint32_t task,
 		       uint64_t attempt)
 {
-	struct si_task *t;
+	struct standin_task *t;
 	enum task_end_reason no;
 
 	for (t = m->tasks; t; t = t->next)
 		if (t->task == task && t->attempt == attempt && !strcmp(t->job, job))
 			return;
 	no = refuse(s, m, job, task);
-	if (no == END_UNKNOWN_JOB && !si_job(s, job))
+	if (no == END_UNKNOWN_JOB && !standin_job_find(s, job))
 		return;
 	t = zalloc(sizeof(*t));
 	snprintf(t->job, sizeof(t->job), "%s", job);
@@ -188,7 +189,7 @@
 	t->next = m->tasks;
 	m->tasks = t;
 	t->on = m;
-	t->of = si_job(s, job);
+	t->of = standin_job_find(s, job);
 	if (t->of)
 		DL_APPEND2(t->of->tasks, t, jprev, jnext);
 	m->changed = true;
@@ -199,16 +200,18 @@
 	t->image_at = s->now + t->of->spec.image_gb / m->type->fetch_gb_per_s;
 }
 
-void si_force_start(struct standin *s, struct si_machine *m, const char *job, uint32_t task)
+void standin_force_start(struct standin *s, struct standin_machine *m, const char *job,
+			 uint32_t task)
 {
 	start_task(s, m, job, task, 999999999u + (uint64_t)task);
 	m->tasks->state = TASK_RUNNING;
 	check_start(s, m, m->tasks);
 }
 
-static void stop_task(struct standin *s, struct si_machine *m, struct si_task *t, double grace)
+static void stop_task(struct standin *s, struct standin_machine *m, struct standin_task *t,
+		      double grace)
 {
-	struct si_job *j = t->of;
+	struct standin_job *j = t->of;
 
 	if (t->state == TASK_EXITED || (t->state == TASK_SAVING && grace > 0))
 		return;
@@ -221,10 +224,10 @@
 	exit_task(m, t, END_STOPPED);
 }
 
-static void forget_task(struct si_machine *m, const char *job, uint32_t task, uint64_t attempt)
+static void forget_task(struct standin_machine *m, const char *job, uint32_t task, uint64_t attempt)
 {
-	for (struct si_task **p = &m->tasks; *p; p = &(*p)->next) {
-		struct si_task *t = *p;
+	for (struct standin_task **p = &m->tasks; *p; p = &(*p)->next) {
+		struct standin_task *t = *p;
 
 		if (t->state != TASK_EXITED || t->task != task || t->attempt != attempt ||
 		    strcmp(t->job, job))
@@ -236,7 +239,7 @@
 	}
 }
 
-static void run_command(struct standin *s, struct si_machine *m, json_t *o)
+static void run_command(struct standin *s, struct standin_machine *m, json_t *o)
 {
 	const char *op = json_string_value(json_object_get(o, W_OP));
 	const char *name = json_string_value(json_object_get(o, W_TASK));
@@ -251,13 +254,13 @@
 	} else if (!strcmp(op, W_OP_FORGET)) {
 		forget_task(m, job, task, attempt);
 	} else {
-		for (struct si_task *t = m->tasks; t; t = t->next)
+		for (struct standin_task *t = m->tasks; t; t = t->next)
 			if (t->task == task && t->attempt == attempt && !strcmp(t->job, job))
 				stop_task(s, m, t, json_number_value(json_object_get(o, W_GRACE)));
 	}
 }
 
-static void run_commands(struct standin *s, struct si_machine *m, json_t *o, uint64_t token)
+static void run_commands(struct standin *s, struct standin_machine *m, json_t *o, uint64_t token)
 {
 	json_t *e;
 	size_t i;
@@ -270,14 +273,14 @@
 		run_command(s, m, e);
 }
 
-void si_worker_request(struct standin *s, struct si_machine *m, uint64_t handle, const char *path,
-		       const char *body)
+void standin_agent_request(struct standin *s, struct standin_machine *m, uint64_t handle,
+			   const char *path, const char *body)
 {
 	json_t *o;
 	uint64_t token;
 	int status = 200;
 
-	if (m->power != SI_UP)
+	if (m->power != POWER_UP)
 		return;
 	s->shows += !strcmp(path, W_PATH_PROBE);
 	s->directs += !strcmp(path, W_PATH_COMMANDS);
@@ -298,14 +301,14 @@
 	answer(s, handle, status, report(s, m));
 }
 
-void si_worker_answer(struct standin *s, int machine, uint64_t session, uint64_t seq, int status,
-		      const char *body)
+void standin_agent_answer(struct standin *s, int machine, uint64_t session, uint64_t seq,
+			  int status, const char *body)
 {
-	struct si_machine *m = &s->machines[machine];
+	struct standin_machine *m = &s->machines[machine];
 	json_t *o;
 	uint64_t token;
 
-	if (m->power != SI_UP || !m->report_out || m->report_seq != seq ||
+	if (m->power != POWER_UP || !m->report_out || m->report_seq != seq ||
 	    m->report_session != session || m->session != session)
 		return;
 	m->report_out = false;
@@ -334,9 +337,9 @@
 	json_decref(o);
 }
 
-static bool gang_complete(const struct si_job *j, uint64_t attempt, enum task_state least)
+static bool gang_complete(const struct standin_job *j, uint64_t attempt, enum task_state least)
 {
-	const struct si_task *t;
+	const struct standin_task *t;
 	uint32_t n = 0;
 
 	DL_FOREACH2 (j->tasks, t, jnext)
@@ -345,9 +348,10 @@
 	return n == j->spec.task_count;
 }
 
-static void task_step(struct standin *s, struct si_machine *m, struct si_task *t, double dt)
+static void task_step(struct standin *s, struct standin_machine *m, struct standin_task *t,
+		      double dt)
 {
-	struct si_job *j = t->of;
+	struct standin_job *j = t->of;
 	bool gang = j->spec.kind == JOB_GANG;
 
 	if (t->state == TASK_FETCHING && s->now >= t->image_at) {
@@ -400,8 +404,8 @@
 /* Replica time that is asked of services, and what of it is served. */
 void count_served(struct standin *s, double dt)
 {
-	struct si_job *j, *tmp;
-	const struct si_task *t;
+	struct standin_job *j, *tmp;
+	const struct standin_task *t;
 
 	HASH_ITER (hh, s->jobs, j, tmp) {
 		bool counts = j->spec.kind == JOB_SERVICE && j->accepted && !j->cancel_asked &&
@@ -416,7 +420,7 @@
 	}
 }
 
-static void worker_report(struct standin *s, struct si_machine *m)
+static void worker_report(struct standin *s, struct standin_machine *m)
 {
 	bool due = s->now >= m->next_report;
 	char *text;
@@ -442,14 +446,14 @@
 	m->report_text = text;
 }
 
-void worker_tick(struct standin *s, struct si_machine *m, double dt)
+void worker_tick(struct standin *s, struct standin_machine *m, double dt)
 {
-	if (m->power == SI_BOOTING && s->now >= m->up_at)
+	if (m->power == POWER_BOOTING && s->now >= m->up_at)
 		worker_up(s, m);
-	if (m->power != SI_UP || m->hanging)
+	if (m->power != POWER_UP || m->hanging)
 		return;
 	if (m->notice_until >= 0 && s->now >= m->notice_until) {
-		si_machine_off(s, m, true);
+		standin_machine_off(s, m, true);
 		return;
 	}
 	if (s->now - m->lease_from > s->conf->lease_s) {
@@ -459,7 +463,7 @@
 		m->report_out = false;
 		m->changed = true;
 	}
-	for (struct si_task *t = m->tasks; t; t = t->next)
+	for (struct standin_task *t = m->tasks; t; t = t->next)
 		task_step(s, m, t, dt);
 	worker_report(s, m);
 }
--- a/tests/standin_cloud.c
+++ b/tests/standins/cloud.c
@@ -7,7 +7,7 @@
 #include "conf/conf.h"
 #include "core/state.h"
 #include "wire/names.h"
-#include "standin_private.h"
+#include "standins/private.h"
 
 static void cloud_rent(struct standin *s, uint64_t handle, const char *body)
 {
@@ -16,7 +16,7 @@
 	const char *type = json_string_value(json_object_get(o, W_TYPE));
 	const char *zone = json_string_value(json_object_get(o, W_ZONE));
 	int n = (int)json_integer_value(json_object_get(o, W_COUNT)), got = 0;
-	struct si_cloud *cl = &s->cloud;
+	struct standin_cloud *cl = &s->cloud;
 
 	for (size_t i = 0; i < cl->nrequests; i++)
 		if (!strcmp(cl->requests[i].name, name)) {
@@ -27,8 +27,8 @@
 	list = json_array();
 	for (size_t i = 0; i < cl->ntypes; i++)
 		while (!strcmp(cl->types[i].name, type) && cl->capacity[i] > 0 && got < n) {
-			struct si_machine *m =
-			    si_machine(s, type, zone, json_is_true(json_object_get(o, W_SPOT)));
+			struct standin_machine *m = standin_machine_add(
+			    s, type, zone, json_is_true(json_object_get(o, W_SPOT)));
 
 			if (cl->never_boot > 0) {
 				cl->never_boot--;
@@ -62,8 +62,8 @@
 	json_array_foreach (json_object_get(o, W_MACHINES_LIST), i, e)
 		for (int k = 0; k < s->nmachines; k++)
 			if (!strcmp(s->machines[k].id, json_string_value(e)) &&
-			    s->machines[k].power != SI_DELETED) {
-				si_machine_off(s, &s->machines[k], true);
+			    s->machines[k].power != POWER_DELETED) {
+				standin_machine_off(s, &s->machines[k], true);
 				for (size_t t = 0; t < s->cloud.ntypes; t++)
 					s->cloud.capacity[t] +=
 					    s->cloud.reuse[t] &&
@@ -79,14 +79,14 @@
 	json_t *list = json_array();
 
 	for (int i = 0; i < s->nmachines; i++) {
-		struct si_machine *m = &s->machines[i];
-		const char *st = m->power == SI_OFF	    ? W_CLOUD_FAILED
+		struct standin_machine *m = &s->machines[i];
+		const char *st = m->power == POWER_OFF	    ? W_CLOUD_FAILED
 				 : s->now - lag >= m->up_at ? W_CLOUD_RUNNING
 							    : W_CLOUD_BOOTING;
 
 		if (s->now - lag < m->rented_at && s->now > lag)
 			continue;
-		if (m->power == SI_DELETED && s->now - m->off_at > lag)
+		if (m->power == POWER_DELETED && s->now - m->off_at > lag)
 			continue;
 		json_array_append_new(list, json_pack("{s:s,s:s,s:s,s:s,s:b,s:s,s:f}", W_ID, m->id,
 						      W_ADDR, m->addr, W_TYPE, m->type->name,
@@ -96,8 +96,8 @@
 	answer(s, handle, 200, json_pack("{s:o,s:b}", W_MACHINES_LIST, list, W_MORE, 0));
 }
 
-void si_cloud_request(struct standin *s, uint64_t handle, const char *method, const char *path,
-		      const char *body)
+void standin_cloud_request(struct standin *s, uint64_t handle, const char *method, const char *path,
+			   const char *body)
 {
 	if (s->cloud.down)
 		answer_error(s, handle, 503, "trouble");
--- a/tests/standin_private.h
+++ b/tests/standins/private.h
@@ -6,7 +6,7 @@
 
 #include <jansson.h>
 
-#include "standin.h"
+#include "standins/standin.h"
 
 /* standin.c */
 void *zalloc(size_t n);
@@ -18,13 +18,13 @@
 void state_tick(struct standin *s);
 
 /* standin_workers.c */
-void drop_tasks(struct si_machine *m);
+void drop_tasks(struct standin_machine *m);
 /* Replica time that is asked of services, and what of it is served. */
 void count_served(struct standin *s, double dt);
-void worker_tick(struct standin *s, struct si_machine *m, double dt);
+void worker_tick(struct standin *s, struct standin_machine *m, double dt);
 
 /* standin_rules.c */
-void check_start(struct standin *s, struct si_machine *m, struct si_task *t);
+void check_start(struct standin *s, struct standin_machine *m, struct standin_task *t);
 void check_cancelled(struct standin *s);
 
 #endif
--- a/tests/standin_rules.c
+++ b/tests/standins/rules.c
@@ -7,19 +7,19 @@
 #include "conf/conf.h"
 #include "core/state.h"
 #include "wire/names.h"
-#include "standin_private.h"
+#include "standins/private.h"
 
-struct si_job *si_job(struct standin *s, const char *id)
+struct standin_job *standin_job_find(struct standin *s, const char *id)
 {
-	struct si_job *j;
+	struct standin_job *j;
 
 	HASH_FIND_STR(s->jobs, id, j);
 	return j;
 }
 
-static bool holds(const struct si_machine *m, const struct si_task *t)
+static bool holds(const struct standin_machine *m, const struct standin_task *t)
 {
-	return m->power == SI_UP && t->state != TASK_EXITED && t->state != TASK_FETCHING;
+	return m->power == POWER_UP && t->state != TASK_EXITED && t->state != TASK_FETCHING;
 }
 
 static bool team_limited(const struct standin *s, const char *team)
@@ -30,11 +30,11 @@
 	return false;
 }
 
-static void check_team(struct standin *s, const struct si_job *j)
+static void check_team(struct standin *s, const struct standin_job *j)
 {
 	double cpus = 0, gpus = 0;
-	struct si_job *o, *tmp;
-	const struct si_task *t;
+	struct standin_job *o, *tmp;
+	const struct standin_task *t;
 
 	if (!team_limited(s, j->spec.team))
 		return;
@@ -54,22 +54,23 @@
 		if (!strcmp(t->name, j->spec.team) &&
 		    ((t->cpus_max > 0 && cpus > t->cpus_max + 1e-6) ||
 		     (t->gpus_max > 0 && gpus > t->gpus_max + 1e-6)))
-			si_broken(s, RULE_QUOTA, "team %s uses %.1f cpus %.1f gpus", t->name, cpus,
-				  gpus);
+			standin_rule_broken(s, RULE_QUOTA, "team %s uses %.1f cpus %.1f gpus",
+					    t->name, cpus, gpus);
 	}
 }
 
-static void check_place(struct standin *s, const struct si_machine *m, const struct si_job *j)
+static void check_place(struct standin *s, const struct standin_machine *m,
+			const struct standin_job *j)
 {
 	uint32_t here = 0, most = (j->spec.task_count + 1) / 2;
 	bool type_ok = j->spec.types.count == 0;
-	const struct si_task *t;
+	const struct standin_task *t;
 
 	for (int i = 0; i < j->spec.types.count; i++)
 		type_ok |= !strcmp(j->spec.types.names[i], m->type->name);
 	if (!type_ok || (*j->spec.zone && strcmp(j->spec.zone, m->zone)) ||
 	    (m->spot && !j->spec.spot))
-		si_broken(s, RULE_WRONG_PLACE, "job %s on %s", j->spec.id, m->id);
+		standin_rule_broken(s, RULE_WRONG_PLACE, "job %s on %s", j->spec.id, m->id);
 	if (!j->spec.one_zone && !j->spec.spread)
 		return;
 	DL_FOREACH2 (j->tasks, t, jnext) {
@@ -77,25 +78,25 @@
 			continue;
 		here += !strcmp(t->on->zone, m->zone);
 		if (j->spec.one_zone && strcmp(t->on->zone, m->zone))
-			si_broken(s, RULE_WRONG_PLACE, "job %s in two zones", j->spec.id);
+			standin_rule_broken(s, RULE_WRONG_PLACE, "job %s in two zones", j->spec.id);
 	}
 	if (j->spec.spread && here > most)
-		si_broken(s, RULE_WRONG_PLACE, "job %s not spread", j->spec.id);
+		standin_rule_broken(s, RULE_WRONG_PLACE, "job %s not spread", j->spec.id);
 }
 
-void check_start(struct standin *s, struct si_machine *m, struct si_task *t)
+void check_start(struct standin *s, struct standin_machine *m, struct standin_task *t)
 {
-	struct si_job *j = t->of;
+	struct standin_job *j = t->of;
 
-	const struct si_task *o;
+	const struct standin_task *o;
 
 	DL_FOREACH2 (j->tasks, o, jnext)
 		if (o != t && holds(o->on, o) && o->task == t->task)
-			si_broken(s, RULE_RAN_TWICE, "%s/%u on %s and %s", t->job, t->task,
-				  o->on->id, m->id);
+			standin_rule_broken(s, RULE_RAN_TWICE, "%s/%u on %s and %s", t->job,
+					    t->task, o->on->id, m->id);
 	s->starts_cancelled += j->told_cancelled;
 	if (j->told_cancelled && s->now > j->cancelled_at + s->conf->cancel_s)
-		si_broken(s, RULE_RAN_CANCELLED, "%s started", t->job);
+		standin_rule_broken(s, RULE_RAN_CANCELLED, "%s started", t->job);
 	if (j->began_at < 0 &&
 	    ++j->starts_seen >= (j->spec.kind == JOB_GANG ? j->spec.task_count : 1))
 		j->began_at = s->now;
@@ -109,13 +110,13 @@
 void check_cancelled(struct standin *s)
 {
 	for (int i = 0; i < s->nmachines; i++)
-		for (struct si_task *t = s->machines[i].tasks; t; t = t->next) {
-			struct si_job *j = t->of;
+		for (struct standin_task *t = s->machines[i].tasks; t; t = t->next) {
+			struct standin_job *j = t->of;
 
 			if (holds(&s->machines[i], t) && j->told_cancelled &&
 			    s->now > j->cancelled_at + s->conf->cancel_s)
-				si_broken(s, RULE_RAN_CANCELLED, "%s/%u on %s", t->job, t->task,
-					  s->machines[i].id);
+				standin_rule_broken(s, RULE_RAN_CANCELLED, "%s/%u on %s", t->job,
+						    t->task, s->machines[i].id);
 		}
 }
 
@@ -124,7 +125,7 @@
 #define ROOM_STAYS_S                                                                               \
 	10.0 /* seconds without a start on a machine: room that the next start takes is in use */
 
-static bool fits_type(const struct si_job *j, const struct machine_type *t)
+static bool fits_type(const struct standin_job *j, const struct machine_type *t)
 {
 	bool named = j->spec.types.count == 0, zone = !*j->spec.zone;
 
@@ -136,7 +137,7 @@
 	       j->spec.mem_gb <= t->mem_gb;
 }
 
-static const struct conf_team *team_of(const struct standin *s, const struct si_job *j)
+static const struct conf_team *team_of(const struct standin *s, const struct standin_job *j)
 {
 	for (size_t i = 0; i < s->conf->nteams; i++)
 		if (!strcmp(s->conf->teams[i].name, j->spec.team))
@@ -144,7 +145,8 @@
 	return NULL;
 }
 
-static bool under_limit(const struct conf_team *t, const struct si_job *j, double cpus, double gpus)
+static bool under_limit(const struct conf_team *t, const struct standin_job *j, double cpus,
+			double gpus)
 {
 	uint32_t n = j->spec.kind == JOB_ARRAY ? 1 : j->spec.task_count;
 
@@ -153,7 +155,7 @@
 }
 
 /* Half of a scattered gang fits in a zone: it takes two of them. */
-static bool zones_suffice(struct standin *s, const struct si_job *j)
+static bool zones_suffice(struct standin *s, const struct standin_job *j)
 {
 	const char *first = NULL;
 
@@ -172,7 +174,7 @@
 	return false;
 }
 
-static bool can_ever_run(struct standin *s, const struct si_job *j)
+static bool can_ever_run(struct standin *s, const struct standin_job *j)
 {
 	const struct conf_team *team = team_of(s, j);
 	bool type = false;
@@ -185,17 +187,17 @@
 /* What is free on each machine, and how many tasks of each job are on any. */
 static void count_use(struct standin *s)
 {
-	struct si_job *j, *tmp;
+	struct standin_job *j, *tmp;
 
 	HASH_ITER (hh, s->jobs, j, tmp)
 		j->held = 0;
 	for (int i = 0; i < s->nmachines; i++) {
-		struct si_machine *m = &s->machines[i];
+		struct standin_machine *m = &s->machines[i];
 
 		m->cpus = m->type->cpus;
 		m->gpus = m->type->gpus;
 		m->mem_gb = m->type->mem_gb;
-		for (const struct si_task *t = m->tasks; t; t = t->next) {
+		for (const struct standin_task *t = m->tasks; t; t = t->next) {
 			j = t->of;
 			j->held++;
 			if (t->state == TASK_EXITED)
@@ -209,7 +211,7 @@
 
 static void team_use(const struct standin *s, const struct conf_team *t, double *cpus, double *gpus)
 {
-	struct si_job *j, *tmp;
+	struct standin_job *j, *tmp;
 
 	*cpus = *gpus = 0;
 	HASH_ITER (hh, s->jobs, j, tmp) {
@@ -221,11 +223,11 @@
 }
 
 /* Slots for the job's tasks on a machine that is there and answers. */
-static uint32_t slots_on(const struct si_job *j, const struct si_machine *m)
+static uint32_t slots_on(const struct standin_job *j, const struct standin_machine *m)
 {
 	uint32_t n = 0;
 
-	if (m->power != SI_UP || m->cpus + 1e-6 < j->spec.cpus || m->hanging || m->faulty ||
+	if (m->power != POWER_UP || m->cpus + 1e-6 < j->spec.cpus || m->hanging || m->faulty ||
 	    m->notice_until >= 0 || !fits_type(j, m->type) || (m->spot && !j->spec.spot) ||
 	    (*j->spec.zone && strcmp(j->spec.zone, m->zone)))
 		return 0;
@@ -238,7 +240,7 @@
 
 /* Room that stays: only machines on which nothing was started of late; elsewhere it comes and goes.
  */
-static uint32_t room_for(struct standin *s, const struct si_job *j, const char *zone)
+static uint32_t room_for(struct standin *s, const struct standin_job *j, const char *zone)
 {
 	uint32_t n = 0;
 
@@ -249,7 +251,7 @@
 	return n;
 }
 
-static bool has_room(struct standin *s, const struct si_job *j)
+static bool has_room(struct standin *s, const struct standin_job *j)
 {
 	uint32_t need = j->spec.kind == JOB_ARRAY ? 1 : j->spec.task_count;
 
@@ -265,9 +267,9 @@
 #define ROOM_WAIT_S                                                                                \
 	90.0 /* seconds a job may wait beside room once troubles are over: the users' rule */
 
-void si_check_room(struct standin *s, double quiet_since)
+void standin_check_room(struct standin *s, double quiet_since)
 {
-	struct si_job *j, *tmp;
+	struct standin_job *j, *tmp;
 
 	if (s->now < quiet_since || s->now < s->room_at)
 		return;
@@ -288,41 +290,41 @@
 		if (j->room_since < 0)
 			j->room_since = s->now;
 		if (s->now - j->room_since > ROOM_WAIT_S)
-			si_broken(s, RULE_IDLE_ROOM, "%s waits beside room for %.0f s", j->spec.id,
-				  s->now - j->room_since);
+			standin_rule_broken(s, RULE_IDLE_ROOM, "%s waits beside room for %.0f s",
+					    j->spec.id, s->now - j->room_since);
 	}
 }
 
 /* --- what users are told --- */
 
-void si_told_submit(struct standin *s, const char *id, int status)
+void standin_submission_answered(struct standin *s, const char *id, int status)
 {
-	struct si_job *j = si_job(s, id);
+	struct standin_job *j = standin_job_find(s, id);
 
 	if ((status == 200 || status == 201) && !j->accepted) {
 		j->accepted_at = s->now;
 		j->accepted = true;
 		if (!can_ever_run(s, j))
-			si_broken(s, RULE_WRONG_JOB, "%s can't run", id);
+			standin_rule_broken(s, RULE_WRONG_JOB, "%s can't run", id);
 	} else if ((status == 400 || status == 422) && j->accepted)
-		si_broken(s, RULE_FORGOTTEN, "%s submitted again: %d", id, status);
+		standin_rule_broken(s, RULE_FORGOTTEN, "%s submitted again: %d", id, status);
 }
 
 /*
  * No answer to a question asked after an end or a cancellation was learned of may be older. An
  * answer to one asked before that may have overtaken, or been overtaken on the way.
  */
-static void told(struct standin *s, struct si_job *j, const char *state, double asked_at)
+static void told(struct standin *s, struct standin_job *j, const char *state, double asked_at)
 {
 	bool done = !strcmp(state, W_JOB_DONE), cancelled = !strcmp(state, W_JOB_CANCELLED);
 
 	if (done && j->ndone < j->spec.task_count)
-		si_broken(s, RULE_NOT_DONE, "%s has %u of %u", j->spec.id, j->ndone,
-			  j->spec.task_count);
+		standin_rule_broken(s, RULE_NOT_DONE, "%s has %u of %u", j->spec.id, j->ndone,
+				    j->spec.task_count);
 	if ((j->told_done && !done && asked_at >= j->done_at) ||
 	    (j->told_cancelled && !cancelled && asked_at >= j->cancelled_at) ||
 	    (cancelled && !j->cancel_asked))
-		si_broken(s, RULE_WENT_BACK, "%s is %s", j->spec.id, state);
+		standin_rule_broken(s, RULE_WENT_BACK, "%s is %s", j->spec.id, state);
 	if (done && !j->told_done) {
 		j->told_done = true;
 		j->done_at = s->now;
@@ -333,17 +335,18 @@
 	}
 }
 
-void si_told_state(struct standin *s, const char *id, int status, const char *body, double asked_at)
+void standin_lookup_answered(struct standin *s, const char *id, int status, const char *body,
+			     double asked_at)
 {
-	struct si_job *j = si_job(s, id);
+	struct standin_job *j = standin_job_find(s, id);
 	json_t *o;
 
 	if (status == 404 && j && j->accepted)
-		si_broken(s, RULE_FORGOTTEN, "%s polled: 404", id);
+		standin_rule_broken(s, RULE_FORGOTTEN, "%s polled: 404", id);
 	if (status != 200)
 		return;
 	if (!j || !j->asked) {
-		si_broken(s, RULE_INVENTED, "%s", id);
+		standin_rule_broken(s, RULE_INVENTED, "%s", id);
 		return;
 	}
 	j->answered_at = s->now;
@@ -357,30 +360,30 @@
 	75.0 /* seconds without an answer once troubles are over, from the users' rules */
 #define LARGEST_S 240.0 /* seconds within which the largest must begin */
 
-void si_check_answers(struct standin *s, double quiet_since)
+void standin_check_answers(struct standin *s, double quiet_since)
 {
-	struct si_job *j, *tmp;
+	struct standin_job *j, *tmp;
 
 	HASH_ITER (hh, s->jobs, j, tmp) {
 		double since = fmax(quiet_since, fmax(j->accepted_at, j->answered_at));
 
 		if (j->accepted && s->now - since > FORGOTTEN_S)
-			si_broken(s, RULE_FORGOTTEN, "%s unanswered for %.0f s", j->spec.id,
-				  s->now - since);
+			standin_rule_broken(s, RULE_FORGOTTEN, "%s unanswered for %.0f s",
+					    j->spec.id, s->now - since);
 	}
 }
 
 /* The jobs of a class, a team, or of a class's largest size. */
 enum group { BY_CLASS, BY_TEAM, BY_LARGEST };
 
-static bool counts(const struct si_job *j)
+static bool counts(const struct standin_job *j)
 {
 	return j->accepted && !j->cancel_asked && !j->bad;
 }
 
-static uint32_t largest(struct standin *s, const struct si_job *of)
+static uint32_t largest(struct standin *s, const struct standin_job *of)
 {
-	struct si_job *j, *tmp;
+	struct standin_job *j, *tmp;
 	uint32_t n = 0;
 
 	HASH_ITER (hh, s->jobs, j, tmp)
@@ -390,7 +393,7 @@
 	return n;
 }
 
-static bool same_group(const struct si_job *a, const struct si_job *b, enum group g)
+static bool same_group(const struct standin_job *a, const struct standin_job *b, enum group g)
 {
 	if (g == BY_TEAM)
 		return !strcmp(a->spec.team, b->spec.team);
@@ -398,9 +401,9 @@
 	       (g == BY_CLASS || a->spec.task_count == b->spec.task_count);
 }
 
-static void check_group(struct standin *s, const struct si_job *of, enum group g)
+static void check_group(struct standin *s, const struct standin_job *of, enum group g)
 {
-	struct si_job *j, *tmp;
+	struct standin_job *j, *tmp;
 	int all = 0, served = 0;
 
 	HASH_ITER (hh, s->jobs, j, tmp) {
@@ -410,16 +413,16 @@
 		served += j->began_at >= 0;
 	}
 	if (2 * served < all)
-		si_broken(s, RULE_UNSERVED, "%d of %d like %s served (%s)", served, all,
-			  of->spec.id,
-			  g == BY_CLASS	 ? "class"
-			  : g == BY_TEAM ? "team"
-					 : "largest");
+		standin_rule_broken(s, RULE_UNSERVED, "%d of %d like %s served (%s)", served, all,
+				    of->spec.id,
+				    g == BY_CLASS  ? "class"
+				    : g == BY_TEAM ? "team"
+						   : "largest");
 }
 
-void si_check_served(struct standin *s)
+void standin_check_served(struct standin *s)
 {
-	struct si_job *j, *tmp;
+	struct standin_job *j, *tmp;
 
 	HASH_ITER (hh, s->jobs, j, tmp) {
 		bool large = counts(j) && j->spec.task_count == largest(s, j);
@@ -432,14 +435,14 @@
 		if (large)
 			check_group(s, j, BY_LARGEST);
 		if (large && began - j->accepted_at > LARGEST_S)
-			si_broken(s, RULE_LATE_LARGE, "%s began after %.0f s", j->spec.id,
-				  began - j->accepted_at);
+			standin_rule_broken(s, RULE_LATE_LARGE, "%s began after %.0f s", j->spec.id,
+					    began - j->accepted_at);
 	}
 }
 
-void si_told_cancel(struct standin *s, const char *id, int status, const char *body,
-		    double asked_at)
+void standin_cancellation_answered(struct standin *s, const char *id, int status, const char *body,
+				   double asked_at)
 {
 	if (status == 200)
-		si_told_state(s, id, status, body, asked_at);
+		standin_lookup_answered(s, id, status, body, asked_at);
 }
--- a/tests/standin.c
+++ b/tests/standins/standin.c
@@ -7,7 +7,7 @@
 #include "conf/conf.h"
 #include "core/state.h"
 #include "wire/names.h"
-#include "standin_private.h"
+#include "standins/private.h"
 
 const char *const rule_names[RULES] = {
     "ran_twice", "quota",	"wrong_place", "ran_cancelled", "forgotten", "invented", "not_done",
@@ -22,7 +22,7 @@
 	return p;
 }
 
-void si_broken(struct standin *s, enum rule r, const char *fmt, ...)
+void standin_rule_broken(struct standin *s, enum rule r, const char *fmt, ...)
 {
 	va_list ap;
 
@@ -35,7 +35,8 @@
 	}
 }
 
-void si_init(struct standin *s, const struct si_ops *ops, void *ctx, const struct conf *conf)
+void standin_init(struct standin *s, const struct standin_callbacks *ops, void *ctx,
+		  const struct conf *conf)
 {
 	memset(s, 0, sizeof(*s));
 	s->ops = ops;
@@ -47,12 +48,12 @@
 	s->state.value_bytes = (size_t)(conf->limits.value_kb * 1024);
 	s->state.rps = conf->limits.rps;
 	s->state.write_rps = conf->limits.write_rps;
-	s->cloud.types = zalloc(SI_TYPES * sizeof(struct machine_type));
+	s->cloud.types = zalloc(STANDIN_TYPES_MAX * sizeof(struct machine_type));
 	s->machines_cap = 16384; /* pointers to machines stay valid */
 	s->machines = zalloc((size_t)s->machines_cap * sizeof(*s->machines));
 }
 
-void si_type(struct standin *s, const struct machine_type *t, int capacity, bool reuse)
+void standin_type_add(struct standin *s, const struct machine_type *t, int capacity, bool reuse)
 {
 	s->cloud.reuse[s->cloud.ntypes] = reuse;
 	s->cloud.capacity[s->cloud.ntypes] = capacity;
@@ -61,7 +62,7 @@
 
 /* --- time --- */
 
-void si_tick(struct standin *s, double now)
+void standin_tick(struct standin *s, double now)
 {
 	double dt = now - s->ticked; /* `now` moves on with each message in between */
 
@@ -73,10 +74,10 @@
 	check_cancelled(s);
 }
 
-void si_free(struct standin *s)
+void standin_free(struct standin *s)
 {
-	struct si_key *k, *ktmp;
-	struct si_job *j, *jtmp;
+	struct standin_key *k, *ktmp;
+	struct standin_job *j, *jtmp;
 
 	HASH_ITER (hh, s->state.keys, k, ktmp) {
 		HASH_DEL(s->state.keys, k);
@@ -84,13 +85,13 @@
 		free(k);
 	}
 	while (s->state.leases) {
-		struct si_lease *l = s->state.leases;
+		struct standin_lease *l = s->state.leases;
 
 		s->state.leases = l->next;
 		free(l);
 	}
 	while (s->state.watches) {
-		struct si_watch *w = s->state.watches;
+		struct standin_watch *w = s->state.watches;
 
 		s->state.watches = w->next;
 		free(w);
--- a/tests/standin.h
+++ b/tests/standins/standin.h
@@ -14,12 +14,12 @@
 
 #include "wire/wire.h"
 
-#define SI_TYPES 32 /* types of machines of one scenario */
-#define SI_NODES 8
+#define STANDIN_TYPES_MAX 32 /* types of machines of one scenario */
+#define STANDIN_CONTROLLERS_MAX 8
 
 struct standin;
 
-struct si_ops {
+struct standin_callbacks {
 	/* answers the request known by `handle` */
 	void (*reply)(void *ctx, uint64_t handle, int status, const char *body);
 	/* a worker's report to a controller */
@@ -49,7 +49,7 @@
 
 /* --- jobs as their users know them --- */
 
-struct si_job {
+struct standin_job {
 	struct job_spec spec;
 	double run_s;
 	bool bad; /* submitted with a mistake: fails everywhere */
@@ -66,52 +66,52 @@
 	double room_since; /* it waits though there is room; < 0: it does not */
 	uint8_t *done;
 	uint32_t ndone, starts, starts_seen;
-	int shown_running;     /* as the last answer said */
-	struct si_task *tasks; /* on all machines, in any state */
+	int shown_running;	    /* as the last answer said */
+	struct standin_task *tasks; /* on all machines, in any state */
 	UT_hash_handle hh;
 };
 
 /* --- state service --- */
 
-struct si_key {
+struct standin_key {
 	char key[201];
 	json_t *value;
 	uint64_t version, lease;
 	UT_hash_handle hh;
 };
 
-struct si_lease {
+struct standin_lease {
 	uint64_t id;
 	int ttl_ms;
 	double ends;
-	struct si_lease *next;
+	struct standin_lease *next;
 };
 
-struct si_change {
+struct standin_change {
 	uint64_t revision;
 	char key[201];
 	json_t *value; /* NULL: dropped */
 };
 
-struct si_watch {
+struct standin_watch {
 	uint64_t handle, from;
 	char prefix[201];
 	double ends;
 	int node;
-	struct si_watch *next;
+	struct standin_watch *next;
 };
 
-struct si_state {
-	struct si_key *keys;
-	struct si_lease *leases;
-	struct si_change *changes;
+struct standin_state_service {
+	struct standin_key *keys;
+	struct standin_lease *leases;
+	struct standin_change *changes;
 	size_t nchanges, changes_cap;
 	size_t keep; /* changes that can still be read; 0: all */
-	struct si_watch *watches;
+	struct standin_watch *watches;
 	uint64_t revision, next_lease;
 	bool down;
-	bool refuses[SI_NODES];
-	bool stalls[SI_NODES]; /* its watches get no answer, all else does */
+	bool refuses[STANDIN_CONTROLLERS_MAX];
+	bool stalls[STANDIN_CONTROLLERS_MAX]; /* its watches get no answer, all else does */
 	int txn_ops;
 	size_t value_bytes;
 	double rps, write_rps;
@@ -122,10 +122,10 @@
 
 /* --- machines --- */
 
-struct si_machine;
-struct si_job;
+struct standin_machine;
+struct standin_job;
 
-struct si_task {
+struct standin_task {
 	char job[ID_MAX];
 	uint32_t task;
 	uint64_t attempt;
@@ -133,19 +133,19 @@
 	enum task_end_reason why;
 	bool kept;
 	double image_at, progress, since, save_until, stopped_at;
-	struct si_task *next;
-	struct si_job *of; /* NULL: of no job that was asked for */
-	struct si_machine *on;
-	struct si_task *jprev, *jnext; /* of its job, on all machines */
+	struct standin_task *next;
+	struct standin_job *of; /* NULL: of no job that was asked for */
+	struct standin_machine *on;
+	struct standin_task *jprev, *jnext; /* of its job, on all machines */
 };
 
-enum si_power { SI_BOOTING, SI_UP, SI_OFF, SI_DELETED };
+enum machine_power { POWER_BOOTING, POWER_UP, POWER_OFF, POWER_DELETED };
 
-struct si_machine {
+struct standin_machine {
 	char id[ID_MAX], addr[NAME_MAX_LEN], zone[NAME_MAX_LEN];
 	const struct machine_type *type;
 	bool spot, faulty, hanging;
-	enum si_power power;
+	enum machine_power power;
 	double rented_at, up_at, off_at, notice_until;
 	uint64_t session, seq, token, reported_token;
 	double lease_from, next_report, last_report, report_out_until;
@@ -153,17 +153,17 @@
 	uint64_t report_seq, report_session;
 	double report_sent;
 	bool report_out, changed;
-	struct si_task *tasks;
+	struct standin_task *tasks;
 	double used_at;		   /* its newest start */
 	double cpus, gpus, mem_gb; /* free, at the last look */
 	char *report_text;	   /* the newest */
 };
 
-struct si_cloud {
+struct standin_cloud {
 	struct machine_type *types;
 	size_t ntypes;
-	int capacity[SI_TYPES];
-	bool reuse[SI_TYPES]; /* what is deleted can be rented again */
+	int capacity[STANDIN_TYPES_MAX];
+	bool reuse[STANDIN_TYPES_MAX]; /* what is deleted can be rented again */
 	bool down;
 	int never_boot; /* so many of the next machines never come up */
 	struct {
@@ -174,19 +174,19 @@
 };
 
 struct standin {
-	const struct si_ops *ops;
+	const struct standin_callbacks *ops;
 	void *ctx;
 	const struct conf *conf;
 	double now;
 	double room_at; /* the next look for jobs that wait beside room */
 	double ticked;	/* up to here the tasks' progress is counted */
-	struct si_state state;
-	struct si_cloud cloud;
-	struct si_machine *machines;
+	struct standin_state_service state;
+	struct standin_cloud cloud;
+	struct standin_machine *machines;
 	int nmachines, machines_cap;
-	struct si_job *jobs;
+	struct standin_job *jobs;
 	int nnodes;
-	char node_names[SI_NODES][NAME_MAX_LEN];
+	char node_names[STANDIN_CONTROLLERS_MAX][NAME_MAX_LEN];
 	int broken[RULES];
 	bool verbose;
 	char why[256];
@@ -194,40 +194,43 @@
 	uint64_t shows, directs;		 /* questions and direct commands to workers */
 };
 
-void si_init(struct standin *s, const struct si_ops *ops, void *ctx, const struct conf *conf);
-void si_free(struct standin *s);
-void si_type(struct standin *s, const struct machine_type *t, int capacity, bool reuse);
-struct si_machine *si_machine(struct standin *s, const char *type, const char *zone, bool spot);
-struct si_machine *si_machine_at(struct standin *s, const char *addr);
-struct si_job *si_job(struct standin *s, const char *id);
-
-void si_state_request(struct standin *s, int node, uint64_t handle, const char *method,
-		      const char *path, const char *body);
-void si_state_outage(struct standin *s, bool down);
-void si_cloud_request(struct standin *s, uint64_t handle, const char *method, const char *path,
-		      const char *body);
-void si_worker_request(struct standin *s, struct si_machine *m, uint64_t handle, const char *path,
-		       const char *body);
+void standin_init(struct standin *s, const struct standin_callbacks *ops, void *ctx,
+		  const struct conf *conf);
+void standin_free(struct standin *s);
+void standin_type_add(struct standin *s, const struct machine_type *t, int capacity, bool reuse);
+struct standin_machine *standin_machine_add(struct standin *s, const char *type, const char *zone,
+					    bool spot);
+struct standin_machine *standin_machine_at(struct standin *s, const char *addr);
+struct standin_job *standin_job_find(struct standin *s, const char *id);
+
+void standin_state_request(struct standin *s, int node, uint64_t handle, const char *method,
+			   const char *path, const char *body);
+void standin_state_outage(struct standin *s, bool down);
+void standin_cloud_request(struct standin *s, uint64_t handle, const char *method, const char *path,
+			   const char *body);
+void standin_agent_request(struct standin *s, struct standin_machine *m, uint64_t handle,
+			   const char *path, const char *body);
 /* The answer to a report, or 0 for none. */
-void si_worker_answer(struct standin *s, int machine, uint64_t session, uint64_t seq, int status,
-		      const char *body);
-void si_machine_off(struct standin *s, struct si_machine *m, bool deleted);
+void standin_agent_answer(struct standin *s, int machine, uint64_t session, uint64_t seq,
+			  int status, const char *body);
+void standin_machine_off(struct standin *s, struct standin_machine *m, bool deleted);
 /* Back at once under its name, all forgotten. */
-void si_machine_restart(struct standin *s, struct si_machine *m);
-void si_tick(struct standin *s, double now);
+void standin_machine_restart(struct standin *s, struct standin_machine *m);
+void standin_tick(struct standin *s, double now);
 
-void si_broken(struct standin *s, enum rule r, const char *fmt, ...)
+void standin_rule_broken(struct standin *s, enum rule r, const char *fmt, ...)
     __attribute__((format(printf, 3, 4)));
 /* What a user was told. */
-void si_told_submit(struct standin *s, const char *id, int status);
-void si_told_state(struct standin *s, const char *id, int status, const char *body,
-		   double asked_at);
-void si_told_cancel(struct standin *s, const char *id, int status, const char *body,
-		    double asked_at);
+void standin_submission_answered(struct standin *s, const char *id, int status);
+void standin_lookup_answered(struct standin *s, const char *id, int status, const char *body,
+			     double asked_at);
+void standin_cancellation_answered(struct standin *s, const char *id, int status, const char *body,
+				   double asked_at);
 /* Rules about whole days; troubles ended at `quiet_since`, the day does so now. */
-void si_check_answers(struct standin *s, double quiet_since);
-void si_check_room(struct standin *s, double quiet_since);
-void si_check_served(struct standin *s);
-void si_force_start(struct standin *s, struct si_machine *m, const char *job, uint32_t task);
+void standin_check_answers(struct standin *s, double quiet_since);
+void standin_check_room(struct standin *s, double quiet_since);
+void standin_check_served(struct standin *s);
+void standin_force_start(struct standin *s, struct standin_machine *m, const char *job,
+			 uint32_t task);
 
 #endif
--- a/tests/standin_state.c
+++ b/tests/standins/state_service.c
@@ -7,7 +7,7 @@
 #include "conf/conf.h"
 #include "core/state.h"
 #include "wire/names.h"
-#include "standin_private.h"
+#include "standins/private.h"
 
 char *dump(json_t *o)
 {
@@ -32,23 +32,23 @@
 	answer(s, handle, status, json_pack("{s:s}", "error", why));
 }
 
-static json_t *item(const struct si_key *k)
+static json_t *item(const struct standin_key *k)
 {
 	return json_pack("{s:s,s:O,s:I}", W_KEY, k->key, W_VALUE, k->value, W_VERSION,
 			 (json_int_t)k->version);
 }
 
-static struct si_key *key_find(struct si_state *st, const char *key)
+static struct standin_key *key_find(struct standin_state_service *st, const char *key)
 {
-	struct si_key *k;
+	struct standin_key *k;
 
 	HASH_FIND_STR(st->keys, key, k);
 	return k;
 }
 
-static void note_change(struct si_state *st, const char *key, json_t *value)
+static void note_change(struct standin_state_service *st, const char *key, json_t *value)
 {
-	struct si_change *c;
+	struct standin_change *c;
 
 	if (st->nchanges == st->changes_cap) {
 		st->changes_cap = st->changes_cap ? st->changes_cap * 2 : 256;
@@ -62,7 +62,7 @@
 	c->value = json_incref(value);
 }
 
-static void key_drop(struct si_state *st, struct si_key *k)
+static void key_drop(struct standin_state_service *st, struct standin_key *k)
 {
 	note_change(st, k->key, NULL);
 	HASH_DEL(st->keys, k);
@@ -70,9 +70,10 @@
 	free(k);
 }
 
-static void key_put(struct si_state *st, const char *key, json_t *value, uint64_t lease)
+static void key_put(struct standin_state_service *st, const char *key, json_t *value,
+		    uint64_t lease)
 {
-	struct si_key *k = key_find(st, key);
+	struct standin_key *k = key_find(st, key);
 
 	if (!k) {
 		k = zalloc(sizeof(*k));
@@ -86,12 +87,12 @@
 	note_change(st, key, value);
 }
 
-static json_t *watch_events(const struct si_state *st, const struct si_watch *w)
+static json_t *watch_events(const struct standin_state_service *st, const struct standin_watch *w)
 {
 	json_t *events = json_array();
 
 	for (size_t i = 0; i < st->nchanges; i++) {
-		const struct si_change *c = &st->changes[i];
+		const struct standin_change *c = &st->changes[i];
 
 		if (c->revision <= w->from || strncmp(c->key, w->prefix, strlen(w->prefix)))
 			continue;
@@ -106,7 +107,7 @@
 
 static void watches_run(struct standin *s)
 {
-	struct si_watch **p = &s->state.watches, *w;
+	struct standin_watch **p = &s->state.watches, *w;
 
 	while ((w = *p)) {
 		json_t *events;
@@ -150,14 +151,15 @@
 
 static int by_key(const void *a, const void *b)
 {
-	return strcmp((*(struct si_key *const *)a)->key, (*(struct si_key *const *)b)->key);
+	return strcmp((*(struct standin_key *const *)a)->key,
+		      (*(struct standin_key *const *)b)->key);
 }
 
 static void state_range(struct standin *s, uint64_t handle, const char *path)
 {
-	struct si_state *st = &s->state;
+	struct standin_state_service *st = &s->state;
 	size_t n = HASH_COUNT(st->keys), i = 0;
-	struct si_key **all = zalloc((n + 1) * sizeof(*all)), *k, *tmp;
+	struct standin_key **all = zalloc((n + 1) * sizeof(*all)), *k, *tmp;
 	char prefix[201], after[201], limit[16];
 	json_t *items = json_array();
 	bool more = false;
@@ -184,9 +186,9 @@
 			 (json_int_t)st->revision));
 }
 
-static struct si_lease *lease_find(struct si_state *st, uint64_t id)
+static struct standin_lease *lease_find(struct standin_state_service *st, uint64_t id)
 {
-	struct si_lease *l = st->leases;
+	struct standin_lease *l = st->leases;
 
 	while (l && l->id != id)
 		l = l->next;
@@ -198,13 +200,13 @@
 /* 0: may be applied; else the status, with the answer in `out`. */
 static int txn_check(struct standin *s, json_t *o, json_t **out)
 {
-	struct si_state *st = &s->state;
+	struct standin_state_service *st = &s->state;
 	json_t *e, *failed = json_array();
 	size_t i;
 
 	json_array_foreach (json_object_get(o, W_IF), i, e) {
 		const char *key = json_string_value(json_object_get(e, W_KEY));
-		struct si_key *k = key_find(st, key);
+		struct standin_key *k = key_find(st, key);
 
 		if ((k ? k->version : 0) !=
 		    (uint64_t)json_integer_value(json_object_get(e, W_VERSION)))
@@ -261,7 +263,7 @@
 static void state_txn(struct standin *s, uint64_t handle, const char *body)
 {
 	json_t *o = wire_parse(body, strlen(body)), *e, *bad;
-	struct si_state *st = &s->state;
+	struct standin_state_service *st = &s->state;
 	int status = txn_check(s, o, &bad);
 	size_t i;
 
@@ -276,7 +278,7 @@
 	json_array_foreach (json_object_get(o, W_THEN), i, e) {
 		const char *put = json_string_value(json_object_get(e, W_PUT));
 		const char *drop = json_string_value(json_object_get(e, W_DROP));
-		struct si_key *k = drop ? key_find(st, drop) : NULL;
+		struct standin_key *k = drop ? key_find(st, drop) : NULL;
 
 		if (put)
 			key_put(st, put, json_object_get(e, W_VALUE),
@@ -289,11 +291,11 @@
 	watches_run(s);
 }
 
-static void lease_end(struct standin *s, struct si_lease *l)
+static void lease_end(struct standin *s, struct standin_lease *l)
 {
-	struct si_state *st = &s->state;
-	struct si_lease **p = &st->leases;
-	struct si_key *k, *tmp;
+	struct standin_state_service *st = &s->state;
+	struct standin_lease **p = &st->leases;
+	struct standin_key *k, *tmp;
 	bool any = false;
 
 	while (*p != l)
@@ -314,8 +316,8 @@
 static void state_lease(struct standin *s, uint64_t handle, const char *method, const char *path,
 			const char *body)
 {
-	struct si_state *st = &s->state;
-	struct si_lease *l;
+	struct standin_state_service *st = &s->state;
+	struct standin_lease *l;
 
 	if (!strcmp(path, W_PATH_LEASES)) {
 		json_t *o = wire_parse(body, strlen(body));
@@ -344,7 +346,7 @@
 
 static void state_watch(struct standin *s, int node, uint64_t handle, const char *path)
 {
-	struct si_watch *w = zalloc(sizeof(*w));
+	struct standin_watch *w = zalloc(sizeof(*w));
 	char num[32];
 
 	w->handle = handle;
@@ -365,7 +367,7 @@
 
 static void limits_refill(struct standin *s)
 {
-	struct si_state *st = &s->state;
+	struct standin_state_service *st = &s->state;
 	double dt = s->now - st->filled;
 
 	st->filled = s->now;
@@ -376,7 +378,7 @@
 /* Within the limits of requests, and of puts and deletes, a second? Counts what is taken. */
 static bool limits_take(struct standin *s, const char *path, const char *body)
 {
-	struct si_state *st = &s->state;
+	struct standin_state_service *st = &s->state;
 	double puts = 0;
 
 	limits_refill(s);
@@ -397,8 +399,8 @@
 	return true;
 }
 
-void si_state_request(struct standin *s, int node, uint64_t handle, const char *method,
-		      const char *path, const char *body)
+void standin_state_request(struct standin *s, int node, uint64_t handle, const char *method,
+			   const char *path, const char *body)
 {
 	if (s->state.down || s->state.refuses[node]) {
 		answer_error(s, handle, 503, "trouble");
@@ -413,7 +415,7 @@
 	} else if (!strncmp(path, W_PATH_KEYS "?", strlen(W_PATH_KEYS) + 1)) {
 		state_range(s, handle, path);
 	} else {
-		struct si_key *k = key_find(&s->state, path + strlen(W_PATH_KEYS) + 1);
+		struct standin_key *k = key_find(&s->state, path + strlen(W_PATH_KEYS) + 1);
 
 		answer(s, handle, k ? 200 : 404,
 		       k ? item(k) : json_pack("{s:I}", W_REVISION, (json_int_t)s->state.revision));
@@ -421,10 +423,10 @@
 }
 
 /* After an outage every lease has its full time again. */
-void si_state_outage(struct standin *s, bool down)
+void standin_state_outage(struct standin *s, bool down)
 {
 	if (s->state.down && !down)
-		for (struct si_lease *l = s->state.leases; l; l = l->next)
+		for (struct standin_lease *l = s->state.leases; l; l = l->next)
 			l->ends = s->now + l->ttl_ms / 1000.0;
 	s->state.down = down;
 	watches_run(s);
@@ -432,7 +434,7 @@
 
 void state_tick(struct standin *s)
 {
-	struct si_lease *l = s->state.leases, *next;
+	struct standin_lease *l = s->state.leases, *next;
 
 	for (; l && !s->state.down; l = next) {
 		next = l->next;
