--- a/tests/loopback.c
+++ b/tests/loopback.c
@@ -86,7 +86,7 @@
 {
 	struct loopback *s = ctx;
 	const struct standin_machine *m = &s->si.machines[machine];
-	struct net_call call = {(uint64_t)CALL_REPORT << 56 | (uint64_t)machine << 40 | m->seq,
+	struct net_call call = {(uint64_t)CALL_REPORT << 56 | (uint64_t)machine << 40 | m->sequence,
 				s->front[node],
 				"POST",
 				W_PATH_HEARTBEAT,
@@ -112,9 +112,10 @@
 		int machine = (int)(id >> 40 & 0xffff);
 		struct standin_machine *m = &s->si.machines[machine];
 
-		if (m->report_seq == (id & 0xffffffffffull))
-			standin_agent_answer(&s->si, machine, m->report_session, m->report_seq,
-					     status > 0 ? status : 503, len ? body : "{}");
+		if (m->report_sequence == (id & 0xffffffffffull))
+			standin_agent_answer(&s->si, machine, m->report_incarnation,
+					     m->report_sequence, status > 0 ? status : 503,
+					     len ? body : "{}");
 		break;
 	}
 	case CALL_SUBMIT:
@@ -158,7 +159,7 @@
 	json_decref(o);
 	if (!body)
 		abort();
-	standin_job_find(&s->si, name)->asked = true;
+	standin_job_find(&s->si, name)->submitted = true;
 	user_call(s, CALL_SUBMIT, job, node, "POST", W_PATH_JOBS, body);
 	free(body);
 }
@@ -176,7 +177,7 @@
 	char path[64], name[ID_MAX];
 
 	snprintf(name, sizeof(name), W_JOB_PREFIX "%d", job);
-	standin_job_find(&s->si, name)->cancel_asked = true;
+	standin_job_find(&s->si, name)->cancel_requested = true;
 	snprintf(path, sizeof(path), W_PATH_JOBS "/%s" W_PATH_CANCEL, name);
 	user_call(s, CALL_CANCEL, job, node, "POST", path, "");
 }
@@ -284,10 +285,10 @@
 {
 	int broken = 0;
 
-	for (int r = 0; r < RULES; r++) {
-		if (!s->si.broken[r])
+	for (int r = 0; r < RULE_COUNT; r++) {
+		if (!s->si.rules_broken[r])
 			continue;
-		fprintf(stderr, "rule broken: %s: %s\n", rule_names[r], s->si.why);
+		fprintf(stderr, "rule broken: %s: %s\n", rule_names[r], s->si.broken_why);
 		broken = 1;
 	}
 	return broken;
@@ -297,7 +298,7 @@
 {
 	struct standin_key *found;
 
-	HASH_FIND_STR(s->si.state.keys, key, found);
+	HASH_FIND_STR(s->si.state_service.keys, key, found);
 	return found ? json_string_value(json_object_get(found->value, "name")) : NULL;
 }
 
@@ -336,11 +337,11 @@
 	standin_init(&s->si, &si_ops, s, &s->conf);
 	standin_type_add(&s->si, &type, 0, false);
 	s->si.now = net_now();
-	s->si.nnodes = LOOPBACK_NODES;
+	s->si.controller_count = LOOPBACK_NODES;
 	for (int i = 0; i < LOOPBACK_NODES; i++) {
 		new_addr(s->front[i]);
 		new_addr(s->back[i]);
-		snprintf(s->si.node_names[i], NAME_MAX_LEN, "node-%d", i);
+		snprintf(s->si.controller_names[i], NAME_MAX_LEN, "node-%d", i);
 	}
 	for (int i = 0; i < 2 + LOOPBACK_MACHINES; i++) {
 		servers[i].s = s;
--- a/tests/rollout.c
+++ b/tests/rollout.c
@@ -21,9 +21,9 @@
 
 int rollout_end(struct loopback *s, bool ok)
 {
-	if (s->si.state.too_large) {
+	if (s->si.state_service.too_large) {
 		fprintf(stderr, "%llu transactions beyond the limits\n",
-			(unsigned long long)s->si.state.too_large);
+			(unsigned long long)s->si.state_service.too_large);
 		ok = false;
 	}
 	if (loopback_broken(s))
@@ -58,9 +58,10 @@
 {
 	uint32_t n = 0;
 
-	for (int i = 0; i < s->si.nmachines; i++)
+	for (int i = 0; i < s->si.machine_count; i++)
 		for (struct standin_task *t = s->si.machines[i].tasks; t; t = t->next)
-			n += t->state == TASK_RUNNING && !strcmp(t->job, job_of(s, job)->spec.id);
+			n +=
+			    t->state == TASK_RUNNING && !strcmp(t->job_id, job_of(s, job)->spec.id);
 	return n;
 }
 
@@ -119,7 +120,7 @@
 {
 	const struct standin_job *known = job_of(s, job);
 
-	for (int i = 0; !known->told_cancelled && i < 40; i++) {
+	for (int i = 0; !known->known_cancelled && i < 40; i++) {
 		loopback_cancel(s, job, i % LOOPBACK_NODES);
 		loopback_run(s, 0.5);
 	}
@@ -133,8 +134,8 @@
 
 void rollout_lower_limits(struct loopback *s)
 {
-	s->si.state.value_bytes = (size_t)(LOOPBACK_NEXT_VALUE_KB * 1024);
-	s->si.state.txn_ops = LOOPBACK_NEXT_TXN_OPS;
+	s->si.state_service.value_bytes = (size_t)(LOOPBACK_NEXT_VALUE_KB * 1024);
+	s->si.state_service.txn_ops = LOOPBACK_NEXT_TXN_OPS;
 }
 
 void rollout_report(struct loopback *s)
--- a/tests/runner/clients.c
+++ b/tests/runner/clients.c
@@ -59,7 +59,7 @@
 	char *body = json_dumps(spec, JSON_COMPACT);
 
 	json_decref(spec);
-	job->asked = true;
+	job->submitted = true;
 	send_request(world, client, controller, "POST", W_PATH_JOBS, body);
 	free(body);
 }
@@ -79,7 +79,7 @@
 
 	snprintf(path, sizeof(path), W_PATH_JOBS "/%s%s", client->job, W_PATH_CANCEL);
 	if (job)
-		job->cancel_asked = true;
+		job->cancel_requested = true;
 	send_request(world, client, controller, "POST", path, NULL);
 }
 
@@ -231,7 +231,7 @@
 		return;
 	snprintf(id, sizeof(id), W_JOB_PREFIX "%06d", world->cancel_at_end);
 	job = standin_job_find(&world->standin, id);
-	if (!job || job->ndone < job->spec.task_count)
+	if (!job || job->done_count < job->spec.task_count)
 		return;
 	world->cancel_at_end = 0;
 	client_request_job(world, CLIENT_CANCEL, id, HOST_ANY);
--- a/tests/runner/controllers.c
+++ b/tests/runner/controllers.c
@@ -84,7 +84,8 @@
 
 	*conf = world->conf;
 	name_of(index, conf->name, sizeof(conf->name));
-	name_of(index, world->standin.node_names[index], sizeof(world->standin.node_names[index]));
+	name_of(index, world->standin.controller_names[index],
+		sizeof(world->standin.controller_names[index]));
 	snprintf(conf->front, sizeof(conf->front), "10.0.0.%d:8080", index + 1);
 	peer_address(index, conf->back, sizeof(conf->back));
 	configure_peers(world, index, conf);
@@ -94,7 +95,7 @@
 
 void controllers_start_all(struct world *world)
 {
-	world->standin.nnodes = world->controller_count;
+	world->standin.controller_count = world->controller_count;
 	for (int i = 0; i < world->controller_count; i++)
 		configure(world, i);
 	for (int i = 0; i < world->controller_count; i++)
--- a/tests/runner/delivery.c
+++ b/tests/runner/delivery.c
@@ -134,7 +134,8 @@
 
 void service_requests_free(struct world *world)
 {
-	for (struct standin_watch *watch = world->standin.state.watches; watch; watch = watch->next)
+	for (struct standin_watch *watch = world->standin.state_service.watches; watch;
+	     watch = watch->next)
 		free((struct service_request *)(uintptr_t)watch->handle);
 }
 
@@ -165,7 +166,7 @@
 	struct message *report = message_new(world, MESSAGE_REPORT, HOST_MACHINES + machine,
 					     controller, network_arrival_time(world));
 
-	report->report_number = world->standin.machines[machine].seq;
+	report->report_number = world->standin.machines[machine].sequence;
 	report->body = xstrdup(body);
 	send_duplicates(world, machine, body);
 }
@@ -190,9 +191,9 @@
 	int index = message->to - HOST_MACHINES;
 	const struct standin_machine *machine = &world->standin.machines[index];
 
-	if (report_connection_is(message->id, machine->report_seq))
-		standin_agent_answer(&world->standin, index, machine->report_session,
-				     machine->report_seq, message->status, message->body);
+	if (report_connection_is(message->id, machine->report_sequence))
+		standin_agent_answer(&world->standin, index, machine->report_incarnation,
+				     machine->report_sequence, message->status, message->body);
 }
 
 /* --- replies to controllers and clients --- */
--- a/tests/runner/expectations.c
+++ b/tests/runner/expectations.c
@@ -30,21 +30,21 @@
 {
 	const struct standin_job *job = job_numbered(world, argument);
 
-	return job && job->told_done;
+	return job && job->known_done;
 }
 
 static double client_knows_cancelled(struct world *world, const char *argument)
 {
 	const struct standin_job *job = job_numbered(world, argument);
 
-	return job && job->told_cancelled;
+	return job && job->known_cancelled;
 }
 
 static double tasks_done(struct world *world, const char *argument)
 {
 	const struct standin_job *job = job_numbered(world, argument);
 
-	return job ? job->ndone : NO_SUCH_JOB;
+	return job ? job->done_count : NO_SUCH_JOB;
 }
 
 static double task_starts(struct world *world, const char *argument)
@@ -59,7 +59,7 @@
 {
 	const struct standin_job *job = job_numbered(world, argument);
 
-	return job ? job->shown_running : NO_SUCH_JOB;
+	return job ? job->answered_running : NO_SUCH_JOB;
 }
 
 /* Share of a service's replica time in which a replica ran. */
@@ -85,11 +85,11 @@
 	int count = 0;
 
 	format_job_id(id, atoi(argument));
-	for (int i = 0; i < world->standin.nmachines; i++) {
+	for (int i = 0; i < world->standin.machine_count; i++) {
 		const struct standin_task *task = world->standin.machines[i].tasks;
 
 		for (; task; task = task->next)
-			count += task->state == TASK_RUNNING && !strcmp(task->job, id);
+			count += task->state == TASK_RUNNING && !strcmp(task->job_id, id);
 	}
 	return count;
 }
@@ -139,13 +139,13 @@
 static double takeovers(struct world *world, const char *argument)
 {
 	(void)argument;
-	return (double)world->standin.state.leader_puts;
+	return (double)world->standin.state_service.takeovers;
 }
 
 /* puts, toolarge, requests or refused */
 static double state_service_count(struct world *world, const char *argument)
 {
-	const struct standin_state_service *state = &world->standin.state;
+	const struct standin_state_service *state = &world->standin.state_service;
 
 	if (!strcmp(argument, "puts"))
 		return (double)state->puts;
@@ -159,7 +159,7 @@
 /* Records whose key begins with the argument. */
 static double keys_with_prefix(struct world *world, const char *argument)
 {
-	const struct standin_key *key = world->standin.state.keys;
+	const struct standin_key *key = world->standin.state_service.keys;
 	int count = 0;
 
 	for (; key; key = key->hh.next)
@@ -171,14 +171,14 @@
 static double machine_requests(struct world *world, const char *argument)
 {
 	if (!strcmp(argument, "show"))
-		return (double)world->standin.shows;
-	return (double)world->standin.directs;
+		return (double)world->standin.probes;
+	return (double)world->standin.direct_commands;
 }
 
 static double starts_after_cancellation(struct world *world, const char *argument)
 {
 	(void)argument;
-	return (double)world->standin.starts_cancelled;
+	return (double)world->standin.starts_after_cancellation;
 }
 
 static double all_starts(struct world *world, const char *argument)
@@ -191,7 +191,7 @@
 static double machines_rented(struct world *world, const char *argument)
 {
 	(void)argument;
-	return world->standin.nmachines;
+	return world->standin.machine_count;
 }
 
 /* Machines that are up, of the type that the argument names, or of any. */
@@ -200,7 +200,7 @@
 	bool any = !strcmp(argument, "any");
 	int count = 0;
 
-	for (int i = 0; i < world->standin.nmachines; i++) {
+	for (int i = 0; i < world->standin.machine_count; i++) {
 		const struct standin_machine *machine = &world->standin.machines[i];
 
 		count +=
@@ -212,9 +212,9 @@
 /* Whether the rule that the argument names was broken. */
 static double rule_broken(struct world *world, const char *argument)
 {
-	for (int rule = 0; rule < RULES; rule++)
+	for (int rule = 0; rule < RULE_COUNT; rule++)
 		if (!strcmp(rule_names[rule], argument))
-			return world->standin.broken[rule] > 0;
+			return world->standin.rules_broken[rule] > 0;
 	return 0;
 }
 
@@ -292,7 +292,7 @@
 	standin_check_served(standin);
 	if (!standin->starts_total)
 		standin_rule_broken(standin, RULE_NOTHING_RAN, "no start");
-	for (int rule = 0; rule < RULES; rule++)
-		if (standin->broken[rule] && !strstr(permitted, rule_names[rule]))
-			world_fail(world, "rule broken: %s", standin->why);
+	for (int rule = 0; rule < RULE_COUNT; rule++)
+		if (standin->rules_broken[rule] && !strstr(permitted, rule_names[rule]))
+			world_fail(world, "rule broken: %s", standin->broken_why);
 }
--- a/tests/runner/faults.c
+++ b/tests/runner/faults.c
@@ -114,7 +114,7 @@
 {
 	int index = controller_named(world, line_word(line, 1));
 
-	world->standin.state.refuses[index] = begins(line);
+	world->standin.state_service.refuses[index] = begins(line);
 }
 
 /* stall NODE [end=1]: the state service does not answer this controller's reads of changes */
@@ -122,7 +122,7 @@
 {
 	int index = controller_named(world, line_word(line, 1));
 
-	world->standin.state.stalls[index] = begins(line);
+	world->standin.state_service.stalls[index] = begins(line);
 }
 
 /* --- network --- */
@@ -186,7 +186,7 @@
 {
 	int from = host_named(world, line_word(line, 1));
 
-	for (int i = 0; i < world->standin.nmachines; i++)
+	for (int i = 0; i < world->standin.machine_count; i++)
 		cut_between(world, line, from, HOST_MACHINES + i);
 }
 
--- a/tests/runner/setup.c
+++ b/tests/runner/setup.c
@@ -46,7 +46,7 @@
 	    .rps = line_option_number(line, "rps", 0),
 	};
 
-	apply_limits(&world->standin.state, &limits);
+	apply_limits(&world->standin.state_service, &limits);
 }
 
 static void override_number(const struct scenario_line *line, const char *option, double *setting)
@@ -74,8 +74,8 @@
 	override_integer(line, "next_txn_ops", &conf->next_limits.txn_ops);
 	override_number(line, "next_write_rps", &conf->next_limits.write_rps);
 	override_number(line, "next_value_kb", &conf->next_limits.value_kb);
-	apply_limits(&world->standin.state, &conf->limits);
-	world->standin.state.keep = (size_t)line_option_number(line, "keep", 0);
+	apply_limits(&world->standin.state_service, &conf->limits);
+	world->standin.state_service.changes_kept = (size_t)line_option_number(line, "keep", 0);
 }
 
 /* hold NODE|all [end=1]: counts from the controller's next start */
--- a/tests/runner/world.c
+++ b/tests/runner/world.c
@@ -131,7 +131,7 @@
 
 		network_deliver_until(world, next_s);
 		world->now_s = next_s;
-		if (world->standin.state.down && next_s >= world->state_outage_until_s)
+		if (world->standin.state_service.down && next_s >= world->state_outage_until_s)
 			standin_state_outage(&world->standin, false);
 		standin_tick(&world->standin, next_s);
 		controllers_tick(world);
--- /dev/null
+++ b/tests/standins/agent_messages.c
@@ -0,0 +1,219 @@
+/* Messages of agents: heartbeats and their answers, answers to probes and direct commands. */
+#include <stdlib.h>
+#include <string.h>
+
+#include "standins/agents.h"
+#include "standins/answers.h"
+#include "standins/standin.h"
+#include "wire/names.h"
+
+#define ANSWER_TIMEOUT_S 4.0 /* seconds until a heartbeat counts as lost */
+#define RETRY_S 1.0	     /* seconds until the next controller is tried */
+#define REDIRECT_S 0.1	     /* seconds until the leader that an answer names is tried */
+#define NEWS_INTERVAL_S 0.5  /* seconds between heartbeats at least, when there is news */
+
+static const char *const task_state_names[] = {
+    [TASK_FETCHING] = W_TASK_FETCHING, [TASK_WAITING] = W_TASK_WAITING,
+    [TASK_RUNNING] = W_TASK_RUNNING,   [TASK_SAVING] = W_TASK_SAVING,
+    [TASK_EXITED] = W_TASK_EXITED,
+};
+
+static const char *const end_reason_names[] = {
+    [END_NONE] = "",
+    [END_DONE] = W_END_DONE,
+    [END_STOPPED] = W_END_STOPPED,
+    [END_PEERS_LOST] = W_END_PEERS_LOST,
+    [END_ALONE] = W_END_ALONE,
+    [END_ERROR] = W_END_ERROR,
+    [END_NO_ROOM] = W_END_NO_ROOM,
+    [END_BUSY] = W_END_BUSY,
+    [END_UNKNOWN_JOB] = W_END_UNKNOWN_JOB,
+};
+
+static uint64_t integer_field(const json_t *object, const char *name)
+{
+	return (uint64_t)json_integer_value(json_object_get(object, name));
+}
+
+/* --- what a message says --- */
+
+static json_t *encode_task(const struct standin_task *task)
+{
+	json_t *name = json_sprintf("%s/%u", task->job_id, task->index);
+	json_t *encoded =
+	    json_pack("{s:o,s:I,s:s}", W_TASK, name, W_ATTEMPT, (json_int_t)task->attempt, W_STATE,
+		      task_state_names[task->state]);
+
+	if (task->state == TASK_EXITED)
+		json_object_set_new(encoded, W_END_REASON,
+				    json_string(end_reason_names[task->end_reason]));
+	if (task->saved)
+		json_object_set_new(encoded, W_SAVED, json_true());
+	return encoded;
+}
+
+static json_t *encode_tasks(const struct standin_machine *machine)
+{
+	json_t *tasks = json_array();
+
+	for (const struct standin_task *task = machine->tasks; task; task = task->next)
+		json_array_append_new(tasks, encode_task(task));
+	return tasks;
+}
+
+static json_t *encode_notice(const struct standin *standin, const struct standin_machine *machine)
+{
+	if (machine->notice_until < 0)
+		return json_null();
+	return json_real(machine->notice_until - standin->now);
+}
+
+/* The next message of the machine's agent, with all its tasks. */
+static json_t *next_message(const struct standin *standin, struct standin_machine *machine)
+{
+	json_t *message;
+
+	machine->sequence++;
+	message =
+	    json_pack("{s:s,s:s,s:s,s:s,s:b,s:I,s:I,s:I,s:o}", W_MACHINE, machine->id, W_ADDR,
+		      machine->addr, W_TYPE, machine->type->name, W_ZONE, machine->zone, W_SPOT,
+		      (int)machine->spot, W_INCARNATION, (json_int_t)machine->incarnation,
+		      W_SEQUENCE, (json_int_t)machine->sequence, W_TOKEN,
+		      (json_int_t)machine->token, W_TASKS, encode_tasks(machine));
+	json_object_set_new(message, W_PREEMPTION_NOTICE, encode_notice(standin, machine));
+	return message;
+}
+
+/* --- probes and direct commands --- */
+
+/* Carries out the commands if they are for this incarnation, from no deposed leader. */
+static enum http_status take_direct_commands(struct standin *standin,
+					     struct standin_machine *machine, const json_t *request)
+{
+	uint64_t token = integer_field(request, W_TOKEN);
+
+	if (!json_object_get(request, W_TOKEN) || !json_object_get(request, W_INCARNATION))
+		return STATUS_BAD_REQUEST;
+	if (token < machine->token || integer_field(request, W_INCARNATION) != machine->incarnation)
+		return STATUS_CONFLICT;
+	agent_run_commands(standin, machine, request, token);
+	return STATUS_OK;
+}
+
+void standin_agent_request(struct standin *standin, struct standin_machine *machine,
+			   uint64_t handle, const char *path, const char *body)
+{
+	enum http_status status;
+	json_t *request;
+
+	if (machine->power != POWER_UP)
+		return;
+	if (!strcmp(path, W_PATH_PROBE)) {
+		standin->probes++;
+		answer(standin, handle, STATUS_OK, next_message(standin, machine));
+		return;
+	}
+	standin->direct_commands += !strcmp(path, W_PATH_COMMANDS);
+	request = wire_parse(body, strlen(body));
+	status = take_direct_commands(standin, machine, request);
+	json_decref(request);
+	answer(standin, handle, status, next_message(standin, machine));
+}
+
+/* --- answers to heartbeats --- */
+
+static void try_next_controller(struct standin *standin, struct standin_machine *machine)
+{
+	machine->controller = (machine->controller + 1) % standin->controller_count;
+	machine->next_report_at = standin->now + RETRY_S;
+}
+
+/* An answer without a fencing token, or with an older one, says nothing. */
+static void take_answer(struct standin *standin, struct standin_machine *machine,
+			const json_t *body)
+{
+	uint64_t token = integer_field(body, W_TOKEN);
+
+	if (!token || token < machine->token)
+		return;
+	machine->lease_renewed_at = machine->report_sent_at;
+	agent_run_commands(standin, machine, body, token);
+}
+
+/* The controller's index; -1 if there is none of this name, which may be NULL. */
+static int controller_named(const struct standin *standin, const char *name)
+{
+	for (int i = 0; name && i < standin->controller_count; i++)
+		if (!strcmp(standin->controller_names[i], name))
+			return i;
+	return -1;
+}
+
+static void take_refusal(struct standin *standin, struct standin_machine *machine, int status,
+			 const json_t *body)
+{
+	const char *name = json_string_value(json_object_get(body, W_REPORT_TO));
+	int leader = controller_named(standin, name);
+
+	if (status != STATUS_MISDIRECTED || leader < 0 || leader == machine->controller) {
+		try_next_controller(standin, machine);
+		return;
+	}
+	machine->controller = leader;
+	machine->next_report_at = standin->now + REDIRECT_S;
+}
+
+void standin_agent_answer(struct standin *standin, int machine_index, uint64_t incarnation,
+			  uint64_t sequence, int status, const char *body)
+{
+	struct standin_machine *machine = &standin->machines[machine_index];
+	json_t *parsed;
+
+	if (machine->power != POWER_UP || !machine->report_unanswered ||
+	    machine->report_sequence != sequence || machine->report_incarnation != incarnation ||
+	    machine->incarnation != incarnation)
+		return;
+	machine->report_unanswered = false;
+	parsed = body ? wire_parse(body, strlen(body)) : NULL;
+	if (status == STATUS_OK)
+		take_answer(standin, machine, parsed);
+	else
+		take_refusal(standin, machine, status, parsed);
+	json_decref(parsed);
+}
+
+/* --- heartbeats --- */
+
+static void send_report(struct standin *standin, struct standin_machine *machine)
+{
+	char *text;
+
+	machine->changed = false;
+	machine->report_unanswered = true;
+	machine->report_sent_at = standin->now;
+	machine->next_report_at = standin->now + standin->conf->report_s;
+	text = wire_serialize(next_message(standin, machine));
+	machine->report_sequence = machine->sequence;
+	machine->report_incarnation = machine->incarnation;
+	standin->callbacks->report(standin->context, (int)(machine - standin->machines),
+				   machine->controller, text);
+	free(machine->report_text);
+	machine->report_text = text;
+}
+
+void agent_report_if_due(struct standin *standin, struct standin_machine *machine)
+{
+	double age_s = standin->now - machine->report_sent_at;
+	bool due = standin->now >= machine->next_report_at;
+	bool has_news = machine->changed && age_s >= NEWS_INTERVAL_S;
+
+	if (machine->report_unanswered) {
+		if (age_s > ANSWER_TIMEOUT_S) {
+			machine->report_unanswered = false;
+			try_next_controller(standin, machine);
+		}
+		return;
+	}
+	if (due || has_news)
+		send_report(standin, machine);
+}
--- /dev/null
+++ b/tests/standins/agent_tasks.c
@@ -0,0 +1,131 @@
+/* Tasks on machines, from the fetch of their image to their end. */
+#include <utlist.h>
+
+#include "standins/agents.h"
+#include "standins/rules.h"
+#include "standins/standin.h"
+
+void task_exit(struct standin_task *task, enum task_end_reason reason)
+{
+	task->state = TASK_EXITED;
+	task->end_reason = reason;
+	task->machine->changed = true;
+}
+
+/* Whether a task of a gang is there for the others, at least in the state `least`. */
+static bool is_present(const struct standin_task *task, enum task_state least)
+{
+	if (task->state != TASK_EXITED)
+		return task->state >= least;
+	return task->end_reason == END_DONE || task->end_reason == END_STOPPED;
+}
+
+/* Whether all tasks of the gang's attempt are there. */
+static bool is_gang_complete(const struct standin_job *job, uint64_t attempt, enum task_state least)
+{
+	const struct standin_task *task;
+	uint32_t count = 0;
+
+	DL_FOREACH2 (job->tasks, task, job_next)
+		count += task->attempt == attempt && is_present(task, least);
+	return count == job->spec.task_count;
+}
+
+/* The image is there: the task starts, or ends at once. */
+static void finish_fetch(struct standin *standin, struct standin_task *task)
+{
+	const struct standin_job *job = task->job;
+
+	task->state = job->spec.kind == JOB_GANG ? TASK_WAITING : TASK_RUNNING;
+	task->since = standin->now;
+	check_start(standin, task);
+	task->machine->changed = true;
+	if (task->machine->faulty || job->bad)
+		task_exit(task, END_ERROR);
+	else if (job->spec.kind != JOB_SERVICE && job_task_is_done(job, task->index))
+		task_exit(task, END_DONE);
+}
+
+static void wait_for_gang(struct standin *standin, struct standin_task *task)
+{
+	if (is_gang_complete(task->job, task->attempt, TASK_WAITING)) {
+		task->state = TASK_RUNNING;
+		task->machine->changed = true;
+	} else if (standin->now - task->since > standin->conf->gang_wait_s) {
+		task_exit(task, END_ALONE);
+	}
+}
+
+/* The task stands still until its gang is complete again, or gives up. */
+static void wait_for_peers(struct standin *standin, struct standin_task *task)
+{
+	if (task->peers_missed_at <= 0)
+		task->peers_missed_at = standin->now;
+	if (standin->now - task->peers_missed_at > standin->conf->gang_peer_s)
+		task_exit(task, END_PEERS_LOST);
+}
+
+/* A gang completes together. */
+static void mark_gang_done(struct standin_job *job)
+{
+	for (uint32_t i = 0; i < job->spec.task_count; i++)
+		job_mark_done(job, i);
+}
+
+/* The task has run for as long as its job takes. */
+static void finish_run(struct standin_task *task)
+{
+	struct standin_job *job = task->job;
+
+	if (job->spec.kind == JOB_SERVICE) {
+		if (job->ends != END_NONE)
+			task_exit(task, job->ends);
+		return;
+	}
+	if (job->spec.kind == JOB_GANG)
+		mark_gang_done(job);
+	else
+		job_mark_done(job, task->index);
+	task_exit(task, END_DONE);
+}
+
+static void run_on(struct standin *standin, struct standin_task *task, double elapsed_s)
+{
+	const struct standin_job *job = task->job;
+
+	if (job->spec.kind == JOB_GANG && !is_gang_complete(job, task->attempt, TASK_RUNNING)) {
+		wait_for_peers(standin, task);
+		return;
+	}
+	task->progress += elapsed_s;
+	if (task->progress >= job->run_s)
+		finish_run(task);
+}
+
+static void finish_save(struct standin_task *task)
+{
+	task->saved = true;
+	task_exit(task, END_STOPPED);
+}
+
+void task_tick(struct standin *standin, struct standin_task *task, double elapsed_s)
+{
+	switch (task->state) {
+	case TASK_FETCHING:
+		if (standin->now >= task->fetched_at)
+			finish_fetch(standin, task);
+		break;
+	case TASK_WAITING:
+		wait_for_gang(standin, task);
+		break;
+	case TASK_RUNNING:
+		run_on(standin, task, elapsed_s);
+		break;
+	case TASK_SAVING:
+		if (standin->now >= task->save_until)
+			finish_save(task);
+		break;
+	case TASK_EXITED:
+		break;
+	}
+}
--- /dev/null
+++ b/tests/standins/answers.c
@@ -0,0 +1,21 @@
+/* Answers of the stand-ins to requests. */
+#include "standins/answers.h"
+
+#include <stdlib.h>
+
+#include "standins/standin.h"
+#include "wire/json_text.h"
+
+void answer(struct standin *standin, uint64_t handle, enum http_status status, json_t *body)
+{
+	char *text = wire_serialize(body);
+
+	standin->callbacks->reply(standin->context, handle, (int)status, text);
+	free(text);
+}
+
+void answer_error(struct standin *standin, uint64_t handle, enum http_status status,
+		  const char *why)
+{
+	answer(standin, handle, status, json_pack("{s:s}", "error", why));
+}
--- a/tests/standins/cloud.c
+++ b/tests/standins/cloud.c
@@ -1,112 +1,216 @@
-/* The stand-in of the cloud. */
+/* Stand-in for the cloud. */
+#include "standins/cloud.h"
+
 #include <math.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
-#include "conf/conf.h"
-#include "core/state.h"
+#include "standins/answers.h"
+#include "standins/standin.h"
+#include "util/xalloc.h"
 #include "wire/names.h"
-#include "standins/private.h"
-
-static void cloud_rent(struct standin *s, uint64_t handle, const char *body)
-{
-	json_t *o = wire_parse(body, strlen(body)), *list;
-	const char *name = json_string_value(json_object_get(o, W_REQUEST));
-	const char *type = json_string_value(json_object_get(o, W_TYPE));
-	const char *zone = json_string_value(json_object_get(o, W_ZONE));
-	int n = (int)json_integer_value(json_object_get(o, W_COUNT)), got = 0;
-	struct standin_cloud *cl = &s->cloud;
-
-	for (size_t i = 0; i < cl->nrequests; i++)
-		if (!strcmp(cl->requests[i].name, name)) {
-			s->ops->reply(s->ctx, handle, 200, cl->requests[i].answer);
-			json_decref(o);
-			return;
-		}
-	list = json_array();
-	for (size_t i = 0; i < cl->ntypes; i++)
-		while (!strcmp(cl->types[i].name, type) && cl->capacity[i] > 0 && got < n) {
-			struct standin_machine *m = standin_machine_add(
-			    s, type, zone, json_is_true(json_object_get(o, W_SPOT)));
-
-			if (cl->never_boot > 0) {
-				cl->never_boot--;
-				m->up_at = INFINITY;
-			}
-			cl->capacity[i]--;
-			got++;
-			json_array_append_new(list, json_string(m->id));
+
+void cloud_init(struct standin_cloud *cloud)
+{
+	cloud->types = xcalloc(STANDIN_TYPES_MAX, sizeof(*cloud->types));
+}
+
+void cloud_free(struct standin_cloud *cloud)
+{
+	for (size_t i = 0; i < cloud->rental_count; i++)
+		free(cloud->rentals[i].answer);
+	free(cloud->rentals);
+	wire_types_free(cloud->types, cloud->type_count);
+}
+
+void standin_type_add(struct standin *standin, const struct machine_type *type, int capacity,
+		      bool reuse)
+{
+	struct standin_cloud *cloud = &standin->cloud;
+	size_t i = cloud->type_count++;
+
+	cloud->types[i] = *type;
+	cloud->capacity[i] = capacity;
+	cloud->reuse[i] = reuse;
+}
+
+/* --- rentals --- */
+
+/* NULL if no rental of this name was answered. */
+static const struct standin_rental *find_rental(const struct standin_cloud *cloud, const char *name)
+{
+	for (size_t i = 0; i < cloud->rental_count; i++)
+		if (!strcmp(cloud->rentals[i].name, name))
+			return &cloud->rentals[i];
+	return NULL;
+}
+
+static void note_rental(struct standin_cloud *cloud, const char *name, const json_t *body)
+{
+	struct standin_rental *rental;
+
+	cloud->rentals =
+	    xreallocarray(cloud->rentals, cloud->rental_count + 1, sizeof(*cloud->rentals));
+	rental = &cloud->rentals[cloud->rental_count++];
+	snprintf(rental->name, sizeof(rental->name), "%s", name);
+	rental->answer = json_dumps(body, JSON_COMPACT);
+}
+
+/* Rents one machine; returns its name. */
+static json_t *rent_machine(struct standin *standin, const json_t *request)
+{
+	const char *type = json_string_value(json_object_get(request, W_TYPE));
+	const char *zone = json_string_value(json_object_get(request, W_ZONE));
+	bool spot = json_is_true(json_object_get(request, W_SPOT));
+	struct standin_machine *machine = standin_machine_add(standin, type, zone, spot);
+
+	if (standin->cloud.never_boot > 0) {
+		standin->cloud.never_boot--;
+		machine->up_at = INFINITY;
+	}
+	return json_string(machine->id);
+}
+
+/* As many machines as were asked for, or as there are; the list of their names. */
+static json_t *rent_machines(struct standin *standin, const json_t *request)
+{
+	const char *type = json_string_value(json_object_get(request, W_TYPE));
+	int wanted = (int)json_integer_value(json_object_get(request, W_COUNT));
+	struct standin_cloud *cloud = &standin->cloud;
+	json_t *names = json_array();
+	int rented = 0;
+
+	for (size_t i = 0; i < cloud->type_count; i++) {
+		if (strcmp(cloud->types[i].name, type))
+			continue;
+		for (; cloud->capacity[i] > 0 && rented < wanted; rented++) {
+			cloud->capacity[i]--;
+			json_array_append_new(names, rent_machine(standin, request));
 		}
-	if (!got) {
-		json_decref(list);
-		answer_error(s, handle, 503, "no capacity");
-	} else {
-		json_t *a = json_pack("{s:o}", W_MACHINES_LIST, list);
-
-		cl->requests = realloc(cl->requests, (cl->nrequests + 1) * sizeof(*cl->requests));
-		if (!cl->requests)
-			abort();
-		snprintf(cl->requests[cl->nrequests].name, NAME_MAX_LEN, "%s", name);
-		cl->requests[cl->nrequests++].answer = json_dumps(a, JSON_COMPACT);
-		answer(s, handle, 200, a);
 	}
-	json_decref(o);
+	return names;
 }
 
-static void cloud_delete(struct standin *s, uint64_t handle, const char *body)
+static void answer_new_rental(struct standin *standin, uint64_t handle, const json_t *request)
 {
-	json_t *o = wire_parse(body, strlen(body)), *e;
+	const char *name = json_string_value(json_object_get(request, W_REQUEST));
+	json_t *names = rent_machines(standin, request);
+	json_t *body;
+
+	if (!json_array_size(names)) {
+		json_decref(names);
+		answer_error(standin, handle, STATUS_UNAVAILABLE, "no capacity");
+		return;
+	}
+	body = json_pack("{s:o}", W_MACHINES_LIST, names);
+	note_rental(&standin->cloud, name, body);
+	answer(standin, handle, STATUS_OK, body);
+}
+
+static void answer_rental(struct standin *standin, uint64_t handle, const char *body)
+{
+	json_t *request = wire_parse(body, strlen(body));
+	const char *name = json_string_value(json_object_get(request, W_REQUEST));
+	const struct standin_rental *rental = find_rental(&standin->cloud, name);
+
+	if (rental)
+		standin->callbacks->reply(standin->context, handle, STATUS_OK, rental->answer);
+	else
+		answer_new_rental(standin, handle, request);
+	json_decref(request);
+}
+
+/* --- deletions --- */
+
+static void return_capacity(struct standin_cloud *cloud, const struct machine_type *type)
+{
+	for (size_t i = 0; i < cloud->type_count; i++)
+		if (cloud->reuse[i] && &cloud->types[i] == type)
+			cloud->capacity[i]++;
+}
+
+static void delete_machine(struct standin *standin, const char *id)
+{
+	for (int i = 0; i < standin->machine_count; i++) {
+		struct standin_machine *machine = &standin->machines[i];
+
+		if (machine->power == POWER_DELETED || strcmp(machine->id, id))
+			continue;
+		standin_machine_off(standin, machine, true);
+		return_capacity(&standin->cloud, machine->type);
+	}
+}
+
+static void answer_deletion(struct standin *standin, uint64_t handle, const char *body)
+{
+	json_t *request = wire_parse(body, strlen(body));
+	json_t *id;
 	size_t i;
 
-	json_array_foreach (json_object_get(o, W_MACHINES_LIST), i, e)
-		for (int k = 0; k < s->nmachines; k++)
-			if (!strcmp(s->machines[k].id, json_string_value(e)) &&
-			    s->machines[k].power != POWER_DELETED) {
-				standin_machine_off(s, &s->machines[k], true);
-				for (size_t t = 0; t < s->cloud.ntypes; t++)
-					s->cloud.capacity[t] +=
-					    s->cloud.reuse[t] &&
-					    s->machines[k].type == &s->cloud.types[t];
-			}
-	json_decref(o);
-	answer_error(s, handle, 200, "");
+	json_array_foreach (json_object_get(request, W_MACHINES_LIST), i, id)
+		delete_machine(standin, json_string_value(id));
+	json_decref(request);
+	answer_error(standin, handle, STATUS_OK, "");
+}
+
+/* --- the inventory, which lags behind --- */
+
+static bool is_listed(const struct standin *standin, const struct standin_machine *machine)
+{
+	double lag_s = standin->conf->list_lag_s;
+
+	if (standin->now - lag_s < machine->rented_at && standin->now > lag_s)
+		return false;
+	return machine->power != POWER_DELETED || standin->now - machine->off_at <= lag_s;
 }
 
-static void cloud_list(struct standin *s, uint64_t handle)
+static const char *listed_state(const struct standin *standin,
+				const struct standin_machine *machine)
+{
+	if (machine->power == POWER_OFF)
+		return W_CLOUD_FAILED;
+	if (standin->now - standin->conf->list_lag_s >= machine->up_at)
+		return W_CLOUD_RUNNING;
+	return W_CLOUD_BOOTING;
+}
+
+static json_t *encode_machine(const struct standin *standin, const struct standin_machine *machine)
+{
+	return json_pack("{s:s,s:s,s:s,s:s,s:b,s:s,s:f}", W_ID, machine->id, W_ADDR, machine->addr,
+			 W_TYPE, machine->type->name, W_ZONE, machine->zone, W_SPOT,
+			 (int)machine->spot, W_STATE, listed_state(standin, machine), W_AGE,
+			 standin->now - machine->rented_at);
+}
+
+static void answer_inventory(struct standin *standin, uint64_t handle)
 {
-	double lag = s->conf->list_lag_s;
 	json_t *list = json_array();
 
-	for (int i = 0; i < s->nmachines; i++) {
-		struct standin_machine *m = &s->machines[i];
-		const char *st = m->power == POWER_OFF	    ? W_CLOUD_FAILED
-				 : s->now - lag >= m->up_at ? W_CLOUD_RUNNING
-							    : W_CLOUD_BOOTING;
+	for (int i = 0; i < standin->machine_count; i++) {
+		const struct standin_machine *machine = &standin->machines[i];
 
-		if (s->now - lag < m->rented_at && s->now > lag)
-			continue;
-		if (m->power == POWER_DELETED && s->now - m->off_at > lag)
-			continue;
-		json_array_append_new(list, json_pack("{s:s,s:s,s:s,s:s,s:b,s:s,s:f}", W_ID, m->id,
-						      W_ADDR, m->addr, W_TYPE, m->type->name,
-						      W_ZONE, m->zone, W_SPOT, (int)m->spot,
-						      W_STATE, st, W_AGE, s->now - m->rented_at));
+		if (is_listed(standin, machine))
+			json_array_append_new(list, encode_machine(standin, machine));
 	}
-	answer(s, handle, 200, json_pack("{s:o,s:b}", W_MACHINES_LIST, list, W_MORE, 0));
+	answer(standin, handle, STATUS_OK,
+	       json_pack("{s:o,s:b}", W_MACHINES_LIST, list, W_MORE, 0));
 }
 
-void standin_cloud_request(struct standin *s, uint64_t handle, const char *method, const char *path,
-			   const char *body)
+void standin_cloud_request(struct standin *standin, uint64_t handle, const char *method,
+			   const char *path, const char *body)
 {
-	if (s->cloud.down)
-		answer_error(s, handle, 503, "trouble");
+	const struct standin_cloud *cloud = &standin->cloud;
+
+	if (cloud->down)
+		answer_error(standin, handle, STATUS_UNAVAILABLE, "trouble");
 	else if (!strcmp(path, W_PATH_TYPES))
-		answer(s, handle, 200, wire_types_encode(s->cloud.types, s->cloud.ntypes));
+		answer(standin, handle, STATUS_OK,
+		       wire_types_encode(cloud->types, cloud->type_count));
 	else if (!strcmp(path, W_PATH_DELETE))
-		cloud_delete(s, handle, body);
+		answer_deletion(standin, handle, body);
 	else if (!strcmp(method, "POST"))
-		cloud_rent(s, handle, body);
+		answer_rental(standin, handle, body);
 	else
-		cloud_list(s, handle);
+		answer_inventory(standin, handle);
 }
--- /dev/null
+++ b/tests/standins/rule_served.c
@@ -0,0 +1,111 @@
+/* Rules about which jobs began over a whole scenario. */
+#include <string.h>
+
+#include "standins/rules.h"
+#include "standins/standin.h"
+
+#define LARGEST_WAIT_MAX_S 240.0 /* seconds within which the largest jobs of a class must begin */
+
+/* Whether the job should have begun. */
+static bool is_expected(const struct standin_job *job)
+{
+	return job->accepted && !job->cancel_requested && !job->bad;
+}
+
+/* --- groups of jobs, of which half have to begin --- */
+
+static bool same_class(const struct standin_job *left, const struct standin_job *right)
+{
+	return !strcmp(left->spec.class_name, right->spec.class_name);
+}
+
+static bool same_team(const struct standin_job *left, const struct standin_job *right)
+{
+	return !strcmp(left->spec.team, right->spec.team);
+}
+
+static bool same_class_and_size(const struct standin_job *left, const struct standin_job *right)
+{
+	return same_class(left, right) && left->spec.task_count == right->spec.task_count;
+}
+
+typedef bool same_group(const struct standin_job *left, const struct standin_job *right);
+
+/* `group` names it in the message. */
+static void check_group(struct standin *standin, const struct standin_job *member,
+			const char *group, same_group *is_same)
+{
+	const struct standin_job *job;
+	int expected = 0, served = 0;
+
+	for (job = standin->jobs; job; job = job->hh.next) {
+		if (!is_expected(job) || !is_same(member, job))
+			continue;
+		expected++;
+		served += job->began_at >= 0;
+	}
+	if (2 * served < expected)
+		standin_rule_broken(standin, RULE_UNSERVED, "%d of %d like %s served (%s)", served,
+				    expected, member->spec.id, group);
+}
+
+/* Whether no job of its class has more tasks. */
+static bool is_largest(const struct standin *standin, const struct standin_job *job)
+{
+	const struct standin_job *other;
+
+	for (other = standin->jobs; other; other = other->hh.next)
+		if (is_expected(other) && same_class(other, job) &&
+		    other->spec.task_count > job->spec.task_count)
+			return false;
+	return true;
+}
+
+/* --- the rules --- */
+
+static void check_class_served(struct standin *standin, const struct standin_job *job)
+{
+	check_group(standin, job, "class", same_class);
+}
+
+static void check_team_served(struct standin *standin, const struct standin_job *job)
+{
+	check_group(standin, job, "team", same_team);
+}
+
+static void check_largest_served(struct standin *standin, const struct standin_job *job)
+{
+	if (is_largest(standin, job))
+		check_group(standin, job, "largest", same_class_and_size);
+}
+
+static void check_largest_in_time(struct standin *standin, const struct standin_job *job)
+{
+	double began_at = job->began_at >= 0 ? job->began_at : standin->now;
+	double waited_s = began_at - job->accepted_at;
+
+	if (waited_s > LARGEST_WAIT_MAX_S && is_largest(standin, job))
+		standin_rule_broken(standin, RULE_LATE_LARGE, "%s began after %.0f s", job->spec.id,
+				    waited_s);
+}
+
+typedef void served_check(struct standin *standin, const struct standin_job *job);
+
+static served_check *const served_checks[] = {
+    check_class_served,
+    check_team_served,
+    check_largest_served,
+    check_largest_in_time,
+};
+
+void standin_check_served(struct standin *standin)
+{
+	const struct standin_job *job;
+
+	for (job = standin->jobs; job; job = job->hh.next) {
+		if (!is_expected(job))
+			continue;
+		for (size_t i = 0; i < sizeof(served_checks) / sizeof(*served_checks); i++)
+			served_checks[i](standin, job);
+	}
+}
--- /dev/null
+++ b/tests/standins/state_transactions.c
@@ -0,0 +1,167 @@
+/* The state service's transactions: versions that keys must have, then changes of keys. */
+#include <stdlib.h>
+#include <string.h>
+
+#include "core/election/election.h"
+#include "standins/answers.h"
+#include "standins/standin.h"
+#include "standins/state_private.h"
+#include "wire/names.h"
+#include "wire/wire.h"
+
+#define GUARDS_PER_CHANGE 4   /* guards for each change that a transaction may have */
+#define FORMAT_FIELD "format" /* in the leader's record, from the second format on */
+
+static uint64_t integer_field(const json_t *object, const char *name)
+{
+	return (uint64_t)json_integer_value(json_object_get(object, name));
+}
+
+/* --- whether it may be applied --- */
+
+/* The keys whose versions are not those of the guards. */
+static json_t *failed_guards(struct standin_state_service *state_service, const json_t *guards)
+{
+	json_t *failed = json_array();
+	json_t *guard;
+	size_t i;
+
+	json_array_foreach (guards, i, guard) {
+		const char *name = json_string_value(json_object_get(guard, W_KEY));
+		const struct standin_key *key = state_key_find(state_service, name);
+		uint64_t version = key ? key->version : 0;
+
+		if (version != integer_field(guard, W_VERSION))
+			json_array_append_new(failed, json_string(name));
+	}
+	return failed;
+}
+
+/* Bytes of the value as it is sent; 0 for none. */
+static size_t value_size(const json_t *value)
+{
+	char *text = json_dumps(value, JSON_COMPACT | JSON_ENCODE_ANY);
+	size_t size = text ? strlen(text) : 0;
+
+	free(text);
+	return size;
+}
+
+/* Why a change can't be applied; NULL if it can. */
+static const char *change_error(struct standin_state_service *state_service, const json_t *change)
+{
+	const json_t *lease = json_object_get(change, W_LEASE);
+
+	if (lease && !state_lease_find(state_service, (uint64_t)json_integer_value(lease)))
+		return "no such lease";
+	if (value_size(json_object_get(change, W_VALUE)) > state_service->value_bytes)
+		return "value too large";
+	return NULL;
+}
+
+/* Why the transaction can't be applied whatever the versions are; NULL if it can. */
+static const char *transaction_error(struct standin_state_service *state_service,
+				     const json_t *guards, const json_t *changes)
+{
+	size_t most = (size_t)state_service->txn_ops;
+	const char *error = NULL;
+	json_t *change;
+	size_t i;
+
+	if (json_array_size(guards) > GUARDS_PER_CHANGE * most)
+		return "too many conditions";
+	if (json_array_size(changes) > most)
+		error = "too many operations";
+	json_array_foreach (changes, i, change) {
+		const char *why = change_error(state_service, change);
+
+		error = why ? why : error;
+	}
+	return error;
+}
+
+/* --- its changes --- */
+
+/* Whether the leader's key is written, but for the one time at which the records' format is raised.
+ */
+static bool is_takeover(const json_t *changes)
+{
+	bool leads = false, raises_format = false;
+	json_t *change;
+	size_t i;
+
+	json_array_foreach (changes, i, change) {
+		const char *name = json_string_value(json_object_get(change, W_PUT));
+		const json_t *value = json_object_get(change, W_VALUE);
+
+		if (!name || strncmp(name, LEADER_KEY, strlen(LEADER_KEY)))
+			continue;
+		leads = true;
+		raises_format |= json_object_get(value, FORMAT_FIELD) != NULL;
+	}
+	return leads && !raises_format;
+}
+
+static void apply_change(struct standin_state_service *state_service, const json_t *change)
+{
+	const char *put = json_string_value(json_object_get(change, W_PUT));
+	const char *drop = json_string_value(json_object_get(change, W_DROP));
+	struct standin_key *dropped = drop ? state_key_find(state_service, drop) : NULL;
+
+	if (put)
+		state_key_put(state_service, put, json_object_get(change, W_VALUE),
+			      integer_field(change, W_LEASE));
+	else if (dropped)
+		state_key_drop(state_service, dropped);
+}
+
+static void apply_changes(struct standin_state_service *state_service, const json_t *changes)
+{
+	json_t *change;
+	size_t i;
+
+	if (json_array_size(changes))
+		state_service->revision++;
+	state_service->takeovers += is_takeover(changes);
+	json_array_foreach (changes, i, change)
+		apply_change(state_service, change);
+}
+
+/* --- the request --- */
+
+/* Carries it out if all guards hold. */
+static void commit(struct standin *standin, uint64_t handle, const json_t *guards,
+		   const json_t *changes)
+{
+	struct standin_state_service *state_service = &standin->state_service;
+	json_t *failed = failed_guards(state_service, guards);
+
+	if (json_array_size(failed)) {
+		answer(standin, handle, STATUS_CONFLICT,
+		       json_pack("{s:o,s:I}", W_FAILED, failed, W_REVISION,
+				 (json_int_t)state_service->revision));
+		return;
+	}
+	json_decref(failed);
+	apply_changes(state_service, changes);
+	answer(standin, handle, STATUS_OK,
+	       json_pack("{s:I}", W_REVISION, (json_int_t)state_service->revision));
+	state_watches_answer(standin);
+}
+
+void state_transaction(struct standin *standin, uint64_t handle, const char *body)
+{
+	struct standin_state_service *state_service = &standin->state_service;
+	json_t *transaction = wire_parse(body, strlen(body));
+	const json_t *guards = json_object_get(transaction, W_IF);
+	const json_t *changes = json_object_get(transaction, W_THEN);
+	const char *error = transaction_error(state_service, guards, changes);
+
+	if (error) {
+		state_service->too_large++;
+		answer_error(standin, handle, STATUS_BAD_REQUEST, error);
+	} else {
+		commit(standin, handle, guards, changes);
+	}
+	json_decref(transaction);
+}
