--- /dev/null
+++ b/tests/loopback/loopback.c
@@ -0,0 +1,246 @@
+/* Start, time and end of real controllers' surroundings: the stand-ins as servers. */
+#include "loopback/loopback.h"
+
+#include <arpa/inet.h>
+#include <signal.h>
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+#include <sys/socket.h>
+#include <unistd.h>
+
+#include "wire/names.h"
+
+/* Which server of loopback->servers is what. */
+enum { SERVER_STATE, SERVER_CLOUD, SERVER_MACHINES };
+
+/* A request's handle: the server's index above its connection. */
+#define HANDLE_SERVER_SHIFT 48
+#define HANDLE_CONNECTION_MASK 0xffffffffffffull
+
+#define PORTS_MAX 64
+#define SERVER_CONNECTIONS 500
+#define POLL_S 0.005 /* seconds that one turn waits for messages */
+
+#define MACHINE_TYPE "g"
+#define ZONE "a"
+
+/* --- addresses --- */
+
+static int free_port(void)
+{
+	struct sockaddr_in address = {.sin_family = AF_INET};
+	socklen_t length = sizeof(address);
+	int fd = socket(AF_INET, SOCK_STREAM, 0);
+
+	address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+	if (bind(fd, (struct sockaddr *)&address, sizeof(address)) ||
+	    getsockname(fd, (struct sockaddr *)&address, &length))
+		abort();
+	close(fd);
+	return ntohs(address.sin_port);
+}
+
+static bool is_listed(const int *ports, int count, int port)
+{
+	for (int i = 0; i < count; i++)
+		if (ports[i] == port)
+			return true;
+	return false;
+}
+
+/* The system may offer a port again once it is closed: two listeners would meet on it. */
+static void new_address(char address[CONF_NAME_MAX])
+{
+	static int used[PORTS_MAX], used_count;
+	int port = free_port();
+
+	while (is_listed(used, used_count, port))
+		port = free_port();
+	used[used_count++] = port;
+	snprintf(address, CONF_NAME_MAX, "127.0.0.1:%d", port);
+}
+
+/* --- stand-ins as servers --- */
+
+static void reply(void *context, uint64_t handle, int status, const char *body)
+{
+	struct loopback *loopback = context;
+	struct net *net = loopback->servers[handle >> HANDLE_SERVER_SHIFT].net;
+
+	net_answer(net, handle & HANDLE_CONNECTION_MASK, status, 0, body, strlen(body));
+}
+
+static void take_request(void *context, uint64_t conn, enum net_side side, const char *method,
+			 const char *path, const char *body, size_t len)
+{
+	struct loopback_server *server = context;
+	struct standin *standin = &server->loopback->standin;
+	uint64_t handle = (uint64_t)server->index << HANDLE_SERVER_SHIFT | conn;
+
+	(void)side;
+	(void)len;
+	if (server->index == SERVER_STATE) {
+		standin_state_request(standin, 0, handle, method, path, body);
+	} else if (server->index == SERVER_CLOUD) {
+		standin_cloud_request(standin, handle, method, path, body);
+	} else {
+		struct standin_machine *machine =
+		    &standin->machines[server->index - SERVER_MACHINES];
+
+		standin_agent_request(standin, machine, handle, path, body);
+	}
+}
+
+/* --- start --- */
+
+static void set_conf(struct conf *conf)
+{
+	static struct conf_team team = {.name = "core"};
+
+	conf->teams = &team;
+	conf->nteams = 1;
+	conf->limits.txn_ops = 16;
+	conf->limits.rps = 500;
+	conf->limits.write_rps = 200;
+	conf->limits.value_kb = 8;
+	conf->report_s = 1;
+	conf->lease_s = 10;
+	conf->gang_wait_s = 20;
+	conf->gang_peer_s = 5;
+	conf->cancel_s = 30;
+	conf->list_lag_s = 1;
+}
+
+/* Machines are all there; none can be rented. */
+static void add_machine_type(struct standin *standin)
+{
+	struct machine_type type = {
+	    .name = MACHINE_TYPE,
+	    .cpus = LOOPBACK_MACHINE_CPUS,
+	    .mem_gb = 64,
+	    .fetch_gb_per_s = 1,
+	    .price = 1,
+	    .spot_price = 1,
+	    .boot_s = 1,
+	};
+
+	name_list_add(&type.zones, ZONE);
+	standin_type_add(standin, &type, 0, false);
+}
+
+static void start_standins(struct loopback *loopback)
+{
+	static const struct standin_callbacks callbacks = {
+	    .reply = reply,
+	    .report = loopback_report,
+	};
+
+	standin_init(&loopback->standin, &callbacks, loopback, &loopback->conf);
+	add_machine_type(&loopback->standin);
+	loopback->standin.now = net_now();
+	loopback->standin.controller_count = LOOPBACK_CONTROLLERS;
+}
+
+static void name_controllers(struct loopback *loopback)
+{
+	for (int i = 0; i < LOOPBACK_CONTROLLERS; i++) {
+		new_address(loopback->controllers[i].front);
+		new_address(loopback->controllers[i].back);
+		snprintf(loopback->standin.controller_names[i], NAME_MAX_LEN, "node-%d", i);
+	}
+}
+
+/* A machine that is up, whose agent is this server. */
+static void add_machine(struct loopback *loopback, const struct loopback_server *server)
+{
+	struct standin_machine *machine =
+	    standin_machine_add(&loopback->standin, MACHINE_TYPE, ZONE, false);
+
+	snprintf(machine->addr, sizeof(machine->addr), "%s", server->addr);
+	machine->up_at = loopback->standin.now;
+}
+
+/* 0, or -1 if the server can't listen. */
+static int start_server(struct loopback *loopback, int index)
+{
+	static const struct net_ops operations = {.request = take_request};
+	struct loopback_server *server = &loopback->servers[index];
+
+	server->loopback = loopback;
+	server->index = index;
+	server->net = net_new(&operations, server, SERVER_CONNECTIONS, LIMIT_S);
+	new_address(server->addr);
+	if (net_listen(server->net, NET_FRONT, server->addr))
+		return -1;
+	if (index >= SERVER_MACHINES)
+		add_machine(loopback, server);
+	return 0;
+}
+
+int loopback_init(struct loopback *loopback)
+{
+	static const struct net_ops operations = {.reply = loopback_take_reply};
+
+	signal(SIGPIPE, SIG_IGN);
+	snprintf(loopback->dir, sizeof(loopback->dir), "/tmp/ploverloft-loopback-XXXXXX");
+	if (!mkdtemp(loopback->dir))
+		return -1;
+	if (!loopback->max_connections)
+		loopback->max_connections = LOOPBACK_CONNECTIONS;
+	set_conf(&loopback->conf);
+	start_standins(loopback);
+	name_controllers(loopback);
+	for (int i = 0; i < LOOPBACK_SERVERS; i++)
+		if (start_server(loopback, i))
+			return -1;
+	loopback->net = net_new(&operations, loopback, SERVER_CONNECTIONS, LIMIT_S);
+	return 0;
+}
+
+/* --- time and end --- */
+
+void loopback_run(struct loopback *loopback, double seconds)
+{
+	double until = net_now() + seconds;
+	double now;
+
+	while ((now = net_now()) < until) {
+		standin_tick(&loopback->standin, now);
+		net_poll(loopback->net, POLL_S);
+		for (int i = 0; i < LOOPBACK_SERVERS; i++)
+			net_poll(loopback->servers[i].net, 0);
+	}
+}
+
+bool loopback_broken(const struct loopback *loopback)
+{
+	const struct standin *standin = &loopback->standin;
+	bool broken = false;
+
+	for (int rule = 0; rule < RULE_COUNT; rule++) {
+		if (!standin->rules_broken[rule])
+			continue;
+		fprintf(stderr, "rule broken: %s: %s\n", rule_names[rule], standin->broken_why);
+		broken = true;
+	}
+	return broken;
+}
+
+const char *loopback_leader(const struct loopback *loopback, const char *key)
+{
+	const struct standin_key *found;
+
+	HASH_FIND_STR(loopback->standin.state_service.keys, key, found);
+	return found ? json_string_value(json_object_get(found->value, "name")) : NULL;
+}
+
+void loopback_free(struct loopback *loopback)
+{
+	for (int i = 0; i < LOOPBACK_CONTROLLERS; i++)
+		loopback_kill(loopback, i);
+	for (int i = 0; i < LOOPBACK_SERVERS; i++)
+		net_free(loopback->servers[i].net);
+	net_free(loopback->net);
+	standin_free(&loopback->standin);
+}
--- a/tests/smoke.c
+++ b/tests/smoke.c
@@ -4,48 +4,83 @@
  */
 #include <stdio.h>
 
-#include "loopback.h"
+#include "core/runtime/http_status.h"
+#include "loopback/loopback.h"
 
-static int play(struct loopback *s, const char *program)
+/* The jobs, by their numbers. */
+enum { ARRAY = 1, GANG = 2 };
+
+#define RETRY_S 0.5
+
+static bool in_time(double from)
 {
-	double from = net_now();
-	int submits = 0;
+	return net_now() - from < LIMIT_S;
+}
 
-	for (int i = 0; i < LOOPBACK_NODES; i++)
-		loopback_start(s, i, program);
-	while (s->answers[201] + s->answers[200] < 1 && net_now() - from < LIMIT_S) {
-		loopback_submit(s, 1, submits++ % LOOPBACK_NODES);
-		loopback_run(s, 0.5);
+/* Submits the array until it is accepted, at one controller after the other. */
+static void submit_array(struct loopback *loopback, double from)
+{
+	const int *counts = loopback->answer_counts;
+
+	for (int i = 0; counts[STATUS_CREATED] + counts[STATUS_OK] < 1 && in_time(from); i++) {
+		loopback_submit(loopback, ARRAY, i % LOOPBACK_CONTROLLERS);
+		loopback_run(loopback, RETRY_S);
 	}
-	loopback_submit(s, 2, 0);
-	loopback_run(s, 3);
-	loopback_kill(s, 0);
-	loopback_run(s, 1);
-	loopback_kill(s, 1);
-	loopback_start(s, 0, program);
-	loopback_run(s, 1);
-	loopback_start(s, 1, program);
-	for (int i = 0; !(s->done[1] && s->done[2]) && net_now() - from < LIMIT_S; i++) {
-		loopback_submit(s, 2, i % LOOPBACK_NODES);
-		loopback_poll(s, 1, i % LOOPBACK_NODES);
-		loopback_poll(s, 2, i % LOOPBACK_NODES);
-		loopback_run(s, 0.5);
+}
+
+/* Two of the controllers are killed and come back, one after the other. */
+static void kill_and_restart(struct loopback *loopback, const char *program)
+{
+	loopback_run(loopback, 3);
+	loopback_kill(loopback, 0);
+	loopback_run(loopback, 1);
+	loopback_kill(loopback, 1);
+	loopback_start(loopback, 0, program);
+	loopback_run(loopback, 1);
+	loopback_start(loopback, 1, program);
+}
+
+/* Whether both jobs are done in time. */
+static bool wait_until_done(struct loopback *loopback, double from)
+{
+	const bool *done = loopback->known_done;
+
+	for (int i = 0; !(done[ARRAY] && done[GANG]) && in_time(from); i++) {
+		loopback_submit(loopback, GANG, i % LOOPBACK_CONTROLLERS);
+		loopback_poll(loopback, ARRAY, i % LOOPBACK_CONTROLLERS);
+		loopback_poll(loopback, GANG, i % LOOPBACK_CONTROLLERS);
+		loopback_run(loopback, RETRY_S);
 	}
-	if (!s->done[1] || !s->done[2])
-		fprintf(stderr, "not done in time: %d %d\n", s->done[1], s->done[2]);
-	return loopback_broken(s) || !(s->done[1] && s->done[2]);
+	if (done[ARRAY] && done[GANG])
+		return true;
+	fprintf(stderr, "not done in time: %d %d\n", done[ARRAY], done[GANG]);
+	return false;
+}
+
+static bool play(struct loopback *loopback, const char *program)
+{
+	double from = net_now();
+	bool done;
+
+	for (int i = 0; i < LOOPBACK_CONTROLLERS; i++)
+		loopback_start(loopback, i, program);
+	submit_array(loopback, from);
+	loopback_submit(loopback, GANG, 0);
+	kill_and_restart(loopback, program);
+	done = wait_until_done(loopback, from);
+	return !loopback_broken(loopback) && done;
 }
 
 int main(int argc, char **argv)
 {
-	static struct loopback s;
-	int rc;
+	static struct loopback loopback;
+	bool ok;
 
-	if (argc != 2 || loopback_init(&s))
+	if (argc != 2 || loopback_init(&loopback))
 		return 2;
-	loopback_job(&s, 1, JOB_ARRAY, 12, 1.5);
-	loopback_job(&s, 2, JOB_GANG, 3, 4);
-	rc = play(&s, argv[1]);
-	loopback_free(&s);
-	return rc;
+	loopback_job(&loopback, ARRAY, JOB_ARRAY, 12, 1.5);
+	loopback_job(&loopback, GANG, JOB_GANG, 3, 4);
+	ok = play(&loopback, argv[1]);
+	loopback_free(&loopback);
+	return !ok;
 }
--- a/tests/standins/jobs.h
+++ b/tests/standins/jobs.h
@@ -87,7 +87,10 @@
 /* Counts replica time that services should have had in `elapsed_s` seconds, and what ran of it. */
 void jobs_count_served(struct standin *standin, double elapsed_s);
 
+/* Whether the task of this index has completed, on whatever machine. */
 bool job_task_is_done(const struct standin_job *job, uint32_t index);
+
+/* Notes that it has; nothing changes if it had before. */
 void job_mark_done(struct standin_job *job, uint32_t index);
 
 /* Tasks that start together: all of a gang or a service, one of an array. */
--- a/tests/upgrade_previous.c
+++ b/tests/upgrade_previous.c
@@ -5,83 +5,101 @@
  * production, which reads the older format only.
  * Usage: upgrade_previous PROGRAM PREVIOUS_PROGRAM PRODUCTION_PROGRAM
  */
-#include <stdio.h>
-#include <string.h>
+#include "loopback/rollout.h"
 
-#include "rollout.h"
+#define SETTLE_S 1	  /* seconds between steps */
+#define LEASE_EXPIRED_S 4 /* seconds: longer than a lease of the leader before */
 
 static const char *new_program, *previous_program, *production_program;
 
-/* The given version leads: the others are ended until it does. */
-static bool lead_alone(struct loopback *s, int node, const char *what)
+/* The controller leads, of whatever version it is: the others are ended. */
+static bool lead_alone(struct loopback *loopback, int controller, const char *what)
 {
-	for (int other = 0; other < LOOPBACK_NODES; other++)
-		if (other != node)
-			loopback_kill(s, other);
-	loopback_run(s, 4); /* longer than a lease of the one before */
-	return rollout_wait(s, rollout_newest_format_led, what);
+	for (int other = 0; other < LOOPBACK_CONTROLLERS; other++)
+		if (other != controller)
+			loopback_kill(loopback, other);
+	loopback_run(loopback, LEASE_EXPIRED_S);
+	return rollout_wait(loopback, rollout_newest_format_led, what);
 }
 
-/* The previous version has work, then this one leads over its records, then the other way round. */
-static bool lead_in_turn(struct loopback *s)
+/* The previous version leads over new work. */
+static bool start_previous(struct loopback *loopback)
 {
-	for (int node = 0; node < LOOPBACK_NODES; node++)
-		loopback_start(s, node, previous_program);
-	if (!rollout_wait(s, rollout_newest_format_led, "the previous version leads"))
+	for (int i = 0; i < LOOPBACK_CONTROLLERS; i++)
+		loopback_start(loopback, i, previous_program);
+	if (!rollout_wait(loopback, rollout_newest_format_led, "the previous version leads"))
 		return false;
-	rollout_submit(s, ARRAY);
-	rollout_submit(s, SERVICE);
-	rollout_submit(s, GANG);
-	if (!rollout_wait(s, rollout_first_work_runs, "work starts under the previous version"))
-		return false;
-	rollout_replace(s, 0, new_program);
-	loopback_run(s, 1);
-	if (!lead_alone(s, 0, "this version leads over the previous one's records"))
-		return false;
-	rollout_submit(s, CANCELLED_ARRAY);
-	if (!rollout_wait(s, rollout_cancelled_runs, "work starts under this version"))
-		return false;
-	loopback_start(s, 1, previous_program);
-	loopback_start(s, 2, previous_program);
-	loopback_run(s, 1);
-	if (!lead_alone(s, 1, "the previous version leads over this one's records"))
+	rollout_submit(loopback, ARRAY);
+	rollout_submit(loopback, SERVICE);
+	rollout_submit(loopback, GANG);
+	return rollout_wait(loopback, rollout_first_work_runs,
+			    "work starts under the previous version");
+}
+
+/* This version leads over the previous one's records. */
+static bool lead_over_previous(struct loopback *loopback)
+{
+	rollout_replace(loopback, 0, new_program);
+	loopback_run(loopback, SETTLE_S);
+	if (!lead_alone(loopback, 0, "this version leads over the previous one's records"))
 		return false;
-	loopback_start(s, 0, new_program);
-	loopback_start(s, 2, previous_program);
-	rollout_cancel(s, CANCELLED_ARRAY);
-	return rollout_wait(s, rollout_cancelled_gone, "a cancellation across versions");
+	rollout_submit(loopback, CANCELLED_ARRAY);
+	return rollout_wait(loopback, rollout_cancelled_runs, "work starts under this version");
 }
 
-/* Limits fall while both versions run; one is rolled forth and back; then all are killed at once.
- */
-static bool roll_forth_and_back(struct loopback *s)
+/* The previous version leads over this one's records. */
+static bool lead_over_new(struct loopback *loopback)
 {
-	rollout_lower_limits(s);
-	rollout_submit(s, LATE_ARRAY);
-	rollout_submit(s, LATE_GANG);
-	if (!rollout_wait(s, rollout_late_work_runs, "work starts under the new limits"))
+	loopback_start(loopback, 1, previous_program);
+	loopback_start(loopback, 2, previous_program);
+	loopback_run(loopback, SETTLE_S);
+	if (!lead_alone(loopback, 1, "the previous version leads over this one's records"))
 		return false;
-	rollout_replace(s, 2, new_program);
-	loopback_run(s, 1);
-	rollout_replace(s, 2, previous_program);
-	for (int node = 0; node < LOOPBACK_NODES; node++)
-		loopback_kill(s, node);
-	loopback_run(s, 1);
-	loopback_start(s, 0, new_program);
-	loopback_start(s, 1, previous_program);
-	loopback_start(s, 2, new_program);
-	return rollout_wait(s, rollout_newest_format_led, "one leads after all were killed");
+	loopback_start(loopback, 0, new_program);
+	loopback_start(loopback, 2, previous_program);
+	rollout_cancel(loopback, CANCELLED_ARRAY);
+	return rollout_wait(loopback, rollout_cancelled_gone, "a cancellation across versions");
+}
+
+/* Limits fall while both versions run. */
+static bool lower_limits(struct loopback *loopback)
+{
+	rollout_lower_limits(loopback);
+	rollout_submit(loopback, LATE_ARRAY);
+	rollout_submit(loopback, LATE_GANG);
+	return rollout_wait(loopback, rollout_late_work_runs, "work starts under the new limits");
+}
+
+/* One is rolled forth and back, then all are killed at once. */
+static bool roll_forth_and_back(struct loopback *loopback)
+{
+	rollout_replace(loopback, 2, new_program);
+	loopback_run(loopback, SETTLE_S);
+	rollout_replace(loopback, 2, previous_program);
+	for (int i = 0; i < LOOPBACK_CONTROLLERS; i++)
+		loopback_kill(loopback, i);
+	loopback_run(loopback, SETTLE_S);
+	loopback_start(loopback, 0, new_program);
+	loopback_start(loopback, 1, previous_program);
+	loopback_start(loopback, 2, new_program);
+	return rollout_wait(loopback, rollout_newest_format_led, "one leads after all were killed");
+}
+
+static bool play(struct loopback *loopback)
+{
+	return start_previous(loopback) && lead_over_previous(loopback) &&
+	       lead_over_new(loopback) && lower_limits(loopback) && roll_forth_and_back(loopback) &&
+	       rollout_one_back(loopback, 1, production_program, new_program);
 }
 
 int main(int argc, char **argv)
 {
-	static struct loopback s;
+	static struct loopback loopback;
 
-	if (argc != 4 || rollout_init(&s))
+	if (argc != 4 || rollout_init(&loopback))
 		return 2;
 	new_program = argv[1];
 	previous_program = argv[2];
 	production_program = argv[3];
-	return rollout_end(&s, lead_in_turn(&s) && roll_forth_and_back(&s) &&
-				   rollout_one_back(&s, 1, production_program, new_program));
+	return rollout_end(&loopback, play(&loopback));
 }
