--- a/tests/standins/agent_messages.c
+++ b/tests/standins/agent_messages.c
@@ -110,14 +110,14 @@
 		return;
 	if (!strcmp(path, W_PATH_PROBE)) {
 		standin->probes++;
-		answer(standin, handle, STATUS_OK, next_message(standin, machine));
+		standin_answer(standin, handle, STATUS_OK, next_message(standin, machine));
 		return;
 	}
 	standin->direct_commands += !strcmp(path, W_PATH_COMMANDS);
 	request = wire_parse(body, strlen(body));
 	status = take_direct_commands(standin, machine, request);
 	json_decref(request);
-	answer(standin, handle, status, next_message(standin, machine));
+	standin_answer(standin, handle, status, next_message(standin, machine));
 }
 
 /* --- answers to heartbeats --- */
--- a/tests/standins/answers.c
+++ b/tests/standins/answers.c
@@ -6,7 +6,7 @@
 #include "standins/standin.h"
 #include "wire/json_text.h"
 
-void answer(struct standin *standin, uint64_t handle, enum http_status status, json_t *body)
+void standin_answer(struct standin *standin, uint64_t handle, enum http_status status, json_t *body)
 {
 	char *text = wire_serialize(body);
 
@@ -14,8 +14,8 @@
 	free(text);
 }
 
-void answer_error(struct standin *standin, uint64_t handle, enum http_status status,
-		  const char *why)
+void standin_answer_error(struct standin *standin, uint64_t handle, enum http_status status,
+			  const char *why)
 {
-	answer(standin, handle, status, json_pack("{s:s}", "error", why));
+	standin_answer(standin, handle, status, json_pack("{s:s}", "error", why));
 }
--- a/tests/standins/answers.h
+++ b/tests/standins/answers.h
@@ -11,10 +11,11 @@
 struct standin;
 
 /* Answers the request known by `handle`; takes over `body`. */
-void answer(struct standin *standin, uint64_t handle, enum http_status status, json_t *body);
+void standin_answer(struct standin *standin, uint64_t handle, enum http_status status,
+		    json_t *body);
 
 /* The same with a body that says why; `why` may be empty. */
-void answer_error(struct standin *standin, uint64_t handle, enum http_status status,
-		  const char *why);
+void standin_answer_error(struct standin *standin, uint64_t handle, enum http_status status,
+			  const char *why);
 
 #endif
--- a/tests/standins/cloud.c
+++ b/tests/standins/cloud.c
@@ -100,12 +100,12 @@
 
 	if (!json_array_size(names)) {
 		json_decref(names);
-		answer_error(standin, handle, STATUS_UNAVAILABLE, "no capacity");
+		standin_answer_error(standin, handle, STATUS_UNAVAILABLE, "no capacity");
 		return;
 	}
 	body = json_pack("{s:o}", W_MACHINES_LIST, names);
 	note_rental(&standin->cloud, name, body);
-	answer(standin, handle, STATUS_OK, body);
+	standin_answer(standin, handle, STATUS_OK, body);
 }
 
 static void answer_rental(struct standin *standin, uint64_t handle, const char *body)
@@ -151,7 +151,7 @@
 	json_array_foreach (json_object_get(request, W_MACHINES_LIST), i, id)
 		delete_machine(standin, json_string_value(id));
 	json_decref(request);
-	answer_error(standin, handle, STATUS_OK, "");
+	standin_answer_error(standin, handle, STATUS_OK, "");
 }
 
 /* --- the inventory, which lags behind --- */
@@ -193,8 +193,8 @@
 		if (is_listed(standin, machine))
 			json_array_append_new(list, encode_machine(standin, machine));
 	}
-	answer(standin, handle, STATUS_OK,
-	       json_pack("{s:o,s:b}", W_MACHINES_LIST, list, W_MORE, 0));
+	standin_answer(standin, handle, STATUS_OK,
+		       json_pack("{s:o,s:b}", W_MACHINES_LIST, list, W_MORE, 0));
 }
 
 void standin_cloud_request(struct standin *standin, uint64_t handle, const char *method,
@@ -203,10 +203,10 @@
 	const struct standin_cloud *cloud = &standin->cloud;
 
 	if (cloud->down)
-		answer_error(standin, handle, STATUS_UNAVAILABLE, "trouble");
+		standin_answer_error(standin, handle, STATUS_UNAVAILABLE, "trouble");
 	else if (!strcmp(path, W_PATH_TYPES))
-		answer(standin, handle, STATUS_OK,
-		       wire_types_encode(cloud->types, cloud->type_count));
+		standin_answer(standin, handle, STATUS_OK,
+			       wire_types_encode(cloud->types, cloud->type_count));
 	else if (!strcmp(path, W_PATH_DELETE))
 		answer_deletion(standin, handle, body);
 	else if (!strcmp(method, "POST"))
--- a/tests/standins/rule_answers.c
+++ b/tests/standins/rule_answers.c
@@ -40,7 +40,7 @@
 	const char *name;
 	bool done;
 	bool cancelled;
-	double asked_at;
+	double sent_at;
 };
 
 static void check_done(struct standin *standin, const struct standin_job *job,
@@ -58,12 +58,12 @@
 static void check_went_back(struct standin *standin, const struct standin_job *job,
 			    const struct shown_state *state)
 {
-	bool undone = job->known_done && !state->done && state->asked_at >= job->done_at;
+	bool undone = job->known_done && !state->done && state->sent_at >= job->done_at;
 	bool revived =
-	    job->known_cancelled && !state->cancelled && state->asked_at >= job->cancelled_at;
-	bool unasked = state->cancelled && !job->cancel_requested;
+	    job->known_cancelled && !state->cancelled && state->sent_at >= job->cancelled_at;
+	bool unrequested = state->cancelled && !job->cancel_requested;
 
-	if (undone || revived || unasked)
+	if (undone || revived || unrequested)
 		standin_rule_broken(standin, RULE_WENT_BACK, "%s is %s", job->spec.id, state->name);
 }
 
@@ -87,14 +87,14 @@
 }
 
 static void take_state(struct standin *standin, struct standin_job *job, const json_t *body,
-		       double asked_at)
+		       double sent_at)
 {
 	const char *name = json_string_value(json_object_get(body, W_STATE));
 	struct shown_state state = {
 	    .name = name,
 	    .done = !strcmp(name, W_JOB_DONE),
 	    .cancelled = !strcmp(name, W_JOB_CANCELLED),
-	    .asked_at = asked_at,
+	    .sent_at = sent_at,
 	};
 
 	job->answered_at = standin->now;
@@ -105,7 +105,7 @@
 }
 
 void standin_lookup_answered(struct standin *standin, const char *id, int status, const char *body,
-			     double asked_at)
+			     double sent_at)
 {
 	struct standin_job *job = standin_job_find(standin, id);
 	json_t *parsed;
@@ -119,15 +119,15 @@
 		return;
 	}
 	parsed = wire_parse(body, strlen(body));
-	take_state(standin, job, parsed, asked_at);
+	take_state(standin, job, parsed, sent_at);
 	json_decref(parsed);
 }
 
 void standin_cancellation_answered(struct standin *standin, const char *id, int status,
-				   const char *body, double asked_at)
+				   const char *body, double sent_at)
 {
 	if (status == STATUS_OK)
-		standin_lookup_answered(standin, id, status, body, asked_at);
+		standin_lookup_answered(standin, id, status, body, sent_at);
 }
 
 /* --- all the time --- */
--- a/tests/standins/rules.h
+++ b/tests/standins/rules.h
@@ -44,12 +44,12 @@
 
 /* --- what users are answered: rule_answers.c --- */
 
-/* A user was answered; `asked_at` is when the request was sent, `status` as HTTP has it. */
+/* A user was answered; `sent_at` is when the request was, `status` as HTTP has it. */
 void standin_submission_answered(struct standin *standin, const char *id, int status);
 void standin_lookup_answered(struct standin *standin, const char *id, int status, const char *body,
-			     double asked_at);
+			     double sent_at);
 void standin_cancellation_answered(struct standin *standin, const char *id, int status,
-				   const char *body, double asked_at);
+				   const char *body, double sent_at);
 
 /* Checks that no user waits too long for answers; faults ended at `quiet_since`. */
 void standin_check_answers(struct standin *standin, double quiet_since);
--- a/tests/standins/state_keys.c
+++ b/tests/standins/state_keys.c
@@ -83,10 +83,10 @@
 	const struct standin_key *key = state_key_find(state_service, name);
 
 	if (key)
-		answer(standin, handle, STATUS_OK, encode_key(key));
+		standin_answer(standin, handle, STATUS_OK, encode_key(key));
 	else
-		answer(standin, handle, STATUS_NOT_FOUND,
-		       json_pack("{s:I}", W_REVISION, (json_int_t)state_service->revision));
+		standin_answer(standin, handle, STATUS_NOT_FOUND,
+			       json_pack("{s:I}", W_REVISION, (json_int_t)state_service->revision));
 }
 
 static int compare_keys(const void *left, const void *right)
@@ -144,7 +144,7 @@
 	query_parameter(path, W_AFTER, after, sizeof(after));
 	query_parameter(path, W_LIMIT, limit, sizeof(limit));
 	page = encode_page(state_service, prefix, after, (size_t)atoi(limit), &more);
-	answer(standin, handle, STATUS_OK,
-	       json_pack("{s:o,s:b,s:I}", W_ITEMS, page, W_MORE, (int)more, W_REVISION,
-			 (json_int_t)state_service->revision));
+	standin_answer(standin, handle, STATUS_OK,
+		       json_pack("{s:o,s:b,s:I}", W_ITEMS, page, W_MORE, (int)more, W_REVISION,
+				 (json_int_t)state_service->revision));
 }
--- a/tests/standins/state_leases.c
+++ b/tests/standins/state_leases.c
@@ -72,7 +72,8 @@
 	lease->next = state_service->leases;
 	state_service->leases = lease;
 	json_decref(request);
-	answer(standin, handle, STATUS_OK, json_pack("{s:I}", W_LEASE, (json_int_t)lease->id));
+	standin_answer(standin, handle, STATUS_OK,
+		       json_pack("{s:I}", W_LEASE, (json_int_t)lease->id));
 }
 
 void state_lease_request(struct standin *standin, uint64_t handle, const char *method,
@@ -87,14 +88,14 @@
 	lease = state_lease_find(&standin->state_service,
 				 strtoull(path + strlen(W_PATH_LEASES) + 1, NULL, 10));
 	if (!lease) {
-		answer_error(standin, handle, STATUS_NOT_FOUND, "no such lease");
+		standin_answer_error(standin, handle, STATUS_NOT_FOUND, "no such lease");
 		return;
 	}
 	if (!strcmp(method, "DELETE"))
 		end_lease(standin, lease);
 	else
 		renew_lease(standin, lease);
-	answer_error(standin, handle, STATUS_OK, "");
+	standin_answer_error(standin, handle, STATUS_OK, "");
 }
 
 void state_leases_expire(struct standin *standin)
--- a/tests/standins/state_service.c
+++ b/tests/standins/state_service.c
@@ -148,9 +148,9 @@
 	const struct standin_state_service *state_service = &standin->state_service;
 
 	if (state_service->down || state_service->refuses[controller])
-		answer_error(standin, handle, STATUS_UNAVAILABLE, "trouble");
+		standin_answer_error(standin, handle, STATUS_UNAVAILABLE, "trouble");
 	else if (!limits_allow(standin, path, body))
-		answer_error(standin, handle, STATUS_TOO_MANY_REQUESTS, "limit");
+		standin_answer_error(standin, handle, STATUS_TOO_MANY_REQUESTS, "limit");
 	else
 		serve_request(standin, controller, handle, method, path, body);
 }
--- a/tests/standins/state_transactions.c
+++ b/tests/standins/state_transactions.c
@@ -137,15 +137,15 @@
 	json_t *failed = failed_guards(state_service, guards);
 
 	if (json_array_size(failed)) {
-		answer(standin, handle, STATUS_CONFLICT,
-		       json_pack("{s:o,s:I}", W_FAILED, failed, W_REVISION,
-				 (json_int_t)state_service->revision));
+		standin_answer(standin, handle, STATUS_CONFLICT,
+			       json_pack("{s:o,s:I}", W_FAILED, failed, W_REVISION,
+					 (json_int_t)state_service->revision));
 		return;
 	}
 	json_decref(failed);
 	apply_changes(state_service, changes);
-	answer(standin, handle, STATUS_OK,
-	       json_pack("{s:I}", W_REVISION, (json_int_t)state_service->revision));
+	standin_answer(standin, handle, STATUS_OK,
+		       json_pack("{s:I}", W_REVISION, (json_int_t)state_service->revision));
 	state_watches_answer(standin);
 }
 
@@ -159,7 +159,7 @@
 
 	if (error) {
 		state_service->too_large++;
-		answer_error(standin, handle, STATUS_BAD_REQUEST, error);
+		standin_answer_error(standin, handle, STATUS_BAD_REQUEST, error);
 	} else {
 		commit(standin, handle, guards, changes);
 	}
--- a/tests/standins/state_watches.c
+++ b/tests/standins/state_watches.c
@@ -45,7 +45,7 @@
 			 revision);
 }
 
-/* The changes that the watch has not told yet. */
+/* The changes that the watch has not been answered with yet. */
 static json_t *encode_events(const struct standin_state_service *state_service,
 			     const struct standin_watch *watch)
 {
@@ -76,9 +76,9 @@
 		json_decref(events);
 		return false;
 	}
-	answer(standin, watch->handle, STATUS_OK,
-	       json_pack("{s:I,s:o}", W_REVISION, (json_int_t)state_service->revision, W_EVENTS,
-			 events));
+	standin_answer(standin, watch->handle, STATUS_OK,
+		       json_pack("{s:I,s:o}", W_REVISION, (json_int_t)state_service->revision,
+				 W_EVENTS, events));
 	return true;
 }
 
@@ -122,7 +122,7 @@
 	watch->after_revision = strtoull(number, NULL, 10);
 	if (begins_too_far_back(state_service, watch)) {
 		free(watch);
-		answer_error(standin, handle, STATUS_GONE, "too old");
+		standin_answer_error(standin, handle, STATUS_GONE, "too old");
 		return;
 	}
 	query_parameter(path, W_WAIT, number, sizeof(number));
