--- a/tests/runner/controllers.c
+++ b/tests/runner/controllers.c
@@ -84,7 +84,8 @@
 
 	*conf = world->conf;
 	name_of(index, conf->name, sizeof(conf->name));
-	name_of(index, world->standin.node_names[index], sizeof(world->standin.node_names[index]));
+	name_of(index, world->standin.controller_names[index],
+		sizeof(world->standin.controller_names[index]));
 	snprintf(conf->front_addr, sizeof(conf->front_addr), "10.0.0.%d:8080", index + 1);
 	peer_address(index, conf->back_addr, sizeof(conf->back_addr));
 	configure_peers(world, index, conf);
@@ -94,7 +95,7 @@
 
 void controllers_start_all(struct world *world)
 {
-	world->standin.nnodes = world->controller_count;
+	world->standin.controller_count = world->controller_count;
 	for (int i = 0; i < world->controller_count; i++)
 		configure(world, i);
 	for (int i = 0; i < world->controller_count; i++)
@@ -159,7 +160,7 @@
 
 struct controller *controller_of_host(struct world *world, int host)
 {
-	return host < SI_NODES ? &world->controllers[host] : NULL;
+	return host < STANDIN_CONTROLLERS_MAX ? &world->controllers[host] : NULL;
 }
 
 int controller_leader(struct world *world)
--- a/tests/runner/expectations.c
+++ b/tests/runner/expectations.c
@@ -18,38 +18,38 @@
 /* --- of one job, whose number is the argument --- */
 
 /* NULL if it was never submitted. */
-static const struct si_job *job_numbered(struct world *world, const char *number)
+static const struct standin_job *job_numbered(struct world *world, const char *number)
 {
 	char id[ID_MAX];
 
 	format_job_id(id, atoi(number));
-	return si_job(&world->standin, id);
+	return standin_job_find(&world->standin, id);
 }
 
 static double client_knows_done(struct world *world, const char *argument)
 {
-	const struct si_job *job = job_numbered(world, argument);
+	const struct standin_job *job = job_numbered(world, argument);
 
-	return job && job->told_done;
+	return job && job->known_done;
 }
 
 static double client_knows_cancelled(struct world *world, const char *argument)
 {
-	const struct si_job *job = job_numbered(world, argument);
+	const struct standin_job *job = job_numbered(world, argument);
 
-	return job && job->told_cancelled;
+	return job && job->known_cancelled;
 }
 
 static double tasks_done(struct world *world, const char *argument)
 {
-	const struct si_job *job = job_numbered(world, argument);
+	const struct standin_job *job = job_numbered(world, argument);
 
-	return job ? job->ndone : NO_SUCH_JOB;
+	return job ? job->done_count : NO_SUCH_JOB;
 }
 
 static double task_starts(struct world *world, const char *argument)
 {
-	const struct si_job *job = job_numbered(world, argument);
+	const struct standin_job *job = job_numbered(world, argument);
 
 	return job ? job->starts : NO_SUCH_JOB;
 }
@@ -57,15 +57,15 @@
 /* Tasks shown as running by the newest answer to its client. */
 static double tasks_shown_running(struct world *world, const char *argument)
 {
-	const struct si_job *job = job_numbered(world, argument);
+	const struct standin_job *job = job_numbered(world, argument);
 
-	return job ? job->shown_running : NO_SUCH_JOB;
+	return job ? job->answered_running : NO_SUCH_JOB;
 }
 
 /* Share of a service's replica time in which a replica ran. */
 static double served_share(struct world *world, const char *argument)
 {
-	const struct si_job *job = job_numbered(world, argument);
+	const struct standin_job *job = job_numbered(world, argument);
 
 	return job && job->replica_s > 0 ? job->served_s / job->replica_s : 0;
 }
@@ -73,7 +73,7 @@
 /* Seconds from its acceptance until it began. */
 static double wait_time(struct world *world, const char *argument)
 {
-	const struct si_job *job = job_numbered(world, argument);
+	const struct standin_job *job = job_numbered(world, argument);
 
 	return job && job->began_at >= 0 ? job->began_at - job->accepted_at : INFINITY;
 }
@@ -85,11 +85,11 @@
 	int count = 0;
 
 	format_job_id(id, atoi(argument));
-	for (int i = 0; i < world->standin.nmachines; i++) {
-		const struct si_task *task = world->standin.machines[i].tasks;
+	for (int i = 0; i < world->standin.machine_count; i++) {
+		const struct standin_task *task = world->standin.machines[i].tasks;
 
 		for (; task; task = task->next)
-			count += task->state == TASK_RUNNING && !strcmp(task->job, id);
+			count += task->state == TASK_RUNNING && !strcmp(task->job_id, id);
 	}
 	return count;
 }
@@ -139,13 +139,13 @@
 static double takeovers(struct world *world, const char *argument)
 {
 	(void)argument;
-	return (double)world->standin.state.leader_puts;
+	return (double)world->standin.state_service.takeovers;
 }
 
 /* puts, toolarge, requests or refused */
 static double state_service_count(struct world *world, const char *argument)
 {
-	const struct si_state *state = &world->standin.state;
+	const struct standin_state_service *state = &world->standin.state_service;
 
 	if (!strcmp(argument, "puts"))
 		return (double)state->puts;
@@ -159,7 +159,7 @@
 /* Records whose key begins with the argument. */
 static double keys_with_prefix(struct world *world, const char *argument)
 {
-	const struct si_key *key = world->standin.state.keys;
+	const struct standin_key *key = world->standin.state_service.keys;
 	int count = 0;
 
 	for (; key; key = key->hh.next)
@@ -171,14 +171,14 @@
 static double machine_requests(struct world *world, const char *argument)
 {
 	if (!strcmp(argument, "show"))
-		return (double)world->standin.shows;
-	return (double)world->standin.directs;
+		return (double)world->standin.probes;
+	return (double)world->standin.direct_commands;
 }
 
 static double starts_after_cancellation(struct world *world, const char *argument)
 {
 	(void)argument;
-	return (double)world->standin.starts_cancelled;
+	return (double)world->standin.starts_after_cancellation;
 }
 
 static double all_starts(struct world *world, const char *argument)
@@ -191,7 +191,7 @@
 static double machines_rented(struct world *world, const char *argument)
 {
 	(void)argument;
-	return world->standin.nmachines;
+	return world->standin.machine_count;
 }
 
 /* Machines that are up, of the type that the argument names, or of any. */
@@ -200,10 +200,11 @@
 	bool any = !strcmp(argument, "any");
 	int count = 0;
 
-	for (int i = 0; i < world->standin.nmachines; i++) {
-		const struct si_machine *machine = &world->standin.machines[i];
+	for (int i = 0; i < world->standin.machine_count; i++) {
+		const struct standin_machine *machine = &world->standin.machines[i];
 
-		count += machine->power == SI_UP && (any || !strcmp(machine->type->name, argument));
+		count +=
+		    machine->power == POWER_UP && (any || !strcmp(machine->type->name, argument));
 	}
 	return count;
 }
@@ -211,9 +212,9 @@
 /* Whether the rule that the argument names was broken. */
 static double rule_broken(struct world *world, const char *argument)
 {
-	for (int rule = 0; rule < RULES; rule++)
+	for (int rule = 0; rule < RULE_COUNT; rule++)
 		if (!strcmp(rule_names[rule], argument))
-			return world->standin.broken[rule] > 0;
+			return world->standin.rules_broken[rule] > 0;
 	return 0;
 }
 
@@ -288,10 +289,10 @@
 {
 	struct standin *standin = &world->standin;
 
-	si_check_served(standin);
+	standin_check_served(standin);
 	if (!standin->starts_total)
-		si_broken(standin, RULE_NOTHING_RAN, "no start");
-	for (int rule = 0; rule < RULES; rule++)
-		if (standin->broken[rule] && !strstr(permitted, rule_names[rule]))
-			world_fail(world, "rule broken: %s", standin->why);
+		standin_rule_broken(standin, RULE_NOTHING_RAN, "no start");
+	for (int rule = 0; rule < RULE_COUNT; rule++)
+		if (standin->rules_broken[rule] && !strstr(permitted, rule_names[rule]))
+			world_fail(world, "rule broken: %s", standin->broken_why);
 }
--- /dev/null
+++ b/tests/standins/cloud.c
@@ -0,0 +1,216 @@
+/* Stand-in for the cloud. */
+#include "standins/cloud.h"
+
+#include <math.h>
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+
+#include "standins/answers.h"
+#include "standins/standin.h"
+#include "util/xalloc.h"
+#include "wire/names.h"
+
+void cloud_init(struct standin_cloud *cloud)
+{
+	cloud->types = xcalloc(STANDIN_TYPES_MAX, sizeof(*cloud->types));
+}
+
+void cloud_free(struct standin_cloud *cloud)
+{
+	for (size_t i = 0; i < cloud->rental_count; i++)
+		free(cloud->rentals[i].answer);
+	free(cloud->rentals);
+	wire_types_free(cloud->types, cloud->type_count);
+}
+
+void standin_type_add(struct standin *standin, const struct machine_type *type, int capacity,
+		      bool reuse)
+{
+	struct standin_cloud *cloud = &standin->cloud;
+	size_t i = cloud->type_count++;
+
+	cloud->types[i] = *type;
+	cloud->capacity[i] = capacity;
+	cloud->reuse[i] = reuse;
+}
+
+/* --- rentals --- */
+
+/* NULL if no rental of this name was answered. */
+static const struct standin_rental *find_rental(const struct standin_cloud *cloud, const char *name)
+{
+	for (size_t i = 0; i < cloud->rental_count; i++)
+		if (!strcmp(cloud->rentals[i].name, name))
+			return &cloud->rentals[i];
+	return NULL;
+}
+
+static void note_rental(struct standin_cloud *cloud, const char *name, const json_t *body)
+{
+	struct standin_rental *rental;
+
+	cloud->rentals =
+	    xreallocarray(cloud->rentals, cloud->rental_count + 1, sizeof(*cloud->rentals));
+	rental = &cloud->rentals[cloud->rental_count++];
+	snprintf(rental->name, sizeof(rental->name), "%s", name);
+	rental->answer = json_dumps(body, JSON_COMPACT);
+}
+
+/* Rents one machine; returns its name. */
+static json_t *rent_machine(struct standin *standin, const json_t *request)
+{
+	const char *type = json_string_value(json_object_get(request, W_TYPE));
+	const char *zone = json_string_value(json_object_get(request, W_ZONE));
+	bool spot = json_is_true(json_object_get(request, W_SPOT));
+	struct standin_machine *machine = standin_machine_add(standin, type, zone, spot);
+
+	if (standin->cloud.never_boot > 0) {
+		standin->cloud.never_boot--;
+		machine->up_at = INFINITY;
+	}
+	return json_string(machine->id);
+}
+
+/* As many machines as were asked for, or as there are; the list of their names. */
+static json_t *rent_machines(struct standin *standin, const json_t *request)
+{
+	const char *type = json_string_value(json_object_get(request, W_TYPE));
+	int wanted = (int)json_integer_value(json_object_get(request, W_COUNT));
+	struct standin_cloud *cloud = &standin->cloud;
+	json_t *names = json_array();
+	int rented = 0;
+
+	for (size_t i = 0; i < cloud->type_count; i++) {
+		if (strcmp(cloud->types[i].name, type))
+			continue;
+		for (; cloud->capacity[i] > 0 && rented < wanted; rented++) {
+			cloud->capacity[i]--;
+			json_array_append_new(names, rent_machine(standin, request));
+		}
+	}
+	return names;
+}
+
+static void answer_new_rental(struct standin *standin, uint64_t handle, const json_t *request)
+{
+	const char *name = json_string_value(json_object_get(request, W_REQUEST));
+	json_t *names = rent_machines(standin, request);
+	json_t *body;
+
+	if (!json_array_size(names)) {
+		json_decref(names);
+		standin_answer_error(standin, handle, STATUS_UNAVAILABLE, "no capacity");
+		return;
+	}
+	body = json_pack("{s:o}", W_MACHINES_LIST, names);
+	note_rental(&standin->cloud, name, body);
+	standin_answer(standin, handle, STATUS_OK, body);
+}
+
+static void answer_rental(struct standin *standin, uint64_t handle, const char *body)
+{
+	json_t *request = wire_parse(body, strlen(body));
+	const char *name = json_string_value(json_object_get(request, W_REQUEST));
+	const struct standin_rental *rental = find_rental(&standin->cloud, name);
+
+	if (rental)
+		standin->callbacks->reply(standin->context, handle, STATUS_OK, rental->answer);
+	else
+		answer_new_rental(standin, handle, request);
+	json_decref(request);
+}
+
+/* --- deletions --- */
+
+static void return_capacity(struct standin_cloud *cloud, const struct machine_type *type)
+{
+	for (size_t i = 0; i < cloud->type_count; i++)
+		if (cloud->reuse[i] && &cloud->types[i] == type)
+			cloud->capacity[i]++;
+}
+
+static void delete_machine(struct standin *standin, const char *id)
+{
+	for (int i = 0; i < standin->machine_count; i++) {
+		struct standin_machine *machine = &standin->machines[i];
+
+		if (machine->power == POWER_DELETED || strcmp(machine->id, id))
+			continue;
+		standin_machine_off(standin, machine, true);
+		return_capacity(&standin->cloud, machine->type);
+	}
+}
+
+static void answer_deletion(struct standin *standin, uint64_t handle, const char *body)
+{
+	json_t *request = wire_parse(body, strlen(body));
+	json_t *id;
+	size_t i;
+
+	json_array_foreach (json_object_get(request, W_MACHINES_LIST), i, id)
+		delete_machine(standin, json_string_value(id));
+	json_decref(request);
+	standin_answer_error(standin, handle, STATUS_OK, "");
+}
+
+/* --- the inventory, which lags behind --- */
+
+static bool is_listed(const struct standin *standin, const struct standin_machine *machine)
+{
+	double lag_s = standin->conf->inventory_lag_s;
+
+	if (standin->now - lag_s < machine->rented_at && standin->now > lag_s)
+		return false;
+	return machine->power != POWER_DELETED || standin->now - machine->off_at <= lag_s;
+}
+
+static const char *listed_state(const struct standin *standin,
+				const struct standin_machine *machine)
+{
+	if (machine->power == POWER_OFF)
+		return W_CLOUD_FAILED;
+	if (standin->now - standin->conf->inventory_lag_s >= machine->up_at)
+		return W_CLOUD_RUNNING;
+	return W_CLOUD_BOOTING;
+}
+
+static json_t *encode_machine(const struct standin *standin, const struct standin_machine *machine)
+{
+	return json_pack("{s:s,s:s,s:s,s:s,s:b,s:s,s:f}", W_ID, machine->id, W_ADDR, machine->addr,
+			 W_TYPE, machine->type->name, W_ZONE, machine->zone, W_SPOT,
+			 (int)machine->spot, W_STATE, listed_state(standin, machine), W_AGE,
+			 standin->now - machine->rented_at);
+}
+
+static void answer_inventory(struct standin *standin, uint64_t handle)
+{
+	json_t *list = json_array();
+
+	for (int i = 0; i < standin->machine_count; i++) {
+		const struct standin_machine *machine = &standin->machines[i];
+
+		if (is_listed(standin, machine))
+			json_array_append_new(list, encode_machine(standin, machine));
+	}
+	standin_answer(standin, handle, STATUS_OK,
+		       json_pack("{s:o,s:b}", W_MACHINES_LIST, list, W_MORE, 0));
+}
+
+void standin_cloud_request(struct standin *standin, uint64_t handle, const char *method,
+			   const char *path, const char *body)
+{
+	const struct standin_cloud *cloud = &standin->cloud;
+
+	if (cloud->down)
+		standin_answer_error(standin, handle, STATUS_UNAVAILABLE, "trouble");
+	else if (!strcmp(path, W_PATH_TYPES))
+		standin_answer(standin, handle, STATUS_OK,
+			       wire_types_encode(cloud->types, cloud->type_count));
+	else if (!strcmp(path, W_PATH_DELETE))
+		answer_deletion(standin, handle, body);
+	else if (!strcmp(method, "POST"))
+		answer_rental(standin, handle, body);
+	else
+		answer_inventory(standin, handle);
+}
--- /dev/null
+++ b/tests/standins/rules.c
@@ -0,0 +1,32 @@
+/* Names of the rules, and the record of those that were broken. */
+#include "standins/rules.h"
+
+#include <stdarg.h>
+#include <stdio.h>
+
+#include "standins/standin.h"
+
+const char *const rule_names[RULE_COUNT] = {
+    [RULE_RAN_TWICE] = "ran_twice",	[RULE_QUOTA] = "quota",
+    [RULE_WRONG_PLACE] = "wrong_place", [RULE_RAN_CANCELLED] = "ran_cancelled",
+    [RULE_FORGOTTEN] = "forgotten",	[RULE_INVENTED] = "invented",
+    [RULE_NOT_DONE] = "not_done",	[RULE_WENT_BACK] = "went_back",
+    [RULE_NOTHING_RAN] = "nothing_ran", [RULE_UNSERVED] = "unserved",
+    [RULE_LATE_LARGE] = "late_large",	[RULE_IDLE_ROOM] = "idle_room",
+    [RULE_WRONG_JOB] = "wrong_job",
+};
+
+void standin_rule_broken(struct standin *standin, enum rule rule, const char *format, ...)
+{
+	va_list arguments;
+
+	standin->rules_broken[rule]++;
+	if (standin->rules_broken[rule] > 1)
+		return;
+	va_start(arguments, format);
+	vsnprintf(standin->broken_why, sizeof(standin->broken_why), format, arguments);
+	va_end(arguments);
+	if (standin->verbose)
+		fprintf(stderr, "%8.3f RULE %s: %s\n", standin->now, rule_names[rule],
+			standin->broken_why);
+}
--- /dev/null
+++ b/tests/standins/state_service.c
@@ -0,0 +1,172 @@
+/* The state service's stand-in: start and end, limits of requests, and which part serves a request.
+ */
+#include "standins/state_service.h"
+
+#include <math.h>
+#include <stdlib.h>
+#include <string.h>
+
+#include "standins/answers.h"
+#include "standins/standin.h"
+#include "standins/state_private.h"
+#include "wire/names.h"
+#include "wire/wire.h"
+
+#define BYTES_PER_KB 1024
+
+void state_service_init(struct standin_state_service *state_service,
+			const struct conf_limits *limits)
+{
+	state_service->revision = 1;
+	state_service->next_lease = 1;
+	state_service->txn_ops = limits->txn_ops;
+	state_service->value_bytes = (size_t)(limits->value_kb * BYTES_PER_KB);
+	state_service->rps = limits->rps;
+	state_service->write_rps = limits->write_rps;
+}
+
+static void free_keys(struct standin_state_service *state_service)
+{
+	struct standin_key *key, *next;
+
+	HASH_ITER (hh, state_service->keys, key, next) {
+		HASH_DEL(state_service->keys, key);
+		json_decref(key->value);
+		free(key);
+	}
+}
+
+static void free_leases(struct standin_state_service *state_service)
+{
+	while (state_service->leases) {
+		struct standin_lease *lease = state_service->leases;
+
+		state_service->leases = lease->next;
+		free(lease);
+	}
+}
+
+static void free_watches(struct standin_state_service *state_service)
+{
+	while (state_service->watches) {
+		struct standin_watch *watch = state_service->watches;
+
+		state_service->watches = watch->next;
+		free(watch);
+	}
+}
+
+static void free_changes(struct standin_state_service *state_service)
+{
+	for (size_t i = 0; i < state_service->change_count; i++)
+		json_decref(state_service->changes[i].value);
+	free(state_service->changes);
+}
+
+void state_service_free(struct standin_state_service *state_service)
+{
+	free_keys(state_service);
+	free_leases(state_service);
+	free_watches(state_service);
+	free_changes(state_service);
+}
+
+/* --- limits of requests --- */
+
+static void refill_allowances(struct standin *standin)
+{
+	struct standin_state_service *state_service = &standin->state_service;
+	double elapsed_s = standin->now - state_service->allowance_at;
+
+	state_service->allowance_at = standin->now;
+	state_service->request_allowance = fmin(
+	    state_service->rps, state_service->request_allowance + elapsed_s * state_service->rps);
+	state_service->put_allowance =
+	    fmin(state_service->write_rps,
+		 state_service->put_allowance + elapsed_s * state_service->write_rps);
+}
+
+/* The puts and deletes that a request asks for. */
+static double count_puts(const char *path, const char *body)
+{
+	json_t *transaction;
+	double puts;
+
+	if (strcmp(path, W_PATH_TXN))
+		return 0;
+	transaction = wire_parse(body, strlen(body));
+	puts = (double)json_array_size(json_object_get(transaction, W_THEN));
+	json_decref(transaction);
+	return puts;
+}
+
+/* Whether the request is within the limits; then it is counted, and taken off the allowances. */
+static bool limits_allow(struct standin *standin, const char *path, const char *body)
+{
+	struct standin_state_service *state_service = &standin->state_service;
+	double puts;
+
+	refill_allowances(standin);
+	puts = count_puts(path, body);
+	if (state_service->request_allowance < 1 ||
+	    (puts > 0 && state_service->put_allowance < puts)) {
+		state_service->refused++;
+		return false;
+	}
+	state_service->request_allowance -= 1;
+	state_service->put_allowance -= puts;
+	state_service->requests++;
+	state_service->puts += (uint64_t)puts;
+	return true;
+}
+
+/* --- requests --- */
+
+static bool begins_with(const char *text, const char *prefix)
+{
+	return !strncmp(text, prefix, strlen(prefix));
+}
+
+static void serve_request(struct standin *standin, int controller, uint64_t handle,
+			  const char *method, const char *path, const char *body)
+{
+	if (!strcmp(path, W_PATH_TXN))
+		state_transaction(standin, handle, body);
+	else if (begins_with(path, W_PATH_LEASES))
+		state_lease_request(standin, handle, method, path, body);
+	else if (begins_with(path, W_PATH_WATCH))
+		state_watch(standin, controller, handle, path);
+	else if (begins_with(path, W_PATH_KEYS "?"))
+		state_range(standin, handle, path);
+	else
+		state_get(standin, handle, path);
+}
+
+void standin_state_request(struct standin *standin, int controller, uint64_t handle,
+			   const char *method, const char *path, const char *body)
+{
+	const struct standin_state_service *state_service = &standin->state_service;
+
+	if (state_service->down || state_service->refuses[controller])
+		standin_answer_error(standin, handle, STATUS_UNAVAILABLE, "trouble");
+	else if (!limits_allow(standin, path, body))
+		standin_answer_error(standin, handle, STATUS_TOO_MANY_REQUESTS, "limit");
+	else
+		serve_request(standin, controller, handle, method, path, body);
+}
+
+void standin_state_outage(struct standin *standin, bool down)
+{
+	struct standin_state_service *state_service = &standin->state_service;
+
+	if (state_service->down && !down)
+		state_leases_extend(standin);
+	state_service->down = down;
+	state_watches_answer(standin);
+}
+
+void state_service_tick(struct standin *standin)
+{
+	state_leases_expire(standin);
+	state_watches_answer(standin);
+}
