--- a/src/conf/conf.h
+++ b/src/conf/conf.h
@@ -111,6 +111,7 @@
  * 0, or -1 with file, field and reason in `error`. Either way, conf_free() is due in the end.
  */
 int conf_load(struct conf *conf, const char *path, char error[CONF_ERR_MAX]);
+/* The same for the operators' own settings. */
 int conf_load_operator(struct conf *conf, const char *path, char error[CONF_ERR_MAX]);
 
 /* Whether there is an objective of this kind, for any class. */
--- a/tests/bench/measures.c
+++ b/tests/bench/measures.c
@@ -11,9 +11,13 @@
 static unsigned long long allocations;
 
 #ifndef __SANITIZE_ADDRESS__
+/* The C library's own names, by which its functions stay within reach of those that replace them.
+ */
+/* NOLINTBEGIN(bugprone-reserved-identifier) */
 void *__libc_malloc(size_t size);
 void *__libc_calloc(size_t count, size_t size);
 void *__libc_realloc(void *memory, size_t size);
+/* NOLINTEND(bugprone-reserved-identifier) */
 
 void *malloc(size_t size)
 {
