--- a/tests/runner/expectations.c
+++ b/tests/runner/expectations.c
@@ -136,7 +136,7 @@
 
 /* --- of the stand-ins --- */
 
-static double takeovers(struct world *world, const char *argument)
+static double leader_key_writes(struct world *world, const char *argument)
 {
 	(void)argument;
 	return (double)world->standin.state_service.takeovers;
@@ -170,7 +170,7 @@
 /* Requests to machines: show for questions, else direct commands. */
 static double machine_requests(struct world *world, const char *argument)
 {
-	if (!strcmp(argument, "show"))
+	if (!strcmp(argument, "probes"))
 		return (double)world->standin.probes;
 	return (double)world->standin.direct_commands;
 }
@@ -221,23 +221,23 @@
 static const struct measure measures[] = {
     {"done", client_knows_done},
     {"cancelled", client_knows_cancelled},
-    {"tasksdone", tasks_done},
+    {"tasks_done", tasks_done},
     {"starts", task_starts},
-    {"served", served_share},
+    {"served_share", served_share},
     {"wait", wait_time},
-    {"shown", tasks_shown_running},
+    {"running_shown", tasks_shown_running},
     {"running", tasks_running},
     {"leaders", leaders},
-    {"directs", direct_commands},
-    {"switches", share_switches},
+    {"direct_commands", direct_commands},
+    {"share_switches", share_switches},
     {"answers", client_answers},
-    {"takeovers", takeovers},
+    {"leader_key_writes", leader_key_writes},
     {"state", state_service_count},
     {"keys", keys_with_prefix},
-    {"asked", machine_requests},
-    {"latestarts", starts_after_cancellation},
-    {"allstarts", all_starts},
-    {"rented", machines_rented},
+    {"machine_requests", machine_requests},
+    {"starts_after_cancellation", starts_after_cancellation},
+    {"all_starts", all_starts},
+    {"machines_rented", machines_rented},
     {"machines", machines_up},
     {"broken", rule_broken},
 };
--- a/tests/runner/faults.c
+++ b/tests/runner/faults.c
@@ -12,7 +12,7 @@
 #include "util/xalloc.h"
 
 #define DEFAULT_DOWN_S 3      /* of a controller that crashes */
-#define DEFAULT_DURATION_S 10 /* of a cut or an outage */
+#define DEFAULT_DURATION_S 10 /* of a partition or an outage */
 #define DEFAULT_NOTICE_S 8    /* until a machine that got notice is taken away */
 #define DEFAULT_DUPLICATE_DELAY_S 30
 #define MACHINE_PREFIX "machine:"
@@ -47,7 +47,7 @@
 	world->quiet_since_s = world->now_s;
 }
 
-/* cancelend N: job N is cancelled when its last task ends */
+/* cancel_at_end N: job N is cancelled when its last task ends */
 static void cancel_at_end(struct world *world, const struct scenario_line *line)
 {
 	world->cancel_at_end = line_integer(line, 1);
@@ -72,15 +72,15 @@
 {
 	if (!strcmp(word, "lease"))
 		return CRASH_WITH_LEASE;
-	if (!strcmp(word, "loading"))
+	if (!strcmp(word, "recovering"))
 		return CRASH_LOADING;
-	if (!strcmp(word, "lead"))
+	if (!strcmp(word, "leading"))
 		return CRASH_LEADING;
 	world_fail(world, "no such step of an election: %s", word);
 	return CRASH_NEVER;
 }
 
-/* crashon lease|loading|lead times=N back=S */
+/* crash_at_step lease|recovering|leading times=N back=S */
 static void crash_at_step(struct world *world, const struct scenario_line *line)
 {
 	world->election_crash.step = crash_step(world, line_word(line, 1));
@@ -139,19 +139,19 @@
 	world->network_faults.repeated = line_number(line, 1);
 }
 
-/* slow P */
+/* slow_store P */
 static void slow_state_replies(struct world *world, const struct scenario_line *line)
 {
 	world->network_faults.slow_state_replies = line_number(line, 1);
 }
 
-/* late P */
+/* late_writes P */
 static void delay_transactions(struct world *world, const struct scenario_line *line)
 {
 	world->network_faults.late_transactions = line_number(line, 1);
 }
 
-/* copies P after=S */
+/* late_reports P after=S */
 static void duplicate_reports(struct world *world, const struct scenario_line *line)
 {
 	world->network_faults.duplicate_reports = line_number(line, 1);
@@ -211,8 +211,8 @@
 	}
 }
 
-/* cut A B for=S [mode=hold]: A a host or machine:K..L, B a host, "workers" or "peers" */
-static void cut(struct world *world, const struct scenario_line *line)
+/* partition A B for=S [mode=hold]: A a host or machine:K..L, B a host, "workers" or "peers" */
+static void partition_hosts(struct world *world, const struct scenario_line *line)
 {
 	const char *from = line_word(line, 1);
 	const char *to = line_word(line, 2);
@@ -227,8 +227,8 @@
 		cut_between(world, line, host_named(world, from), host_named(world, to));
 }
 
-/* oneway K for=S: machine K's reports arrive, answers and commands do not reach it */
-static void cut_one_way(struct world *world, const struct scenario_line *line)
+/* outbound_partition K for=S: machine K's reports arrive, answers and commands do not reach it */
+static void partition_outbound(struct world *world, const struct scenario_line *line)
 {
 	int machine = HOST_MACHINES + line_integer(line, 1);
 	struct network_cut *added =
@@ -237,8 +237,9 @@
 	added->scope = CUT_ONE_WAY;
 }
 
-/* mute K for=S: machine K, or K..L, reaches no controller, while direct commands reach it */
-static void cut_reports(struct world *world, const struct scenario_line *line)
+/* inbound_partition K for=S: machine K, or K..L, reaches no controller, while direct commands reach
+ * it */
+static void partition_inbound(struct world *world, const struct scenario_line *line)
 {
 	int last;
 	int first = parse_range(line_word(line, 1), &last);
@@ -312,8 +313,8 @@
 	standin_machine_off(&world->standin, machine, true);
 }
 
-/* take K: the cloud takes it back */
-static void take_machines(struct world *world, const struct scenario_line *line)
+/* reclaim K: the cloud takes it back */
+static void reclaim_machines(struct world *world, const struct scenario_line *line)
 {
 	for_machines(world, line, take_one);
 }
@@ -338,7 +339,7 @@
 	machine->changed = true;
 }
 
-/* notice K for=S: it learns that it will be taken away */
+/* preemption_notice K for=S: it learns that it will be taken away */
 static void notify_machines(struct world *world, const struct scenario_line *line)
 {
 	for_machines(world, line, notify_one);
@@ -359,27 +360,27 @@
 
 const struct scenario_keyword fault_keywords[] = {
     {"quiet", 0, end_of_faults},
-    {"cancelend", 1, cancel_at_end},
+    {"cancel_at_end", 1, cancel_at_end},
     {"crash", 1, crash},
-    {"crashon", 1, crash_at_step},
+    {"crash_at_step", 1, crash_at_step},
     {"freeze", 1, freeze},
     {"outage", 1, outage},
     {"refuse", 1, refuse},
     {"stall", 1, stall},
     {"loss", 1, lose},
     {"repeat", 1, repeat},
-    {"slow", 1, slow_state_replies},
-    {"late", 1, delay_transactions},
-    {"copies", 1, duplicate_reports},
-    {"cut", 2, cut},
-    {"oneway", 1, cut_one_way},
-    {"mute", 1, cut_reports},
+    {"slow_store", 1, slow_state_replies},
+    {"late_writes", 1, delay_transactions},
+    {"late_reports", 1, duplicate_reports},
+    {"partition", 2, partition_hosts},
+    {"outbound_partition", 1, partition_outbound},
+    {"inbound_partition", 1, partition_inbound},
     {"capture", 1, capture_report},
     {"replay", 1, replay_report},
     {"kill", 1, kill_machines},
-    {"take", 1, take_machines},
+    {"reclaim", 1, reclaim_machines},
     {"restart", 1, restart_machines},
-    {"notice", 1, notify_machines},
+    {"preemption_notice", 1, notify_machines},
     {"hang", 1, hang_machines},
     {NULL, 0, NULL},
 };
--- a/tests/runner/requests.c
+++ b/tests/runner/requests.c
@@ -149,8 +149,8 @@
 /*
  * Each check must be able to fail: this breaks a rule on purpose.
  * break start JOB MACHINE TASK: the machine starts a task that nobody commanded
- * break accept JOB: the client is told that the job is accepted
- * break told JOB STATUS [BODY]: the client gets this answer to a poll
+ * break accept JOB: the client gets the answer that the job is accepted
+ * break answer JOB STATUS [BODY]: the client gets this answer to a poll
  */
 static void break_rule(struct world *world, const struct scenario_line *line)
 {
--- a/tests/runner/setup.c
+++ b/tests/runner/setup.c
@@ -59,7 +59,7 @@
 	*setting = (int)line_option_number(line, option, *setting);
 }
 
-/* facts report= lease= cancel= txn_ops= ... keep= */
+/* settings report= lease= cancel= txn_ops= ... keep= */
 static void change_settings(struct world *world, const struct scenario_line *line)
 {
 	struct conf *conf = &world->conf;
@@ -78,7 +78,7 @@
 	world->standin.state_service.changes_kept = (size_t)line_option_number(line, "keep", 0);
 }
 
-/* hold NODE|all [end=1]: counts from the controller's next start */
+/* hold_format NODE|all [end=1]: counts from the controller's next start */
 static void keep_previous_format(struct world *world, const struct scenario_line *line)
 {
 	const char *who = line_word(line, 1);
@@ -177,9 +177,14 @@
 }
 
 const struct scenario_keyword setup_keywords[] = {
-    {"nodes", 1, set_controller_count}, {"seed", 1, set_seed},
-    {"facts", 0, change_settings},	{"limits", 0, change_limits},
-    {"hold", 1, keep_previous_format},	{"objective", 1, add_objective},
-    {"type", 1, add_machine_type},	{"team", 1, add_team},
-    {"machines", 2, add_machines},	{NULL, 0, NULL},
+    {"nodes", 1, set_controller_count},
+    {"seed", 1, set_seed},
+    {"settings", 0, change_settings},
+    {"limits", 0, change_limits},
+    {"hold_format", 1, keep_previous_format},
+    {"objective", 1, add_objective},
+    {"type", 1, add_machine_type},
+    {"team", 1, add_team},
+    {"machines", 2, add_machines},
+    {NULL, 0, NULL},
 };
