--- a/src/conf/conf.c
+++ b/src/conf/conf.c
@@ -3,12 +3,12 @@
 
 #include <stdlib.h>
 
-int conf_has(const struct conf *conf, enum objective_kind kind)
+bool conf_has(const struct conf *conf, enum objective_kind kind)
 {
 	for (size_t i = 0; i < conf->objective_count; i++)
 		if (conf->objectives[i].kind == kind)
-			return 1;
-	return 0;
+			return true;
+	return false;
 }
 
 void conf_free(struct conf *conf)
--- a/src/conf/conf.h
+++ b/src/conf/conf.h
@@ -5,6 +5,7 @@
 #ifndef PLOVERLOFT_CONF_H
 #define PLOVERLOFT_CONF_H
 
+#include <stdbool.h>
 #include <stddef.h>
 
 #ifdef __cplusplus
@@ -115,7 +116,7 @@
 int conf_load_operator(struct conf *conf, const char *path, char error[CONF_ERR_MAX]);
 
 /* Whether there is an objective of this kind, for any class. */
-int conf_has(const struct conf *conf, enum objective_kind kind);
+bool conf_has(const struct conf *conf, enum objective_kind kind);
 
 /* Frees what `conf` owns, not `conf` itself. */
 void conf_free(struct conf *conf);
--- a/src/core/autoscale/inventory.c
+++ b/src/core/autoscale/inventory.c
@@ -61,7 +61,7 @@
 	struct inventory_reader *inventory = &core->autoscale.inventory;
 	struct listed_machine *entries;
 	size_t count;
-	int more;
+	bool more;
 
 	if (election_call_is_stale(core, call))
 		return;
--- a/src/wire/cloud_codec.c
+++ b/src/wire/cloud_codec.c
@@ -123,7 +123,7 @@
 }
 
 int wire_list_decode(const char *body, size_t len, struct listed_machine **machines, size_t *count,
-		     int *more)
+		     bool *more)
 {
 	json_t *answer;
 	const json_t *list = parse_machine_list(body, len, &answer);
@@ -137,7 +137,7 @@
 	return 0;
 }
 
-char *wire_rental(const char *request, const char *type, const char *zone, int spot, int count)
+char *wire_rental(const char *request, const char *type, const char *zone, bool spot, int count)
 {
 	json_t *object = json_object();
 
--- a/src/wire/cloud_codec.h
+++ b/src/wire/cloud_codec.h
@@ -2,6 +2,7 @@
 #ifndef PLOVERLOFT_CLOUD_CODEC_H
 #define PLOVERLOFT_CLOUD_CODEC_H
 
+#include <stdbool.h>
 #include <stddef.h>
 
 #include <jansson.h>
@@ -28,7 +29,7 @@
 	char addr[NAME_MAX_LEN]; /* empty: none yet */
 	char type[NAME_MAX_LEN];
 	char zone[NAME_MAX_LEN];
-	int spot; /* true if the cloud may take the machine back */
+	bool spot; /* true if the cloud may take the machine back */
 	enum listed_state state;
 	double age_s; /* seconds since it was rented; 0 if the cloud does not say */
 };
@@ -50,10 +51,10 @@
  * a list. *more is true if another page follows. On success the caller frees the array.
  */
 int wire_list_decode(const char *body, size_t len, struct listed_machine **machines, size_t *count,
-		     int *more);
+		     bool *more);
 
 /* A request for `count` machines, which its name makes repeatable. The caller frees the text. */
-char *wire_rental(const char *request, const char *type, const char *zone, int spot, int count);
+char *wire_rental(const char *request, const char *type, const char *zone, bool spot, int count);
 
 /* A request to delete machines. The caller frees the text. */
 char *wire_delete(const char *const *ids, size_t count);
--- a/src/wire/job_codec.c
+++ b/src/wire/job_codec.c
@@ -22,13 +22,13 @@
 static const struct name_table kinds = NAME_TABLE(kind_names);
 static const struct name_table priorities = NAME_TABLE(priority_names);
 
-int wire_job_id_ok(const char *id)
+bool wire_job_id_ok(const char *id)
 {
 	size_t prefix = strlen(W_JOB_PREFIX);
 	size_t length = strlen(id);
 
 	if (length <= prefix || length >= ID_MAX || strncmp(id, W_JOB_PREFIX, prefix))
-		return 0;
+		return false;
 	return strspn(id + prefix, "0123456789") == length - prefix;
 }
 
@@ -100,7 +100,7 @@
 {
 	const struct {
 		const char *key;
-		int *out;
+		bool *out;
 	} flags[] = {
 	    {W_ONE_ZONE, &spec->one_zone}, {W_SPREAD, &spec->spread}, {W_SPOT, &spec->spot}};
 
--- a/src/wire/job_codec.h
+++ b/src/wire/job_codec.h
@@ -2,6 +2,7 @@
 #ifndef PLOVERLOFT_JOB_CODEC_H
 #define PLOVERLOFT_JOB_CODEC_H
 
+#include <stdbool.h>
 #include <stdint.h>
 
 #include <jansson.h>
@@ -37,13 +38,13 @@
 	double checkpoint_s;	   /* between checkpoints; 0: the job makes none */
 	double save_s;		   /* to save a task's state when it is stopped */
 	double deadline_s;	   /* from the submission to the end of the job; < 0: none */
-	int one_zone;		   /* all tasks in one zone */
-	int spread;		   /* at most half of a gang's tasks in one zone */
-	int spot;		   /* machines that the cloud may take back will do */
+	bool one_zone;		   /* all tasks in one zone */
+	bool spread;		   /* at most half of a gang's tasks in one zone */
+	bool spot;		   /* machines that the cloud may take back will do */
 };
 
 /* True if the id has the form that the protocol asks for: its prefix, then decimal digits. */
-int wire_job_id_ok(const char *id);
+bool wire_job_id_ok(const char *id);
 
 /*
  * 0, or -1 with the reason in *why, a static text: the key of the first field that is missing or
--- a/src/wire/json_fields.c
+++ b/src/wire/json_fields.c
@@ -58,7 +58,7 @@
 	return field_count(object, key, &count) ? 0 : count;
 }
 
-int field_bool(const json_t *object, const char *key, int *out)
+int field_bool(const json_t *object, const char *key, bool *out)
 {
 	const json_t *value = json_object_get(object, key);
 
--- a/src/wire/json_fields.h
+++ b/src/wire/json_fields.h
@@ -48,7 +48,7 @@
 uint64_t field_count_or_zero(const json_t *object, const char *key);
 
 /* 1 or 0 for true or false. */
-int field_bool(const json_t *object, const char *key, int *out);
+int field_bool(const json_t *object, const char *key, bool *out);
 
 /* True only if the field is there and true. */
 bool field_is_true(const json_t *object, const char *key);
--- a/src/wire/report_codec.h
+++ b/src/wire/report_codec.h
@@ -2,6 +2,7 @@
 #ifndef PLOVERLOFT_REPORT_CODEC_H
 #define PLOVERLOFT_REPORT_CODEC_H
 
+#include <stdbool.h>
 #include <stddef.h>
 #include <stdint.h>
 
@@ -36,7 +37,7 @@
 	uint64_t attempt;
 	enum task_state state;
 	enum task_end_reason end_reason;
-	int saved; /* true if its state was saved when it was stopped */
+	bool saved; /* true if its state was saved when it was stopped */
 };
 
 /* One message of an agent: its machine and all attempts that it knows of. */
@@ -45,7 +46,7 @@
 	char addr[NAME_MAX_LEN]; /* where the agent takes direct commands */
 	char type[NAME_MAX_LEN];
 	char zone[NAME_MAX_LEN];
-	int spot;	      /* true if the cloud may take the machine back */
+	bool spot;	      /* true if the cloud may take the machine back */
 	uint64_t incarnation; /* rises each time the agent's lease has run out */
 	uint64_t sequence;    /* rises with each report of an incarnation */
 	uint64_t token;	      /* newest fencing token that the agent has seen */
--- a/src/wire/store_codec.c
+++ b/src/wire/store_codec.c
@@ -55,12 +55,12 @@
 	}
 }
 
-int wire_more(json_t *object)
+bool wire_more(json_t *object)
 {
 	return field_is_true(object, W_MORE);
 }
 
-int wire_failed_has(json_t *object, const char *key)
+bool wire_failed_has(json_t *object, const char *key)
 {
 	const json_t *failed = json_object_get(object, W_FAILED);
 	const json_t *name;
@@ -68,7 +68,7 @@
 
 	json_array_foreach (failed, i, name) {
 		if (json_is_string(name) && !strcmp(json_string_value(name), key))
-			return 1;
+			return true;
 	}
-	return 0;
+	return false;
 }
--- a/src/wire/store_codec.h
+++ b/src/wire/store_codec.h
@@ -2,6 +2,7 @@
 #ifndef PLOVERLOFT_STORE_CODEC_H
 #define PLOVERLOFT_STORE_CODEC_H
 
+#include <stdbool.h>
 #include <stdint.h>
 
 #include <jansson.h>
@@ -29,9 +30,9 @@
 void wire_items(json_t *object, void (*each)(void *ctx, const struct kv_item *item), void *ctx);
 
 /* True if an answer is one page of several and another follows. */
-int wire_more(json_t *object);
+bool wire_more(json_t *object);
 
 /* True if the answer to a transaction names the guard on this key as one that failed. */
-int wire_failed_has(json_t *object, const char *key);
+bool wire_failed_has(json_t *object, const char *key);
 
 #endif
--- a/tests/runner/requests.c
+++ b/tests/runner/requests.c
@@ -66,9 +66,9 @@
 	spec->checkpoint_s = line_option_number(line, "checkpoint", 0);
 	spec->save_s = line_option_number(line, "save", 1);
 	spec->deadline_s = line_option_number(line, "deadline", -1);
-	spec->one_zone = (int)line_option_number(line, "together", 0);
-	spec->spread = (int)line_option_number(line, "spread", 0);
-	spec->spot = (int)line_option_number(line, "spot", 0);
+	spec->one_zone = line_option_number(line, "together", 0) > 0;
+	spec->spread = line_option_number(line, "spread", 0) > 0;
+	spec->spot = line_option_number(line, "spot", 0) > 0;
 }
 
 /* Tells the stand-ins of a job, unless they know it already. */
