--- a/tests/compare_versions.sh
+++ b/tests/compare_versions.sh
@@ -31,7 +31,7 @@
 
 # Prints one line if the scenario differs.
 compare_scenario() {
-	local path=$1 before name
+	local path=$1 before name digest
 	name=$(basename "$path" .txt)
 	before=$old/source/$(old_path "$path")
 	if [ ! -f "$before" ]; then
@@ -39,9 +39,10 @@
 		return
 	fi
 	# What COMMIT does is the same each time: its digests are kept.
-	[ -s "$old/$name.digest" ] || "$old/build/runner" --digest "$before" >"$old/$name.digest" 2>/dev/null || true
+	digest=$old/$(basename "$before" .txt).digest
+	[ -s "$digest" ] || "$old/build/runner" --digest "$before" >"$digest" 2>/dev/null || true
 	"$new/build/runner" --digest "$path" >"$new/$name.new" 2>/dev/null || true
-	if [ -s "$new/$name.new" ] && cmp -s "$old/$name.digest" "$new/$name.new"; then
+	if [ -s "$new/$name.new" ] && cmp -s "$digest" "$new/$name.new"; then
 		return
 	fi
 	"$old/build/runner" --trace "$new/$name.old" "$before" >/dev/null 2>&1 || true
