--- /dev/null
+++ b/.ci/external_names.py
@@ -0,0 +1,103 @@
+#!/usr/bin/env python3
+"""Lists the names and texts that leave the process, and checks that the working tree still has them.
+
+They are read from the sources of COMMIT: names on the wire, paths, keys and fields of records, fields of peer
+messages, settings, arguments, environment variables, events and fields of the log, texts of answers, and the lines
+of the deploy file. Messages to operators about wrong settings and arguments are not among them.
+
+Usage: external_names.py [--list] COMMIT     --list prints the names instead of searching for them
+Status 1: a name is missing in the working tree.
+"""
+import re
+import subprocess
+import sys
+from pathlib import Path
+
+ROOT = Path(__file__).resolve().parent.parent
+LITERAL = re.compile(r'"(?:[^"\\\n]|\\.)*"')
+COMMENT = re.compile(r'/\*.*?\*/|//[^\n]*', re.S)
+LOG_CALL = re.compile(r'\blog_(?:error|info|debug|line)\(([^;]*?)\);', re.S)
+LOG_FIELD = re.compile(r'\b([a-z_]+)=')
+# Calls whose literals are messages to operators: wrong settings and arguments.
+OPERATOR_MESSAGE = re.compile(r'\b(?:fail|argp_error|fprintf|printf|puts|perror)\(.*?\);', re.S)
+PROTO_LINE = re.compile(r'^\s*(?:(?:repeated )?\w+ \w+ = \d+;|message \w+|package \w+;)', re.M)
+
+
+def git(*arguments):
+    return subprocess.run(['git', *arguments], cwd=ROOT, check=True, capture_output=True, text=True).stdout
+
+
+def sources_of(commit):
+    paths = git('ls-tree', '-r', '--name-only', commit, 'src', 'daemon', 'proto', 'deploy').split()
+    return {path: git('show', f'{commit}:{path}') for path in paths}
+
+
+def sources_of_working_tree():
+    paths = git('ls-files', 'src', 'daemon', 'proto', 'deploy').split()
+    return {path: (ROOT / path).read_text() for path in paths if (ROOT / path).exists()}
+
+
+def without_comments(text):
+    # A literal may hold a comment's first characters ("//"): literals are matched first and kept.
+    pattern = re.compile(f'({LITERAL.pattern})|{COMMENT.pattern}', re.S)
+    return pattern.sub(lambda match: match.group(1) or ' ', text)
+
+
+def log_names(text):
+    names = set()
+    for call in LOG_CALL.finditer(text):
+        literals = LITERAL.findall(call.group(1))
+        if not literals:
+            continue
+        event = literals[0]
+        names.add(f'log event {event}')
+        for literal in literals[1:]:
+            names.update(f'log field {event} {field}=' for field in LOG_FIELD.findall(literal))
+    return names
+
+
+def names_of_c(path, text):
+    text = without_comments(text)
+    names = log_names(text)
+    rest = LOG_CALL.sub(' ', text)
+    rest = re.sub(r'^\s*#\s*include.*$', '', rest, flags=re.M)
+    if path.startswith(('src/conf', 'daemon')):
+        rest = OPERATOR_MESSAGE.sub(' ', rest)
+        rest = re.sub(r'snprintf\([^;]*;', ' ', rest)
+    area = '/'.join(path.split('/')[:3 if path.startswith('src/core/') else 2])
+    for literal in LITERAL.findall(rest):
+        is_help_text = path == 'daemon/arguments.c' and len(literal.split()) > 2
+        if literal != '""' and not literal.startswith('"%s%s') and not is_help_text:
+            names.add(f'text {area if not area.endswith(".h") else path} {literal}')
+    return names
+
+
+def names_in(sources):
+    names = set()
+    for path, text in sources.items():
+        if path.endswith('.proto'):
+            names.update(f'peer message {" ".join(line.split())}' for line in PROTO_LINE.findall(text))
+        elif path.startswith('deploy'):
+            names.update(f'deploy {line.strip()}' for line in text.splitlines() if line.strip())
+        elif path != 'src/constants.h':
+            names.update(names_of_c(path, text))
+    return names
+
+
+def main():
+    arguments = [argument for argument in sys.argv[1:] if argument != '--list']
+    if len(arguments) != 1:
+        sys.exit(__doc__)
+    expected = names_in(sources_of(arguments[0]))
+    if '--list' in sys.argv:
+        print('\n'.join(sorted(expected)))
+        return
+    missing = sorted(expected - names_in(sources_of_working_tree()))
+    for name in missing:
+        print(f'missing: {name}')
+    print(f'{len(expected)} names searched for, {len(missing)} missing')
+    sys.exit(1 if missing else 0)
+
+
+if __name__ == '__main__':
+    main()
