--- a/src/constants.h
+++ b/src/constants.h
@@ -1,295 +1,466 @@
 /*
- * Every constant of ploverloft, with its unit and the reason for its value. What depends on a
- * deployment is not here: it comes from the settings (`facts`) and the cloud's catalog.
+ * The constants of ploverloft that are the same in every deployment. Values that depend on a
+ * deployment come from the settings (`facts`) and the cloud's catalog.
+ *
+ * The end of a name is the unit: _S seconds, _MS milliseconds, _BYTES bytes, _SHARE a share of 1,
+ * _REPORTS intervals between an agent's reports (`report_s`), _LEASES agent leases (`lease_s`),
+ * _COST_S a cost in seconds of waiting. Other names count what they name, or the comment says the
+ * unit.
  */
 #ifndef PLOVERLOFT_CONSTANTS_H
 #define PLOVERLOFT_CONSTANTS_H
 
 #define PLOVERLOFT_VERSION "0.6.1"
 
-/* --- net --- */
-#define NET_ADDR_MAX 64	    /* bytes: "255.255.255.255:65535" with room */
-#define NET_READ_CHUNK 8192 /* bytes: most messages in one system call */
-#define NET_TURN 64	    /* callers served in a turn: bounds how long our own answers wait */
-/* seconds from turn to turn: a few of them, and callers have given up */
+/* --- network and event loop --- */
+
+/* Size of an address as text in bytes: "255.255.255.255:65535" and some more. */
+#define NET_ADDR_MAX 64
+/* Bytes that one read from a socket takes: most messages come in one system call. */
+#define NET_READ_CHUNK 8192
+/* Events of callers handled in one event-loop iteration: this bounds how long answers to our own
+ * calls wait. */
+#define NET_TURN 64
+/* Time between two event-loop iterations from which the loop is late: callers' streams are then
+ * read to their end, to drop those that have given up. Callers give up after a few such delays. */
 #define NET_LATE_S 0.5
-#define NET_ACCEPT_BATCH 32 /* connections taken per turn: answers are not starved */
-/* of the sockets for callers, one in so many is kept free if it can be */
+/* Connections accepted in one event-loop iteration, so that answers are not starved. */
+#define NET_ACCEPT_BATCH 32
+/* One in this many of the sockets for callers is kept free if possible. */
 #define NET_CROWD_PART 50
-/* sockets kept back for our own calls to state, cloud, agents */
+/* Sockets kept for our own calls to the state service, the cloud and agents. */
 #define NET_CONNS_RESERVED 64
-#define NET_SLOW_S 10.0	 /* seconds a half-sent request may take: it holds a socket */
-#define NET_IDLE_S 40.0	 /* seconds a kept client connection idles: reconnects cost more */
-#define NET_SWEEP_MS 100 /* milliseconds between checks of deadlines: their precision */
+/* Time that a half-received request, or a response that is not taken, may hold a socket. */
+#define NET_SLOW_S 10.0
+/* Time that an idle connection of our own is kept open, since to connect again costs more. */
+#define NET_IDLE_S 40.0
+/* Interval between checks of deadlines, which is their precision. */
+#define NET_SWEEP_MS 100
+
+/* Open files that are not connections: listening sockets, epoll, standard streams. */
+#define NET_FILES 8
 
-#define NET_FILES 8 /* files beside connections: listeners, epoll, standard ones */
+/* --- HTTP --- */
 
-/* --- http --- */
-#define HTTP_HEAD_MAX 8192 /* bytes of request line and headers: ours have a few hundred */
-#define HTTP_PATH_MAX 512  /* bytes: longest path is a key of 200 bytes and a query */
-#define HTTP_BODY_MAX ((size_t)64 * 1024) /* bytes, from the protocol */
-/* bytes: a watch's answer has no limit of its own */
+/* Bytes of a request line with its headers. Ours have a few hundred. */
+#define HTTP_HEAD_MAX 8192
+/* Bytes of a path: the longest holds a key of 200 bytes and a query. */
+#define HTTP_PATH_MAX 512
+/* Bytes of a request's body from users and agents, as the protocol limits them. */
+#define HTTP_BODY_MAX ((size_t)64 * 1024)
+/* Bytes of an answer's body, and of requests between controllers: the state service does not limit
+ * its answer to a watch. */
 #define HTTP_REPLY_MAX ((size_t)8 * 1024 * 1024)
 
-/* --- wire --- */
-#define JOB_TASKS_MAX 100000 /* tasks of one job, from the protocol */
-#define WIRE_NUMBER_MAX 1e9  /* amounts above this are mistakes: 30 years, a billion CPUs */
+/* --- messages --- */
 
-/* bytes of a report kept to recognise the next: some ten tasks */
+/* Tasks of one job, as the protocol limits them. */
+#define JOB_TASKS_MAX 100000
+/* Amounts from this one on are mistakes: it is 30 years in seconds, or a billion CPUs. */
+#define WIRE_NUMBER_MAX 1e9
+
+/* Bytes of a report that is cached to recognise a repetition: one of some ten tasks. */
 #define REPORT_CACHE_TEXT_MAX 2048
 
 /* --- operators' settings --- */
-#define OPERATOR_PATIENCE_MAX_S 86400.0 /* seconds: a day idle is as good as for ever */
-/* share of the use: the fleet grows to five times the use at most */
+
+/* Largest `idle_patience_s`: a machine kept idle for a day is as good as kept for ever. */
+#define OPERATOR_PATIENCE_MAX_S 86400.0
+/* Largest `headroom`, a share of the use: the fleet grows to five times the use at most. */
 #define OPERATOR_HEADROOM_MAX 4.0
 
-/* --- calls --- */
-#define CALL_STORE_S 1.5 /* seconds: answers take 10 ms, now and then some hundred */
-#define CALL_CLOUD_S 8.0 /* seconds: rentals are answered in some hundred ms */
-#define CALL_AGENT_S 2.5 /* seconds: below it a retry by report is no faster */
-#define CALL_PEER_S 1.5	 /* seconds: a user waits 2 s for a poll */
+/* --- calls to other services --- */
 
-/* --- core --- */
-#define TICK_S 0.1 /* seconds between ticks: below what any due time needs */
+/* Timeout of a call to the state service, which answers in 10 ms, now and then in some hundred. */
+#define CALL_STORE_S 1.5
+/* Timeout of a call to the cloud, which answers rental requests in some hundred milliseconds. */
+#define CALL_CLOUD_S 8.0
+/* Timeout of a call to an agent. With a shorter one a retry, in the answer to the agent's next
+ * report, would come no sooner. */
+#define CALL_AGENT_S 2.5
+/* Timeout of a call to another controller: a user waits 2 s for the answer to a poll. */
+#define CALL_PEER_S 1.5
+
+/* --- periodic work --- */
+
+/* Interval between ticks: finer than any periodic work needs. */
+#define TICK_S 0.1
 
 /* --- election --- */
-/* ms: failover time against false losses when the state is slow */
+
+/* Time to live of the leader's lease. A shorter one makes failover faster, a longer one ends fewer
+ * terms when the state service is slow. */
 #define LEADER_TTL_MS 2500
-#define LEADER_RENEW_S 0.7   /* seconds: three tries within the lease */
-#define LEADER_RETRY_S 0.3   /* seconds between tries of a renewal that failed */
-#define LEADER_WATCH_MS 2000 /* ms a watch blocks: an idle follower too gets answers */
-/* seconds more until it counts as unanswered: the sum is below PEER_ALONE_S */
+/* Interval between renewals of the leader's lease: three tries fit into its time to live. */
+#define LEADER_RENEW_S 0.7
+/* Delay before a renewal that failed is tried again. */
+#define LEADER_RETRY_S 0.3
+/* Time that a watch of the leader's key blocks, which bounds how long an idle follower has no
+ * answer from the state service. */
+#define LEADER_WATCH_MS 2000
+/* Time beyond its blocking time until a watch counts as unanswered. For the watch of the leader's
+ * key the sum is below PEER_ALONE_S. */
 #define LEADER_WATCH_SLACK_S 1.0
-#define LEADER_REREAD_S 0.4 /* seconds before reading the key again after a failure */
-/* seconds without a claim after a leader received no agent's messages */
+/* Delay before the leader's key or the changes of jobs are read again after a failure. */
+#define LEADER_REREAD_S 0.4
+/* Time for which a leader that resigned, because most agents were silent, does not claim leadership
+ * again. */
 #define LEADER_RESIGN_S 8.0
-#define CLOCK_DRIFT 0.001 /* share: two clocks, 0.05% each */
-/* seconds off cancel_s: a late turn of the loop, and the latency of messages */
+/* Share by which two clocks may drift apart: 0.05% each. */
+#define CLOCK_DRIFT 0.001
+/* Part of `cancel_s` left for a late event-loop iteration and the latency of messages. */
 #define CANCEL_MARGIN_S 2.0
 
-/* --- users --- */
-/* share of the sockets whose users wait for reads: beyond it 429 */
+/* --- users' requests --- */
+
+/* Share of the sockets whose users may wait for reads of records; beyond it they get 429. */
 #define LOOKUPS_SHARE 0.25
-#define USER_WAIT_S 3.5	     /* seconds: a user gives up at 5, the answer has to travel */
-#define USER_QUEUE_LEAST 400 /* waiting submissions at least: beyond it 429 */
-/* seconds of writes that may wait: longer, and users have given up */
+/* Age of a request from which its cancellation is not committed any more: a user gives up after
+ * 5 s, and the answer has to travel. */
+#define USER_WAIT_S 3.5
+/* Submissions that may wait at least; beyond the capacity of the queue users get 429. */
+#define USER_QUEUE_LEAST 400
+/* Capacity of the queue of submissions, if that is more, in seconds of writes at the allowed rate:
+ * users who would wait longer have given up. */
 #define USER_QUEUE_S 5.0
-/* seconds without lookups before the changes are read all the same */
+/* Time without lookups after which the changes of jobs are read all the same, before they are too
+ * many for one answer. */
 #define INDEX_IDLE_S 10.0
-/* changes that one answer may hold: some 2 MB, a fraction of what is kept of them */
+/* Changes of jobs that one answer may hold: some 2 MB, and a fraction of the changes that the state
+ * service keeps. */
 #define INDEX_CHANGES_MAX 4000
-#define INDEX_BATCH_S 0.05    /* seconds between reads of changes: lookups collect meanwhile */
-#define INDEX_RETRY_S 0.2     /* seconds before a read that was refused is tried again */
-#define LOOKUP_MAX_WAIT_S 1.0 /* seconds a lookup waits for that: a poll is given up at 2 */
-/* seconds between requests for counts: what users see may lag by 3 */
+/* Least interval between reads of changes, in which lookups gather for the next read. */
+#define INDEX_BATCH_S 0.05
+/* Delay before a read of changes that was refused is tried again. */
+#define INDEX_RETRY_S 0.2
+/* Time that a lookup may wait for such a retry: users give up a poll after 2 s. */
+#define LOOKUP_MAX_WAIT_S 1.0
+/* Interval between requests to the leader for task counts: what users see may lag by 3 s. */
 #define COUNTS_EVERY_S 2.0
-#define COUNTS_KEEP_S 6.0 /* seconds the leader's counts are valid */
-/* seconds after a poll during which they are requested: polls come every 5 */
+/* Age from which the leader's task counts are not shown any more. */
+#define COUNTS_KEEP_S 6.0
+/* Time after a user's poll in which task counts are requested: polls come every 5 s. */
 #define COUNTS_DEMAND_S 10.0
-/* seconds between requests to the others while the state service is silent */
+/* Interval between requests to the other controllers while the state service is silent. */
 #define PEER_PING_S 1.0
-/* times cancel_s that confirmed cancellations are kept: a leader asks for them sooner */
+/* Multiple of `cancel_s` for which a controller keeps the cancellations that it confirmed: a leader
+ * asks for them sooner. */
 #define CONFIRMED_KEEP_CANCELS 2.0
-#define CONFIRMED_MAX 4096 /* cancellations kept so: some 0.5 MB */
-#define PEER_ALONE_S 4.0   /* seconds without state service and peers before /ready says so */
-/* seconds nothing is forwarded to a peer that could not serve either */
+/* Confirmed cancellations kept so: some 0.5 MB. */
+#define CONFIRMED_MAX 4096
+/* Time without an answer from the state service and from any other controller after which /ready
+ * answers that this controller is not ready. */
+#define PEER_ALONE_S 4.0
+/* Time for which no request is forwarded to a controller that could not serve one either. */
 #define PEER_BACKOFF_S 2.0
-#define RETRY_AFTER_S 1	     /* seconds: the least a user waits anyway */
-#define RETRY_AFTER_BUSY_S 2 /* seconds: a full queue drains in about this time */
-#define FINAL_CACHE_MAX 4096 /* final states kept: about 0.5 MB; the oldest go first */
-/* bytes of one transaction of submissions: 64 KiB is its limit */
+/* Retry-After of most refusals, in seconds: the least that a user waits anyway. */
+#define RETRY_AFTER_S 1
+/* Retry-After when a queue is full: it drains in about this time. */
+#define RETRY_AFTER_BUSY_S 2
+/* Final states of jobs that are cached: about 0.5 MB. The oldest are removed first. */
+#define FINAL_CACHE_MAX 4096
+/* Size of one transaction of submissions: the state service takes 64 KiB. */
 #define SUBMIT_BATCH_BYTES 48000
 
-/* --- commits --- */
-/* bytes of one transaction: 64 KiB is the limit, keys included */
+/* --- the leader's transactions --- */
+
+/* Size of one transaction: the state service takes 64 KiB, keys included. */
 #define COMMIT_BYTES 48000
-#define COMMIT_RETRY_S 0.25 /* seconds before a refused transaction is sent again */
-/* share of write_rps the leader uses: the rest takes submissions */
+/* Delay before a transaction that was refused, or whose outcome is unknown, is sent again. */
+#define COMMIT_RETRY_S 0.25
+/* Share of `write_rps` that the leader uses: the rest is for submissions. */
 #define WRITE_SHARE_LEADER 0.85
-/* tasks whose bindings and done bits share one key, below 8 KiB */
+/* Tasks whose bindings and done bits share one record, so that it stays below 8 KiB. */
 #define LARGE_CHUNK_TASKS 128
-/* bytes of one more binding in it: long names of machine and zone */
+/* Size of one more binding in a record, with long names of machine and zone. */
 #define CHUNK_ENTRY_BYTES 100
-/* bytes of a value beside its bindings: the done bits, braces */
+/* Size of a record without its bindings: the done bits and braces. */
 #define CHUNK_SPARE_BYTES 64
-/* seconds for the ends of a done job's other tasks to be reported */
+/* Time that the final record of a done job waits for the ends of its other tasks to be reported. */
 #define FINAL_WAIT_S 1.0
-#define JOBS_EVERY_S 0.25 /* seconds between checks for such jobs */
-/* seconds an end waits for company: proof and forget wait with it */
+/* Interval between checks for jobs whose final record has waited long enough. */
+#define JOBS_EVERY_S 0.25
+/* Time that the record of a task's end waits for other changes to share its transaction. The proof
+ * that the task has ended, and the agent's command to forget it, wait for the record. */
 #define END_DELAY_S 0.8
-#define ATTEMPT_SHIFT 20 /* bits: a million starts under one token */
+/* Low bits of an attempt's number that count the starts under one fencing token: a million. */
+#define ATTEMPT_SHIFT 20
 
 /* --- limits of the state service --- */
-#define LIMITS_TXN_OPS_MIN 2   /* changes: a job's end and the format's version need two */
-#define LIMITS_VALUE_FLOOR 512 /* bytes: a smaller value is not refused for its size */
-#define LIMITS_LEARNED_S 60.0  /* seconds that a limit below the settings is kept to */
-#define LIMITS_WAIT_S 2.0      /* seconds before a value that is too large is tried again */
-#define LIMITS_REFUSED_S 5.0   /* seconds before what can't be made smaller is sent again */
+
+/* Changes that a transaction must be able to hold: a job's end and the version of the format need
+ * two. */
+#define LIMITS_TXN_OPS_MIN 2
+/* A value up to this size in bytes is not what a transaction is refused for. */
+#define LIMITS_VALUE_FLOOR 512
+/* Time for which a limit below that of the settings, learned from a refusal, is kept to. */
+#define LIMITS_LEARNED_S 60.0
+/* Delay before a value that is too large is tried again. */
+#define LIMITS_WAIT_S 2.0
+/* Delay before a refused transaction that can't be made smaller is sent again. */
+#define LIMITS_REFUSED_S 5.0
 
 /* --- versions of the records' format --- */
-#define FORMAT_LARGE_CHUNKS 1 /* bindings in records of LARGE_CHUNK_TASKS tasks */
-#define FORMAT_SMALL_CHUNKS 2 /* bindings in records of SMALL_CHUNK_TASKS tasks */
+
+/* Bindings in records of LARGE_CHUNK_TASKS tasks. */
+#define FORMAT_LARGE_CHUNKS 1
+/* Bindings in records of SMALL_CHUNK_TASKS tasks. */
+#define FORMAT_SMALL_CHUNKS 2
 #define FORMAT_NEWEST FORMAT_SMALL_CHUNKS
-#define FORMAT_REGISTER_S 1.0 /* seconds before our own version is written again */
-#define FORMAT_SCAN_S 1.0     /* seconds between the leader's reads of all versions */
-/* tasks whose bindings fit a value of 2 KiB, each of another start */
+/* Delay before a controller tries again to record the newest format that it reads. */
+#define FORMAT_REGISTER_S 1.0
+/* Interval between the leader's reads of the formats that the controllers have recorded. */
+#define FORMAT_SCAN_S 1.0
+/* Tasks whose bindings fit a value of 2 KiB, even if each belongs to another attempt. */
 #define SMALL_CHUNK_TASKS 32
 
-/* --- load --- */
-#define RANGE_LIMIT 500	  /* items per page: pages stay below 512 KiB */
-#define JOBS_WATCH_MS 700 /* ms the jobs' watch blocks: we serve on its last answer */
+/* --- lists and watches --- */
+
+/* Items on a page of a list: pages stay below 512 KiB. */
+#define RANGE_LIMIT 500
+/* Time that the watch of the open jobs blocks: the leader may serve for a limited time after its
+ * last answer. */
+#define JOBS_WATCH_MS 700
 
 /* --- machines --- */
-#define MACHINE_FRESH_REPORTS 2.5 /* reports missed before a machine gets no new tasks */
-/* seconds beyond the agent's lease: its tasks are lost anyway */
+
+/* Age of an agent's last report from which its machine gets no new tasks: the reports that may be
+ * missed. The same age of its last message of any kind makes the machine silent. */
+#define MACHINE_FRESH_REPORTS 2.5
+/* Time beyond the agent's lease after which a silent machine is given up: its tasks are lost
+ * anyway. */
 #define MACHINE_DEAD_MARGIN_S 1.0
-#define PROBE_INTERVAL_S 1.0 /* seconds between probes of one machine */
-#define PROBES_PER_S 40.0    /* probes a second at least: each costs as much as a report */
-#define PROBE_ALL_LEASES 0.5 /* leases within which all machines can be probed */
-/* share of the sockets that direct commands and probes may hold */
+/* Least interval between probes of one machine. */
+#define PROBE_INTERVAL_S 1.0
+/* Probes per second that are allowed at least: each costs as much as a report. */
+#define PROBES_PER_S 40.0
+/* Time in which the rate of probes must allow one to each machine. */
+#define PROBE_ALL_LEASES 0.5
+/* Share of the sockets that direct commands and probes may use. */
 #define DIRECT_SHARE 0.125
-/* reports in a row that ignore a start: one answer may be lost */
+/* Reports in a row that ignore a start before a machine counts as unreachable: one answer may be
+ * lost. */
 #define MACHINE_IGNORED_STARTS 2
-/* report intervals without a newer report: one may be a quarter late */
+/* Time without a newer report from which an agent's heartbeat is overdue: one may be a quarter of
+ * an interval late. */
 #define MACHINE_STALE_REPORTS 1.5
-/* seconds a machine that our messages do not reach is kept */
+/* Time that a machine is kept which our messages do not reach. */
 #define MACHINE_UNREACHABLE_S 60.0
-/* seconds between probes of a machine without a message in this term */
+/* Interval between probes of a machine that has sent no message in this term. */
 #define PROBE_UNSEEN_S 3.0
-/* report intervals in which all find a new leader by themselves */
+/* Time in which all agents find a new leader by themselves. */
 #define PROBE_UNSEEN_REPORTS 2.0
-/* times the boot time before a machine counts as never coming up */
+/* A machine has failed to boot after its type's boot time, times this factor, ... */
 #define MACHINE_BOOT_FACTOR 3.0
-#define MACHINE_BOOT_EXTRA_S 20.0 /* seconds on top: short boots vary more */
-/* inventories without it before a listed, silent machine is deleted */
+/* ... and this time: short boots vary more. */
+#define MACHINE_BOOT_EXTRA_S 20.0
+/* Inventories that lack a machine, once listed and now silent, before it is deleted. */
 #define MACHINE_MISSED_INVENTORIES 2
-/* different jobs that fail on a machine before it is drained */
+/* Different jobs that fail on a machine before it is drained. */
 #define MACHINE_FAULT_JOBS 2
-#define MACHINE_IMAGES 8   /* images remembered per machine: a guess at its cache */
-#define START_RESEND_S 1.5 /* seconds before a start or stop not yet seen is sent again */
-#define COMMANDS_MAX 300   /* commands in one message: 64 KiB is the limit of a line */
-/* seconds between new tokens for the sake of unanswered commands */
+/* Images remembered per machine, as a guess at what its cache holds. */
+#define MACHINE_IMAGES 8
+/* Delay before a direct start or stop that no report shows yet is sent directly again. */
+#define START_RESEND_S 1.5
+/* Commands in one message: a line is limited to 64 KiB. */
+#define COMMANDS_MAX 300
+/* Least interval between new fencing tokens that are written for unanswered commands. */
 #define TOKEN_RENEW_S 2.0
-#define INVENTORY_EVERY_S 3.0 /* seconds between inventories: they lag by more */
-#define MACHINES_EVERY_S 0.5  /* seconds between health checks of all machines */
-/* share of machines silent at once: then this controller is partitioned */
+/* Interval between inventories of the cloud's machines: what they show is older than that. */
+#define INVENTORY_EVERY_S 3.0
+/* Interval between health checks of all machines. */
+#define MACHINES_EVERY_S 0.5
+/* Share of the machines beyond which, if they are silent at once, this controller counts itself as
+ * partitioned and resigns. */
 #define PARTITION_SHARE 0.7
-/* share of the other machines that may be silent when one is deleted early: more, and it may be
- * this controller that is cut off */
+/* Share of the other machines that may be silent when one is given up before its lease ends: if
+ * more are, it may be this controller that is cut off. */
 #define SILENT_SHARE 0.34
-#define CONTACT_AGES 80	   /* ages distinguished: up to what a lease may be */
-#define CONTACT_AGE_S 0.25 /* seconds that one of them spans */
-/* seconds without a message before a machine with replicas is probed */
+/* Buckets of the histogram of times since the machines' last messages: together they span the
+ * longest lease of an agent. */
+#define CONTACT_AGES 80
+/* Time that one of these buckets spans. */
+#define CONTACT_AGE_S 0.25
+/* Time without a message, and since the last probe, before a machine with replicas is probed. */
 #define REPLICA_PROBE_S 0.8
-/* seconds for an answer: usually ms, with a lost packet some hundred */
+/* Timeout of such a probe: answers usually take milliseconds, with a lost packet some hundred. */
 #define REPLICA_PROBE_TIMEOUT_S 0.8
-#define REPLICA_UNANSWERED_PROBES 2 /* probes in a row without an answer: one may be lost */
-#define REPLICA_PROBES_PER_S 10.0   /* such probes a second at least */
-#define REPLICA_PROBE_SHARE 0.34    /* such probes at most, as a share of the reports */
-/* seconds late: no probes are sent in this turn of the loop */
+/* Such probes in a row without an answer before the machine may be given up: one may be lost. */
+#define REPLICA_UNANSWERED_PROBES 2
+/* Such probes per second that are allowed at least. */
+#define REPLICA_PROBES_PER_S 10.0
+/* Rate of such probes, if that is more, as a share of the rate of the agents' reports. */
+#define REPLICA_PROBE_SHARE 0.34
+/* Delay of the supervision of replicas from which an event-loop iteration sends no probes. */
 #define REPLICA_SUPERVISION_LATE_S 0.5
-/* leases without a report after which replicas move off a machine that answers probes */
+/* Time without a report after which replicas are moved off a machine that answers probes. */
 #define REPLICA_MOVE_LEASES 0.5
-/* report intervals since a machine's last message after which replicas rather go elsewhere */
+/* Time since a machine's last message from which new replicas rather go elsewhere. */
 #define REPLICA_OVERDUE_REPORTS 1.25
-#define REPLICA_OVERDUE_S 20.0 /* seconds: what that is worth in waiting for an image */
-#define PARTITION_MACHINES 3   /* machines with messages before that share means anything */
+/* Cost, in seconds of waiting for an image elsewhere, of a replica on such a machine. */
+#define REPLICA_OVERDUE_S 20.0
+/* Machines that must have sent messages before a share of silent ones means anything. */
+#define PARTITION_MACHINES 3
 
 /* --- scheduling --- */
-#define CYCLE_MIN_S 0.004 /* seconds between scheduling cycles at least */
-/* seconds between cycles without an event: backoffs end by time */
+
+/* Time from the request for a scheduling cycle to the cycle, and so their least interval. */
+#define CYCLE_MIN_S 0.004
+/* Interval between scheduling cycles without an event: backoffs end by time alone. */
 #define CYCLE_PERIOD_S 0.5
-#define CYCLE_JOB_S 0.0002  /* seconds more per job: cycles widen with the load */
-#define ERROR_BACKOFF_S 2.0 /* seconds after a first failure; doubles */
-/* seconds: a job that fails everywhere costs one try a minute */
+/* Time added to CYCLE_MIN_S for each job, so that cycles are rarer under load. */
+#define CYCLE_JOB_S 0.0002
+/* Base of the backoff of a job whose tasks fail: it doubles with each earlier failure in a row.
+ * After the first failure the job is tried elsewhere at once. */
+#define ERROR_BACKOFF_S 2.0
+/* Longest backoff: a job that fails everywhere costs one try a minute. Also the cost, in seconds of
+ * waiting, of a machine on which the job failed. */
 #define ERROR_BACKOFF_MAX_S 60.0
-#define ERROR_JOB_MACHINES 4 /* machines remembered on which a job failed */
-/* seconds after a refused start: the description is on its way */
+/* Machines remembered per job on which its tasks failed. */
+#define ERROR_JOB_MACHINES 4
+/* Backoff after a refused start: the job's description may be on its way to the machine. */
 #define REFUSED_BACKOFF_S 1.0
-#define SWITCH_QUANTUM_S 5.0 /* seconds of a quantum of share switching, from the design */
-#define SWITCH_JITTER 0.4    /* share of the quantum, so that controllers' loads spread */
-#define FREED_SLOT_S 2.0     /* seconds a freed slot is kept for its job: a cycle or two */
-/* seconds: what taking room beside unused GPUs is worth in waiting */
+/* Mean interval between rounds of share switching: the quantum of its design. */
+#define SWITCH_QUANTUM_S 5.0
+/* Jitter as a share of the quantum, so that the controllers' load spreads. */
+#define SWITCH_JITTER 0.4
+/* Time that a freed slot is kept for its job: a scheduling cycle or two. */
+#define FREED_SLOT_S 2.0
+/* Cost, in seconds of waiting, of a task without GPUs on a machine with GPUs. */
 #define GPU_WASTE_S 3.0
-#define FIT_WEIGHT_S 0.5    /* seconds: the best fit matters less than a cached image */
-#define PREEMPT_AFTER_S 0.2 /* seconds of waiting before lower work is stopped */
-#define PREEMPT_SHARE 0.1   /* share of the class's shortest wait aim that passes first */
-/* seconds room is reserved for a gang that work was stopped for */
+/* Cost, in seconds of waiting, of the worst fit: the best fit matters less than a cached image. */
+#define FIT_WEIGHT_S 0.5
+/* Least time that a job waits before work of lower priority is stopped for it. */
+#define PREEMPT_AFTER_S 0.2
+/* Share of the tightest wait objective of its class that a job waits before that, if longer. */
+#define PREEMPT_SHARE 0.1
+/* Time that capacity is reserved for a job after other work, or its own replica that moves, was
+ * stopped. */
 #define PREEMPT_RESERVE_S 20.0
-#define PREEMPT_RETRY_S 2.0 /* seconds between tries to make room for one gang */
-/* seconds a gang waits before room is reserved for it as it falls free: within four minutes it has
- * to begin, others are to be served too */
+/* Interval between tries to make room for one job. */
+#define PREEMPT_RETRY_S 2.0
+/* Time that a gang waits before capacity is reserved for it as it falls free: the gang has to begin
+ * within four minutes, and other jobs are to be served too. */
 #define RESERVE_AFTER_S 45.0
-/* seconds before a far objective: large gangs took up to 40 to get all room */
+/* Time before the gang's next wait objective at which such a reservation begins, if that is later:
+ * large gangs took up to 40 s to get all of their capacity. */
 #define RESERVE_LEAD_S 60.0
-#define RESERVE_MAX_GANGS 2 /* gangs with such a reservation at once: reserved room idles */
-/* share of a fleet's CPUs that may be reserved so, however many gangs */
+/* Gangs with such a reservation at once: reserved capacity idles. */
+#define RESERVE_MAX_GANGS 2
+/* Share of the fleet's CPUs that may be reserved so, for any number of gangs. */
 #define RESERVE_SHARE 0.05
-#define RESERVE_SHARE_LATE 0.1	 /* with those that have waited long: four minutes are near */
-#define RESERVE_LATE_S 140.0	 /* seconds of waiting after which more of them may */
-#define RESERVE_MAX_GANGS_LATE 4 /* then */
-/* seconds reserved beyond the last cycle: cycles come twice a second */
+/* The same share for gangs that have waited long: their four minutes are nearly over. */
+#define RESERVE_SHARE_LATE 0.1
+/* Time of waiting from which a gang has waited long, so that the wider limits hold for it. */
+#define RESERVE_LATE_S 140.0
+/* Gangs with such a reservation at once, where the wider limits hold. */
+#define RESERVE_MAX_GANGS_LATE 4
+/* Time beyond the last scheduling cycle for which such a reservation stands: cycles come twice a
+ * second. */
 #define RESERVE_EXTEND_S 2.0
-/* of room in use that falls free in the seconds that matter */
+/* Share of the capacity in use that is expected to fall free soon enough. */
 #define RESERVE_USED_SHARE 0.05
-#define RESTART_S 15.0 /* seconds to find room, start and fetch anew */
-/* times the estimate, for a task that begins anew: often wrong by half */
+/* Time that a stopped task needs to find capacity, start and fetch its image again. */
+#define RESTART_S 15.0
+/* Factor on the estimate of a task that begins again: estimates are often wrong by half. */
 #define RESTART_FACTOR 1.5
-#define NEED_START_S 10.0 /* seconds to start and fetch, off the time an array has left */
-/* seconds of waiting after which a gang goes before all others */
+/* Time to start tasks and fetch the image, taken off the time that an array has left. */
+#define NEED_START_S 10.0
+/* Time of waiting after which a gang goes before all others of its priority. */
 #define LATE_FIRST_S 140.0
-#define ORDER_FAR_S 1e6 /* seconds: before or behind all that have a time of their own */
-/* seconds: what an on-demand machine is worth to those who need one */
+/* Order key that places a gang or service after all that are ordered by a wait objective; its
+ * negative places one before them. */
+#define ORDER_FAR_S 1e6
+/* Cost, in seconds of waiting, of an on-demand machine for a task that may use spot machines, while
+ * jobs wait that may not. */
 #define ON_DEMAND_S 4.0
-/* seconds: a second replica on one machine, against a fetch elsewhere */
+/* Cost, in seconds of waiting, of a second replica of a service on one machine, against a fetch of
+ * the image elsewhere. The same for each job that failed on the machine. */
 #define REPLICA_MACHINE_S 8.0
-/* seconds a replica runs before its end is no failure to start */
+/* Time that a replica must have run for its end not to count as a failure to start. */
 #define REPLICA_STEADY_S 20.0
-/* seconds: each replica of another service on the machine, which would be lost with this one */
+/* Cost, in seconds of waiting, of each replica, of any service, that the machine runs: all would be
+ * lost together. */
 #define REPLICA_CROWD_S 1.0
-/* seconds: another replica in the same zone, if machines are alike */
+/* Cost, in seconds of waiting, of another replica of the service in the zone, if the machines are
+ * alike. */
 #define REPLICA_ZONE_S 0.5
-#define REPLICA_SPOT_S 20.0 /* seconds: a machine that may be taken back with a replica */
-#define ROOM_SLACK 1e-6	    /* CPUs, GPUs, GB: sums of decimal amounts */
-/* rooms visited for single tasks in one cycle, at a whole core: 0.2 s of work */
+/* Cost, in seconds of waiting, of a spot machine, which may be taken back with the replica. */
+#define REPLICA_SPOT_S 20.0
+/* Tolerance when capacity is compared, in CPUs, GPUs or GB: decimal amounts are summed up. */
+#define ROOM_SLACK 1e-6
+/* Machines that the search for places of single tasks visits in one cycle, per core of the
+ * controller's: 0.2 s of work on a whole core. */
 #define CYCLE_VISITS_PER_CORE 2e7
-/* shapes of waiting gangs whose room is left to them in a cycle */
+/* Shapes of waiting gangs whose capacity is left to them in a cycle: one bit each of a pool's
+ * `gang_shapes`. */
 #define CYCLE_GANG_SHAPES_MAX 32
-#define CYCLE_NO_FITS_MAX 32 /* shapes without room remembered in a cycle */
+/* Shapes remembered in a cycle for which no capacity was found. */
+#define CYCLE_NO_FITS_MAX 32
 
 /* --- autoscaling --- */
-#define AUTOSCALE_EVERY_S 0.5  /* seconds between scans for missing and idle machines */
-#define SCALE_OUT_AFTER_S 0.3  /* seconds a task waits before the fleet grows for it */
-#define AUTOSCALE_SETTLE_S 4.0 /* seconds after a failover: agents have yet to report */
-/* shapes and zones remembered while it is planned: others are slower */
+
+/* Interval between scans for missing and idle machines. */
+#define AUTOSCALE_EVERY_S 0.5
+/* Time that a job waits before the fleet grows for it. */
+#define SCALE_OUT_AFTER_S 0.3
+/* Time after a failover without scale-out and share switching: agents have yet to report. */
+#define AUTOSCALE_SETTLE_S 4.0
+/* Searches for planned capacity, by shape and zone, whose progress is kept while a scale-out is
+ * planned; more than that are slower. */
 #define SCALE_OUT_SHAPES_MAX 64
-/* share of the cloud's rate: clocks differ, a late turn of the loop sends at once */
+/* Share of the cloud's allowed rate of requests that is used: clocks differ, and after a late
+ * event-loop iteration requests are sent at once. */
 #define CLOUD_SHARE 0.9
-#define SCALE_OUT_GIVE_UP_S 30.0    /* seconds a request without an answer is repeated */
-#define SCALE_OUT_SPOT_S 5.0	    /* seconds: a spot machine may be taken back */
-#define SCALE_OUT_GPU_WASTE_S 100.0 /* seconds: GPUs are rented for those who use them */
-/* times the estimate: owners are often wrong by half */
+/* Time for which a rental request without an answer is repeated. */
+#define SCALE_OUT_GIVE_UP_S 30.0
+/* Cost, in seconds of waiting, of a new spot machine: it may be taken back. */
+#define SCALE_OUT_SPOT_S 5.0
+/* Cost, in seconds of waiting, of a new machine with GPUs for a job without: GPUs are rented for
+ * jobs that use them. */
+#define SCALE_OUT_GPU_WASTE_S 100.0
+/* Factor on a job's estimate: owners are often wrong by half. */
 #define SCALE_OUT_ESTIMATE_FACTOR 1.5
-#define SCALE_OUT_LEAD_S 60.0 /* seconds to rent, boot and fetch before a task can start */
-#define SCALE_OUT_JITTER 0.02 /* share: equal offers are spread over zones */
-/* deleted machines remembered before a new token makes the older ones needless: some 1 MB */
+/* Time to rent and boot a machine and fetch the image before a task can start. */
+#define SCALE_OUT_LEAD_S 60.0
+/* Random share added to an offer's cost, so that equal offers are spread over zones. */
+#define SCALE_OUT_JITTER 0.02
+/* Deleted machines that are remembered; beyond them a new fencing token makes the older entries
+ * needless. Some 1 MB. */
 #define TOMBSTONES_MAX 8192
-/* seconds beyond the lag until an inventory is read and applied */
+/* Time, beyond twice the inventory's lag, until an inventory is read and applied: so long a deleted
+ * machine may still be named. */
 #define TOMBSTONE_INVENTORIES_S 60.0
-#define NOTICE_MARGIN_S 2.0 /* seconds beyond the save: the stop has to arrive */
-/* seconds before a refused type, zone and kind is requested again */
+/* Time, beyond what a task needs to save its work, at which it is stopped before its machine is
+ * taken back: the stop has to arrive. */
+#define NOTICE_MARGIN_S 2.0
+/* First backoff, which doubles, before a refused machine type, zone and kind is requested again. */
 #define SCALE_OUT_REFUSED_S 10.0
-#define SCALE_OUT_REFUSED_MAX_S 40.0 /* seconds: capacity may come back any time */
-#define SCALE_OUT_BATCH_MAX 50	     /* machines per request, from the protocol */
-#define DELETE_BATCH_MAX 100	     /* names per request, from the protocol */
-#define CLOUD_BACKOFF_S 1.5	     /* seconds after 429, 503 or no answer */
-#define CATALOG_EVERY_S 60.0	     /* seconds between reads of prices by the leader */
-#define IDLE_COST_S 25.0	/* seconds idle before scale in where cost counts: about a boot */
-#define IDLE_GPU_S 12.0		/* the same for GPU machines: shorter brings boots, longer idles */
-#define IDLE_UNUSABLE_S 60.0	/* seconds idle of a machine that no open job could use */
-#define IDLE_GUARANTEE_S 3600.0 /* seconds where it does not */
-/* free room kept, as share of use, where a guarantee stands */
+/* Longest such backoff: capacity may come back any time. */
+#define SCALE_OUT_REFUSED_MAX_S 40.0
+/* Machines in one rental request, as the protocol limits them. */
+#define SCALE_OUT_BATCH_MAX 50
+/* Names in one request to delete machines, as the protocol limits them. */
+#define DELETE_BATCH_MAX 100
+/* Backoff after the cloud answered 429 or 503, or not at all. */
+#define CLOUD_BACKOFF_S 1.5
+/* Interval between the leader's reads of the catalog, for its prices. */
+#define CATALOG_EVERY_S 60.0
+/* Time that a machine without GPUs may be idle before it is deleted, where the objectives ask for
+ * low cost: about a boot. */
+#define IDLE_COST_S 25.0
+/* The same for a machine with GPUs: a shorter time leads to more boots, a longer one to more idle
+ * GPUs. */
+#define IDLE_GPU_S 12.0
+/* Time that a machine may be idle which no open job could use. */
+#define IDLE_UNUSABLE_S 60.0
+/* Time that any machine may be idle where the objectives guarantee capacity and ask for nothing in
+ * money. */
+#define IDLE_GUARANTEE_S 3600.0
+/* Free capacity for each class of jobs, as a share of its use, where the objectives do so and the
+ * operators have not set `headroom`. */
 #define HEADROOM_GUARANTEE 0.6
-#define HEADROOM_GUARANTEE_MIN 6 /* tasks of free room at least there */
+/* Tasks for which each class has free capacity on top of that share. */
+#define HEADROOM_GUARANTEE_MIN 6
 
 #endif
