--- a/daemon/controller.c
+++ b/daemon/controller.c
@@ -109,9 +109,9 @@
 {
 	static const struct net_ops ops = {.request = handle_request, .reply = handle_reply};
 	/* With fewer than the settings allow, idle connections are closed sooner. */
-	int connections_max = open_files_raise(conf->max_connections) - NET_FILES;
+	int connections_max = open_files_raise(conf->max_connections) - NET_FILES_RESERVED;
 	/* An agent silent for its lease has lost its tasks; our own idle ones close first. */
-	double idle_max_s = fmax(conf->lease_s, NET_IDLE_S) + NET_SLOW_S;
+	double idle_max_s = fmax(conf->lease_s, NET_CLIENT_IDLE_MAX_S) + NET_MESSAGE_TIMEOUT_S;
 	struct net *net = net_new(&ops, controller, connections_max, idle_max_s);
 
 	if (net_listen(net, NET_FRONT, conf->front_addr) ||
--- a/src/conf/hcl.c
+++ b/src/conf/hcl.c
@@ -40,8 +40,8 @@
 static int read_rentals(struct conf *conf, cfg_t *rentals, const char *path,
 			char error[CONF_ERR_MAX])
 {
-	if (read_number(rentals, "idle_patience_s", OPERATOR_PATIENCE_MAX_S, &conf->idle_patience_s,
-			path, error))
+	if (read_number(rentals, "idle_patience_s", OPERATOR_IDLE_PATIENCE_MAX_S,
+			&conf->idle_patience_s, path, error))
 		return -1;
 	return read_number(rentals, "headroom", OPERATOR_HEADROOM_MAX, &conf->headroom, path,
 			   error);
--- a/src/conf/toml.cc
+++ b/src/conf/toml.cc
@@ -71,7 +71,7 @@
 
 	table.number("rps", &limits->rps, needed, limit_rps_min);
 	table.number("write_rps", &limits->write_rps, needed, limit_rps_min);
-	table.number("value_kb", &limits->value_kb, needed, LIMITS_VALUE_FLOOR / 1024.0);
+	table.number("value_kb", &limits->value_kb, needed, LIMITS_VALUE_MIN_BYTES / 1024.0);
 	table.number("txn_ops", &txn_ops, needed, LIMITS_TXN_OPS_MIN);
 	limits->txn_ops = static_cast<int>(txn_ops);
 }
--- a/src/constants.h
+++ b/src/constants.h
@@ -17,28 +17,28 @@
 /* Size of an address as text in bytes: "255.255.255.255:65535" and some more. */
 #define NET_ADDR_MAX 64
 /* Bytes that one read from a socket takes: most messages come in one system call. */
-#define NET_READ_CHUNK 8192
+#define NET_READ_CHUNK_BYTES 8192
 /* Events of callers handled in one event-loop iteration: this bounds how long answers to our own
  * calls wait. */
-#define NET_TURN 64
+#define NET_CALLER_EVENTS_MAX 64
 /* Time between two event-loop iterations from which the loop is late: callers' streams are then
  * read to their end, to drop those that have given up. Callers give up after a few such delays. */
-#define NET_LATE_S 0.5
+#define NET_LOOP_LAG_S 0.5
 /* Connections accepted in one event-loop iteration, so that answers are not starved. */
 #define NET_ACCEPT_BATCH 32
 /* One in this many of the sockets for callers is kept free if possible. */
-#define NET_CROWD_PART 50
+#define NET_SPARE_CONNS_DIVISOR 50
 /* Sockets kept for our own calls to the state service, the cloud and agents. */
 #define NET_CONNS_RESERVED 64
 /* Time that a half-received request, or a response that is not taken, may hold a socket. */
-#define NET_SLOW_S 10.0
+#define NET_MESSAGE_TIMEOUT_S 10.0
 /* Time that an idle connection of our own is kept open, since to connect again costs more. */
-#define NET_IDLE_S 40.0
+#define NET_CLIENT_IDLE_MAX_S 40.0
 /* Interval between checks of deadlines, which is their precision. */
 #define NET_SWEEP_MS 100
 
 /* Open files that are not connections: listening sockets, epoll, standard streams. */
-#define NET_FILES 8
+#define NET_FILES_RESERVED 8
 
 /* --- HTTP --- */
 
@@ -65,21 +65,21 @@
 /* --- operators' settings --- */
 
 /* Largest `idle_patience_s`: a machine kept idle for a day is as good as kept for ever. */
-#define OPERATOR_PATIENCE_MAX_S 86400.0
+#define OPERATOR_IDLE_PATIENCE_MAX_S 86400.0
 /* Largest `headroom`, a share of the use: the fleet grows to five times the use at most. */
 #define OPERATOR_HEADROOM_MAX 4.0
 
 /* --- calls to other services --- */
 
 /* Timeout of a call to the state service, which answers in 10 ms, now and then in some hundred. */
-#define CALL_STORE_S 1.5
+#define CALL_STORE_TIMEOUT_S 1.5
 /* Timeout of a call to the cloud, which answers rental requests in some hundred milliseconds. */
-#define CALL_CLOUD_S 8.0
+#define CALL_CLOUD_TIMEOUT_S 8.0
 /* Timeout of a call to an agent. With a shorter one a retry, in the answer to the agent's next
  * report, would come no sooner. */
-#define CALL_AGENT_S 2.5
+#define CALL_AGENT_TIMEOUT_S 2.5
 /* Timeout of a call to another controller: a user waits 2 s for the answer to a poll. */
-#define CALL_PEER_S 1.5
+#define CALL_PEER_TIMEOUT_S 1.5
 
 /* --- periodic work --- */
 
@@ -92,20 +92,20 @@
  * terms when the state service is slow. */
 #define LEADER_TTL_MS 2500
 /* Interval between renewals of the leader's lease: three tries fit into its time to live. */
-#define LEADER_RENEW_S 0.7
+#define LEADER_RENEW_INTERVAL_S 0.7
 /* Delay before a renewal that failed is tried again. */
-#define LEADER_RETRY_S 0.3
+#define LEADER_RENEW_RETRY_S 0.3
 /* Time that a watch of the leader's key blocks, which bounds how long an idle follower has no
  * answer from the state service. */
 #define LEADER_WATCH_MS 2000
 /* Time beyond its blocking time until a watch counts as unanswered. For the watch of the leader's
- * key the sum is below PEER_ALONE_S. */
-#define LEADER_WATCH_SLACK_S 1.0
+ * key the sum is below READY_SILENCE_MAX_S. */
+#define STORE_WATCH_MARGIN_S 1.0
 /* Delay before the leader's key or the changes of jobs are read again after a failure. */
-#define LEADER_REREAD_S 0.4
+#define STORE_READ_RETRY_S 0.4
 /* Time for which a leader that resigned, because most agents were silent, does not claim leadership
  * again. */
-#define LEADER_RESIGN_S 8.0
+#define LEADER_RECLAIM_DELAY_S 8.0
 /* Share by which two clocks may drift apart: 0.05% each. */
 #define CLOCK_DRIFT 0.001
 /* Part of `cancel_s` left for a late event-loop iteration and the latency of messages. */
@@ -114,18 +114,18 @@
 /* --- users' requests --- */
 
 /* Share of the sockets whose users may wait for reads of records; beyond it they get 429. */
-#define LOOKUPS_SHARE 0.25
+#define LOOKUP_CONNS_SHARE 0.25
 /* Age of a request from which its cancellation is not committed any more: a user gives up after
  * 5 s, and the answer has to travel. */
-#define USER_WAIT_S 3.5
+#define CANCEL_REQUEST_MAX_AGE_S 3.5
 /* Submissions that may wait at least; beyond the capacity of the queue users get 429. */
-#define USER_QUEUE_LEAST 400
+#define SUBMIT_QUEUE_MIN 400
 /* Capacity of the queue of submissions, if that is more, in seconds of writes at the allowed rate:
  * users who would wait longer have given up. */
-#define USER_QUEUE_S 5.0
+#define SUBMIT_QUEUE_S 5.0
 /* Time without lookups after which the changes of jobs are read all the same, before they are too
  * many for one answer. */
-#define INDEX_IDLE_S 10.0
+#define INDEX_IDLE_READ_S 10.0
 /* Changes of jobs that one answer may hold: some 2 MB, and a fraction of the changes that the state
  * service keeps. */
 #define INDEX_CHANGES_MAX 4000
@@ -136,23 +136,23 @@
 /* Time that a lookup may wait for such a retry: users give up a poll after 2 s. */
 #define LOOKUP_MAX_WAIT_S 1.0
 /* Interval between requests to the leader for task counts: what users see may lag by 3 s. */
-#define COUNTS_EVERY_S 2.0
+#define COUNTS_INTERVAL_S 2.0
 /* Age from which the leader's task counts are not shown any more. */
-#define COUNTS_KEEP_S 6.0
+#define COUNTS_MAX_AGE_S 6.0
 /* Time after a user's poll in which task counts are requested: polls come every 5 s. */
-#define COUNTS_DEMAND_S 10.0
+#define COUNTS_DEMAND_WINDOW_S 10.0
 /* Interval between requests to the other controllers while the state service is silent. */
-#define PEER_PING_S 1.0
+#define PEER_PING_INTERVAL_S 1.0
 /* Multiple of `cancel_s` for which a controller keeps the cancellations that it confirmed: a leader
  * asks for them sooner. */
-#define CONFIRMED_KEEP_CANCELS 2.0
+#define CONFIRMED_CANCELS_KEEP_FACTOR 2.0
 /* Confirmed cancellations kept so: some 0.5 MB. */
-#define CONFIRMED_MAX 4096
+#define CONFIRMED_CANCELS_MAX 4096
 /* Time without an answer from the state service and from any other controller after which /ready
  * answers that this controller is not ready. */
-#define PEER_ALONE_S 4.0
+#define READY_SILENCE_MAX_S 4.0
 /* Time for which no request is forwarded to a controller that could not serve one either. */
-#define PEER_BACKOFF_S 2.0
+#define PEER_FORWARD_BACKOFF_S 2.0
 /* Retry-After of most refusals, in seconds: the least that a user waits anyway. */
 #define RETRY_AFTER_S 1
 /* Retry-After when a queue is full: it drains in about this time. */
@@ -160,12 +160,12 @@
 /* Final states of jobs that are cached: about 0.5 MB. The oldest are removed first. */
 #define FINAL_CACHE_MAX 4096
 /* Size of one transaction of submissions: the state service takes 64 KiB. */
-#define SUBMIT_BATCH_BYTES 48000
+#define SUBMIT_BATCH_MAX_BYTES 48000
 
 /* --- the leader's transactions --- */
 
 /* Size of one transaction: the state service takes 64 KiB, keys included. */
-#define COMMIT_BYTES 48000
+#define COMMIT_MAX_BYTES 48000
 /* Delay before a transaction that was refused, or whose outcome is unknown, is sent again. */
 #define COMMIT_RETRY_S 0.25
 /* Share of `write_rps` that the leader uses: the rest is for submissions. */
@@ -173,18 +173,18 @@
 /* Tasks whose bindings and done bits share one record, so that it stays below 8 KiB. */
 #define LARGE_CHUNK_TASKS 128
 /* Size of one more binding in a record, with long names of machine and zone. */
-#define CHUNK_ENTRY_BYTES 100
+#define CHUNK_BINDING_BYTES 100
 /* Size of a record without its bindings: the done bits and braces. */
-#define CHUNK_SPARE_BYTES 64
+#define CHUNK_OVERHEAD_BYTES 64
 /* Time that the final record of a done job waits for the ends of its other tasks to be reported. */
-#define FINAL_WAIT_S 1.0
+#define FINAL_RECORD_DELAY_S 1.0
 /* Interval between checks for jobs whose final record has waited long enough. */
-#define JOBS_EVERY_S 0.25
+#define JOB_SCAN_INTERVAL_S 0.25
 /* Time that the record of a task's end waits for other changes to share its transaction. The proof
  * that the task has ended, and the agent's command to forget it, wait for the record. */
-#define END_DELAY_S 0.8
+#define TASK_END_WRITE_DELAY_S 0.8
 /* Low bits of an attempt's number that count the starts under one fencing token: a million. */
-#define ATTEMPT_SHIFT 20
+#define ATTEMPT_COUNTER_BITS 20
 
 /* --- limits of the state service --- */
 
@@ -192,13 +192,13 @@
  * two. */
 #define LIMITS_TXN_OPS_MIN 2
 /* A value up to this size in bytes is not what a transaction is refused for. */
-#define LIMITS_VALUE_FLOOR 512
+#define LIMITS_VALUE_MIN_BYTES 512
 /* Time for which a limit below that of the settings, learned from a refusal, is kept to. */
-#define LIMITS_LEARNED_S 60.0
+#define LIMITS_LEARNED_TTL_S 60.0
 /* Delay before a value that is too large is tried again. */
-#define LIMITS_WAIT_S 2.0
+#define LIMITS_VALUE_RETRY_S 2.0
 /* Delay before a refused transaction that can't be made smaller is sent again. */
-#define LIMITS_REFUSED_S 5.0
+#define LIMITS_REFUSED_RETRY_S 5.0
 
 /* --- versions of the records' format --- */
 
@@ -208,16 +208,16 @@
 #define FORMAT_SMALL_CHUNKS 2
 #define FORMAT_NEWEST FORMAT_SMALL_CHUNKS
 /* Delay before a controller tries again to record the newest format that it reads. */
-#define FORMAT_REGISTER_S 1.0
+#define FORMAT_REGISTER_RETRY_S 1.0
 /* Interval between the leader's reads of the formats that the controllers have recorded. */
-#define FORMAT_SCAN_S 1.0
+#define FORMAT_SCAN_INTERVAL_S 1.0
 /* Tasks whose bindings fit a value of 2 KiB, even if each belongs to another attempt. */
 #define SMALL_CHUNK_TASKS 32
 
 /* --- lists and watches --- */
 
 /* Items on a page of a list: pages stay below 512 KiB. */
-#define RANGE_LIMIT 500
+#define PAGE_ITEMS_MAX 500
 /* Time that the watch of the open jobs blocks: the leader may serve for a limited time after its
  * last answer. */
 #define JOBS_WATCH_MS 700
--- a/src/core/agents/direct_commands.c
+++ b/src/core/agents/direct_commands.c
@@ -96,7 +96,8 @@
 	machine->commands.in_flight++;
 	body = wire_direct_commands(election_token(core), machine->agent.incarnation, list.items,
 				    list.count);
-	call = agent_call(core, machine, W_PATH_COMMANDS, body, CALL_AGENT_S, on_commands_answer);
+	call = agent_call(core, machine, W_PATH_COMMANDS, body, CALL_AGENT_TIMEOUT_S,
+			  on_commands_answer);
 	call->has_start = list.has_start;
 }
 
--- a/src/core/agents/probes.c
+++ b/src/core/agents/probes.c
@@ -62,7 +62,7 @@
 	if (core->now - machine->probes.sent_at < PROBE_INTERVAL_S || agent_calls_exhausted(core))
 		return false;
 	limiter->tokens -= 1;
-	send_probe(core, machine, CALL_AGENT_S);
+	send_probe(core, machine, CALL_AGENT_TIMEOUT_S);
 	return true;
 }
 
--- a/src/core/api/cancel_requests.c
+++ b/src/core/api/cancel_requests.c
@@ -62,7 +62,7 @@
 static void cancel_open_job(struct core *core, struct user_request *request,
 			    const struct kv_item *item)
 {
-	bool too_late = core->now - request->received_at > USER_WAIT_S;
+	bool too_late = core->now - request->received_at > CANCEL_REQUEST_MAX_AGE_S;
 
 	if (job_record_is_cancelled(item->value))
 		user_request_answer_cancelled(core, request);
--- a/src/core/api/cancellations.c
+++ b/src/core/api/cancellations.c
@@ -63,13 +63,14 @@
 /* Removes those that no leader needs any more, and the oldest if there are too many. */
 static void trim_confirmed(struct core *core)
 {
-	double keep_s = CONFIRMED_KEEP_CANCELS * core->conf->cancel_s;
+	double keep_s = CONFIRMED_CANCELS_KEEP_FACTOR * core->conf->cancel_s;
 	struct confirmed_cancel *confirmed, *next;
 
 	HASH_ITER (hh, core->api.cancellations.confirmed, confirmed, next) {
 		bool expired = core->now - confirmed->confirmed_at > keep_s;
 
-		if (!expired && HASH_COUNT(core->api.cancellations.confirmed) < CONFIRMED_MAX)
+		if (!expired &&
+		    HASH_COUNT(core->api.cancellations.confirmed) < CONFIRMED_CANCELS_MAX)
 			break; /* oldest first */
 		/* What is removed before its time must not pass for never confirmed. */
 		if (!expired)
@@ -186,7 +187,7 @@
 {
 	if (!store_is_unavailable(core) || core->now < core->api.cancellations.next_request_at)
 		return;
-	core->api.cancellations.next_request_at = core->now + PEER_PING_S;
+	core->api.cancellations.next_request_at = core->now + PEER_PING_INTERVAL_S;
 	for (size_t i = 0; i < core->conf->peer_count; i++)
 		peer_send_empty(core, i, CONFIRMED_PATH, on_confirmed);
 }
--- a/src/core/api/forwarding.c
+++ b/src/core/api/forwarding.c
@@ -51,7 +51,7 @@
 	peer_note_answer(core, context->peer, answer);
 	/* It is not served either, or does not answer: the outage concerns all for now. */
 	if (!message || message->status == STATUS_UNAVAILABLE)
-		peer->no_forward_before = core->now + PEER_BACKOFF_S;
+		peer->no_forward_before = core->now + PEER_FORWARD_BACKOFF_S;
 	if (message) {
 		core_reply(core, context->connection, (int)message->status,
 			   (int)message->retry_after, text_of(&message->body));
--- a/src/core/api/job_index_reads.c
+++ b/src/core/api/job_index_reads.c
@@ -117,7 +117,7 @@
 	const struct job_index *index = &core->api.index;
 
 	return index->valid && !store_is_unavailable(core) &&
-	       core->now - index->sent_at > INDEX_IDLE_S;
+	       core->now - index->sent_at > INDEX_IDLE_READ_S;
 }
 
 /* One answer with all that may have changed since would be too large: the pages are read again. */
--- a/src/core/api/lookups.c
+++ b/src/core/api/lookups.c
@@ -85,7 +85,7 @@
 
 	if (user_request_answer_final(core, request))
 		return;
-	if (queue->count >= LOOKUPS_SHARE * core->conf->max_connections) {
+	if (queue->count >= LOOKUP_CONNS_SHARE * core->conf->max_connections) {
 		user_request_fail(core, request, USER_ERROR_BUSY);
 	} else if (request->kind == USER_CANCEL) {
 		cancel_request_start(core, request);
--- a/src/core/api/submissions.c
+++ b/src/core/api/submissions.c
@@ -164,7 +164,7 @@
 			continue;
 		mark = txn_mark(txn);
 		add_to_transaction(txn, request);
-		if (mark.op_count && txn_bytes(txn) > SUBMIT_BATCH_BYTES) {
+		if (mark.op_count && txn_bytes(txn) > SUBMIT_BATCH_MAX_BYTES) {
 			txn_rollback(txn, &mark);
 			break;
 		}
@@ -198,7 +198,7 @@
 /* Submissions that may wait: what is written within some seconds. */
 static int queue_max(const struct core *core)
 {
-	return (int)fmax(USER_QUEUE_LEAST, USER_QUEUE_S * limits_write_rps(core));
+	return (int)fmax(SUBMIT_QUEUE_MIN, SUBMIT_QUEUE_S * limits_write_rps(core));
 }
 
 static void decode_and_admit(struct core *core, struct user_request *request, json_t *document)
--- a/src/core/api/task_counts.c
+++ b/src/core/api/task_counts.c
@@ -9,8 +9,8 @@
 
 void task_counts_init(struct core *core)
 {
-	core->api.counts.received_at = core->now - COUNTS_DEMAND_S;
-	core->api.counts.wanted_at = core->now - COUNTS_DEMAND_S;
+	core->api.counts.received_at = core->now - COUNTS_DEMAND_WINDOW_S;
+	core->api.counts.wanted_at = core->now - COUNTS_DEMAND_WINDOW_S;
 }
 
 void task_counts_note_demand(struct core *core)
@@ -20,7 +20,7 @@
 
 bool task_counts_are_fresh(const struct core *core)
 {
-	return core->now - core->api.counts.received_at < COUNTS_KEEP_S;
+	return core->now - core->api.counts.received_at < COUNTS_MAX_AGE_S;
 }
 
 /* --- the leader's answer --- */
@@ -123,7 +123,7 @@
 	struct task_counts *state = &core->api.counts;
 
 	state->in_flight = true;
-	state->next_read_at = core->now + COUNTS_EVERY_S;
+	state->next_read_at = core->now + COUNTS_INTERVAL_S;
 	peer_send_empty(core, peer, COUNTS_PATH, on_counts);
 }
 
@@ -132,7 +132,7 @@
 	const struct task_counts *state = &core->api.counts;
 
 	return !election_is_leader(core) && !state->in_flight && core->now >= state->next_read_at &&
-	       core->now - state->wanted_at <= COUNTS_DEMAND_S;
+	       core->now - state->wanted_at <= COUNTS_DEMAND_WINDOW_S;
 }
 
 void task_counts_tick(struct core *core)
--- a/src/core/autoscale/catalog_reader.c
+++ b/src/core/autoscale/catalog_reader.c
@@ -130,5 +130,5 @@
 		return;
 	reader->in_flight = true;
 	core_call(core, core->conf->cloud_addr, "GET", format_path(W_PATH_TYPES), NULL,
-		  CALL_CLOUD_S, on_cloud_catalog, NULL);
+		  CALL_CLOUD_TIMEOUT_S, on_cloud_catalog, NULL);
 }
--- a/src/core/autoscale/inventory.c
+++ b/src/core/autoscale/inventory.c
@@ -86,8 +86,9 @@
 static char *page_path(const char *cursor)
 {
 	if (!*cursor)
-		return format_path(W_PATH_MACHINES "?" W_LIMIT "=%d", RANGE_LIMIT);
-	return format_path(W_PATH_MACHINES "?" W_AFTER "=%s&" W_LIMIT "=%d", cursor, RANGE_LIMIT);
+		return format_path(W_PATH_MACHINES "?" W_LIMIT "=%d", PAGE_ITEMS_MAX);
+	return format_path(W_PATH_MACHINES "?" W_AFTER "=%s&" W_LIMIT "=%d", cursor,
+			   PAGE_ITEMS_MAX);
 }
 
 static void read_page(struct core *core)
@@ -98,7 +99,7 @@
 	if (!*inventory->cursor)
 		inventory->number++;
 	core_call(core, core->conf->cloud_addr, "GET", page_path(inventory->cursor), NULL,
-		  CALL_CLOUD_S, on_page, NULL);
+		  CALL_CLOUD_TIMEOUT_S, on_page, NULL);
 }
 
 void inventory_tick(struct core *core)
--- a/src/core/autoscale/rental_requests.c
+++ b/src/core/autoscale/rental_requests.c
@@ -129,7 +129,7 @@
 
 	request->in_flight = true;
 	call = core_call(core, core->conf->cloud_addr, "POST", format_path(W_PATH_MACHINES), body,
-			 CALL_CLOUD_S, on_rental_answer, NULL);
+			 CALL_CLOUD_TIMEOUT_S, on_rental_answer, NULL);
 	snprintf(call->key, sizeof(call->key), "%s", request->name);
 }
 
--- a/src/core/election/format_gate.c
+++ b/src/core/election/format_gate.c
@@ -23,7 +23,7 @@
 	store_note_answer(core, answer);
 	gate->register_in_flight = false;
 	gate->registered = answer->status == STATUS_OK;
-	gate->next_register_at = core->now + FORMAT_REGISTER_S;
+	gate->next_register_at = core->now + FORMAT_REGISTER_RETRY_S;
 }
 
 static void register_version(struct core *core)
@@ -114,7 +114,7 @@
 	if (!scan_is_due(core))
 		return;
 	gate->scan_in_flight = true;
-	gate->next_scan_at = core->now + FORMAT_SCAN_S;
+	gate->next_scan_at = core->now + FORMAT_SCAN_INTERVAL_S;
 	store_range(core, KEY_VERSIONS, "", on_versions, NULL);
 }
 
--- a/src/core/election/leader_key.c
+++ b/src/core/election/leader_key.c
@@ -120,7 +120,7 @@
 	(void)call;
 	core->election.read_in_flight = false;
 	store_note_answer(core, answer);
-	core->election.retry_at = core->now + LEADER_REREAD_S;
+	core->election.retry_at = core->now + STORE_READ_RETRY_S;
 	if (answer->status != STATUS_OK || election_is_renewing_token(core))
 		return;
 	answer_json = wire_parse(answer->body, answer->len);
@@ -153,7 +153,7 @@
 		store_note_answer(core, answer);
 	if (answer->status != STATUS_OK) {
 		election->key_is_current = false;
-		election->retry_at = core->now + LEADER_REREAD_S;
+		election->retry_at = core->now + STORE_READ_RETRY_S;
 		return;
 	}
 	answer_json = wire_parse(answer->body, answer->len);
--- a/src/core/election/leader_lease.c
+++ b/src/core/election/leader_lease.c
@@ -26,7 +26,7 @@
 		core_call(
 		    core, core->conf->store_addr, "DELETE",
 		    format_path(W_PATH_LEASES "/%llu", (unsigned long long)core->election.lease),
-		    NULL, CALL_STORE_S, on_returned, NULL);
+		    NULL, CALL_STORE_TIMEOUT_S, on_returned, NULL);
 	core->election.lease = 0;
 }
 
@@ -59,7 +59,7 @@
 		log_debug("claim_failed", "status=%d", answer->status);
 		election->lease = 0;
 		election->key_is_current = false;
-		election->retry_at = core->now + LEADER_REREAD_S;
+		election->retry_at = core->now + STORE_READ_RETRY_S;
 		return;
 	}
 	answer_json = wire_parse(answer->body, answer->len);
@@ -91,7 +91,7 @@
 	store_note_answer(core, answer);
 	if (answer->status != STATUS_OK || !core_call_is_current(core, call)) {
 		election->claim_in_flight = false;
-		election->retry_at = core->now + LEADER_REREAD_S;
+		election->retry_at = core->now + STORE_READ_RETRY_S;
 		return;
 	}
 	answer_json = wire_parse(answer->body, answer->len);
@@ -104,7 +104,7 @@
 		return;
 	}
 	election->renewed_at = call->sent_at;
-	election->next_renewal_at = call->sent_at + LEADER_RENEW_S;
+	election->next_renewal_at = call->sent_at + LEADER_RENEW_INTERVAL_S;
 	send_claim(core);
 }
 
@@ -123,7 +123,7 @@
 		return;
 	core->election.claim_in_flight = true;
 	core_call(core, core->conf->store_addr, "POST", format_path(W_PATH_LEASES),
-		  wire_lease_body(LEADER_TTL_MS), CALL_STORE_S, on_lease, NULL);
+		  wire_lease_body(LEADER_TTL_MS), CALL_STORE_TIMEOUT_S, on_lease, NULL);
 }
 
 /* --- renewal --- */
@@ -138,11 +138,11 @@
 	store_note_answer(core, answer);
 	if (answer->status == STATUS_OK) {
 		election->renewed_at = call->sent_at;
-		election->next_renewal_at = call->sent_at + LEADER_RENEW_S;
+		election->next_renewal_at = call->sent_at + LEADER_RENEW_INTERVAL_S;
 	} else if (answer->status == STATUS_NOT_FOUND) {
 		election_step_down(core, STEP_DOWN_LEASE_ENDED);
 	} else {
-		election->next_renewal_at = core->now + LEADER_RETRY_S;
+		election->next_renewal_at = core->now + LEADER_RENEW_RETRY_S;
 	}
 }
 
@@ -157,14 +157,14 @@
 	core_call(
 	    core, core->conf->store_addr, "POST",
 	    format_path(W_PATH_LEASES "/%llu" W_PATH_RENEW, (unsigned long long)election->lease),
-	    xstrdup("{}"), CALL_STORE_S, on_renewed, NULL);
+	    xstrdup("{}"), CALL_STORE_TIMEOUT_S, on_renewed, NULL);
 }
 
 void election_resign(struct core *core, enum step_down_reason reason)
 {
 	uint64_t lease = core->election.lease;
 
-	core->election.no_claim_before = core->now + LEADER_RESIGN_S;
+	core->election.no_claim_before = core->now + LEADER_RECLAIM_DELAY_S;
 	election_step_down(core, reason);
 	core->election.lease = lease;
 	leader_lease_return(core);
--- a/src/core/model/binding.c
+++ b/src/core/model/binding.c
@@ -70,7 +70,7 @@
 	DL_DELETE2(job->bindings, binding, job_prev, job_next);
 	machine_remove_binding(core, binding);
 	keep_freed_slot(core, binding);
-	core->events->task_record_changed(core, job, binding->task, END_DELAY_S);
+	core->events->task_record_changed(core, job, binding->task, TASK_END_WRITE_DELAY_S);
 	free(binding);
 }
 
--- a/src/core/model/job.c
+++ b/src/core/model/job.c
@@ -136,7 +136,7 @@
 		  job->spec.task_count);
 	/* The end of the last one is recorded by the job's final record. */
 	if (job->done_count < job->spec.task_count)
-		core->events->task_record_changed(core, job, task, END_DELAY_S);
+		core->events->task_record_changed(core, job, task, TASK_END_WRITE_DELAY_S);
 }
 
 void job_note_task_done(struct core *core, struct job *job, uint32_t task)
@@ -179,7 +179,7 @@
 	/* The ends of a gang's last tasks are reported within moments: one transaction for all. */
 	if (job->all_done_at <= 0)
 		job->all_done_at = core->now;
-	if (!job->bindings || core->now - job->all_done_at >= FINAL_WAIT_S)
+	if (!job->bindings || core->now - job->all_done_at >= FINAL_RECORD_DELAY_S)
 		core->events->job_over(core, job);
 }
 
@@ -189,7 +189,7 @@
 
 	if (core->now < core->next_job_scan_at)
 		return;
-	core->next_job_scan_at = core->now + JOBS_EVERY_S;
+	core->next_job_scan_at = core->now + JOB_SCAN_INTERVAL_S;
 	JOBS_FOR_EACH (core, job, next)
 		if (job->all_done_at > 0 && !job->final_queued)
 			job_check_end(core, job);
--- a/src/core/peers/peer_link.c
+++ b/src/core/peers/peer_link.c
@@ -85,10 +85,10 @@
  */
 bool peers_ready(const struct core *core)
 {
-	if (!core->conf->peer_count || store_silence_s(core) < PEER_ALONE_S)
+	if (!core->conf->peer_count || store_silence_s(core) < READY_SILENCE_MAX_S)
 		return true;
 	for (size_t i = 0; i < core->conf->peer_count; i++)
-		if (core->now - core->peers.list[i].answered_at < PEER_ALONE_S)
+		if (core->now - core->peers.list[i].answered_at < READY_SILENCE_MAX_S)
 			return true;
 	return false;
 }
--- a/src/core/records/jobs_watch.c
+++ b/src/core/records/jobs_watch.c
@@ -77,7 +77,7 @@
 		return;
 	}
 	if (answer->status != STATUS_OK) {
-		watch->retry_at = core->now + LEADER_REREAD_S;
+		watch->retry_at = core->now + STORE_READ_RETRY_S;
 		return;
 	}
 	answer_json = wire_parse(answer->body, answer->len);
--- a/src/core/records/limits.c
+++ b/src/core/records/limits.c
@@ -72,9 +72,9 @@
 		*learned = (struct learned_limits){0};
 	if (op_count > LIMITS_TXN_OPS_MIN)
 		learned->txn_ops = half > LIMITS_TXN_OPS_MIN ? half : LIMITS_TXN_OPS_MIN;
-	else if (largest_value > LIMITS_VALUE_FLOOR)
+	else if (largest_value > LIMITS_VALUE_MIN_BYTES)
 		*learned = (struct learned_limits){.value_bytes = largest_value - 1};
-	learned->expires_at = core->now + LIMITS_LEARNED_S;
+	learned->expires_at = core->now + LIMITS_LEARNED_TTL_S;
 	log_info("limits_learned", "learned_ops=%d learned_bytes=%zu", learned->txn_ops,
 		 learned->value_bytes);
 }
--- a/src/core/records/task_records.c
+++ b/src/core/records/task_records.c
@@ -88,7 +88,7 @@
 {
 	const struct chunk *chunk = &job->records.chunks[job_chunk_of(job, task)];
 
-	return chunk->bytes + CHUNK_SPARE_BYTES + CHUNK_ENTRY_BYTES > limits_value_bytes(core);
+	return chunk->bytes + CHUNK_OVERHEAD_BYTES + CHUNK_BINDING_BYTES > limits_value_bytes(core);
 }
 
 bool task_record_is_idle(const struct chunk *chunk)
--- a/src/core/records/transaction.c
+++ b/src/core/records/transaction.c
@@ -98,7 +98,7 @@
 static bool is_minimal(const struct transaction *transaction)
 {
 	return transaction->op_count <= LIMITS_TXN_OPS_MIN &&
-	       transaction->largest_value <= LIMITS_VALUE_FLOOR;
+	       transaction->largest_value <= LIMITS_VALUE_MIN_BYTES;
 }
 
 /*
@@ -108,7 +108,7 @@
 static void on_refused(struct core *core, const struct call_answer *answer)
 {
 	const struct transaction *transaction = &core->write_queue.transaction;
-	double retry_s = is_minimal(transaction) ? LIMITS_REFUSED_S : COMMIT_RETRY_S;
+	double retry_s = is_minimal(transaction) ? LIMITS_REFUSED_RETRY_S : COMMIT_RETRY_S;
 
 	log_error("transaction_refused", "nops=%d largest=%zu body=%.*s", transaction->op_count,
 		  transaction->largest_value, logged_length(answer), answer->body);
--- a/src/core/records/transaction_build.c
+++ b/src/core/records/transaction_build.c
@@ -37,9 +37,9 @@
 
 	log_info("record_too_large", "job=%s chunk=%u bound=%u limit=%zu", job->spec.id,
 		 write->chunk_index, chunk->binding_count, limits_value_bytes(core));
-	job->scheduling.retry_at = core->now + LIMITS_WAIT_S;
+	job->scheduling.retry_at = core->now + LIMITS_VALUE_RETRY_S;
 	if (!binding)
-		write->blocked_until = core->now + LIMITS_WAIT_S;
+		write->blocked_until = core->now + LIMITS_VALUE_RETRY_S;
 	while (binding) {
 		binding_end(core, binding, END_STOPPED);
 		binding = unrecorded_binding(chunk);
@@ -83,7 +83,7 @@
 	if (!has_room(core, txn, write_ops_count(write, max_ops), max_ops))
 		return BATCH_FULL;
 	value_bytes = write_ops_add(txn, write, max_ops);
-	if (mark.op_count && txn_bytes(txn) > COMMIT_BYTES) {
+	if (mark.op_count && txn_bytes(txn) > COMMIT_MAX_BYTES) {
 		txn_rollback(txn, &mark);
 		if (write->kind == WRITE_FINAL)
 			final_record_unmark_chunks(write->job);
--- a/src/core/runtime/call.c
+++ b/src/core/runtime/call.c
@@ -74,7 +74,7 @@
 			      uint8_t *packed, size_t len, answer_fn on_answer, void *arg)
 {
 	struct call *call = core_call(core, addr, "POST", format_path("%s", path), NULL,
-				      CALL_PEER_S, on_answer, arg);
+				      CALL_PEER_TIMEOUT_S, on_answer, arg);
 	struct core_action *action = last_action(core);
 
 	action->body = (char *)packed;
--- a/src/core/scheduling/placement.c
+++ b/src/core/scheduling/placement.c
@@ -58,7 +58,7 @@
 
 uint64_t new_attempt(struct core *core)
 {
-	return (election_token(core) << ATTEMPT_SHIFT) + ++core->cycles.attempt_counter;
+	return (election_token(core) << ATTEMPT_COUNTER_BITS) + ++core->cycles.attempt_counter;
 }
 
 uint64_t cycle_attempt(struct scheduling_cycle *cycle)
--- a/src/core/store/store_client.c
+++ b/src/core/store/store_client.c
@@ -34,8 +34,8 @@
 struct call *store_get(struct core *core, const char *key, answer_fn on_answer, void *arg)
 {
 	char *path = format_path(W_PATH_KEYS "/%s", key);
-	struct call *call = core_call(core, core->conf->store_addr, "GET", path, NULL, CALL_STORE_S,
-				      on_answer, arg);
+	struct call *call = core_call(core, core->conf->store_addr, "GET", path, NULL,
+				      CALL_STORE_TIMEOUT_S, on_answer, arg);
 
 	snprintf(call->key, sizeof(call->key), "%s", key);
 	return call;
@@ -48,18 +48,18 @@
 
 	if (after && *after)
 		path = format_path(W_PATH_KEYS "?" W_PREFIX "=%s&" W_AFTER "=%s&" W_LIMIT "=%d",
-				   prefix, after, RANGE_LIMIT);
+				   prefix, after, PAGE_ITEMS_MAX);
 	else
-		path =
-		    format_path(W_PATH_KEYS "?" W_PREFIX "=%s&" W_LIMIT "=%d", prefix, RANGE_LIMIT);
-	return core_call(core, core->conf->store_addr, "GET", path, NULL, CALL_STORE_S, on_answer,
-			 arg);
+		path = format_path(W_PATH_KEYS "?" W_PREFIX "=%s&" W_LIMIT "=%d", prefix,
+				   PAGE_ITEMS_MAX);
+	return core_call(core, core->conf->store_addr, "GET", path, NULL, CALL_STORE_TIMEOUT_S,
+			 on_answer, arg);
 }
 
 struct call *store_commit(struct core *core, char *body, answer_fn on_answer, void *arg)
 {
 	return core_call(core, core->conf->store_addr, "POST", format_path(W_PATH_TXN), body,
-			 CALL_STORE_S, on_answer, arg);
+			 CALL_STORE_TIMEOUT_S, on_answer, arg);
 }
 
 struct call *store_watch(struct core *core, const char *prefix, uint64_t after_revision,
@@ -67,7 +67,7 @@
 {
 	char *path = format_path(W_PATH_WATCH "?" W_PREFIX "=%s&" W_AFTER "=%llu&" W_WAIT "=%d",
 				 prefix, (unsigned long long)after_revision, wait_ms);
-	double timeout_s = wait_ms / 1000.0 + LEADER_WATCH_SLACK_S;
+	double timeout_s = wait_ms / 1000.0 + STORE_WATCH_MARGIN_S;
 
 	return core_call(core, core->conf->store_addr, "GET", path, NULL, timeout_s, on_answer,
 			 arg);
--- a/src/net/client_pool.c
+++ b/src/net/client_pool.c
@@ -132,7 +132,7 @@
 	struct client_connection *connection, *next;
 
 	DL_FOREACH_SAFE2 (pool->idle, connection, next, idle_next) {
-		if (now - connection->idle_since <= NET_IDLE_S)
+		if (now - connection->idle_since <= NET_CLIENT_IDLE_MAX_S)
 			break;
 		client_pool_close(pool, connection);
 	}
--- a/src/net/client_pool.h
+++ b/src/net/client_pool.h
@@ -89,7 +89,7 @@
 /* Closes the connection if it is open. Its memory stays until client_pool_reap(). */
 void client_pool_close(struct client_pool *pool, struct client_connection *connection);
 
-/* Closes those that have been idle for more than NET_IDLE_S. */
+/* Closes those that have been idle for more than NET_CLIENT_IDLE_MAX_S. */
 void client_pool_close_idle(struct client_pool *pool, double now);
 
 /* Frees the closed ones. No event may be pending for them any more. */
--- a/src/net/connection.c
+++ b/src/net/connection.c
@@ -58,11 +58,11 @@
 static ssize_t receive(struct connection *connection)
 {
 	/* One byte more for the NUL: of a longer message before, nothing may follow this one. */
-	char *room = buf_room(&connection->input, NET_READ_CHUNK + 1);
+	char *room = buf_room(&connection->input, NET_READ_CHUNK_BYTES + 1);
 	ssize_t received;
 
 	do {
-		received = recv(connection->fd, room, NET_READ_CHUNK, 0);
+		received = recv(connection->fd, room, NET_READ_CHUNK_BYTES, 0);
 	} while (received < 0 && errno == EINTR);
 	if (received > 0) {
 		room[received] = 0;
@@ -81,7 +81,7 @@
 			return CONNECTION_OK;
 		if (received <= 0 || connection->input.len > input_max)
 			return CONNECTION_BROKEN;
-		if (received < NET_READ_CHUNK && extent == READ_AVAILABLE)
+		if (received < NET_READ_CHUNK_BYTES && extent == READ_AVAILABLE)
 			return CONNECTION_OK;
 	}
 }
--- a/src/net/connection_limit.c
+++ b/src/net/connection_limit.c
@@ -59,7 +59,7 @@
 	int max = caller_max(limit);
 	struct client_connection *idle;
 
-	if (limit->set->open_count <= max - max / NET_CROWD_PART)
+	if (limit->set->open_count <= max - max / NET_SPARE_CONNS_DIVISOR)
 		return false;
 	idle = client_pool_longest_idle(limit->clients);
 	if (!idle)
--- a/src/net/net.c
+++ b/src/net/net.c
@@ -119,10 +119,11 @@
 					  event->events, extent);
 }
 
-/* Up to NET_TURN of them; the next wait reports the others again, in the order they came. */
+/* Up to NET_CALLER_EVENTS_MAX of them; the next wait reports the others again, in the order they
+ * came. */
 static void handle_caller_events(struct net *net, int count, enum read_extent extent)
 {
-	int left = NET_TURN;
+	int left = NET_CALLER_EVENTS_MAX;
 
 	for (int i = 0; i < count && left; i++) {
 		const struct connection *connection = net->events[i].data.ptr;
@@ -156,7 +157,7 @@
  */
 static enum read_extent caller_read_extent(const struct net *net)
 {
-	return net_now() - net->iteration_ended_at > NET_LATE_S ? READ_TO_END : READ_AVAILABLE;
+	return net_now() - net->iteration_ended_at > NET_LOOP_LAG_S ? READ_TO_END : READ_AVAILABLE;
 }
 
 /*
--- a/src/net/server_connections.c
+++ b/src/net/server_connections.c
@@ -92,7 +92,7 @@
 	DL_FOREACH_SAFE (connections->by_activity, connection, next) {
 		double silent_s = now - connection->active_at;
 
-		if (silent_s <= NET_SLOW_S)
+		if (silent_s <= NET_MESSAGE_TIMEOUT_S)
 			break;
 		if (connection->awaits_response)
 			continue;
--- a/src/net/server_connections.h
+++ b/src/net/server_connections.h
@@ -65,7 +65,7 @@
 
 /*
  * Closes those that have been idle for more than `idle_max_s` seconds, and those on which a request
- * is half received, or a response is not taken, for more than NET_SLOW_S.
+ * is half received, or a response is not taken, for more than NET_MESSAGE_TIMEOUT_S.
  */
 void server_connections_close_silent(struct server_connections *connections, double now,
 				     double idle_max_s);
--- a/tests/unit/test_net_turns.c
+++ b/tests/unit/test_net_turns.c
@@ -7,7 +7,7 @@
 
 #include "net_support.h"
 
-#define CROWD (NET_TURN + 20) /* more callers than a turn serves */
+#define CROWD (NET_CALLER_EVENTS_MAX + 20) /* more callers than a turn serves */
 #define SPARE_SOCKETS 8
 #define CALL_TURNS 20	/* enough to connect to the other server and send the call */
 #define OTHER_TURNS 200 /* at most, until the other server has answered */
@@ -15,7 +15,7 @@
 #define FIRST_TURN_WAIT_S 0.1
 #define REMAINING_TURNS 10
 #define LATE_TURNS 5
-#define LATE_FACTOR 1.2 /* beyond NET_LATE_S, so that the loop takes itself for late */
+#define LATE_FACTOR 1.2 /* beyond NET_LOOP_LAG_S, so that the loop takes itself for late */
 
 /* Connects `count` callers, one a turn. */
 static void connect_callers(struct test_server *server, int *callers, int count)
@@ -63,7 +63,7 @@
 		net_poll(other.net, OTHER_TURN_WAIT_S);
 	net_poll(server.net, FIRST_TURN_WAIT_S);
 	assert_int_equal(server.replies, 1);
-	assert_in_range(server.requests, 1, NET_TURN);
+	assert_in_range(server.requests, 1, NET_CALLER_EVENTS_MAX);
 	test_server_turn(&server, REMAINING_TURNS);
 	assert_int_equal(server.requests, CROWD);
 	close_callers(callers, CROWD);
@@ -82,7 +82,7 @@
 	connect_callers(&server, callers, 2);
 	send_requests(callers, 2);
 	close(callers[0]);
-	usleep((useconds_t)(NET_LATE_S * LATE_FACTOR * 1e6));
+	usleep((useconds_t)(NET_LOOP_LAG_S * LATE_FACTOR * 1e6));
 	test_server_turn(&server, LATE_TURNS);
 	assert_int_equal(server.requests, 1);
 	close(callers[1]);
