--- a/src/constants.h
+++ b/src/constants.h
@@ -229,27 +229,27 @@
 #define MACHINE_FRESH_REPORTS 2.5
 /* Time beyond the agent's lease after which a silent machine is given up: its tasks are lost
  * anyway. */
-#define MACHINE_DEAD_MARGIN_S 1.0
+#define MACHINE_LEASE_MARGIN_S 1.0
 /* Least interval between probes of one machine. */
 #define PROBE_INTERVAL_S 1.0
 /* Probes per second that are allowed at least: each costs as much as a report. */
-#define PROBES_PER_S 40.0
+#define PROBES_MIN_PER_S 40.0
 /* Time in which the rate of probes must allow one to each machine. */
 #define PROBE_ALL_LEASES 0.5
 /* Share of the sockets that direct commands and probes may use. */
-#define DIRECT_SHARE 0.125
+#define AGENT_CALL_CONNS_SHARE 0.125
 /* Reports in a row that ignore a start before a machine counts as unreachable: one answer may be
  * lost. */
 #define MACHINE_IGNORED_STARTS 2
 /* Time without a newer report from which an agent's heartbeat is overdue: one may be a quarter of
  * an interval late. */
-#define MACHINE_STALE_REPORTS 1.5
+#define HEARTBEAT_OVERDUE_REPORTS 1.5
 /* Time that a machine is kept which our messages do not reach. */
-#define MACHINE_UNREACHABLE_S 60.0
+#define MACHINE_UNREACHABLE_MAX_S 60.0
 /* Interval between probes of a machine that has sent no message in this term. */
-#define PROBE_UNSEEN_S 3.0
+#define PROBE_UNSEEN_INTERVAL_S 3.0
 /* Time in which all agents find a new leader by themselves. */
-#define PROBE_UNSEEN_REPORTS 2.0
+#define LEADER_DISCOVERY_REPORTS 2.0
 /* A machine has failed to boot after its type's boot time, times this factor, ... */
 #define MACHINE_BOOT_FACTOR 3.0
 /* ... and this time: short boots vary more. */
@@ -257,38 +257,38 @@
 /* Inventories that lack a machine, once listed and now silent, before it is deleted. */
 #define MACHINE_MISSED_INVENTORIES 2
 /* Different jobs that fail on a machine before it is drained. */
-#define MACHINE_FAULT_JOBS 2
+#define MACHINE_FAILED_JOBS_MAX 2
 /* Images remembered per machine, as a guess at what its cache holds. */
-#define MACHINE_IMAGES 8
+#define MACHINE_IMAGES_MAX 8
 /* Delay before a direct start or stop that no report shows yet is sent directly again. */
-#define START_RESEND_S 1.5
+#define COMMAND_RESEND_S 1.5
 /* Commands in one message: a line is limited to 64 KiB. */
 #define COMMANDS_MAX 300
 /* Least interval between new fencing tokens that are written for unanswered commands. */
-#define TOKEN_RENEW_S 2.0
+#define TOKEN_RENEW_INTERVAL_S 2.0
 /* Interval between inventories of the cloud's machines: what they show is older than that. */
-#define INVENTORY_EVERY_S 3.0
+#define INVENTORY_INTERVAL_S 3.0
 /* Interval between health checks of all machines. */
-#define MACHINES_EVERY_S 0.5
+#define MACHINE_SCAN_INTERVAL_S 0.5
 /* Share of the machines beyond which, if they are silent at once, this controller counts itself as
  * partitioned and resigns. */
-#define PARTITION_SHARE 0.7
+#define PARTITION_SILENT_SHARE 0.7
 /* Share of the other machines that may be silent when one is given up before its lease ends: if
  * more are, it may be this controller that is cut off. */
-#define SILENT_SHARE 0.34
+#define EARLY_DELETE_SILENT_SHARE 0.34
 /* Buckets of the histogram of times since the machines' last messages: together they span the
  * longest lease of an agent. */
-#define CONTACT_AGES 80
+#define CONTACT_BUCKETS 80
 /* Time that one of these buckets spans. */
-#define CONTACT_AGE_S 0.25
+#define CONTACT_BUCKET_S 0.25
 /* Time without a message, and since the last probe, before a machine with replicas is probed. */
-#define REPLICA_PROBE_S 0.8
+#define REPLICA_PROBE_INTERVAL_S 0.8
 /* Timeout of such a probe: answers usually take milliseconds, with a lost packet some hundred. */
 #define REPLICA_PROBE_TIMEOUT_S 0.8
 /* Such probes in a row without an answer before the machine may be given up: one may be lost. */
 #define REPLICA_UNANSWERED_PROBES 2
 /* Such probes per second that are allowed at least. */
-#define REPLICA_PROBES_PER_S 10.0
+#define REPLICA_PROBES_MIN_PER_S 10.0
 /* Rate of such probes, if that is more, as a share of the rate of the agents' reports. */
 #define REPLICA_PROBE_SHARE 0.34
 /* Delay of the supervision of replicas from which an event-loop iteration sends no probes. */
@@ -298,18 +298,18 @@
 /* Time since a machine's last message from which new replicas rather go elsewhere. */
 #define REPLICA_OVERDUE_REPORTS 1.25
 /* Cost, in seconds of waiting for an image elsewhere, of a replica on such a machine. */
-#define REPLICA_OVERDUE_S 20.0
+#define REPLICA_OVERDUE_COST_S 20.0
 /* Machines that must have sent messages before a share of silent ones means anything. */
-#define PARTITION_MACHINES 3
+#define PARTITION_MACHINES_MIN 3
 
 /* --- scheduling --- */
 
 /* Time from the request for a scheduling cycle to the cycle, and so their least interval. */
-#define CYCLE_MIN_S 0.004
+#define CYCLE_MIN_INTERVAL_S 0.004
 /* Interval between scheduling cycles without an event: backoffs end by time alone. */
 #define CYCLE_PERIOD_S 0.5
-/* Time added to CYCLE_MIN_S for each job, so that cycles are rarer under load. */
-#define CYCLE_JOB_S 0.0002
+/* Time added to CYCLE_MIN_INTERVAL_S for each job, so that cycles are rarer under load. */
+#define CYCLE_INTERVAL_PER_JOB_S 0.0002
 /* Base of the backoff of a job whose tasks fail: it doubles with each earlier failure in a row.
  * After the first failure the job is tried elsewhere at once. */
 #define ERROR_BACKOFF_S 2.0
@@ -317,23 +317,23 @@
  * waiting, of a machine on which the job failed. */
 #define ERROR_BACKOFF_MAX_S 60.0
 /* Machines remembered per job on which its tasks failed. */
-#define ERROR_JOB_MACHINES 4
+#define JOB_FAILED_MACHINES_MAX 4
 /* Backoff after a refused start: the job's description may be on its way to the machine. */
-#define REFUSED_BACKOFF_S 1.0
+#define START_REFUSED_BACKOFF_S 1.0
 /* Mean interval between rounds of share switching: the quantum of its design. */
 #define SWITCH_QUANTUM_S 5.0
 /* Jitter as a share of the quantum, so that the controllers' load spreads. */
 #define SWITCH_JITTER 0.4
 /* Time that a freed slot is kept for its job: a scheduling cycle or two. */
-#define FREED_SLOT_S 2.0
+#define FREED_SLOT_HOLD_S 2.0
 /* Cost, in seconds of waiting, of a task without GPUs on a machine with GPUs. */
-#define GPU_WASTE_S 3.0
+#define GPU_WASTE_COST_S 3.0
 /* Cost, in seconds of waiting, of the worst fit: the best fit matters less than a cached image. */
-#define FIT_WEIGHT_S 0.5
+#define WORST_FIT_COST_S 0.5
 /* Least time that a job waits before work of lower priority is stopped for it. */
 #define PREEMPT_AFTER_S 0.2
 /* Share of the tightest wait objective of its class that a job waits before that, if longer. */
-#define PREEMPT_SHARE 0.1
+#define PREEMPT_OBJECTIVE_SHARE 0.1
 /* Time that capacity is reserved for a job after other work, or its own replica that moves, was
  * stopped. */
 #define PREEMPT_RESERVE_S 20.0
@@ -348,45 +348,45 @@
 /* Gangs with such a reservation at once: reserved capacity idles. */
 #define RESERVE_MAX_GANGS 2
 /* Share of the fleet's CPUs that may be reserved so, for any number of gangs. */
-#define RESERVE_SHARE 0.05
+#define RESERVE_CPU_SHARE 0.05
 /* The same share for gangs that have waited long: their four minutes are nearly over. */
-#define RESERVE_SHARE_LATE 0.1
+#define RESERVE_CPU_SHARE_LONG_WAIT 0.1
 /* Time of waiting from which a gang has waited long, so that the wider limits hold for it. */
-#define RESERVE_LATE_S 140.0
+#define RESERVE_LONG_WAIT_S 140.0
 /* Gangs with such a reservation at once, where the wider limits hold. */
-#define RESERVE_MAX_GANGS_LATE 4
+#define RESERVE_MAX_GANGS_LONG_WAIT 4
 /* Time beyond the last scheduling cycle for which such a reservation stands: cycles come twice a
  * second. */
 #define RESERVE_EXTEND_S 2.0
 /* Share of the capacity in use that is expected to fall free soon enough. */
 #define RESERVE_USED_SHARE 0.05
 /* Time that a stopped task needs to find capacity, start and fetch its image again. */
-#define RESTART_S 15.0
+#define RESTART_OVERHEAD_S 15.0
 /* Factor on the estimate of a task that begins again: estimates are often wrong by half. */
-#define RESTART_FACTOR 1.5
+#define RESTART_ESTIMATE_FACTOR 1.5
 /* Time to start tasks and fetch the image, taken off the time that an array has left. */
-#define NEED_START_S 10.0
+#define ARRAY_START_OVERHEAD_S 10.0
 /* Time of waiting after which a gang goes before all others of its priority. */
-#define LATE_FIRST_S 140.0
+#define ORDER_FIRST_AFTER_S 140.0
 /* Order key that places a gang or service after all that are ordered by a wait objective; its
  * negative places one before them. */
-#define ORDER_FAR_S 1e6
+#define ORDER_KEY_EXTREME_S 1e6
 /* Cost, in seconds of waiting, of an on-demand machine for a task that may use spot machines, while
  * jobs wait that may not. */
-#define ON_DEMAND_S 4.0
+#define ON_DEMAND_COST_S 4.0
 /* Cost, in seconds of waiting, of a second replica of a service on one machine, against a fetch of
  * the image elsewhere. The same for each job that failed on the machine. */
-#define REPLICA_MACHINE_S 8.0
+#define REPLICA_SAME_MACHINE_COST_S 8.0
 /* Time that a replica must have run for its end not to count as a failure to start. */
-#define REPLICA_STEADY_S 20.0
+#define REPLICA_MIN_UPTIME_S 20.0
 /* Cost, in seconds of waiting, of each replica, of any service, that the machine runs: all would be
  * lost together. */
-#define REPLICA_CROWD_S 1.0
+#define REPLICA_COLOCATED_COST_S 1.0
 /* Cost, in seconds of waiting, of another replica of the service in the zone, if the machines are
  * alike. */
-#define REPLICA_ZONE_S 0.5
+#define REPLICA_SAME_ZONE_COST_S 0.5
 /* Cost, in seconds of waiting, of a spot machine, which may be taken back with the replica. */
-#define REPLICA_SPOT_S 20.0
+#define REPLICA_SPOT_COST_S 20.0
 /* Tolerance when capacity is compared, in CPUs, GPUs or GB: decimal amounts are summed up. */
 #define ROOM_SLACK 1e-6
 /* Machines that the search for places of single tasks visits in one cycle, per core of the
@@ -396,29 +396,29 @@
  * `gang_shapes`. */
 #define CYCLE_GANG_SHAPES_MAX 32
 /* Shapes remembered in a cycle for which no capacity was found. */
-#define CYCLE_NO_FITS_MAX 32
+#define CYCLE_NO_ROOM_SHAPES_MAX 32
 
 /* --- autoscaling --- */
 
 /* Interval between scans for missing and idle machines. */
-#define AUTOSCALE_EVERY_S 0.5
+#define AUTOSCALE_INTERVAL_S 0.5
 /* Time that a job waits before the fleet grows for it. */
 #define SCALE_OUT_AFTER_S 0.3
 /* Time after a failover without scale-out and share switching: agents have yet to report. */
 #define AUTOSCALE_SETTLE_S 4.0
 /* Searches for planned capacity, by shape and zone, whose progress is kept while a scale-out is
  * planned; more than that are slower. */
-#define SCALE_OUT_SHAPES_MAX 64
+#define SCALE_OUT_SEARCHES_MAX 64
 /* Share of the cloud's allowed rate of requests that is used: clocks differ, and after a late
  * event-loop iteration requests are sent at once. */
-#define CLOUD_SHARE 0.9
+#define CLOUD_RATE_SHARE 0.9
 /* Time for which a rental request without an answer is repeated. */
 #define SCALE_OUT_GIVE_UP_S 30.0
 /* Cost, in seconds of waiting, of a new spot machine: it may be taken back. */
-#define SCALE_OUT_SPOT_S 5.0
+#define SCALE_OUT_SPOT_COST_S 5.0
 /* Cost, in seconds of waiting, of a new machine with GPUs for a job without: GPUs are rented for
  * jobs that use them. */
-#define SCALE_OUT_GPU_WASTE_S 100.0
+#define SCALE_OUT_GPU_WASTE_COST_S 100.0
 /* Factor on a job's estimate: owners are often wrong by half. */
 #define SCALE_OUT_ESTIMATE_FACTOR 1.5
 /* Time to rent and boot a machine and fetch the image before a task can start. */
@@ -430,14 +430,14 @@
 #define TOMBSTONES_MAX 8192
 /* Time, beyond twice the inventory's lag, until an inventory is read and applied: so long a deleted
  * machine may still be named. */
-#define TOMBSTONE_INVENTORIES_S 60.0
+#define TOMBSTONE_INVENTORY_MARGIN_S 60.0
 /* Time, beyond what a task needs to save its work, at which it is stopped before its machine is
  * taken back: the stop has to arrive. */
 #define NOTICE_MARGIN_S 2.0
 /* First backoff, which doubles, before a refused machine type, zone and kind is requested again. */
-#define SCALE_OUT_REFUSED_S 10.0
+#define SCALE_OUT_REFUSED_BACKOFF_S 10.0
 /* Longest such backoff: capacity may come back any time. */
-#define SCALE_OUT_REFUSED_MAX_S 40.0
+#define SCALE_OUT_REFUSED_BACKOFF_MAX_S 40.0
 /* Machines in one rental request, as the protocol limits them. */
 #define SCALE_OUT_BATCH_MAX 50
 /* Names in one request to delete machines, as the protocol limits them. */
@@ -445,22 +445,22 @@
 /* Backoff after the cloud answered 429 or 503, or not at all. */
 #define CLOUD_BACKOFF_S 1.5
 /* Interval between the leader's reads of the catalog, for its prices. */
-#define CATALOG_EVERY_S 60.0
+#define CATALOG_INTERVAL_S 60.0
 /* Time that a machine without GPUs may be idle before it is deleted, where the objectives ask for
  * low cost: about a boot. */
-#define IDLE_COST_S 25.0
+#define IDLE_MAX_S 25.0
 /* The same for a machine with GPUs: a shorter time leads to more boots, a longer one to more idle
  * GPUs. */
-#define IDLE_GPU_S 12.0
+#define IDLE_MAX_GPU_S 12.0
 /* Time that a machine may be idle which no open job could use. */
-#define IDLE_UNUSABLE_S 60.0
+#define IDLE_MAX_UNUSABLE_S 60.0
 /* Time that any machine may be idle where the objectives guarantee capacity and ask for nothing in
  * money. */
-#define IDLE_GUARANTEE_S 3600.0
+#define IDLE_MAX_GUARANTEE_S 3600.0
 /* Free capacity for each class of jobs, as a share of its use, where the objectives do so and the
  * operators have not set `headroom`. */
-#define HEADROOM_GUARANTEE 0.6
+#define HEADROOM_GUARANTEE_SHARE 0.6
 /* Tasks for which each class has free capacity on top of that share. */
-#define HEADROOM_GUARANTEE_MIN 6
+#define HEADROOM_MIN_TASKS 6
 
 #endif
--- a/src/core/agents/agent_calls.c
+++ b/src/core/agents/agent_calls.c
@@ -10,7 +10,8 @@
  */
 bool agent_calls_exhausted(const struct core *core)
 {
-	return core->agents.direct_in_flight >= core->conf->max_connections * DIRECT_SHARE;
+	return core->agents.direct_in_flight >=
+	       core->conf->max_connections * AGENT_CALL_CONNS_SHARE;
 }
 
 struct call *agent_call(struct core *core, const struct machine *machine, const char *path,
--- a/src/core/agents/commands.c
+++ b/src/core/agents/commands.c
@@ -48,7 +48,8 @@
  */
 static bool may_send(const struct core *core, enum command_channel channel, double sent_at)
 {
-	return channel == CHANNEL_HEARTBEAT || sent_at <= 0 || core->now - sent_at > START_RESEND_S;
+	return channel == CHANNEL_HEARTBEAT || sent_at <= 0 ||
+	       core->now - sent_at > COMMAND_RESEND_S;
 }
 
 static void add_start(struct core *core, struct binding *binding, enum command_channel channel,
--- a/src/core/agents/machine_health.c
+++ b/src/core/agents/machine_health.c
@@ -25,7 +25,7 @@
 static bool lease_is_over(const struct core *core, const struct machine *machine)
 {
 	double since = machine->agent.last_heartbeat_at;
-	double limit_s = core->conf->lease_s * (1 + CLOCK_DRIFT) + MACHINE_DEAD_MARGIN_S;
+	double limit_s = core->conf->lease_s * (1 + CLOCK_DRIFT) + MACHINE_LEASE_MARGIN_S;
 
 	if (!has_message(machine) && !machine->bindings)
 		return boot_is_overdue(core, machine);
@@ -45,7 +45,7 @@
 static bool is_unreachable_too_long(const struct core *core, const struct machine *machine)
 {
 	return !machine->agent.reachable && !machine->binding_count &&
-	       core->now - machine->agent.unreachable_since > MACHINE_UNREACHABLE_S;
+	       core->now - machine->agent.unreachable_since > MACHINE_UNREACHABLE_MAX_S;
 }
 
 /*
@@ -54,8 +54,9 @@
  */
 void probe_unseen_machine(struct core *core, struct machine *machine)
 {
-	if (!has_message(machine) && core->now - machine->probes.sent_at > PROBE_UNSEEN_S &&
-	    core->now - core->leading_since > PROBE_UNSEEN_REPORTS * core->conf->report_s)
+	if (!has_message(machine) &&
+	    core->now - machine->probes.sent_at > PROBE_UNSEEN_INTERVAL_S &&
+	    core->now - core->leading_since > LEADER_DISCOVERY_REPORTS * core->conf->report_s)
 		probe_machine(core, machine);
 }
 
@@ -94,7 +95,7 @@
 {
 	int count = 0;
 
-	for (int age = 0; age < CONTACT_AGES && (age + 1) * CONTACT_AGE_S <= age_s; age++)
+	for (int age = 0; age < CONTACT_BUCKETS && (age + 1) * CONTACT_BUCKET_S <= age_s; age++)
 		count += ages->by_age[age];
 	return count;
 }
@@ -102,12 +103,12 @@
 static void count_contact(struct core *core, const struct machine *machine)
 {
 	struct contact_ages *ages = &core->agents.contact_ages;
-	double age = (core->now - machine->agent.last_message_at) / CONTACT_AGE_S;
+	double age = (core->now - machine->agent.last_message_at) / CONTACT_BUCKET_S;
 
 	if (!has_message(machine) && !machine->binding_count)
 		return;
 	ages->expected++;
-	if (has_message(machine) && age < CONTACT_AGES)
+	if (has_message(machine) && age < CONTACT_BUCKETS)
 		ages->by_age[(int)age]++;
 }
 
@@ -148,8 +149,8 @@
 /* If nearly all agents fall silent at once, it is this controller that is partitioned off. */
 static bool is_partitioned(const struct contact_summary *summary)
 {
-	return summary->seen >= PARTITION_MACHINES &&
-	       summary->silent > PARTITION_SHARE * summary->seen;
+	return summary->seen >= PARTITION_MACHINES_MIN &&
+	       summary->silent > PARTITION_SILENT_SHARE * summary->seen;
 }
 
 void machines_tick(struct core *core)
@@ -159,7 +160,7 @@
 
 	if (core->now < core->agents.next_scan_at)
 		return;
-	core->agents.next_scan_at = core->now + MACHINES_EVERY_S;
+	core->agents.next_scan_at = core->now + MACHINE_SCAN_INTERVAL_S;
 	summary = scan_machines(core);
 	if (is_partitioned(&summary)) {
 		election_resign(core, STEP_DOWN_PARTITIONED);
--- a/src/core/agents/machine_health.h
+++ b/src/core/agents/machine_health.h
@@ -7,8 +7,8 @@
 
 /* The ages of all machines' last messages, at the last scan. */
 struct contact_ages {
-	int expected;		  /* machines that should have sent a message this term */
-	int by_age[CONTACT_AGES]; /* of them, by age in steps of CONTACT_AGE_S seconds */
+	int expected;		     /* machines that should have sent a message this term */
+	int by_age[CONTACT_BUCKETS]; /* of them, by age in steps of CONTACT_BUCKET_S seconds */
 };
 
 /* Gives the machine up: it is to be deleted at once. */
--- a/src/core/agents/probes.c
+++ b/src/core/agents/probes.c
@@ -41,9 +41,10 @@
  */
 static double probe_rate(const struct core *core)
 {
-	if (core->now - core->leading_since < PROBE_UNSEEN_REPORTS * core->conf->report_s)
-		return PROBES_PER_S;
-	return fmax(PROBES_PER_S, machine_count(core) / (PROBE_ALL_LEASES * core->conf->lease_s));
+	if (core->now - core->leading_since < LEADER_DISCOVERY_REPORTS * core->conf->report_s)
+		return PROBES_MIN_PER_S;
+	return fmax(PROBES_MIN_PER_S,
+		    machine_count(core) / (PROBE_ALL_LEASES * core->conf->lease_s));
 }
 
 static void send_probe(struct core *core, struct machine *machine, double timeout_s)
--- a/src/core/agents/reachability.c
+++ b/src/core/agents/reachability.c
@@ -63,7 +63,7 @@
 bool machine_heartbeat_overdue(const struct core *core, const struct machine *machine)
 {
 	return core->now - machine->agent.last_heartbeat_at >
-		   MACHINE_STALE_REPORTS * core->conf->report_s &&
+		   HEARTBEAT_OVERDUE_REPORTS * core->conf->report_s &&
 	       core->now - machine->probes.sent_at > PROBE_INTERVAL_S;
 }
 
--- a/src/core/agents/reachability.h
+++ b/src/core/agents/reachability.h
@@ -19,8 +19,8 @@
 /* A heartbeat came: marks the machine unreachable if too many in a row ignore starts sent to it. */
 void machine_check_ignored_starts(struct core *core, struct machine *machine);
 /*
- * No new heartbeat has arrived for MACHINE_STALE_REPORTS report intervals, and no probe was sent
- * within PROBE_INTERVAL_S.
+ * No new heartbeat has arrived for HEARTBEAT_OVERDUE_REPORTS report intervals, and no probe was
+ * sent within PROBE_INTERVAL_S.
  */
 bool machine_heartbeat_overdue(const struct core *core, const struct machine *machine);
 /*
--- a/src/core/agents/replica_supervision.c
+++ b/src/core/agents/replica_supervision.c
@@ -47,14 +47,14 @@
 {
 	double reports_per_s = machine_count(core) / core->conf->report_s;
 
-	return fmax(REPLICA_PROBES_PER_S, REPLICA_PROBE_SHARE * reports_per_s);
+	return fmax(REPLICA_PROBES_MIN_PER_S, REPLICA_PROBE_SHARE * reports_per_s);
 }
 
 static bool probe_is_due(const struct core *core, const struct machine *machine)
 {
 	return !machine->cloud.deleting &&
-	       core->now - machine->agent.last_message_at >= REPLICA_PROBE_S &&
-	       core->now - machine->probes.sent_at >= REPLICA_PROBE_S;
+	       core->now - machine->agent.last_message_at >= REPLICA_PROBE_INTERVAL_S &&
+	       core->now - machine->probes.sent_at >= REPLICA_PROBE_INTERVAL_S;
 }
 
 /* Most other machines with replicas, which are probed all the time, have answered since then. */
@@ -71,7 +71,8 @@
 		if (machine->agent.last_message_at > since)
 			responsive++;
 	}
-	return others + 1 >= PARTITION_MACHINES && responsive >= (1 - SILENT_SHARE) * others;
+	return others + 1 >= PARTITION_MACHINES_MIN &&
+	       responsive >= (1 - EARLY_DELETE_SILENT_SHARE) * others;
 }
 
 /* Most of all machines have sent a message since then. */
@@ -79,8 +80,9 @@
 {
 	const struct contact_ages *ages = &core->agents.contact_ages;
 
-	return ages->expected >= PARTITION_MACHINES &&
-	       contact_ages_within(ages, core->now - since) >= (1 - SILENT_SHARE) * ages->expected;
+	return ages->expected >= PARTITION_MACHINES_MIN &&
+	       contact_ages_within(ages, core->now - since) >=
+		   (1 - EARLY_DELETE_SILENT_SHARE) * ages->expected;
 }
 
 /*
--- a/src/core/autoscale/autoscale.c
+++ b/src/core/autoscale/autoscale.c
@@ -15,7 +15,7 @@
 {
 	if (core->now < core->autoscale.next_scan_at)
 		return;
-	core->autoscale.next_scan_at = core->now + AUTOSCALE_EVERY_S;
+	core->autoscale.next_scan_at = core->now + AUTOSCALE_INTERVAL_S;
 	scale_in_scan(core);
 	if (core->now < core->autoscale.retry_at || !catalog_is_known(core))
 		return;
--- a/src/core/autoscale/capacity_refusals.c
+++ b/src/core/autoscale/capacity_refusals.c
@@ -45,8 +45,9 @@
 
 	if (!refusal)
 		refusal = refusal_add(core, pool);
-	refusal->backoff_s = refusal->backoff_s ? refusal->backoff_s * 2 : SCALE_OUT_REFUSED_S;
-	refusal->backoff_s = fmin(refusal->backoff_s, SCALE_OUT_REFUSED_MAX_S);
+	refusal->backoff_s =
+	    refusal->backoff_s ? refusal->backoff_s * 2 : SCALE_OUT_REFUSED_BACKOFF_S;
+	refusal->backoff_s = fmin(refusal->backoff_s, SCALE_OUT_REFUSED_BACKOFF_MAX_S);
 	refusal->retry_at = core->now + refusal->backoff_s;
 }
 
--- a/src/core/autoscale/catalog_reader.c
+++ b/src/core/autoscale/catalog_reader.c
@@ -99,7 +99,7 @@
 	json_t *message = wire_parse(answer->body, answer->len);
 
 	if (take_catalog(core, message)) {
-		reader->next_read_at = core->now + CATALOG_EVERY_S;
+		reader->next_read_at = core->now + CATALOG_INTERVAL_S;
 		if (is_first)
 			log_info("catalog", "from=cloud types=%zu", catalog_type_count(core));
 		if (!reader->stored)
--- a/src/core/autoscale/cloud_link.c
+++ b/src/core/autoscale/cloud_link.c
@@ -6,7 +6,7 @@
 {
 	struct rate_limiter *limiter = &core->autoscale.request_limiter;
 
-	rate_limiter_refill(core, limiter, core->conf->cloud_rps * CLOUD_SHARE);
+	rate_limiter_refill(core, limiter, core->conf->cloud_rps * CLOUD_RATE_SHARE);
 	if (limiter->tokens < 1)
 		return false;
 	limiter->tokens -= 1;
--- a/src/core/autoscale/inventory.c
+++ b/src/core/autoscale/inventory.c
@@ -51,7 +51,7 @@
 		if (machine->cloud.listed && machine->cloud.inventory_number != inventory->number)
 			machine->cloud.missed_inventories++;
 	inventory->cursor[0] = 0;
-	inventory->next_read_at = core->now + INVENTORY_EVERY_S;
+	inventory->next_read_at = core->now + INVENTORY_INTERVAL_S;
 }
 
 static void read_page(struct core *core);
--- a/src/core/autoscale/machine_offers.c
+++ b/src/core/autoscale/machine_offers.c
@@ -32,8 +32,9 @@
 /* Seconds until a task can start, and what else the machine costs, as seconds. */
 static double time_cost(const struct machine_offer *offer, const struct job_spec *spec)
 {
-	double spot_risk_s = offer->kind == SPOT ? SCALE_OUT_SPOT_S : 0;
-	double gpu_waste_s = spec->gpus <= 0 && offer->type->gpus > 0 ? SCALE_OUT_GPU_WASTE_S : 0;
+	double spot_risk_s = offer->kind == SPOT ? SCALE_OUT_SPOT_COST_S : 0;
+	double gpu_waste_s =
+	    spec->gpus <= 0 && offer->type->gpus > 0 ? SCALE_OUT_GPU_WASTE_COST_S : 0;
 
 	return offer->type->boot_s + spot_risk_s + gpu_waste_s;
 }
--- a/src/core/autoscale/planned_rooms.c
+++ b/src/core/autoscale/planned_rooms.c
@@ -136,7 +136,7 @@
 		    same_shape(search->spec, spec))
 			return search;
 	}
-	if (rooms->search_count == SCALE_OUT_SHAPES_MAX)
+	if (rooms->search_count == SCALE_OUT_SEARCHES_MAX)
 		return NULL;
 	search = &rooms->searches[rooms->search_count++];
 	*search = (struct room_search){.spec = spec, .zone = zone, .scope = scope};
--- a/src/core/autoscale/planned_rooms.h
+++ b/src/core/autoscale/planned_rooms.h
@@ -40,7 +40,7 @@
 	struct planned_room *list; /* owned */
 	size_t count, capacity;
 	size_t to_request_count;
-	struct room_search searches[SCALE_OUT_SHAPES_MAX];
+	struct room_search searches[SCALE_OUT_SEARCHES_MAX];
 	size_t search_count;
 };
 
--- a/src/core/autoscale/scale_in.c
+++ b/src/core/autoscale/scale_in.c
@@ -14,8 +14,8 @@
 	if (core->conf->idle_patience_s >= 0)
 		return core->conf->idle_patience_s;
 	if (!autoscale_minimises_cost(core))
-		return IDLE_GUARANTEE_S;
-	return machine->type && machine->type->gpus > 0 ? IDLE_GPU_S : IDLE_COST_S;
+		return IDLE_MAX_GUARANTEE_S;
+	return machine->type && machine->type->gpus > 0 ? IDLE_MAX_GPU_S : IDLE_MAX_S;
 }
 
 /* Stops each task with checkpoints at the last moment at which it can still save its work. */
@@ -73,7 +73,7 @@
 	if (machine->cloud.draining || idle_s > idle_patience_s(core, machine))
 		return true;
 	/* Its reports cost the leader as much as those of a machine that works. */
-	return idle_s > IDLE_UNUSABLE_S && !is_type_useful(core, machine);
+	return idle_s > IDLE_MAX_UNUSABLE_S && !is_type_useful(core, machine);
 }
 
 void scale_in_scan(struct core *core)
--- a/src/core/autoscale/scale_out_headroom.c
+++ b/src/core/autoscale/scale_out_headroom.c
@@ -47,7 +47,7 @@
 static void plan_class(struct core *core, struct planned_rooms *rooms, const struct class_use *use,
 		       double share)
 {
-	uint32_t wanted = (uint32_t)(share * use->bound_tasks) + HEADROOM_GUARANTEE_MIN;
+	uint32_t wanted = (uint32_t)(share * use->bound_tasks) + HEADROOM_MIN_TASKS;
 	struct machine_demand demand = {.spec = use->spec};
 
 	for (uint32_t i = 0; i < wanted; i++) {
@@ -62,7 +62,7 @@
 void scale_out_plan_headroom(struct core *core, struct planned_rooms *rooms)
 {
 	bool is_set = core->conf->headroom >= 0;
-	double share = is_set ? core->conf->headroom : HEADROOM_GUARANTEE;
+	double share = is_set ? core->conf->headroom : HEADROOM_GUARANTEE_SHARE;
 	struct class_uses uses;
 
 	if (autoscale_minimises_cost(core) && !is_set)
--- a/src/core/model/binding.c
+++ b/src/core/model/binding.c
@@ -51,7 +51,7 @@
 		return;
 	snprintf(scheduling->freed_slot_job, sizeof(scheduling->freed_slot_job), "%s",
 		 *binding->switched_to ? binding->switched_to : job->spec.id);
-	scheduling->freed_slot_until = core->now + FREED_SLOT_S;
+	scheduling->freed_slot_until = core->now + FREED_SLOT_HOLD_S;
 }
 
 /* Takes the binding off its machine, job, chunk and team, whatever the reason, and frees it. */
@@ -99,8 +99,8 @@
 			     enum task_end_reason reason)
 {
 	struct job *job = binding->job;
-	bool was_steady =
-	    binding->running_since > 0 && core->now - binding->running_since >= REPLICA_STEADY_S;
+	bool was_steady = binding->running_since > 0 &&
+			  core->now - binding->running_since >= REPLICA_MIN_UPTIME_S;
 
 	if (was_steady)
 		job_reset_failures(job);
--- a/src/core/model/job.h
+++ b/src/core/model/job.h
@@ -20,12 +20,12 @@
 	double waiting_since;
 	double order_key; /* its place in the order of a scheduling cycle */
 	int failures;	  /* in a row */
-	char failed_machines[ERROR_JOB_MACHINES][ID_MAX]; /* a ring of the latest */
-	int failed_machine_count;			  /* ever */
-	double reserved_until;				  /* room is reserved for it; 0: none */
-	bool reserving;					  /* more is reserved as it falls free */
-	char reserved_zone[NAME_MAX_LEN];		  /* empty: any */
-	double next_preemption_at;			  /* no preemption for it before */
+	char failed_machines[JOB_FAILED_MACHINES_MAX][ID_MAX]; /* a ring of the latest */
+	int failed_machine_count;			       /* ever */
+	double reserved_until;		  /* room is reserved for it; 0: none */
+	bool reserving;			  /* more is reserved as it falls free */
+	char reserved_zone[NAME_MAX_LEN]; /* empty: any */
+	double next_preemption_at;	  /* no preemption for it before */
 };
 
 struct job {
--- a/src/core/model/job_failures.c
+++ b/src/core/model/job_failures.c
@@ -23,7 +23,7 @@
 void job_note_failure(const struct core *core, struct job *job, const struct machine *machine)
 {
 	struct job_scheduling *scheduling = &job->scheduling;
-	int oldest = scheduling->failed_machine_count % ERROR_JOB_MACHINES;
+	int oldest = scheduling->failed_machine_count % JOB_FAILED_MACHINES_MAX;
 
 	scheduling->retry_at = core->now + backoff_s(scheduling->failures);
 	scheduling->failures++;
@@ -38,12 +38,12 @@
 
 void job_note_refused_start(const struct core *core, struct job *job)
 {
-	job->scheduling.retry_at = core->now + REFUSED_BACKOFF_S;
+	job->scheduling.retry_at = core->now + START_REFUSED_BACKOFF_S;
 }
 
 void machine_note_refused_start(const struct core *core, struct machine *machine)
 {
-	machine->scheduling.backoff_until = core->now + REFUSED_BACKOFF_S;
+	machine->scheduling.backoff_until = core->now + START_REFUSED_BACKOFF_S;
 }
 
 static bool has_failed_job(const struct machine *machine, const struct job *job)
@@ -63,12 +63,12 @@
 	/* A job that failed elsewhere too is its owner's mistake, not this machine's. */
 	if (job->scheduling.failed_machine_count > 1)
 		return;
-	if (scheduling->failed_job_count < MACHINE_FAULT_JOBS) {
+	if (scheduling->failed_job_count < MACHINE_FAILED_JOBS_MAX) {
 		snprintf(scheduling->failed_jobs[scheduling->failed_job_count], ID_MAX, "%s",
 			 job->spec.id);
 		scheduling->failed_job_count++;
 	}
-	if (scheduling->failed_job_count == MACHINE_FAULT_JOBS && !machine->cloud.draining) {
+	if (scheduling->failed_job_count == MACHINE_FAILED_JOBS_MAX && !machine->cloud.draining) {
 		machine->cloud.draining = true;
 		log_info("machine_faulty", "machine=%s jobs=%d", machine->id,
 			 scheduling->failed_job_count);
--- a/src/core/model/machine.c
+++ b/src/core/model/machine.c
@@ -172,8 +172,8 @@
 void machine_note_image(struct machine *machine, const char *image)
 {
 	struct machine_scheduling *scheduling = &machine->scheduling;
-	int place =
-	    scheduling->image_count < MACHINE_IMAGES ? scheduling->image_count : MACHINE_IMAGES - 1;
+	int place = scheduling->image_count < MACHINE_IMAGES_MAX ? scheduling->image_count
+								 : MACHINE_IMAGES_MAX - 1;
 
 	for (int i = 0; i < scheduling->image_count; i++)
 		if (!strcmp(scheduling->images[i], image))
--- a/src/core/model/machine.h
+++ b/src/core/model/machine.h
@@ -85,9 +85,9 @@
 
 /* What placement remembers of the machine. */
 struct machine_scheduling {
-	char images[MACHINE_IMAGES][NAME_MAX_LEN]; /* most recently used first */
+	char images[MACHINE_IMAGES_MAX][NAME_MAX_LEN]; /* most recently used first */
 	int image_count;
-	char failed_jobs[MACHINE_FAULT_JOBS][ID_MAX];
+	char failed_jobs[MACHINE_FAILED_JOBS_MAX][ID_MAX];
 	int failed_job_count;
 	struct job *reserved_for;    /* the job that room here is reserved for; NULL: none */
 	uint32_t reserved_tasks;     /* room for so many of its tasks */
--- a/src/core/model/tombstones.c
+++ b/src/core/model/tombstones.c
@@ -30,7 +30,7 @@
 /* No inventory still names a machine that was deleted before this moment. */
 static double oldest_named_deletion(const struct core *core)
 {
-	return core->now - TOMBSTONE_INVENTORIES_S - 2 * core->conf->inventory_lag_s;
+	return core->now - TOMBSTONE_INVENTORY_MARGIN_S - 2 * core->conf->inventory_lag_s;
 }
 
 bool tombstones_need_new_token(const struct core *core)
@@ -39,7 +39,7 @@
 	    core->tombstones.list; /* in the order in which they were added */
 
 	return HASH_COUNT(core->tombstones.list) > TOMBSTONES_MAX &&
-	       core->now - core->tombstones.trimmed_at > TOMBSTONE_INVENTORIES_S &&
+	       core->now - core->tombstones.trimmed_at > TOMBSTONE_INVENTORY_MARGIN_S &&
 	       oldest->deleted_at < oldest_named_deletion(core);
 }
 
--- a/src/core/records/write_queue.c
+++ b/src/core/records/write_queue.c
@@ -199,7 +199,8 @@
 {
 	const struct write_queue *queue = &core->write_queue;
 
-	return (queue->new_token_wanted && core->now - queue->token_renewed_at >= TOKEN_RENEW_S) ||
+	return (queue->new_token_wanted &&
+		core->now - queue->token_renewed_at >= TOKEN_RENEW_INTERVAL_S) ||
 	       format_raise_due(core);
 }
 
--- a/src/core/scheduling/cycle.c
+++ b/src/core/scheduling/cycle.c
@@ -139,11 +139,11 @@
 static double pool_cost_s(const struct scheduling_cycle *cycle, const struct pool *pool,
 			  const struct job_spec *spec)
 {
-	double cost = spec->gpus <= 0 && pool->type->gpus > 0 ? GPU_WASTE_S : 0;
+	double cost = spec->gpus <= 0 && pool->type->gpus > 0 ? GPU_WASTE_COST_S : 0;
 
 	/* Jobs that may not use spot machines need these more. */
 	if (cycle->on_demand_needed && spec->spot && !pool->spot)
-		cost += ON_DEMAND_S;
+		cost += ON_DEMAND_COST_S;
 	return cost;
 }
 
--- a/src/core/scheduling/cycle.h
+++ b/src/core/scheduling/cycle.h
@@ -58,7 +58,7 @@
 	size_t pool_count;
 	struct candidate *candidates; /* for the job that is being placed */
 	size_t candidate_count;
-	struct shape_without_room shapes_without_room[CYCLE_NO_FITS_MAX];
+	struct shape_without_room shapes_without_room[CYCLE_NO_ROOM_SHAPES_MAX];
 	size_t shape_without_room_count;
 	const struct job_spec *gang_shapes[CYCLE_GANG_SHAPES_MAX]; /* of gangs that wait */
 	size_t gang_shape_count;
--- a/src/core/scheduling/cycle_trigger.c
+++ b/src/core/scheduling/cycle_trigger.c
@@ -17,7 +17,8 @@
 	if (core->cycles.requested)
 		return;
 	core->cycles.requested = true;
-	core->cycles.next_at = core->now + CYCLE_MIN_S + CYCLE_JOB_S * job_count(core);
+	core->cycles.next_at =
+	    core->now + CYCLE_MIN_INTERVAL_S + CYCLE_INTERVAL_PER_JOB_S * job_count(core);
 }
 
 static bool place_whole_job(struct scheduling_cycle *cycle, struct job *job)
--- a/src/core/scheduling/objectives.c
+++ b/src/core/scheduling/objectives.c
@@ -40,7 +40,7 @@
 static uint32_t slots_needed(const struct core *core, const struct job *job, double factor)
 {
 	double deadline = job->submitted_at + factor * job->spec.deadline_s;
-	double left_s = deadline - core->wall - NEED_START_S;
+	double left_s = deadline - core->wall - ARRAY_START_OVERHEAD_S;
 	double task_s = fmax(job->spec.estimate_s, 1);
 	uint32_t tasks_left = job->spec.task_count - job->done_count;
 
--- a/src/core/scheduling/placement_cost.c
+++ b/src/core/scheduling/placement_cost.c
@@ -9,7 +9,7 @@
 {
 	const struct job_scheduling *scheduling = &job->scheduling;
 
-	for (int i = 0; i < scheduling->failed_machine_count && i < ERROR_JOB_MACHINES; i++)
+	for (int i = 0; i < scheduling->failed_machine_count && i < JOB_FAILED_MACHINES_MAX; i++)
 		if (!strcmp(scheduling->failed_machines[i], machine->id))
 			return true;
 	return false;
@@ -24,9 +24,9 @@
 	if (!machine_has_image(machine, spec->image) && type->fetch_gb_per_s > 0)
 		cost += spec->image_gb / type->fetch_gb_per_s;
 	if (type->cpus > 0)
-		cost += FIT_WEIGHT_S * (machine->free_cpus - spec->cpus) / type->cpus;
+		cost += WORST_FIT_COST_S * (machine->free_cpus - spec->cpus) / type->cpus;
 	if (!machine->binding_count)
-		cost += FIT_WEIGHT_S;
+		cost += WORST_FIT_COST_S;
 	if (job_failed_on(job, machine))
 		cost += ERROR_BACKOFF_MAX_S;
 	return cost;
@@ -40,9 +40,9 @@
 
 	DL_FOREACH2 (job->bindings, binding, job_next) {
 		if (binding->machine == machine)
-			cost += REPLICA_MACHINE_S;
+			cost += REPLICA_SAME_MACHINE_COST_S;
 		else if (!strcmp(binding->machine->zone, machine->zone))
-			cost += REPLICA_ZONE_S;
+			cost += REPLICA_SAME_ZONE_COST_S;
 	}
 	return cost;
 }
@@ -60,10 +60,10 @@
 	if (job->spec.kind != JOB_SERVICE)
 		return 0;
 	cost = shared_loss_cost(job, machine);
-	cost += REPLICA_CROWD_S * machine->replica_count;
+	cost += REPLICA_COLOCATED_COST_S * machine->replica_count;
 	/* It may be gone without anyone having noticed yet. */
 	if (silence > REPLICA_OVERDUE_REPORTS * core->conf->report_s)
-		cost += REPLICA_OVERDUE_S;
-	return cost + (machine->spot ? REPLICA_SPOT_S : 0) +
-	       machine->scheduling.failed_job_count * REPLICA_MACHINE_S;
+		cost += REPLICA_OVERDUE_COST_S;
+	return cost + (machine->spot ? REPLICA_SPOT_COST_S : 0) +
+	       machine->scheduling.failed_job_count * REPLICA_SAME_MACHINE_COST_S;
 }
--- a/src/core/scheduling/preemption.c
+++ b/src/core/scheduling/preemption.c
@@ -160,7 +160,8 @@
  */
 static double preempt_after_s(const struct core *core, const struct job *job)
 {
-	return fmax(PREEMPT_AFTER_S, PREEMPT_SHARE * tightest_wait_objective_s(core, job));
+	return fmax(PREEMPT_AFTER_S,
+		    PREEMPT_OBJECTIVE_SHARE * tightest_wait_objective_s(core, job));
 }
 
 /*
--- a/src/core/scheduling/preemption_victims.c
+++ b/src/core/scheduling/preemption_victims.c
@@ -62,7 +62,7 @@
 {
 	const struct job_spec *spec = &binding->job->spec;
 	double left_s = binding->job->submitted_at + spec->deadline_s - core->wall;
-	double restart_s = spec->estimate_s * RESTART_FACTOR + RESTART_S;
+	double restart_s = spec->estimate_s * RESTART_ESTIMATE_FACTOR + RESTART_OVERHEAD_S;
 
 	return spec->deadline_s >= 0 && left_s > 0 && left_s < restart_s;
 }
--- a/src/core/scheduling/reservation.c
+++ b/src/core/scheduling/reservation.c
@@ -83,9 +83,9 @@
  */
 static bool is_within_limits(struct core *core, const struct job *candidate, double waited_s)
 {
-	bool late = waited_s >= RESERVE_LATE_S;
-	uint32_t gangs_max = late ? RESERVE_MAX_GANGS_LATE : RESERVE_MAX_GANGS;
-	double share_max = late ? RESERVE_SHARE_LATE : RESERVE_SHARE;
+	bool late = waited_s >= RESERVE_LONG_WAIT_S;
+	uint32_t gangs_max = late ? RESERVE_MAX_GANGS_LONG_WAIT : RESERVE_MAX_GANGS;
+	double share_max = late ? RESERVE_CPU_SHARE_LONG_WAIT : RESERVE_CPU_SHARE;
 	uint32_t gangs = 0;
 	double cpus = total_cpus(candidate);
 	struct job *job, *next;
@@ -107,7 +107,7 @@
 {
 	double lead_begins = wait_objective_s(core, job) - RESERVE_LEAD_S;
 
-	return fmin(LATE_FIRST_S, fmax(RESERVE_AFTER_S, lead_begins));
+	return fmin(ORDER_FIRST_AFTER_S, fmax(RESERVE_AFTER_S, lead_begins));
 }
 
 bool reservation_may_begin(struct core *core, const struct job *job)
--- a/src/core/scheduling/waiting_shapes.c
+++ b/src/core/scheduling/waiting_shapes.c
@@ -11,7 +11,7 @@
 {
 	struct shape_without_room *shape;
 
-	if (cycle->shape_without_room_count == CYCLE_NO_FITS_MAX || !shape_decides_room(job))
+	if (cycle->shape_without_room_count == CYCLE_NO_ROOM_SHAPES_MAX || !shape_decides_room(job))
 		return;
 	shape = &cycle->shapes_without_room[cycle->shape_without_room_count++];
 	shape->spec = &job->spec;
