--- a/src/constants.h
+++ b/src/constants.h
@@ -113,12 +113,13 @@
 
 /* --- users' requests --- */
 
-/* Share of the sockets whose users may wait for reads of records; beyond it they get 429. */
+/* Lookups that may wait for reads of records, as a share of `max_connections`; beyond that users
+ * get 429. */
 #define LOOKUP_CONNS_SHARE 0.25
 /* Age of a request from which its cancellation is not committed any more: a user gives up after
  * 5 s, and the answer has to travel. */
 #define CANCEL_REQUEST_MAX_AGE_S 3.5
-/* Submissions that may wait at least; beyond the capacity of the queue users get 429. */
+/* Least capacity of the queue of submissions; users get 429 when it is full. */
 #define SUBMIT_QUEUE_MIN 400
 /* Capacity of the queue of submissions, if that is more, in seconds of writes at the allowed rate:
  * users who would wait longer have given up. */
@@ -191,7 +192,8 @@
 /* Changes that a transaction must be able to hold: a job's end and the version of the format need
  * two. */
 #define LIMITS_TXN_OPS_MIN 2
-/* A value up to this size in bytes is not what a transaction is refused for. */
+/* Size of a value from which the state service may refuse it, and so the least `value_kb`: a
+ * smaller value is not refused for its size. */
 #define LIMITS_VALUE_MIN_BYTES 512
 /* Time for which a limit below that of the settings, learned from a refusal, is kept to. */
 #define LIMITS_LEARNED_TTL_S 60.0
@@ -244,15 +246,15 @@
 /* Time without a newer report from which an agent's heartbeat is overdue: one may be a quarter of
  * an interval late. */
 #define HEARTBEAT_OVERDUE_REPORTS 1.5
-/* Time that a machine is kept which our messages do not reach. */
+/* Time that a machine which our messages do not reach, and which has no tasks, is kept. */
 #define MACHINE_UNREACHABLE_MAX_S 60.0
 /* Interval between probes of a machine that has sent no message in this term. */
 #define PROBE_UNSEEN_INTERVAL_S 3.0
 /* Time in which all agents find a new leader by themselves. */
 #define LEADER_DISCOVERY_REPORTS 2.0
-/* A machine has failed to boot after its type's boot time, times this factor, ... */
+/* Multiple of a type's boot time after which a machine counts as never coming up. */
 #define MACHINE_BOOT_FACTOR 3.0
-/* ... and this time: short boots vary more. */
+/* Time added to that multiple: short boots vary more. */
 #define MACHINE_BOOT_EXTRA_S 20.0
 /* Inventories that lack a machine, once listed and now silent, before it is deleted. */
 #define MACHINE_MISSED_INVENTORIES 2
@@ -264,7 +266,7 @@
 #define COMMAND_RESEND_S 1.5
 /* Commands in one message: a line is limited to 64 KiB. */
 #define COMMANDS_MAX 300
-/* Least interval between new fencing tokens that are written for unanswered commands. */
+/* Least interval between new fencing tokens that are requested, mostly for unanswered commands. */
 #define TOKEN_RENEW_INTERVAL_S 2.0
 /* Interval between inventories of the cloud's machines: what they show is older than that. */
 #define INVENTORY_INTERVAL_S 3.0
@@ -283,13 +285,15 @@
 #define CONTACT_BUCKET_S 0.25
 /* Time without a message, and since the last probe, before a machine with replicas is probed. */
 #define REPLICA_PROBE_INTERVAL_S 0.8
-/* Timeout of such a probe: answers usually take milliseconds, with a lost packet some hundred. */
+/* Timeout of a probe of a machine with replicas: answers usually take milliseconds, with a lost
+ * packet some hundred. */
 #define REPLICA_PROBE_TIMEOUT_S 0.8
-/* Such probes in a row without an answer before the machine may be given up: one may be lost. */
+/* Probes in a row without an answer before a machine with replicas may be given up: one may get
+ * lost. */
 #define REPLICA_UNANSWERED_PROBES 2
-/* Such probes per second that are allowed at least. */
+/* Probes of machines with replicas per second that are allowed at least. */
 #define REPLICA_PROBES_MIN_PER_S 10.0
-/* Rate of such probes, if that is more, as a share of the rate of the agents' reports. */
+/* Allowed rate of these probes, if that is more, as a share of the rate of the agents' reports. */
 #define REPLICA_PROBE_SHARE 0.34
 /* Delay of the supervision of replicas from which an event-loop iteration sends no probes. */
 #define REPLICA_SUPERVISION_LATE_S 0.5
@@ -297,7 +301,7 @@
 #define REPLICA_MOVE_LEASES 0.5
 /* Time since a machine's last message from which new replicas rather go elsewhere. */
 #define REPLICA_OVERDUE_REPORTS 1.25
-/* Cost, in seconds of waiting for an image elsewhere, of a replica on such a machine. */
+/* Cost, in seconds of waiting for an image elsewhere, of a machine whose message is so overdue. */
 #define REPLICA_OVERDUE_COST_S 20.0
 /* Machines that must have sent messages before a share of silent ones means anything. */
 #define PARTITION_MACHINES_MIN 3
@@ -328,34 +332,35 @@
 #define FREED_SLOT_HOLD_S 2.0
 /* Cost, in seconds of waiting, of a task without GPUs on a machine with GPUs. */
 #define GPU_WASTE_COST_S 3.0
-/* Cost, in seconds of waiting, of the worst fit: the best fit matters less than a cached image. */
+/* Cost, in seconds of waiting, of leaving all of a machine's CPUs free, in proportion for a part of
+ * them, and of a machine without tasks: the best fit matters less than a cached image. */
 #define WORST_FIT_COST_S 0.5
 /* Least time that a job waits before work of lower priority is stopped for it. */
 #define PREEMPT_AFTER_S 0.2
-/* Share of the tightest wait objective of its class that a job waits before that, if longer. */
+/* Share of its class's tightest wait objective that a job waits before that, if it is longer. */
 #define PREEMPT_OBJECTIVE_SHARE 0.1
 /* Time that capacity is reserved for a job after other work, or its own replica that moves, was
  * stopped. */
 #define PREEMPT_RESERVE_S 20.0
 /* Interval between tries to make room for one job. */
 #define PREEMPT_RETRY_S 2.0
-/* Time that a gang waits before capacity is reserved for it as it falls free: the gang has to begin
- * within four minutes, and other jobs are to be served too. */
+/* Time that a gang waits before it gets a growing reservation, of capacity that falls free: it has
+ * to begin within four minutes, and other jobs are to be served too. */
 #define RESERVE_AFTER_S 45.0
-/* Time before the gang's next wait objective at which such a reservation begins, if that is later:
- * large gangs took up to 40 s to get all of their capacity. */
+/* Time before the gang's next wait objective at which a growing reservation begins, if that is
+ * later: large gangs took up to 40 s to get all of their capacity. */
 #define RESERVE_LEAD_S 60.0
-/* Gangs with such a reservation at once: reserved capacity idles. */
+/* Gangs that have a growing reservation at once: reserved capacity idles. */
 #define RESERVE_MAX_GANGS 2
-/* Share of the fleet's CPUs that may be reserved so, for any number of gangs. */
+/* Share of the fleet's CPUs that growing reservations may take for any number of gangs. */
 #define RESERVE_CPU_SHARE 0.05
 /* The same share for gangs that have waited long: their four minutes are nearly over. */
 #define RESERVE_CPU_SHARE_LONG_WAIT 0.1
 /* Time of waiting from which a gang has waited long, so that the wider limits hold for it. */
 #define RESERVE_LONG_WAIT_S 140.0
-/* Gangs with such a reservation at once, where the wider limits hold. */
+/* Gangs that have a growing reservation at once, where the wider limits hold. */
 #define RESERVE_MAX_GANGS_LONG_WAIT 4
-/* Time beyond the last scheduling cycle for which such a reservation stands: cycles come twice a
+/* Time beyond the last scheduling cycle for which a growing reservation stands: cycles come twice a
  * second. */
 #define RESERVE_EXTEND_S 2.0
 /* Share of the capacity in use that is expected to fall free soon enough. */
@@ -382,8 +387,8 @@
 /* Cost, in seconds of waiting, of each replica, of any service, that the machine runs: all would be
  * lost together. */
 #define REPLICA_COLOCATED_COST_S 1.0
-/* Cost, in seconds of waiting, of another replica of the service in the zone, if the machines are
- * alike. */
+/* Cost, in seconds of waiting, of each other replica of the service in the zone: it decides between
+ * machines that are alike. */
 #define REPLICA_SAME_ZONE_COST_S 0.5
 /* Cost, in seconds of waiting, of a spot machine, which may be taken back with the replica. */
 #define REPLICA_SPOT_COST_S 20.0
@@ -457,8 +462,8 @@
 /* Time that any machine may be idle where the objectives guarantee capacity and ask for nothing in
  * money. */
 #define IDLE_MAX_GUARANTEE_S 3600.0
-/* Free capacity for each class of jobs, as a share of its use, where the objectives do so and the
- * operators have not set `headroom`. */
+/* Free capacity for each class of jobs, as a share of its use, where the objectives guarantee
+ * capacity, ask for nothing in money, and the operators set no `headroom`. */
 #define HEADROOM_GUARANTEE_SHARE 0.6
 /* Tasks for which each class has free capacity on top of that share. */
 #define HEADROOM_MIN_TASKS 6
