--- a/src/core/autoscale/catalog_reader.c
+++ b/src/core/autoscale/catalog_reader.c
@@ -99,7 +99,7 @@
 	json_t *message = wire_parse(answer->body, answer->len);
 
 	if (take_catalog(core, message)) {
-		reader->next_read_at = core->now + CATALOG_EVERY_S;
+		reader->next_read_at = core->now + CATALOG_INTERVAL_S;
 		if (is_first)
 			log_info("catalog", "from=cloud types=%zu", catalog_type_count(core));
 		if (!reader->stored)
@@ -130,5 +130,5 @@
 		return;
 	reader->in_flight = true;
 	core_call(core, core->conf->cloud_addr, "GET", format_path(W_PATH_TYPES), NULL,
-		  CALL_CLOUD_S, on_cloud_catalog, NULL);
+		  CALL_CLOUD_TIMEOUT_S, on_cloud_catalog, NULL);
 }
