--- a/src/core/agents/agent_calls.c
+++ b/src/core/agents/agent_calls.c
@@ -5,8 +5,9 @@
 #include "core/state.h"
 
 /*
- * Agents that do not answer keep a socket for each call until it is given up. When many machines
- * fail at once, the sockets that users and reports need must not all wait for them.
+ * A call to an agent that does not answer holds its socket until the call times out. Without a
+ * limit, the failure of many machines at once would take the sockets that users' requests and
+ * agents' reports need.
  */
 bool agent_calls_exhausted(const struct core *core)
 {
--- a/src/core/agents/agent_calls.h
+++ b/src/core/agents/agent_calls.h
@@ -1,6 +1,6 @@
 /*
- * Calls that the leader makes to agents on its own account: direct commands and probes. All hold a
- * socket until they are answered or given up, and share one allowance of sockets.
+ * Calls that the leader makes to agents: direct commands and probes. Each call holds a socket until
+ * it is answered or times out, and all of them share one limit on sockets.
  */
 #ifndef PLOVERLOFT_AGENT_CALLS_H
 #define PLOVERLOFT_AGENT_CALLS_H
@@ -10,17 +10,18 @@
 #include "core/model/machine.h"
 #include "core/runtime/call.h"
 
-/* The allowance of sockets is used up: no further call is to be made for now. */
+/* True if the limit on sockets is reached, so that no further call may be made for now. */
 bool agent_calls_exhausted(const struct core *core);
 /*
- * Calls the machine's agent: a POST of `body`, which the call owns from then on, or a GET if it is
- * NULL. The call keeps what is known of the agent now, since an answer must be newer than that.
+ * Calls the machine's agent: with a POST of `body`, which the call owns from then on, or with a GET
+ * if `body` is NULL. The call records the current token and the incarnation and sequence number of
+ * the agent's newest message, since the report in the answer must be newer than that message.
  */
 struct call *agent_call(struct core *core, const struct machine *machine, const char *path,
 			char *body, double timeout_s, answer_fn on_answer);
 /*
- * The call has ended: its socket is free again. Returns the machine that was called, or NULL if the
- * answer is void, since the machine is forgotten or the call was made in an earlier term.
+ * Releases the socket of a call that has ended. Returns the machine that was called. Returns NULL
+ * if the answer must be ignored: the machine was removed, or the call was made in an earlier term.
  */
 struct machine *agent_call_end(struct core *core, const struct call *call);
 
--- a/src/core/agents/agent_restart.c
+++ b/src/core/agents/agent_restart.c
@@ -5,8 +5,9 @@
 #include "util/log.h"
 
 /*
- * All that ran on the machine has ended; but a start from before may still be under way. So a new
- * token is taken, and nothing that the agent or a copy reports under an older one counts.
+ * All tasks of a restarted agent have ended, but a start that was sent before the restart may still
+ * arrive. A new token is therefore requested, and no report under an older one counts, whether the
+ * agent sent it after the restart or it is a late copy.
  */
 void agent_note_restart(struct core *core, struct machine *machine)
 {
@@ -21,6 +22,7 @@
 	write_queue_request_token(core);
 }
 
+/* Resets the agent's state to that of an agent that has sent no message yet. */
 static void reset_agent(const struct core *core, struct machine *machine)
 {
 	struct machine_agent *agent = &machine->agent;
@@ -38,7 +40,10 @@
 	leftovers_clear(machine);
 }
 
-/* The end of such a binding is proved by a report under the new token that lacks it. */
+/*
+ * Makes the binding one whose task may have been started: a report under the new token that does
+ * not list the task proves that it has ended.
+ */
 static void reset_binding(const struct core *core, struct binding *binding)
 {
 	binding->recovered = true;
--- a/src/core/agents/agent_restart.h
+++ b/src/core/agents/agent_restart.h
@@ -1,15 +1,22 @@
 /*
- * Agents that are restarted within a fraction of a second begin their incarnation and sequence
- * anew: their reports look older than the newest on record, as late copies do.
+ * Restarts of agents. An agent that is restarted within a fraction of a second resets its
+ * incarnation and sequence number. Its reports then look older than the newest one on record, as
+ * late copies of old reports do.
  */
 #ifndef PLOVERLOFT_AGENT_RESTART_H
 #define PLOVERLOFT_AGENT_RESTART_H
 
 #include "core/model/machine.h"
 
-/* The agent was restarted: it gets no work, and its reports do not count until a new token. */
+/*
+ * Marks the agent as restarted and requests a new fencing token. Until that token is held, the
+ * machine gets no work and the agent's reports do not count.
+ */
 void agent_note_restart(struct core *core, struct machine *machine);
-/* A new fencing token is held: reports of restarted agents count from now on. */
+/*
+ * Called when a new fencing token is held: from now on the reports of restarted agents count, if
+ * they show this token.
+ */
 void agents_token_renewed(struct core *core);
 
 #endif
--- a/src/core/agents/agents.h
+++ b/src/core/agents/agents.h
@@ -1,4 +1,6 @@
-/* What the leader keeps of all agents together; what it keeps of each is in struct machine. */
+/*
+ * The leader's state about all agents together. The state about each agent is in struct machine.
+ */
 #ifndef PLOVERLOFT_AGENTS_H
 #define PLOVERLOFT_AGENTS_H
 
@@ -8,13 +10,17 @@
 
 struct agents {
 	struct report_cache report_cache;
-	struct machine
-	    *command_queue; /* machines with commands to be sent, longest waiting first */
-	struct rate_limiter probe_limiter; /* of all probes but those of replica supervision */
-	int direct_in_flight;		   /* direct commands and probes: each holds a socket */
+	/* machines with commands to send, longest waiting first */
+	struct machine *command_queue;
+	/* for all probes but those of replica supervision */
+	struct rate_limiter probe_limiter;
+	/* unanswered direct commands and probes, each of which holds a socket */
+	int direct_in_flight;
 	struct contact_ages contact_ages;
-	double next_scan_at;	 /* steady; of all machines */
-	bool replicas_must_move; /* at the last scan: some are on machines that they must leave */
+	double next_scan_at; /* steady; no scan of all machines before */
+	/* true if the last scan found replicas on machines that they must leave, or a machine with
+	 * replicas got a preemption notice since */
+	bool replicas_must_move;
 };
 
 #endif
--- a/src/core/agents/commands.c
+++ b/src/core/agents/commands.c
@@ -10,7 +10,10 @@
 	       machine->agent.token > machine->commands.unanswered_token;
 }
 
-/* NULL if the message is full. The caller notes the command as sent all the same. */
+/*
+ * Returns NULL if the message is full. The caller records the command as sent even then: it is due
+ * again later, like a command that was lost on the way.
+ */
 static struct command *add_command(struct command_list *list, enum command_op op, const char *job,
 				   uint32_t task, uint64_t attempt)
 {
@@ -27,7 +30,10 @@
 	return command;
 }
 
-/* A gang starts only when the whole attempt is committed: a part of it would wait in vain. */
+/*
+ * A gang is started only when the bindings of all its tasks are committed: tasks that start earlier
+ * would wait in vain for the others.
+ */
 static bool may_start(const struct binding *binding)
 {
 	const struct job *job = binding->job;
@@ -44,7 +50,9 @@
 	return binding->stopping && binding->state != TASK_EXITED;
 }
 
-/* What was sent directly may be carried out before a report shows it: it is not repeated at once.
+/*
+ * A command that was sent directly may have been carried out before any report shows it, so it is
+ * not sent directly again within COMMAND_RESEND_S.
  */
 static bool may_send(const struct core *core, enum command_channel channel, double sent_at)
 {
@@ -65,7 +73,10 @@
 		binding->start_sequence = agent->sequence;
 }
 
-/* A second stop with less grace would end a save early: it is repeated unchanged. */
+/*
+ * A stop is repeated with the same grace period: a shorter one would interrupt a task that is
+ * saving its state.
+ */
 static void add_stop(struct core *core, struct binding *binding, struct command_list *list)
 {
 	struct command *command =
@@ -76,6 +87,7 @@
 	binding->stop_sent_at = core->now;
 }
 
+/* Adds the start or stop that is due for the binding, if there is one. */
 static void command_binding(struct core *core, struct binding *binding,
 			    enum command_channel channel, struct command_list *list)
 {
@@ -85,7 +97,11 @@
 		add_stop(core, binding, list);
 }
 
-/* The end must be on record before the agent forgets it: until then its list is the only proof. */
+/*
+ * The agent may forget an ended task only once the task's end is recorded in the state service:
+ * until then the agent's report is the only proof of it. Nor may it forget the task while a start
+ * that was sent earlier, or under an older token, can still arrive: it would start the task again.
+ */
 static bool may_forget(struct core *core, const struct machine *machine,
 		       const struct unbound_task *leftover)
 {
@@ -97,6 +113,10 @@
 	       write_queue_settled(job, leftover->task);
 }
 
+/*
+ * Adds the command that is due for a task that is reported but not bound. If only a newer token
+ * would allow the agent to forget the task, requests one.
+ */
 static void command_leftover(struct core *core, const struct machine *machine,
 			     const struct unbound_task *leftover, struct command_list *list)
 {
--- a/src/core/agents/commands.h
+++ b/src/core/agents/commands.h
@@ -1,4 +1,7 @@
-/* Which commands an agent is to be given: with the answer to its heartbeat, or directly. */
+/*
+ * Chooses the commands that are due for an agent. They are sent in the answer to its heartbeat or
+ * in a direct message.
+ */
 #ifndef PLOVERLOFT_COMMANDS_H
 #define PLOVERLOFT_COMMANDS_H
 
@@ -6,26 +9,27 @@
 
 #include "core/model/machine.h"
 
-/* The way that commands take to an agent. */
+/* How commands are sent to an agent. */
 enum command_channel {
-	CHANNEL_HEARTBEAT, /* with the answer to its heartbeat */
-	CHANNEL_DIRECT	   /* in a message of their own */
+	CHANNEL_HEARTBEAT, /* in the answer to its heartbeat */
+	CHANNEL_DIRECT	   /* in a separate message, see direct_commands.h */
 };
 
+/* The commands of one message to an agent. */
 struct command_list {
 	struct command items[COMMANDS_MAX];
 	size_t count;
-	bool has_start; /* an OP_START is among them */
+	bool has_start; /* true if `items` contains an OP_START */
 };
 
 /*
- * True if no start sent earlier can still take effect on this machine: no direct message is under
- * way, and the agent has shown a newer token than that of any start that was left unanswered.
+ * True if no start that was sent directly can still take effect on this machine: no direct message
+ * is in flight, and the agent has shown a newer token than that of any unanswered direct start.
  */
 bool machine_fenced(const struct machine *machine);
 /*
- * Fills *list with the commands that are due, COMMANDS_MAX at most, and notes all that are due as
- * sent through the channel.
+ * Fills *list with the commands that are due, at most COMMANDS_MAX. All starts and stops that are
+ * due are recorded as sent through the channel, also those that did not fit.
  */
 void commands_collect(struct core *core, struct machine *machine, enum command_channel channel,
 		      struct command_list *list);
--- a/src/core/agents/direct_commands.c
+++ b/src/core/agents/direct_commands.c
@@ -38,7 +38,10 @@
 	command_queue_remove(core, machine);
 }
 
-/* A start may still arrive: until a newer token fences it off, absence proves nothing. */
+/*
+ * An unanswered start may still arrive. Until the agent has shown a newer token, which makes it
+ * reject the start, a report that does not list the task does not prove that the task has ended.
+ */
 static void note_unanswered_start(struct machine *machine, const struct call *call)
 {
 	if (call->token <= machine->commands.unanswered_token)
@@ -65,9 +68,9 @@
 }
 
 /*
- * Ends the bindings that were stopped before their start was sent: no agent will ever list such a
- * task, so no proof of its end would come, and it would hold its resources for the rest of the
- * term.
+ * Ends the bindings that were stopped before their start was sent. No agent will ever list such a
+ * task, so no report could prove its end, and the binding would keep its resources reserved for the
+ * rest of the term.
  */
 static void end_unsent_bindings(struct core *core, struct machine *machine)
 {
@@ -76,7 +79,9 @@
 	while (binding) {
 		if (binding->stopping && binding_start_never_sent(binding)) {
 			binding_end(core, binding, END_STOPPED);
-			binding = machine->bindings; /* its end may have ended others */
+			/* The end of a gang's task stops the gang's other tasks, also those whose
+			 * bindings come earlier in the list. */
+			binding = machine->bindings;
 		} else {
 			binding = binding->machine_next;
 		}
@@ -101,6 +106,7 @@
 	call->has_start = list.has_start;
 }
 
+/* An agent only accepts commands for its own incarnation, so that must be known. */
 static bool can_receive_commands(const struct core *core, const struct machine *machine)
 {
 	return machine->agent.incarnation && *machine->addr && !machine->cloud.deleted &&
--- a/src/core/agents/direct_commands.h
+++ b/src/core/agents/direct_commands.h
@@ -1,17 +1,21 @@
 /*
- * Commands that are sent to agents directly, not with the answer to a heartbeat. One message at a
- * time is under way to each machine; commands that become due meanwhile go with the next.
+ * Commands that are sent to agents directly instead of in the answer to a heartbeat. Only one
+ * message at a time is in flight to each machine. Commands that become due in the meantime are sent
+ * in the next message.
  */
 #ifndef PLOVERLOFT_DIRECT_COMMANDS_H
 #define PLOVERLOFT_DIRECT_COMMANDS_H
 
 #include "core/model/machine.h"
 
-/* Commands are due for the machine: it joins the queue of those to be sent to. */
+/*
+ * Requests a direct message with the commands that are due for the machine. The machine joins the
+ * queue at once, or after the answer to the message in flight.
+ */
 void commands_request(struct core *core, struct machine *machine);
-/* Nothing is to be sent to the machine for now. */
+/* Cancels the request, and removes the machine from the queue. */
 void commands_withdraw(struct core *core, struct machine *machine);
-/* Sends the queued machines their commands, as far as the allowance of sockets goes. */
+/* Sends commands to the queued machines until the limit on sockets is reached. */
 void direct_commands_tick(struct core *core);
 
 #endif
--- a/src/core/agents/heartbeats.c
+++ b/src/core/agents/heartbeats.c
@@ -8,6 +8,7 @@
 #include "core/agents/reports.h"
 #include "core/state.h"
 
+/* Redirects the agent to the leader, if the leader's key names another controller. */
 static void reply_misdirected(struct core *core, uint64_t connection)
 {
 	const char *leader = election_leader(core);
@@ -18,8 +19,10 @@
 }
 
 /*
- * A new agent, or one that was restarted, has seen no token and is probed at once; others show
- * theirs by their next heartbeat.
+ * Decides whether to probe an agent whose report does not count. An agent that was just started or
+ * restarted has seen no token and is probed at once. Any other agent shows the current token in its
+ * next heartbeat, so its first such report calls for no probe. Later ones do if no heartbeat that
+ * counts has come for long.
  */
 static void handle_uncounted(struct core *core, struct machine *machine,
 			     const struct report *report)
@@ -37,8 +40,8 @@
 }
 
 /*
- * The machine that the report is about, or NULL if it was deleted in this term: a late copy must
- * not bring it back to life.
+ * Returns the machine that the report is about, which is added if it is unknown. Returns NULL if
+ * the machine was deleted in this term: a late copy of a report must not add it again.
  */
 static struct machine *reporting_machine(struct core *core, const struct report *report)
 {
@@ -51,7 +54,10 @@
 	return machine_find_or_add(core, report->machine);
 }
 
-/* The machine, if the report was applied and the answer may hold commands; NULL otherwise. */
+/*
+ * Returns the machine if the report was applied, so that the answer may contain commands. Returns
+ * NULL if the report does not count or is not newer than the machine's newest message.
+ */
 static struct machine *apply_heartbeat(struct core *core, const struct report *report)
 {
 	struct machine *machine = reporting_machine(core, report);
@@ -71,19 +77,26 @@
 	return NULL;
 }
 
-/* False, with an answer sent, if the report shows that another controller leads. */
+/*
+ * Returns false, and has refused the report, if its token is higher than this controller's: then
+ * another controller leads. While this controller renews its own token, the answer to that write
+ * says who leads, so it does not step down here.
+ */
 static bool check_token(struct core *core, uint64_t connection, const struct report *report)
 {
 	if (report->token <= election_token(core))
 		return true;
-	/* Another leads: with a 200, the agent would go on reporting here in vain. */
 	if (!election_is_renewing_token(core))
 		election_step_down(core, STEP_DOWN_HIGHER_TOKEN_SEEN);
+	/*
+	 * After a 200 the agent would keep sending its reports here, though it ignores answers with
+	 * a token lower than its own.
+	 */
 	core_reply_error(core, connection, STATUS_UNAVAILABLE, 0, "not leading");
 	return false;
 }
 
-/* False if the report was refused, since another controller leads. */
+/* Returns false if the report was refused because another controller leads. */
 static bool answer_report(struct core *core, uint64_t connection, const struct report *report)
 {
 	struct command_list list;
@@ -101,7 +114,7 @@
 	return true;
 }
 
-/* The cache takes over a report that it can recognise again. */
+/* Moves the report to the cache if a repetition of it can be recognised there. */
 static void cache_report(struct core *core, const struct core_request *request,
 			 struct report *report)
 {
@@ -117,6 +130,7 @@
 	struct report report;
 
 	if (wire_report_decode(request->body, request->len, &report)) {
+		/* Meaning: the report is malformed. */
 		core_reply_error(core, request->connection, STATUS_BAD_REQUEST, 0, "report");
 		return;
 	}
@@ -135,6 +149,7 @@
 		return;
 	}
 	if (election_role(core) == ROLE_RECOVERING) {
+		/* Meaning: this controller holds the leader's key, but still reads the records. */
 		core_reply_error(core, request->connection, STATUS_UNAVAILABLE, 0, "taking over");
 		return;
 	}
--- a/src/core/agents/heartbeats.h
+++ b/src/core/agents/heartbeats.h
@@ -1,10 +1,13 @@
-/* Heartbeats: reports that agents send by themselves, answered with the commands that are due. */
+/*
+ * Handles heartbeats: reports that agents send at regular intervals. Each is answered with the
+ * commands that are due for the agent.
+ */
 #ifndef PLOVERLOFT_HEARTBEATS_H
 #define PLOVERLOFT_HEARTBEATS_H
 
 #include "core/core.h"
 
-/* Answers an agent's heartbeat, or a copy of it that arrives late. */
+/* Applies and answers an agent's heartbeat. The request may also be a late copy of one. */
 void agent_heartbeat(struct core *core, const struct core_request *request);
 
 #endif
--- a/src/core/agents/machine_health.c
+++ b/src/core/agents/machine_health.c
@@ -1,4 +1,3 @@
-/* Machines are judged by their agents' messages and by the cloud's inventory. */
 #include "core/agents/machine_health.h"
 
 #include <math.h>
@@ -8,11 +7,13 @@
 #include "core/state.h"
 #include "util/log.h"
 
+/* True if the agent has sent a message in this term. */
 static bool has_message(const struct machine *machine)
 {
 	return machine->agent.last_message_at >= 0;
 }
 
+/* True if more time has passed since the machine was rented than a boot can take. */
 static bool boot_is_overdue(const struct core *core, const struct machine *machine)
 {
 	double boot_s = machine->type ? machine->type->boot_s : 0;
@@ -21,7 +22,11 @@
 	return core->now - machine->cloud.rented_at > limit_s;
 }
 
-/* No heartbeat has come for longer than the agent's lease, so its tasks have ended by now. */
+/*
+ * True if no heartbeat has come for longer than the agent's lease, so that its tasks have ended by
+ * now. A machine without bindings whose agent has sent no message in this term may still be
+ * booting, and is given the time for that instead.
+ */
 static bool lease_is_over(const struct core *core, const struct machine *machine)
 {
 	double since = machine->agent.last_heartbeat_at;
@@ -34,14 +39,17 @@
 	return core->now - since > limit_s;
 }
 
-/* The cloud lists it no more, and its agent is silent. */
+/* True if the cloud's inventories do not list the machine any more, and its agent is silent. */
 static bool has_vanished(const struct core *core, const struct machine *machine)
 {
 	return machine->cloud.missed_inventories >= MACHINE_MISSED_INVENTORIES &&
 	       !machine_is_responsive(core, machine);
 }
 
-/* Our messages have not reached it for long, while its lease must have ended its tasks. */
+/*
+ * True if our messages have not reached the agent for MACHINE_UNREACHABLE_MAX_S and no task is
+ * bound to the machine: no answer has renewed the agent's lease, so its tasks must have ended.
+ */
 static bool is_unreachable_too_long(const struct core *core, const struct machine *machine)
 {
 	return !machine->agent.reachable && !machine->binding_count &&
@@ -49,8 +57,8 @@
 }
 
 /*
- * All agents report to a new leader by themselves within two intervals; a probe to each before that
- * would cost as much again.
+ * All agents report to a new leader by themselves within LEADER_DISCOVERY_REPORTS intervals. To
+ * probe each of them before that would double the cost.
  */
 void probe_unseen_machine(struct core *core, struct machine *machine)
 {
@@ -69,12 +77,13 @@
 		 machine->id, machine->cloud.failed, machine->cloud.missed_inventories, age_s,
 		 machine->binding_count);
 	machine->cloud.deleting = true;
-	core->events->machine_given_up(core); /* its delete proves the ends of its tasks */
+	/* The cloud's answer to the delete proves that the machine's tasks have ended. */
+	core->events->machine_given_up(core);
 }
 
 static void check_machine(struct core *core, struct machine *machine)
 {
-	/* Resources are not reserved where they can't be used any more. */
+	/* The resources of an unusable machine are of no use to the job that reserved them. */
 	if (machine->scheduling.reserved_for && !machine_is_usable(core, machine))
 		machine->scheduling.reserved_for = NULL;
 	if (machine->cloud.deleting)
@@ -112,7 +121,7 @@
 		ages->by_age[(int)age]++;
 }
 
-/* How many machines have sent a message in this term, and how many of them are silent now. */
+/* Numbers of machines that have sent a message in this term, and of those that are silent now. */
 struct contact_summary {
 	int seen, silent;
 };
@@ -127,7 +136,10 @@
 		summary->silent++;
 }
 
-/* Renews what is kept of all machines together. */
+/*
+ * Recomputes the state about all machines together: the histogram of ages, and whether replicas
+ * have to move. Machines that are being deleted are left out.
+ */
 static struct contact_summary scan_machines(struct core *core)
 {
 	struct contact_summary summary = {0, 0};
@@ -146,7 +158,10 @@
 	return summary;
 }
 
-/* If nearly all agents fall silent at once, it is this controller that is partitioned off. */
+/*
+ * If nearly all agents fall silent at once, they have not failed: this controller is partitioned
+ * from them.
+ */
 static bool is_partitioned(const struct contact_summary *summary)
 {
 	return summary->seen >= PARTITION_MACHINES_MIN &&
--- a/src/core/agents/machine_health.h
+++ b/src/core/agents/machine_health.h
@@ -1,23 +1,36 @@
-/* Which machines have failed or are overdue, and whether this controller is partitioned off. */
+/*
+ * Health checks of all machines, from their agents' messages and the cloud's inventories: which of
+ * them have failed or are overdue, and whether this controller is partitioned from the agents.
+ */
 #ifndef PLOVERLOFT_MACHINE_HEALTH_H
 #define PLOVERLOFT_MACHINE_HEALTH_H
 
 #include "constants.h"
 #include "core/model/machine.h"
 
-/* The ages of all machines' last messages, at the last scan. */
+/* Histogram of the times since the machines' last messages, as of the last scan. */
 struct contact_ages {
-	int expected;		     /* machines that should have sent a message this term */
-	int by_age[CONTACT_BUCKETS]; /* of them, by age in steps of CONTACT_BUCKET_S seconds */
+	int expected;		     /* machines that should have sent a message in this term */
+	int by_age[CONTACT_BUCKETS]; /* those of them that have sent one; each bucket spans
+					CONTACT_BUCKET_S */
 };
 
-/* Gives the machine up: it is to be deleted at once. */
+/* Gives up a machine that has failed: marks it as being deleted and has it deleted at once. */
 void machine_give_up(struct core *core, struct machine *machine);
-/* Probes a machine without a message in this term, when it is due. */
+/*
+ * Probes the machine if it has sent no message in this term and a probe is due. In the first
+ * LEADER_DISCOVERY_REPORTS intervals of a term no such probe is due.
+ */
 void probe_unseen_machine(struct core *core, struct machine *machine);
-/* Machines whose last message was at most `age_s` old at the last scan; ages are rounded up. */
+/*
+ * Returns the number of machines whose last message was at most `age_s` old at the last scan. Ages
+ * are rounded up to the end of their bucket.
+ */
 int contact_ages_within(const struct contact_ages *ages, double age_s);
-/* Scans all machines, when it is due. */
+/*
+ * Checks the health of all machines every MACHINE_SCAN_INTERVAL_S, and frees those whose deletion
+ * is complete. Resigns if this controller is partitioned from the agents.
+ */
 void machines_tick(struct core *core);
 
 #endif
--- a/src/core/agents/probes.c
+++ b/src/core/agents/probes.c
@@ -7,12 +7,16 @@
 #include "core/state.h"
 #include "wire/names.h"
 
-/* A probe that was never sent, for want of a socket, says nothing about the machine. */
+/*
+ * True if the full timeout has passed. A probe that ended earlier may never have been sent, for
+ * lack of a socket, and then says nothing about the machine.
+ */
 static bool timed_out(const struct core *core, const struct call *call)
 {
 	return core->now - call->sent_at >= call->timeout_s * (1 - CLOCK_DRIFT);
 }
 
+/* Counts a probe that timed out, unless a message of the agent has come since it was sent. */
 static void note_unanswered(const struct core *core, const struct call *call,
 			    struct machine *machine)
 {
@@ -36,8 +40,9 @@
 }
 
 /*
- * Probes a second: enough to reach all machines well within a lease, however many there are. While
- * agents find a new leader by themselves, a few are enough.
+ * Returns the allowed rate in probes per second. It lets all machines be probed well within an
+ * agent's lease, whatever their number. At the beginning of a term the least rate is enough, since
+ * agents then find the new leader by themselves.
  */
 static double probe_rate(const struct core *core)
 {
--- a/src/core/agents/reachability.c
+++ b/src/core/agents/reachability.c
@@ -6,8 +6,9 @@
 #include "util/log.h"
 
 /*
- * Signs of an outbound partition: the agent's incarnation rises while we answered all along, since
- * its lease ran out, or starts are ignored.
+ * There are two signs of an outbound partition. The agent's incarnation rises though we answered
+ * all of its heartbeats: its lease has expired because the answers did not arrive. Or the agent
+ * ignores starts.
  */
 void machine_mark_unreachable(struct core *core, struct machine *machine, const char *reason)
 {
@@ -28,7 +29,10 @@
 	machine->agent.stale_reports = 0;
 }
 
-/* A start that went with the answer to an earlier heartbeat is not on the newest. */
+/*
+ * True if a start was sent in the answer to an earlier heartbeat, but no report has listed the task
+ * yet, the newest one included.
+ */
 static bool start_ignored(const struct machine *machine, const struct binding *binding)
 {
 	return binding->start_sequence && !binding->observed &&
@@ -57,8 +61,10 @@
 }
 
 /*
- * A copy of an old report proves nothing as long as newer ones come; an agent that was restarted
- * sends none. With a fleet's copies, a probe for each would cost more than the reports themselves.
+ * A report that is not newer than the newest one on record is either a late copy or comes from an
+ * agent that was restarted. As long as newer reports arrive, the agent has not been restarted, and
+ * no probe is needed: if late copies arrive from all machines, a probe for each copy would cost
+ * more than the reports themselves.
  */
 bool machine_heartbeat_overdue(const struct core *core, const struct machine *machine)
 {
--- a/src/core/agents/reachability.h
+++ b/src/core/agents/reachability.h
@@ -1,6 +1,7 @@
 /*
- * Partitions in one direction. Outbound: an agent's messages arrive, but ours do not reach it.
- * Inbound: the agent answers us, but its own heartbeats do not arrive.
+ * Detects partitions in one direction. In an outbound partition, an agent's messages arrive, but
+ * ours do not reach it. In an inbound partition, the agent answers our messages, but the heartbeats
+ * that it sends do not arrive.
  */
 #ifndef PLOVERLOFT_REACHABILITY_H
 #define PLOVERLOFT_REACHABILITY_H
@@ -10,22 +11,25 @@
 #include "core/model/machine.h"
 
 /*
- * Our messages do not reach the agent: it gets no work until its answer to a probe shows that they
- * do. `reason` is for the log.
+ * Marks the machine as unreachable: our messages do not reach its agent. The machine gets no work
+ * until an answer of the agent shows that they do. `reason` is logged.
  */
 void machine_mark_unreachable(struct core *core, struct machine *machine, const char *reason);
-/* Our messages reach the agent. */
+/* Marks the machine as reachable: our messages reach its agent. */
 void machine_mark_reachable(struct core *core, struct machine *machine);
-/* A heartbeat came: marks the machine unreachable if too many in a row ignore starts sent to it. */
+/*
+ * Called for each heartbeat. Marks the machine as unreachable if MACHINE_IGNORED_STARTS heartbeats
+ * in a row lack a task whose start was sent to the agent.
+ */
 void machine_check_ignored_starts(struct core *core, struct machine *machine);
 /*
- * No new heartbeat has arrived for HEARTBEAT_OVERDUE_REPORTS report intervals, and no probe was
- * sent within PROBE_INTERVAL_S.
+ * True if the machine is to be probed because no newer heartbeat has arrived for
+ * HEARTBEAT_OVERDUE_REPORTS report intervals, and no probe was sent within PROBE_INTERVAL_S.
  */
 bool machine_heartbeat_overdue(const struct core *core, const struct machine *machine);
 /*
- * An inbound partition: the agent answers probes, but no heartbeat has come for so long that its
- * lease will end.
+ * True if there is an inbound partition: the agent answers probes, but no heartbeat has come for so
+ * long that its lease is going to expire.
  */
 bool machine_is_partitioned_inbound(const struct core *core, const struct machine *machine);
 
--- a/src/core/agents/reconciliation.c
+++ b/src/core/agents/reconciliation.c
@@ -9,7 +9,7 @@
 #include "util/log.h"
 #include "util/xalloc.h"
 
-/* --- listed tasks --- */
+/* --- tasks that the report lists --- */
 
 static struct binding *binding_find(struct machine *machine, const struct report_task *listed)
 {
@@ -31,6 +31,7 @@
 		 binding->machine->id, core->wall - binding->job->submitted_at);
 }
 
+/* Updates a binding whose task the report lists as not ended. */
 static void note_listed(struct core *core, struct binding *binding, enum task_state state)
 {
 	bool running = state == TASK_RUNNING || state == TASK_SAVING;
@@ -44,6 +45,7 @@
 	binding->state = state;
 }
 
+/* Records a listed task that is not bound, or whose binding is about to end. */
 static void leftovers_add(struct machine *machine, const struct report_task *listed)
 {
 	struct machine_agent *agent = &machine->agent;
@@ -85,29 +87,36 @@
 	}
 }
 
-/* --- absent tasks --- */
+/* --- bindings whose task the report does not list --- */
 
-/* The incarnation that was sent the start is over, and its tasks with it. */
+/*
+ * True if the agent's incarnation that was sent the start has ended. An agent's tasks end with its
+ * incarnation.
+ */
 static bool incarnation_is_over(const struct machine *machine, const struct binding *binding)
 {
 	return binding->start_incarnation &&
 	       machine->agent.incarnation > binding->start_incarnation;
 }
 
-/* No start can take effect any more that the heartbeat could not have shown. */
+/*
+ * True if a heartbeat that does not list the task proves that it is not on the machine: no start
+ * that was sent for it can take effect after the agent made this heartbeat.
+ */
 static bool absence_is_proof(const struct machine *machine, const struct binding *binding)
 {
 	return machine->agent.token >= binding->min_token && machine_fenced(machine) &&
 	       machine->agent.sequence > binding->start_sequence;
 }
 
-/* The binding is to end, and only a new token can bring the proof. */
+/* True if the binding is to end, and only a report under a new token can prove its end. */
 static bool needs_new_token(const struct machine *machine, const struct binding *binding)
 {
 	return !machine_fenced(machine) && !machine->commands.in_flight &&
 	       (binding->stopping || binding->recovered);
 }
 
+/* Ends a binding whose task the report does not list, if the report proves its end. */
 static void reconcile_absent(struct core *core, struct machine *machine, struct binding *binding,
 			     enum report_origin origin)
 {
@@ -124,12 +133,16 @@
 			write_queue_request_token(core);
 		return;
 	}
-	/* If it is none of these, the message with its start did not arrive: it is sent again. */
+	/* In all other cases the start did not arrive: it is sent again. */
 	if (binding->recovered || binding->observed || binding->stopping)
 		binding_end(core, binding, END_NONE);
 }
 
-/* True if a binding ended: that may have ended others of its gang, so the list is another. */
+/*
+ * Ends the first binding that is not listed and whose end is proved. Returns true if there was one.
+ * The caller then starts again from the head of the list: the end of a gang's task also stops the
+ * gang's other tasks, so that bindings earlier in the list may now be ended as well.
+ */
 static bool reconcile_first_absent(struct core *core, struct machine *machine,
 				   enum report_origin origin)
 {
--- a/src/core/agents/reconciliation.h
+++ b/src/core/agents/reconciliation.h
@@ -1,11 +1,15 @@
 /*
- * Reconciliation: what the tasks listed in an agent's report prove of the bindings to its machine.
+ * Reconciles an agent's report with the bindings to its machine.
  *
- * A binding ends on the agent's report alone: its task is listed as ended, the incarnation is newer
- * than that which was sent the start, or a heartbeat lacks the task, from an agent that has shown
- * the token under which it could last have been started. While a direct command to start is
- * unanswered at the newest token, it may still arrive: the agent is then not to forget any ended
- * task, and absence proves nothing, until a new token fences the start off.
+ * A report proves the end of a binding in three cases only:
+ * - It lists the task as ended.
+ * - The agent's incarnation is newer than the one that was sent the start.
+ * - It is a heartbeat that does not list the task, and the agent has shown the newest token under
+ *   which the task can have been started.
+ *
+ * A direct start that was sent under the newest token and not answered may still arrive. Until a
+ * new token fences it off, the agent must not forget any ended task, and a report that does not
+ * list a task does not prove that the task has ended.
  */
 #ifndef PLOVERLOFT_RECONCILIATION_H
 #define PLOVERLOFT_RECONCILIATION_H
@@ -13,10 +17,13 @@
 #include "core/agents/reports.h"
 #include "core/model/machine.h"
 
-/* Brings the machine's bindings and leftovers in line with its newest report. */
+/*
+ * Updates the machine's bindings from its newest report, ends those whose end the report proves,
+ * and replaces the machine's list of unbound tasks.
+ */
 void reconcile(struct core *core, struct machine *machine, const struct report *report,
 	       enum report_origin origin);
-/* No task is listed that is not bound. */
+/* Empties the list of the tasks that the agent reports though they are not bound. */
 void leftovers_clear(struct machine *machine);
 
 #endif
--- a/src/core/agents/replica_supervision.c
+++ b/src/core/agents/replica_supervision.c
@@ -42,7 +42,10 @@
 		replica_supervision_remove(core, machine);
 }
 
-/* A probe costs as much as a report: all together cost a share of what the reports do. */
+/*
+ * Returns the allowed rate in probes per second. A probe costs as much as a report, so the rate is
+ * a share of the rate of all agents' reports.
+ */
 static double probe_rate(const struct core *core)
 {
 	double reports_per_s = machine_count(core) / core->conf->report_s;
@@ -57,7 +60,10 @@
 	       core->now - machine->probes.sent_at >= REPLICA_PROBE_INTERVAL_S;
 }
 
-/* Most other machines with replicas, which are probed all the time, have answered since then. */
+/*
+ * True if most of the other machines with replicas, all of which are probed continually, have sent
+ * a message since `since`.
+ */
 static bool supervised_responsive(const struct core *core, const struct machine *silent,
 				  double since)
 {
@@ -75,7 +81,7 @@
 	       responsive >= (1 - EARLY_DELETE_SILENT_SHARE) * others;
 }
 
-/* Most of all machines have sent a message since then. */
+/* True if most of all machines have sent a message since `since`, as of the last scan. */
 static bool fleet_responsive(const struct core *core, double since)
 {
 	const struct contact_ages *ages = &core->agents.contact_ages;
@@ -86,21 +92,27 @@
 }
 
 /*
- * Most others are responsive, so it is not this controller that is partitioned off. When many of
- * those with replicas fail together, the reports of all machines prove it as well, within an
- * interval.
+ * True if most other machines are responsive, so that this controller is not partitioned from the
+ * agents. If many machines with replicas fail together, the reports of all machines show the same
+ * within a report interval.
  */
 static bool others_responsive(const struct core *core, const struct machine *silent, double since)
 {
 	return supervised_responsive(core, silent, since) || fleet_responsive(core, since);
 }
 
-/* Whether the machine is to be given up before its agent's lease ends: it alone is silent. */
+/*
+ * True if the machine is to be given up before its agent's lease ends: it does not answer probes,
+ * while most other machines send messages.
+ */
 static bool is_presumed_failed(const struct core *core, const struct machine *machine)
 {
 	if (machine->cloud.deleting || machine->probes.unanswered < REPLICA_UNANSWERED_PROBES)
 		return false;
-	/* Another controller may lead by now, and may have given the machine more work. */
+	/*
+	 * The leader's lease may have expired. Then another controller may lead by now and may have
+	 * started more tasks on the machine.
+	 */
 	if (election_renewal_age(core) > LEADER_TTL_MS / 1000.0 * (1 - CLOCK_DRIFT))
 		return false;
 	return others_responsive(core, machine, machine->probes.unanswered_since);
@@ -116,7 +128,10 @@
 	return core->agents.replicas_must_move;
 }
 
-/* Checks the machine that has gone unchecked longest. */
+/*
+ * Checks the first machine of the list, which has not been checked for the longest time, and moves
+ * it to the end: gives it up if it has failed, else probes it if a probe is due.
+ */
 static void check_first(struct core *core)
 {
 	struct replica_supervision *supervision = &core->replica_supervision;
@@ -138,7 +153,7 @@
 	if (late_s < 0)
 		return;
 	supervision->next_at = core->now + TICK_S;
-	/* A controller that falls behind has more urgent things to do. */
+	/* A controller whose event loop falls behind has more urgent work than probes. */
 	if (late_s > REPLICA_SUPERVISION_LATE_S)
 		return;
 	rate_limiter_refill(core, &supervision->probe_limiter, probe_rate(core));
--- a/src/core/agents/replica_supervision.h
+++ b/src/core/agents/replica_supervision.h
@@ -1,6 +1,6 @@
 /*
- * Supervision of the machines that hold replicas of services: each is probed about every second, so
- * that a failed replica starts elsewhere long before its agent's lease has ended.
+ * Supervises the machines with replicas of services. Each is probed about every second, so that the
+ * replicas of a failed machine are started elsewhere long before its agent's lease has expired.
  */
 #ifndef PLOVERLOFT_REPLICA_SUPERVISION_H
 #define PLOVERLOFT_REPLICA_SUPERVISION_H
@@ -11,24 +11,31 @@
 
 struct machine;
 
+/* The machines with replicas and the schedule of their checks. */
 struct replica_supervision {
-	struct machine *machines; /* those with replicas, longest unchecked first */
-	int count;		  /* of `machines` */
+	struct machine *machines; /* machines with replicas, longest unchecked first */
+	int count;		  /* length of `machines` */
 	struct rate_limiter probe_limiter;
-	double next_at; /* steady; no check before */
+	double next_at; /* steady; no machine is checked before */
 };
 
-/* The number of replicas that the machine holds has changed. */
+/*
+ * Called when the number of replicas on the machine has changed. Begins to supervise the machine,
+ * or ends its supervision when it has none left.
+ */
 void replica_supervision_update(struct core *core, struct machine *machine);
-/* The machine is about to be freed. */
+/* Ends the supervision of the machine. Must be called before the machine is freed. */
 void replica_supervision_remove(struct core *core, struct machine *machine);
-/* At the last scan, some replicas were on machines that they have to leave. */
+/*
+ * True if replicas have to be moved: the last scan found some on machines that they must leave, or
+ * a machine with replicas got a preemption notice since.
+ */
 bool replicas_must_move(const struct core *core);
-/* Probes the machines that are due, as far as the rate goes, and gives up those that failed. */
+/* Probes the machines that are due, within the rate limit, and gives up those that failed. */
 void replica_supervision_tick(struct core *core);
 /*
- * Whether replicas are to be moved off the machine while they still run: it has a preemption
- * notice, is to be returned, or its heartbeats do not arrive, so that its agent's lease will end.
+ * True if replicas must be moved off the machine while they still run: it has a preemption notice,
+ * it is being drained, or its heartbeats do not arrive, so that its agent's lease will expire.
  */
 bool replica_must_move(const struct core *core, const struct machine *machine);
 
--- a/src/core/agents/report_cache.c
+++ b/src/core/agents/report_cache.c
@@ -15,22 +15,25 @@
 
 #define SEQUENCE_FIELD_LEN (sizeof(sequence_field) - 1)
 
-/* A report's text without the digits of its sequence number; it points into the text. */
+/* A report's text before and after the digits of its sequence number. Points into the text. */
 struct report_text {
 	const char *head, *tail;
-	size_t head_len, tail_len; /* bytes */
+	size_t head_len, tail_len; /* in bytes */
 	uint64_t sequence;
 };
 
 struct report_cache_entry {
-	uint64_t hash; /* of the text, by which entries are found */
-	char *text;    /* head and tail, one behind the other */
+	uint64_t hash; /* of `text`; entries are found by it */
+	char *text;    /* head and tail, concatenated */
 	size_t head_len, tail_len;
-	struct report report; /* owns its list of tasks */
+	struct report report; /* the entry owns its list of tasks */
 	UT_hash_handle hh;
 };
 
-/* Reads the digits up to `end`; NULL if the number is too large, else where they end. */
+/*
+ * Reads the digits before `end`. Returns the address after the last digit, or NULL if the number is
+ * too large.
+ */
 static const char *parse_sequence(const char *digit, const char *end, uint64_t *sequence)
 {
 	*sequence = 0;
@@ -42,7 +45,10 @@
 	return digit;
 }
 
-/* False if the text has no sequence number where one is expected. */
+/*
+ * Splits the text at the first field with the name of the sequence number. Returns false if there
+ * is none, or its value is not a number followed by the end of the field.
+ */
 static bool text_split(const char *body, size_t len, struct report_text *text)
 {
 	const char *end = body + len;
@@ -90,7 +96,10 @@
 	return &entry->report;
 }
 
-/* The number found in the text must be the report's own, not that of a field further inside. */
+/*
+ * True if the number at which the text was split is the report's own sequence number and not the
+ * value of a nested field of the same name.
+ */
 static bool sequence_is_unique(const struct report_text *text, uint64_t sequence)
 {
 	return text->sequence == sequence &&
@@ -123,7 +132,7 @@
 		return;
 	hash = text_hash(&text);
 	HASH_FIND(hh, cache->entries, &hash, sizeof(hash), entry);
-	if (entry) /* another machine's text with the same hash stays */
+	if (entry) /* the entry of another machine has the same hash, and stays */
 		return;
 	entry = entry_new(hash, &text);
 	entry->report = *report;
--- a/src/core/agents/report_cache.h
+++ b/src/core/agents/report_cache.h
@@ -1,6 +1,7 @@
 /*
- * Recognition of unchanged agent reports. Most reports repeat the previous one of their machine
- * but for the sequence number; such a report is found by its bytes and need not be parsed again.
+ * Cache of decoded agent reports. Most reports equal the previous report of their machine in all
+ * but the sequence number. Such a report is found in the cache by its bytes and is not parsed
+ * again.
  */
 #ifndef PLOVERLOFT_REPORT_CACHE_H
 #define PLOVERLOFT_REPORT_CACHE_H
@@ -9,27 +10,28 @@
 
 #include "wire/wire.h"
 
-struct report_cache_entry; /* owned by the cache, even where a machine's slot points to it */
+struct report_cache_entry; /* owned by the cache, though a machine also points to its entry */
 
-/* Entries by the hash of their text; NULL is the empty cache. */
+/* The entries, by the hash of their text. An empty cache has NULL. */
 struct report_cache {
 	struct report_cache_entry *entries;
 };
 
 /*
- * The decoded report, with the sequence number that `body` carries, if the cache holds one that
- * differs in nothing else; NULL otherwise. It stays owned by the cache.
+ * Returns the cached report that equals the one in `body` in all but the sequence number, with the
+ * sequence number from `body`. Returns NULL if there is none. The cache keeps ownership.
  */
 const struct report *report_cache_find(struct report_cache *cache, const char *body, size_t len);
 
 /*
- * Replaces *slot, the entry of one machine, by this report. On success the cache owns the report's
- * task list and *report is cleared; a report that can't be recognised later is left to the caller.
+ * Replaces *slot, the entry of one machine, by an entry with this report. On success the cache owns
+ * the report's task list and *report is cleared. A report whose repetition could not be recognised
+ * is not stored: *slot is then NULL, and the caller still owns the report.
  */
 void report_cache_store(struct report_cache *cache, struct report_cache_entry **slot,
 			const char *body, size_t len, struct report *report);
 
-/* Removes the machine's entry, if there is one. */
+/* Removes the machine's entry, if there is one, and sets *slot to NULL. */
 void report_cache_remove(struct report_cache *cache, struct report_cache_entry **slot);
 
 #endif
--- a/src/core/agents/reports.c
+++ b/src/core/agents/reports.c
@@ -24,8 +24,9 @@
 }
 
 /*
- * An incarnation that rises by itself shows that our answers did not arrive. An answer to our own
- * message shows that this did; the first message of the term is taken for the same.
+ * A heartbeat with a newer incarnation shows that the agent's lease has expired because our answers
+ * did not arrive. An answer to our own message shows that the message arrived. The first message of
+ * the term is assumed to show the same.
  */
 static void update_reachability(struct core *core, struct machine *machine,
 				const struct report *report, enum report_origin origin)
@@ -40,6 +41,7 @@
 		machine_mark_reachable(core, machine);
 }
 
+/* Records that the report is the newest message of its agent. */
 static void note_message(struct core *core, struct machine *machine, const struct report *report,
 			 enum report_origin origin)
 {
@@ -78,7 +80,11 @@
 	machine->agent.notice_received_at = core->now;
 }
 
-/* An agent that only answers may report to an earlier leader: our token brings it here. */
+/*
+ * An agent that answers us but has sent no heartbeat here in this term may still report to an
+ * earlier leader. Once the agent has seen our token, it ignores that leader's answers and reports
+ * here.
+ */
 static void announce_token(struct core *core, struct machine *machine, const struct report *report)
 {
 	if (machine->agent.last_heartbeat_at >= 0 || report->token >= election_token(core))
@@ -110,8 +116,9 @@
 }
 
 /*
- * The answer to a message sent just now is no copy: if even this is older than what was known when
- * the message was sent, the agent was restarted.
+ * An answer to our own message cannot be a late copy. If the report in it is not newer than the
+ * agent's newest message was when the call was made, the agent was restarted. An answer to a call
+ * made before the token that marks the last restart does not count.
  */
 static void apply_answer(struct core *core, struct machine *machine, const struct call *call,
 			 const struct report *report)
