--- a/src/core/agents/commands.c
+++ b/src/core/agents/commands.c
@@ -88,8 +88,8 @@
 }
 
 /* Adds the start or stop that is due for the binding, if there is one. */
-static void command_binding(struct core *core, struct binding *binding,
-			    enum command_channel channel, struct command_list *list)
+static void add_binding_command(struct core *core, struct binding *binding,
+				enum command_channel channel, struct command_list *list)
 {
 	if (may_start(binding) && may_send(core, channel, binding->start_sent_at))
 		add_start(core, binding, channel, list);
@@ -103,27 +103,27 @@
  * that was sent earlier, or under an older token, can still arrive: it would start the task again.
  */
 static bool may_forget(struct core *core, const struct machine *machine,
-		       const struct unbound_task *leftover)
+		       const struct unbound_task *unbound)
 {
-	const struct job *job = job_find(core, leftover->job);
+	const struct job *job = job_find(core, unbound->job);
 
 	if (!machine_fenced(machine) || machine->agent.token < election_token(core))
 		return false;
-	return !job || leftover->task >= job->spec.task_count ||
-	       write_queue_settled(job, leftover->task);
+	return !job || unbound->task >= job->spec.task_count ||
+	       write_queue_settled(job, unbound->task);
 }
 
 /*
  * Adds the command that is due for a task that is reported but not bound. If only a newer token
  * would allow the agent to forget the task, requests one.
  */
-static void command_leftover(struct core *core, const struct machine *machine,
-			     const struct unbound_task *leftover, struct command_list *list)
+static void add_unbound_task_command(struct core *core, const struct machine *machine,
+				     const struct unbound_task *unbound, struct command_list *list)
 {
-	if (!leftover->ended)
-		add_command(list, OP_STOP, leftover->job, leftover->task, leftover->attempt);
-	else if (may_forget(core, machine, leftover))
-		add_command(list, OP_FORGET, leftover->job, leftover->task, leftover->attempt);
+	if (!unbound->ended)
+		add_command(list, OP_STOP, unbound->job, unbound->task, unbound->attempt);
+	else if (may_forget(core, machine, unbound))
+		add_command(list, OP_FORGET, unbound->job, unbound->task, unbound->attempt);
 	else if (!machine_fenced(machine) && !machine->commands.in_flight)
 		write_queue_request_token(core);
 }
@@ -136,9 +136,9 @@
 	list->count = 0;
 	list->has_start = false;
 	for (size_t i = 0; i < machine->agent.leftover_count; i++)
-		command_leftover(core, machine, &machine->agent.leftovers[i], list);
+		add_unbound_task_command(core, machine, &machine->agent.leftovers[i], list);
 	if (machine->cloud.deleting)
 		return;
 	DL_FOREACH2 (machine->bindings, binding, machine_next)
-		command_binding(core, binding, channel, list);
+		add_binding_command(core, binding, channel, list);
 }
--- a/src/core/agents/direct_commands.c
+++ b/src/core/agents/direct_commands.c
@@ -42,7 +42,7 @@
  * An unanswered start may still arrive. Until the agent has shown a newer token, which makes it
  * reject the start, a report that does not list the task does not prove that the task has ended.
  */
-static void note_unanswered_start(struct machine *machine, const struct call *call)
+static void record_unanswered_start(struct machine *machine, const struct call *call)
 {
 	if (call->token <= machine->commands.unanswered_token)
 		return;
@@ -62,7 +62,7 @@
 	if (machine->commands.due)
 		command_queue_add(core, machine);
 	if (answer->outcome == CALL_UNANSWERED && call->has_start)
-		note_unanswered_start(machine, call);
+		record_unanswered_start(machine, call);
 	if (answer->status == STATUS_OK || answer->status == STATUS_CONFLICT)
 		report_apply_solicited(core, machine, call, answer);
 }
--- a/src/core/agents/heartbeats.c
+++ b/src/core/agents/heartbeats.c
@@ -24,8 +24,8 @@
  * next heartbeat, so its first such report calls for no probe. Later ones do if no heartbeat that
  * counts has come for long.
  */
-static void handle_uncounted(struct core *core, struct machine *machine,
-			     const struct report *report)
+static void handle_stale_report(struct core *core, struct machine *machine,
+				const struct report *report)
 {
 	bool first;
 
@@ -67,7 +67,7 @@
 	machine_set_identity(core, machine, report->addr, report->type, report->zone, report->spot);
 	machine->agent.last_report_at = core->now;
 	if (!report_counts(core, machine, report)) {
-		handle_uncounted(core, machine, report);
+		handle_stale_report(core, machine, report);
 		return NULL;
 	}
 	if (report_apply(core, machine, report, REPORT_HEARTBEAT))
@@ -82,7 +82,7 @@
  * another controller leads. While this controller renews its own token, the answer to that write
  * says who leads, so it does not step down here.
  */
-static bool check_token(struct core *core, uint64_t connection, const struct report *report)
+static bool check_report_token(struct core *core, uint64_t connection, const struct report *report)
 {
 	if (report->token <= election_token(core))
 		return true;
@@ -103,7 +103,7 @@
 	struct machine *machine;
 	char *body;
 
-	if (!check_token(core, connection, report))
+	if (!check_report_token(core, connection, report))
 		return false;
 	list.count = 0;
 	machine = apply_heartbeat(core, report);
--- a/src/core/agents/machine_health.c
+++ b/src/core/agents/machine_health.c
@@ -8,7 +8,7 @@
 #include "util/log.h"
 
 /* True if the agent has sent a message in this term. */
-static bool has_message(const struct machine *machine)
+static bool has_sent_message(const struct machine *machine)
 {
 	return machine->agent.last_message_at >= 0;
 }
@@ -27,12 +27,12 @@
  * now. A machine without bindings whose agent has sent no message in this term may still be
  * booting, and is given the time for that instead.
  */
-static bool lease_is_over(const struct core *core, const struct machine *machine)
+static bool lease_has_expired(const struct core *core, const struct machine *machine)
 {
 	double since = machine->agent.last_heartbeat_at;
 	double limit_s = core->conf->lease_s * (1 + CLOCK_DRIFT) + MACHINE_LEASE_MARGIN_S;
 
-	if (!has_message(machine) && !machine->bindings)
+	if (!has_sent_message(machine) && !machine->bindings)
 		return boot_is_overdue(core, machine);
 	if (since < 0)
 		since = fmax(machine->agent.up_at, core->leading_since);
@@ -40,7 +40,7 @@
 }
 
 /* True if the cloud's inventories do not list the machine any more, and its agent is silent. */
-static bool has_vanished(const struct core *core, const struct machine *machine)
+static bool is_absent_from_cloud(const struct core *core, const struct machine *machine)
 {
 	return machine->cloud.missed_inventories >= MACHINE_MISSED_INVENTORIES &&
 	       !machine_is_responsive(core, machine);
@@ -62,7 +62,7 @@
  */
 void probe_unseen_machine(struct core *core, struct machine *machine)
 {
-	if (!has_message(machine) &&
+	if (!has_sent_message(machine) &&
 	    core->now - machine->probes.sent_at > PROBE_UNSEEN_INTERVAL_S &&
 	    core->now - core->leading_since > LEADER_DISCOVERY_REPORTS * core->conf->report_s)
 		probe_machine(core, machine);
@@ -70,7 +70,8 @@
 
 void machine_give_up(struct core *core, struct machine *machine)
 {
-	double age_s = has_message(machine) ? core->now - machine->agent.last_message_at : -1.0;
+	double age_s =
+	    has_sent_message(machine) ? core->now - machine->agent.last_message_at : -1.0;
 
 	log_info("machine_lost",
 		 "machine=%s failed=%d missed_inventories=%d last_message_age=%.1f bound=%d",
@@ -88,7 +89,8 @@
 		machine->scheduling.reserved_for = NULL;
 	if (machine->cloud.deleting)
 		return;
-	if (machine->cloud.failed || has_vanished(core, machine) || lease_is_over(core, machine)) {
+	if (machine->cloud.failed || is_absent_from_cloud(core, machine) ||
+	    lease_has_expired(core, machine)) {
 		machine_give_up(core, machine);
 		return;
 	}
@@ -109,15 +111,15 @@
 	return count;
 }
 
-static void count_contact(struct core *core, const struct machine *machine)
+static void add_to_histogram(struct core *core, const struct machine *machine)
 {
 	struct contact_ages *ages = &core->agents.contact_ages;
 	double age = (core->now - machine->agent.last_message_at) / CONTACT_BUCKET_S;
 
-	if (!has_message(machine) && !machine->binding_count)
+	if (!has_sent_message(machine) && !machine->binding_count)
 		return;
 	ages->expected++;
-	if (has_message(machine) && age < CONTACT_BUCKETS)
+	if (has_sent_message(machine) && age < CONTACT_BUCKETS)
 		ages->by_age[(int)age]++;
 }
 
@@ -126,10 +128,10 @@
 	int seen, silent;
 };
 
-static void summarize_contact(const struct core *core, const struct machine *machine,
-			      struct contact_summary *summary)
+static void add_to_summary(const struct core *core, const struct machine *machine,
+			   struct contact_summary *summary)
 {
-	if (!has_message(machine))
+	if (!has_sent_message(machine))
 		return;
 	summary->seen++;
 	if (!machine_is_responsive(core, machine))
@@ -150,8 +152,8 @@
 	MACHINES_FOR_EACH (core, machine, next) {
 		if (machine->cloud.deleting)
 			continue;
-		count_contact(core, machine);
-		summarize_contact(core, machine, &summary);
+		add_to_histogram(core, machine);
+		add_to_summary(core, machine, &summary);
 		if (machine->replica_count && replica_must_move(core, machine))
 			core->agents.replicas_must_move = true;
 	}
--- a/src/core/agents/probes.c
+++ b/src/core/agents/probes.c
@@ -17,8 +17,8 @@
 }
 
 /* Counts a probe that timed out, unless a message of the agent has come since it was sent. */
-static void note_unanswered(const struct core *core, const struct call *call,
-			    struct machine *machine)
+static void record_unanswered_probe(const struct core *core, const struct call *call,
+				    struct machine *machine)
 {
 	if (call->sent_at <= machine->agent.last_message_at || !timed_out(core, call))
 		return;
@@ -34,7 +34,7 @@
 	if (!machine)
 		return;
 	if (answer->outcome != CALL_ANSWERED)
-		note_unanswered(core, call, machine);
+		record_unanswered_probe(core, call, machine);
 	if (answer->status == STATUS_OK)
 		report_apply_solicited(core, machine, call, answer);
 }
--- a/src/core/agents/reconciliation.c
+++ b/src/core/agents/reconciliation.c
@@ -22,7 +22,7 @@
 	return NULL;
 }
 
-static void note_first_running(struct core *core, struct binding *binding)
+static void record_first_run(struct core *core, struct binding *binding)
 {
 	binding->running_since = core->now;
 	binding->job->running_count++;
@@ -32,7 +32,7 @@
 }
 
 /* Updates a binding whose task the report lists as not ended. */
-static void note_listed(struct core *core, struct binding *binding, enum task_state state)
+static void update_listed_binding(struct core *core, struct binding *binding, enum task_state state)
 {
 	bool running = state == TASK_RUNNING || state == TASK_SAVING;
 
@@ -41,23 +41,23 @@
 	if (state != TASK_FETCHING)
 		machine_note_image(binding->machine, binding->job->spec.image);
 	if (running && binding->running_since <= 0)
-		note_first_running(core, binding);
+		record_first_run(core, binding);
 	binding->state = state;
 }
 
 /* Records a listed task that is not bound, or whose binding is about to end. */
-static void leftovers_add(struct machine *machine, const struct report_task *listed)
+static void add_unbound_task(struct machine *machine, const struct report_task *listed)
 {
 	struct machine_agent *agent = &machine->agent;
-	struct unbound_task *leftover;
+	struct unbound_task *unbound;
 
 	agent->leftovers =
 	    xreallocarray(agent->leftovers, agent->leftover_count + 1, sizeof(*agent->leftovers));
-	leftover = &agent->leftovers[agent->leftover_count++];
-	snprintf(leftover->job, sizeof(leftover->job), "%s", listed->job);
-	leftover->task = listed->task;
-	leftover->attempt = listed->attempt;
-	leftover->ended = listed->state == TASK_EXITED;
+	unbound = &agent->leftovers[agent->leftover_count++];
+	snprintf(unbound->job, sizeof(unbound->job), "%s", listed->job);
+	unbound->task = listed->task;
+	unbound->attempt = listed->attempt;
+	unbound->ended = listed->state == TASK_EXITED;
 }
 
 void leftovers_clear(struct machine *machine)
@@ -67,17 +67,17 @@
 	machine->agent.leftover_count = 0;
 }
 
-static void reconcile_listed(struct core *core, struct machine *machine,
-			     const struct report_task *listed)
+static void reconcile_listed_task(struct core *core, struct machine *machine,
+				  const struct report_task *listed)
 {
 	struct binding *binding = binding_find(machine, listed);
 	bool done = listed->end_reason == END_DONE;
 
 	if (binding && listed->state != TASK_EXITED) {
-		note_listed(core, binding, listed->state);
+		update_listed_binding(core, binding, listed->state);
 		return;
 	}
-	leftovers_add(machine, listed);
+	add_unbound_task(machine, listed);
 	if (binding) {
 		if (done)
 			machine_note_image(machine, binding->job->spec.image);
@@ -93,7 +93,7 @@
  * True if the agent's incarnation that was sent the start has ended. An agent's tasks end with its
  * incarnation.
  */
-static bool incarnation_is_over(const struct machine *machine, const struct binding *binding)
+static bool incarnation_has_ended(const struct machine *machine, const struct binding *binding)
 {
 	return binding->start_incarnation &&
 	       machine->agent.incarnation > binding->start_incarnation;
@@ -103,7 +103,7 @@
  * True if a heartbeat that does not list the task proves that it is not on the machine: no start
  * that was sent for it can take effect after the agent made this heartbeat.
  */
-static bool absence_is_proof(const struct machine *machine, const struct binding *binding)
+static bool absence_proves_end(const struct machine *machine, const struct binding *binding)
 {
 	return machine->agent.token >= binding->min_token && machine_fenced(machine) &&
 	       machine->agent.sequence > binding->start_sequence;
@@ -117,18 +117,18 @@
 }
 
 /* Ends a binding whose task the report does not list, if the report proves its end. */
-static void reconcile_absent(struct core *core, struct machine *machine, struct binding *binding,
-			     enum report_origin origin)
+static void reconcile_unlisted_binding(struct core *core, struct machine *machine,
+				       struct binding *binding, enum report_origin origin)
 {
 	if (!binding->committed || binding_start_never_sent(binding))
 		return;
-	if (incarnation_is_over(machine, binding)) {
+	if (incarnation_has_ended(machine, binding)) {
 		binding_end(core, binding, END_NONE);
 		return;
 	}
 	if (origin != REPORT_HEARTBEAT)
 		return;
-	if (!absence_is_proof(machine, binding)) {
+	if (!absence_proves_end(machine, binding)) {
 		if (needs_new_token(machine, binding))
 			write_queue_request_token(core);
 		return;
@@ -143,8 +143,8 @@
  * The caller then starts again from the head of the list: the end of a gang's task also stops the
  * gang's other tasks, so that bindings earlier in the list may now be ended as well.
  */
-static bool reconcile_first_absent(struct core *core, struct machine *machine,
-				   enum report_origin origin)
+static bool end_first_unlisted_binding(struct core *core, struct machine *machine,
+				       enum report_origin origin)
 {
 	struct binding *binding;
 
@@ -153,7 +153,7 @@
 
 		if (binding->listed_sequence == machine->agent.sequence)
 			continue;
-		reconcile_absent(core, machine, binding, origin);
+		reconcile_unlisted_binding(core, machine, binding, origin);
 		if (machine->binding_count != count)
 			return true;
 	}
@@ -165,7 +165,7 @@
 {
 	leftovers_clear(machine);
 	for (size_t i = 0; i < report->task_count; i++)
-		reconcile_listed(core, machine, &report->tasks[i]);
-	while (reconcile_first_absent(core, machine, origin))
+		reconcile_listed_task(core, machine, &report->tasks[i]);
+	while (end_first_unlisted_binding(core, machine, origin))
 		continue;
 }
--- a/src/core/agents/replica_supervision.c
+++ b/src/core/agents/replica_supervision.c
@@ -64,8 +64,8 @@
  * True if most of the other machines with replicas, all of which are probed continually, have sent
  * a message since `since`.
  */
-static bool supervised_responsive(const struct core *core, const struct machine *silent,
-				  double since)
+static bool supervised_machines_responsive(const struct core *core, const struct machine *silent,
+					   double since)
 {
 	const struct machine *machine;
 	int others = 0, responsive = 0;
@@ -96,9 +96,10 @@
  * agents. If many machines with replicas fail together, the reports of all machines show the same
  * within a report interval.
  */
-static bool others_responsive(const struct core *core, const struct machine *silent, double since)
+static bool other_machines_responsive(const struct core *core, const struct machine *silent,
+				      double since)
 {
-	return supervised_responsive(core, silent, since) || fleet_responsive(core, since);
+	return supervised_machines_responsive(core, silent, since) || fleet_responsive(core, since);
 }
 
 /*
@@ -115,7 +116,7 @@
 	 */
 	if (election_renewal_age(core) > LEADER_TTL_MS / 1000.0 * (1 - CLOCK_DRIFT))
 		return false;
-	return others_responsive(core, machine, machine->probes.unanswered_since);
+	return other_machines_responsive(core, machine, machine->probes.unanswered_since);
 }
 
 bool replica_must_move(const struct core *core, const struct machine *machine)
@@ -132,7 +133,7 @@
  * Checks the first machine of the list, which has not been checked for the longest time, and moves
  * it to the end: gives it up if it has failed, else probes it if a probe is due.
  */
-static void check_first(struct core *core)
+static void check_next_machine(struct core *core)
 {
 	struct replica_supervision *supervision = &core->replica_supervision;
 	struct machine *machine = supervision->machines;
@@ -148,15 +149,15 @@
 void replica_supervision_tick(struct core *core)
 {
 	struct replica_supervision *supervision = &core->replica_supervision;
-	double late_s = core->now - supervision->next_at;
+	double late_s = core->now - supervision->next_check_at;
 
 	if (late_s < 0)
 		return;
-	supervision->next_at = core->now + TICK_S;
+	supervision->next_check_at = core->now + TICK_S;
 	/* A controller whose event loop falls behind has more urgent work than probes. */
 	if (late_s > REPLICA_SUPERVISION_LATE_S)
 		return;
 	rate_limiter_refill(core, &supervision->probe_limiter, probe_rate(core));
 	for (int i = supervision->count; i && supervision->probe_limiter.tokens >= 1; i--)
-		check_first(core);
+		check_next_machine(core);
 }
--- a/src/core/agents/replica_supervision.h
+++ b/src/core/agents/replica_supervision.h
@@ -16,7 +16,7 @@
 	struct machine *machines; /* machines with replicas, longest unchecked first */
 	int count;		  /* length of `machines` */
 	struct rate_limiter probe_limiter;
-	double next_at; /* steady; no machine is checked before */
+	double next_check_at; /* steady; no machine is checked before */
 };
 
 /*
--- a/src/core/agents/reports.c
+++ b/src/core/agents/reports.c
@@ -42,8 +42,8 @@
 }
 
 /* Records that the report is the newest message of its agent. */
-static void note_message(struct core *core, struct machine *machine, const struct report *report,
-			 enum report_origin origin)
+static void record_message(struct core *core, struct machine *machine, const struct report *report,
+			   enum report_origin origin)
 {
 	struct machine_agent *agent = &machine->agent;
 
@@ -57,7 +57,7 @@
 		agent->last_heartbeat_at = core->now;
 }
 
-static void note_machine_up(struct core *core, struct machine *machine)
+static void record_machine_up(struct core *core, struct machine *machine)
 {
 	machine->cloud.idle_since = core->now;
 	machine->agent.up_at = core->now;
@@ -101,9 +101,9 @@
 	if (!report_is_newer(report, machine->agent.incarnation, machine->agent.sequence))
 		return false;
 	update_reachability(core, machine, report, origin);
-	note_message(core, machine, report, origin);
+	record_message(core, machine, report, origin);
 	if (first)
-		note_machine_up(core, machine);
+		record_machine_up(core, machine);
 	update_preemption_notice(core, machine, report);
 	if (origin == REPORT_SOLICITED)
 		announce_token(core, machine, report);
