--- a/src/core/agents/agent_restart.c
+++ b/src/core/agents/agent_restart.c
@@ -9,7 +9,7 @@
  * arrive. A new token is therefore requested, and no report under an older one counts, whether the
  * agent sent it after the restart or it is a late copy.
  */
-void agent_note_restart(struct core *core, struct machine *machine)
+void agent_mark_restarted(struct core *core, struct machine *machine)
 {
 	if (machine->agent.restarted)
 		return;
@@ -37,7 +37,7 @@
 	agent->last_report_at = -1;
 	agent->up_at = core->now;
 	machine->cloud.rented_at = core->now;
-	leftovers_clear(machine);
+	unbound_tasks_clear(machine);
 }
 
 /*
@@ -63,7 +63,7 @@
 		reset_binding(core, binding);
 }
 
-void agents_token_renewed(struct core *core)
+void agents_on_token_renewed(struct core *core)
 {
 	struct machine *machine, *next;
 
--- a/src/core/agents/agent_restart.h
+++ b/src/core/agents/agent_restart.h
@@ -12,11 +12,11 @@
  * Marks the agent as restarted and requests a new fencing token. Until that token is held, the
  * machine gets no work and the agent's reports do not count.
  */
-void agent_note_restart(struct core *core, struct machine *machine);
+void agent_mark_restarted(struct core *core, struct machine *machine);
 /*
  * Called when a new fencing token is held: from now on the reports of restarted agents count, if
  * they show this token.
  */
-void agents_token_renewed(struct core *core);
+void agents_on_token_renewed(struct core *core);
 
 #endif
--- a/src/core/agents/agents.h
+++ b/src/core/agents/agents.h
@@ -15,8 +15,8 @@
 	/* for all probes but those of replica supervision */
 	struct rate_limiter probe_limiter;
 	/* unanswered direct commands and probes, each of which holds a socket */
-	int direct_in_flight;
-	struct contact_ages contact_ages;
+	int calls_in_flight;
+	struct contact_histogram contact_histogram;
 	double next_scan_at; /* steady; no scan of all machines before */
 	/* true if the last scan found replicas on machines that they must leave, or a machine with
 	 * replicas got a preemption notice since */
--- a/src/core/agents/commands.c
+++ b/src/core/agents/commands.c
@@ -4,7 +4,7 @@
 
 #include "core/state.h"
 
-bool machine_fenced(const struct machine *machine)
+bool machine_starts_are_fenced(const struct machine *machine)
 {
 	return !machine->commands.in_flight &&
 	       machine->agent.token > machine->commands.unanswered_token;
@@ -107,7 +107,7 @@
 {
 	const struct job *job = job_find(core, unbound->job);
 
-	if (!machine_fenced(machine) || machine->agent.token < election_token(core))
+	if (!machine_starts_are_fenced(machine) || machine->agent.token < election_token(core))
 		return false;
 	return !job || unbound->task >= job->spec.task_count ||
 	       write_queue_settled(job, unbound->task);
@@ -124,7 +124,7 @@
 		add_command(list, OP_STOP, unbound->job, unbound->task, unbound->attempt);
 	else if (may_forget(core, machine, unbound))
 		add_command(list, OP_FORGET, unbound->job, unbound->task, unbound->attempt);
-	else if (!machine_fenced(machine) && !machine->commands.in_flight)
+	else if (!machine_starts_are_fenced(machine) && !machine->commands.in_flight)
 		write_queue_request_token(core);
 }
 
--- a/src/core/agents/commands.h
+++ b/src/core/agents/commands.h
@@ -26,7 +26,7 @@
  * True if no start that was sent directly can still take effect on this machine: no direct message
  * is in flight, and the agent has shown a newer token than that of any unanswered direct start.
  */
-bool machine_fenced(const struct machine *machine);
+bool machine_starts_are_fenced(const struct machine *machine);
 /*
  * Fills *list with the commands that are due, at most COMMANDS_MAX. All starts and stops that are
  * due are recorded as sent through the channel, also those that did not fit.
--- a/src/core/agents/direct_commands.c
+++ b/src/core/agents/direct_commands.c
@@ -32,7 +32,7 @@
 		command_queue_add(core, machine);
 }
 
-void commands_withdraw(struct core *core, struct machine *machine)
+void commands_cancel_request(struct core *core, struct machine *machine)
 {
 	machine->commands.due = false;
 	command_queue_remove(core, machine);
@@ -101,8 +101,8 @@
 	machine->commands.in_flight++;
 	body = wire_direct_commands(election_token(core), machine->agent.incarnation, list.items,
 				    list.count);
-	call = agent_call(core, machine, W_PATH_COMMANDS, body, CALL_AGENT_TIMEOUT_S,
-			  on_commands_answer);
+	call = agent_call_begin(core, machine, W_PATH_COMMANDS, body, CALL_AGENT_TIMEOUT_S,
+				on_commands_answer);
 	call->has_start = list.has_start;
 }
 
@@ -117,8 +117,8 @@
 {
 	struct machine *machine;
 
-	while ((machine = core->agents.command_queue) && !agent_calls_exhausted(core)) {
-		commands_withdraw(core, machine);
+	while ((machine = core->agents.command_queue) && !agent_call_limit_reached(core)) {
+		commands_cancel_request(core, machine);
 		end_unsent_bindings(core, machine);
 		if (can_receive_commands(core, machine))
 			send_commands(core, machine);
--- a/src/core/agents/direct_commands.h
+++ b/src/core/agents/direct_commands.h
@@ -14,7 +14,7 @@
  */
 void commands_request(struct core *core, struct machine *machine);
 /* Cancels the request, and removes the machine from the queue. */
-void commands_withdraw(struct core *core, struct machine *machine);
+void commands_cancel_request(struct core *core, struct machine *machine);
 /* Sends commands to the queued machines until the limit on sockets is reached. */
 void direct_commands_tick(struct core *core);
 
--- a/src/core/agents/heartbeats.c
+++ b/src/core/agents/heartbeats.c
@@ -66,7 +66,7 @@
 		return NULL;
 	machine_set_identity(core, machine, report->addr, report->type, report->zone, report->spot);
 	machine->agent.last_report_at = core->now;
-	if (!report_counts(core, machine, report)) {
+	if (!report_is_current(core, machine, report)) {
 		handle_stale_report(core, machine, report);
 		return NULL;
 	}
@@ -139,7 +139,7 @@
 	wire_report_free(&report);
 }
 
-void agent_heartbeat(struct core *core, const struct core_request *request)
+void agents_handle_heartbeat(struct core *core, const struct core_request *request)
 {
 	const struct report *cached;
 
--- a/src/core/agents/heartbeats.h
+++ b/src/core/agents/heartbeats.h
@@ -8,6 +8,6 @@
 #include "core/core.h"
 
 /* Applies and answers an agent's heartbeat. The request may also be a late copy of one. */
-void agent_heartbeat(struct core *core, const struct core_request *request);
+void agents_handle_heartbeat(struct core *core, const struct core_request *request);
 
 #endif
--- a/src/core/agents/machine_health.c
+++ b/src/core/agents/machine_health.c
@@ -102,25 +102,25 @@
 	}
 }
 
-int contact_ages_within(const struct contact_ages *ages, double age_s)
+int contact_histogram_count_within(const struct contact_histogram *ages, double age_s)
 {
 	int count = 0;
 
 	for (int age = 0; age < CONTACT_BUCKETS && (age + 1) * CONTACT_BUCKET_S <= age_s; age++)
-		count += ages->by_age[age];
+		count += ages->buckets[age];
 	return count;
 }
 
 static void add_to_histogram(struct core *core, const struct machine *machine)
 {
-	struct contact_ages *ages = &core->agents.contact_ages;
+	struct contact_histogram *ages = &core->agents.contact_histogram;
 	double age = (core->now - machine->agent.last_message_at) / CONTACT_BUCKET_S;
 
 	if (!has_sent_message(machine) && !machine->binding_count)
 		return;
 	ages->expected++;
 	if (has_sent_message(machine) && age < CONTACT_BUCKETS)
-		ages->by_age[(int)age]++;
+		ages->buckets[(int)age]++;
 }
 
 /* Numbers of machines that have sent a message in this term, and of those that are silent now. */
@@ -147,7 +147,7 @@
 	struct contact_summary summary = {0, 0};
 	struct machine *machine, *next;
 
-	memset(&core->agents.contact_ages, 0, sizeof(core->agents.contact_ages));
+	memset(&core->agents.contact_histogram, 0, sizeof(core->agents.contact_histogram));
 	core->agents.replicas_must_move = false;
 	MACHINES_FOR_EACH (core, machine, next) {
 		if (machine->cloud.deleting)
@@ -186,7 +186,7 @@
 	MACHINES_FOR_EACH (core, machine, next) {
 		check_machine(core, machine);
 		if (machine->cloud.deleted && !machine->bindings) {
-			commands_withdraw(core, machine);
+			commands_cancel_request(core, machine);
 			machine_free(core, machine);
 		}
 	}
--- a/src/core/agents/machine_health.h
+++ b/src/core/agents/machine_health.h
@@ -9,9 +9,9 @@
 #include "core/model/machine.h"
 
 /* Histogram of the times since the machines' last messages, as of the last scan. */
-struct contact_ages {
-	int expected;		     /* machines that should have sent a message in this term */
-	int by_age[CONTACT_BUCKETS]; /* those of them that have sent one; each bucket spans
+struct contact_histogram {
+	int expected;		      /* machines that should have sent a message in this term */
+	int buckets[CONTACT_BUCKETS]; /* those of them that have sent one; each bucket spans
 					CONTACT_BUCKET_S */
 };
 
@@ -26,7 +26,7 @@
  * Returns the number of machines whose last message was at most `age_s` old at the last scan. Ages
  * are rounded up to the end of their bucket.
  */
-int contact_ages_within(const struct contact_ages *ages, double age_s);
+int contact_histogram_count_within(const struct contact_histogram *ages, double age_s);
 /*
  * Checks the health of all machines every MACHINE_SCAN_INTERVAL_S, and frees those whose deletion
  * is complete. Resigns if this controller is partitioned from the agents.
--- a/src/core/agents/probes.c
+++ b/src/core/agents/probes.c
@@ -54,7 +54,7 @@
 
 static void send_probe(struct core *core, struct machine *machine, double timeout_s)
 {
-	agent_call(core, machine, W_PATH_PROBE, NULL, timeout_s, on_probe_answer);
+	agent_call_begin(core, machine, W_PATH_PROBE, NULL, timeout_s, on_probe_answer);
 	machine->probes.sent_at = core->now;
 }
 
@@ -65,7 +65,8 @@
 	rate_limiter_refill(core, limiter, probe_rate(core));
 	if (!*machine->addr || limiter->tokens < 1)
 		return false;
-	if (core->now - machine->probes.sent_at < PROBE_INTERVAL_S || agent_calls_exhausted(core))
+	if (core->now - machine->probes.sent_at < PROBE_INTERVAL_S ||
+	    agent_call_limit_reached(core))
 		return false;
 	limiter->tokens -= 1;
 	send_probe(core, machine, CALL_AGENT_TIMEOUT_S);
@@ -74,7 +75,7 @@
 
 bool probe_replica_machine(struct core *core, struct machine *machine)
 {
-	if (!*machine->addr || agent_calls_exhausted(core))
+	if (!*machine->addr || agent_call_limit_reached(core))
 		return false;
 	send_probe(core, machine, REPLICA_PROBE_TIMEOUT_S);
 	return true;
--- a/src/core/agents/reconciliation.c
+++ b/src/core/agents/reconciliation.c
@@ -60,7 +60,7 @@
 	unbound->ended = listed->state == TASK_EXITED;
 }
 
-void leftovers_clear(struct machine *machine)
+void unbound_tasks_clear(struct machine *machine)
 {
 	free(machine->agent.leftovers);
 	machine->agent.leftovers = NULL;
@@ -105,14 +105,14 @@
  */
 static bool absence_proves_end(const struct machine *machine, const struct binding *binding)
 {
-	return machine->agent.token >= binding->min_token && machine_fenced(machine) &&
+	return machine->agent.token >= binding->min_token && machine_starts_are_fenced(machine) &&
 	       machine->agent.sequence > binding->start_sequence;
 }
 
 /* True if the binding is to end, and only a report under a new token can prove its end. */
 static bool needs_new_token(const struct machine *machine, const struct binding *binding)
 {
-	return !machine_fenced(machine) && !machine->commands.in_flight &&
+	return !machine_starts_are_fenced(machine) && !machine->commands.in_flight &&
 	       (binding->stopping || binding->recovered);
 }
 
@@ -160,10 +160,10 @@
 	return false;
 }
 
-void reconcile(struct core *core, struct machine *machine, const struct report *report,
-	       enum report_origin origin)
+void reconcile_report(struct core *core, struct machine *machine, const struct report *report,
+		      enum report_origin origin)
 {
-	leftovers_clear(machine);
+	unbound_tasks_clear(machine);
 	for (size_t i = 0; i < report->task_count; i++)
 		reconcile_listed_task(core, machine, &report->tasks[i]);
 	while (end_first_unlisted_binding(core, machine, origin))
--- a/src/core/agents/reconciliation.h
+++ b/src/core/agents/reconciliation.h
@@ -21,9 +21,9 @@
  * Updates the machine's bindings from its newest report, ends those whose end the report proves,
  * and replaces the machine's list of unbound tasks.
  */
-void reconcile(struct core *core, struct machine *machine, const struct report *report,
-	       enum report_origin origin);
+void reconcile_report(struct core *core, struct machine *machine, const struct report *report,
+		      enum report_origin origin);
 /* Empties the list of the tasks that the agent reports though they are not bound. */
-void leftovers_clear(struct machine *machine);
+void unbound_tasks_clear(struct machine *machine);
 
 #endif
--- a/src/core/agents/reports.c
+++ b/src/core/agents/reports.c
@@ -9,8 +9,8 @@
 #include "core/state.h"
 #include "util/log.h"
 
-bool report_counts(const struct core *core, const struct machine *machine,
-		   const struct report *report)
+bool report_is_current(const struct core *core, const struct machine *machine,
+		       const struct report *report)
 {
 	return report->token >= election_first_token(core) &&
 	       report->token >= machine->agent.min_token && !machine->agent.restarted;
@@ -107,7 +107,7 @@
 	update_preemption_notice(core, machine, report);
 	if (origin == REPORT_SOLICITED)
 		announce_token(core, machine, report);
-	reconcile(core, machine, report, origin);
+	reconcile_report(core, machine, report, origin);
 	if (origin == REPORT_HEARTBEAT)
 		machine_check_ignored_starts(core, machine);
 	if (!machine->agent.reachable)
@@ -129,7 +129,7 @@
 	if (report_is_newer(report, call->incarnation, call->sequence))
 		report_apply(core, machine, report, REPORT_SOLICITED);
 	else
-		agent_note_restart(core, machine);
+		agent_mark_restarted(core, machine);
 }
 
 void report_apply_solicited(struct core *core, struct machine *machine, const struct call *call,
--- a/src/core/agents/reports.h
+++ b/src/core/agents/reports.h
@@ -24,8 +24,8 @@
  * True if the report counts: its token shows that it was made in this term and after any known
  * restart of its agent. No report counts while a restarted agent awaits a new token.
  */
-bool report_counts(const struct core *core, const struct machine *machine,
-		   const struct report *report);
+bool report_is_current(const struct core *core, const struct machine *machine,
+		       const struct report *report);
 /* True if the report is newer than the message with this incarnation and sequence number. */
 bool report_is_newer(const struct report *report, uint64_t incarnation, uint64_t sequence);
 /*
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -69,7 +69,7 @@
 static void on_token_renewed(struct core *core)
 {
 	core->cycles.attempt_counter = 0;
-	agents_token_renewed(core);
+	agents_on_token_renewed(core);
 }
 
 static const struct core_events events = {
@@ -139,7 +139,7 @@
 static void handle_heartbeat(struct core *core, const struct core_request *request)
 {
 	if (!strcmp(request->method, "POST"))
-		agent_heartbeat(core, request);
+		agents_handle_heartbeat(core, request);
 	else
 		core_reply_error(core, request->connection, STATUS_METHOD_NOT_ALLOWED, 0, "method");
 }
--- a/tests/runner/core_inspection.c
+++ b/tests/runner/core_inspection.c
@@ -25,7 +25,7 @@
 
 double inspect_direct_commands(const struct core *core)
 {
-	return core->agents.direct_in_flight;
+	return core->agents.calls_in_flight;
 }
 
 double inspect_share_switches(const struct core *core)
