--- a/src/core/agents/agent_restart.c
+++ b/src/core/agents/agent_restart.c
@@ -41,8 +41,8 @@
 }
 
 /*
- * Makes the binding one whose task may have been started: a report under the new token that does
- * not list the task proves that it has ended.
+ * Treats the binding like one of an earlier leader, since its task may have been started. A report
+ * under the new token that does not list the task proves that it has ended.
  */
 static void reset_binding(const struct core *core, struct binding *binding)
 {
--- a/src/core/agents/machine_health.c
+++ b/src/core/agents/machine_health.c
@@ -102,25 +102,25 @@
 	}
 }
 
-int contact_histogram_count_within(const struct contact_histogram *ages, double age_s)
+int contact_histogram_count_within(const struct contact_histogram *histogram, double age_s)
 {
 	int count = 0;
 
 	for (int age = 0; age < CONTACT_BUCKETS && (age + 1) * CONTACT_BUCKET_S <= age_s; age++)
-		count += ages->buckets[age];
+		count += histogram->buckets[age];
 	return count;
 }
 
 static void add_to_histogram(struct core *core, const struct machine *machine)
 {
-	struct contact_histogram *ages = &core->agents.contact_histogram;
+	struct contact_histogram *histogram = &core->agents.contact_histogram;
 	double age = (core->now - machine->agent.last_message_at) / CONTACT_BUCKET_S;
 
 	if (!has_sent_message(machine) && !machine->binding_count)
 		return;
-	ages->expected++;
+	histogram->expected++;
 	if (has_sent_message(machine) && age < CONTACT_BUCKETS)
-		ages->buckets[(int)age]++;
+		histogram->buckets[(int)age]++;
 }
 
 /* Numbers of machines that have sent a message in this term, and of those that are silent now. */
--- a/src/core/agents/machine_health.h
+++ b/src/core/agents/machine_health.h
@@ -26,7 +26,7 @@
  * Returns the number of machines whose last message was at most `age_s` old at the last scan. Ages
  * are rounded up to the end of their bucket.
  */
-int contact_histogram_count_within(const struct contact_histogram *ages, double age_s);
+int contact_histogram_count_within(const struct contact_histogram *histogram, double age_s);
 /*
  * Checks the health of all machines every MACHINE_SCAN_INTERVAL_S, and frees those whose deletion
  * is complete. Resigns if this controller is partitioned from the agents.
--- a/src/core/agents/replica_supervision.c
+++ b/src/core/agents/replica_supervision.c
@@ -84,11 +84,11 @@
 /* True if most of all machines have sent a message since `since`, as of the last scan. */
 static bool fleet_responsive(const struct core *core, double since)
 {
-	const struct contact_histogram *ages = &core->agents.contact_histogram;
+	const struct contact_histogram *histogram = &core->agents.contact_histogram;
 
-	return ages->expected >= PARTITION_MACHINES_MIN &&
-	       contact_histogram_count_within(ages, core->now - since) >=
-		   (1 - EARLY_DELETE_SILENT_SHARE) * ages->expected;
+	return histogram->expected >= PARTITION_MACHINES_MIN &&
+	       contact_histogram_count_within(histogram, core->now - since) >=
+		   (1 - EARLY_DELETE_SILENT_SHARE) * histogram->expected;
 }
 
 /*
