--- a/src/core/agents/commands.c
+++ b/src/core/agents/commands.c
@@ -4,13 +4,16 @@
 
 #include "core/state.h"
 
-bool machine_fenced(const struct machine *machine)
+bool machine_starts_are_fenced(const struct machine *machine)
 {
 	return !machine->commands.in_flight &&
 	       machine->agent.token > machine->commands.unanswered_token;
 }
 
-/* NULL if the message is full. The caller notes the command as sent all the same. */
+/*
+ * Returns NULL if the message is full. The caller records the command as sent even then: it is due
+ * again later, like a command that was lost on the way.
+ */
 static struct command *add_command(struct command_list *list, enum command_op op, const char *job,
 				   uint32_t task, uint64_t attempt)
 {
@@ -27,7 +30,10 @@
 	return command;
 }
 
-/* A gang starts only when the whole attempt is committed: a part of it would wait in vain. */
+/*
+ * A gang is started only when the bindings of all its tasks are committed: tasks that start earlier
+ * would wait in vain for the others.
+ */
 static bool may_start(const struct binding *binding)
 {
 	const struct job *job = binding->job;
@@ -44,7 +50,9 @@
 	return binding->stopping && binding->state != TASK_EXITED;
 }
 
-/* What was sent directly may be carried out before a report shows it: it is not repeated at once.
+/*
+ * A command that was sent directly may have been carried out before any report shows it, so it is
+ * not sent directly again within COMMAND_RESEND_S.
  */
 static bool may_send(const struct core *core, enum command_channel channel, double sent_at)
 {
@@ -65,7 +73,10 @@
 		binding->start_sequence = agent->sequence;
 }
 
-/* A second stop with less grace would end a save early: it is repeated unchanged. */
+/*
+ * A stop is repeated with the same grace period: a shorter one would interrupt a task that is
+ * saving its state.
+ */
 static void add_stop(struct core *core, struct binding *binding, struct command_list *list)
 {
 	struct command *command =
@@ -76,8 +87,9 @@
 	binding->stop_sent_at = core->now;
 }
 
-static void command_binding(struct core *core, struct binding *binding,
-			    enum command_channel channel, struct command_list *list)
+/* Adds the start or stop that is due for the binding, if there is one. */
+static void add_binding_command(struct core *core, struct binding *binding,
+				enum command_channel channel, struct command_list *list)
 {
 	if (may_start(binding) && may_send(core, channel, binding->start_sent_at))
 		add_start(core, binding, channel, list);
@@ -85,26 +97,34 @@
 		add_stop(core, binding, list);
 }
 
-/* The end must be on record before the agent forgets it: until then its list is the only proof. */
+/*
+ * The agent may forget an ended task only once the task's end is recorded in the state service:
+ * until then the agent's report is the only proof of it. Nor may it forget the task while a start
+ * that was sent earlier, or under an older token, can still arrive: it would start the task again.
+ */
 static bool may_forget(struct core *core, const struct machine *machine,
-		       const struct unbound_task *leftover)
+		       const struct unbound_task *unbound)
 {
-	const struct job *job = job_find(core, leftover->job);
+	const struct job *job = job_find(core, unbound->job);
 
-	if (!machine_fenced(machine) || machine->agent.token < election_token(core))
+	if (!machine_starts_are_fenced(machine) || machine->agent.token < election_token(core))
 		return false;
-	return !job || leftover->task >= job->spec.task_count ||
-	       write_queue_settled(job, leftover->task);
+	return !job || unbound->task >= job->spec.task_count ||
+	       write_queue_settled(job, unbound->task);
 }
 
-static void command_leftover(struct core *core, const struct machine *machine,
-			     const struct unbound_task *leftover, struct command_list *list)
+/*
+ * Adds the command that is due for a task that is reported but not bound. If only a newer token
+ * would allow the agent to forget the task, requests one.
+ */
+static void add_unbound_task_command(struct core *core, const struct machine *machine,
+				     const struct unbound_task *unbound, struct command_list *list)
 {
-	if (!leftover->ended)
-		add_command(list, OP_STOP, leftover->job, leftover->task, leftover->attempt);
-	else if (may_forget(core, machine, leftover))
-		add_command(list, OP_FORGET, leftover->job, leftover->task, leftover->attempt);
-	else if (!machine_fenced(machine) && !machine->commands.in_flight)
+	if (!unbound->ended)
+		add_command(list, OP_STOP, unbound->job, unbound->task, unbound->attempt);
+	else if (may_forget(core, machine, unbound))
+		add_command(list, OP_FORGET, unbound->job, unbound->task, unbound->attempt);
+	else if (!machine_starts_are_fenced(machine) && !machine->commands.in_flight)
 		write_queue_request_token(core);
 }
 
@@ -116,9 +136,9 @@
 	list->count = 0;
 	list->has_start = false;
 	for (size_t i = 0; i < machine->agent.leftover_count; i++)
-		command_leftover(core, machine, &machine->agent.leftovers[i], list);
+		add_unbound_task_command(core, machine, &machine->agent.leftovers[i], list);
 	if (machine->cloud.deleting)
 		return;
 	DL_FOREACH2 (machine->bindings, binding, machine_next)
-		command_binding(core, binding, channel, list);
+		add_binding_command(core, binding, channel, list);
 }
--- a/src/core/agents/direct_commands.c
+++ b/src/core/agents/direct_commands.c
@@ -32,14 +32,17 @@
 		command_queue_add(core, machine);
 }
 
-void commands_withdraw(struct core *core, struct machine *machine)
+void commands_cancel_request(struct core *core, struct machine *machine)
 {
 	machine->commands.due = false;
 	command_queue_remove(core, machine);
 }
 
-/* A start may still arrive: until a newer token fences it off, absence proves nothing. */
-static void note_unanswered_start(struct machine *machine, const struct call *call)
+/*
+ * An unanswered start may still arrive. Until the agent has shown a newer token, which makes it
+ * reject the start, a report that does not list the task does not prove that the task has ended.
+ */
+static void record_unanswered_start(struct machine *machine, const struct call *call)
 {
 	if (call->token <= machine->commands.unanswered_token)
 		return;
@@ -59,15 +62,15 @@
 	if (machine->commands.due)
 		command_queue_add(core, machine);
 	if (answer->outcome == CALL_UNANSWERED && call->has_start)
-		note_unanswered_start(machine, call);
+		record_unanswered_start(machine, call);
 	if (answer->status == STATUS_OK || answer->status == STATUS_CONFLICT)
 		report_apply_solicited(core, machine, call, answer);
 }
 
 /*
- * Ends the bindings that were stopped before their start was sent: no agent will ever list such a
- * task, so no proof of its end would come, and it would hold its resources for the rest of the
- * term.
+ * Ends the bindings that were stopped before their start was sent. No agent will ever list such a
+ * task, so no report could prove its end, and the binding would keep its resources reserved for the
+ * rest of the term.
  */
 static void end_unsent_bindings(struct core *core, struct machine *machine)
 {
@@ -76,7 +79,9 @@
 	while (binding) {
 		if (binding->stopping && binding_start_never_sent(binding)) {
 			binding_end(core, binding, END_STOPPED);
-			binding = machine->bindings; /* its end may have ended others */
+			/* The end of a gang's task stops the gang's other tasks, also those whose
+			 * bindings come earlier in the list. */
+			binding = machine->bindings;
 		} else {
 			binding = binding->machine_next;
 		}
@@ -96,11 +101,12 @@
 	machine->commands.in_flight++;
 	body = wire_direct_commands(election_token(core), machine->agent.incarnation, list.items,
 				    list.count);
-	call = agent_call(core, machine, W_PATH_COMMANDS, body, CALL_AGENT_TIMEOUT_S,
-			  on_commands_answer);
+	call = agent_call_begin(core, machine, W_PATH_COMMANDS, body, CALL_AGENT_TIMEOUT_S,
+				on_commands_answer);
 	call->has_start = list.has_start;
 }
 
+/* An agent only accepts commands for its own incarnation, so that must be known. */
 static bool can_receive_commands(const struct core *core, const struct machine *machine)
 {
 	return machine->agent.incarnation && *machine->addr && !machine->cloud.deleted &&
@@ -111,8 +117,8 @@
 {
 	struct machine *machine;
 
-	while ((machine = core->agents.command_queue) && !agent_calls_exhausted(core)) {
-		commands_withdraw(core, machine);
+	while ((machine = core->agents.command_queue) && !agent_call_limit_reached(core)) {
+		commands_cancel_request(core, machine);
 		end_unsent_bindings(core, machine);
 		if (can_receive_commands(core, machine))
 			send_commands(core, machine);
--- a/src/core/agents/machine_health.c
+++ b/src/core/agents/machine_health.c
@@ -1,4 +1,3 @@
-/* Machines are judged by their agents' messages and by the cloud's inventory. */
 #include "core/agents/machine_health.h"
 
 #include <math.h>
@@ -8,11 +7,13 @@
 #include "core/state.h"
 #include "util/log.h"
 
-static bool has_message(const struct machine *machine)
+/* True if the agent has sent a message in this term. */
+static bool has_sent_message(const struct machine *machine)
 {
 	return machine->agent.last_message_at >= 0;
 }
 
+/* True if more time has passed since the machine was rented than a boot can take. */
 static bool boot_is_overdue(const struct core *core, const struct machine *machine)
 {
 	double boot_s = machine->type ? machine->type->boot_s : 0;
@@ -21,27 +22,34 @@
 	return core->now - machine->cloud.rented_at > limit_s;
 }
 
-/* No heartbeat has come for longer than the agent's lease, so its tasks have ended by now. */
-static bool lease_is_over(const struct core *core, const struct machine *machine)
+/*
+ * True if no heartbeat has come for longer than the agent's lease, so that its tasks have ended by
+ * now. A machine without bindings whose agent has sent no message in this term may still be
+ * booting, and is given the time for that instead.
+ */
+static bool lease_has_expired(const struct core *core, const struct machine *machine)
 {
 	double since = machine->agent.last_heartbeat_at;
 	double limit_s = core->conf->lease_s * (1 + CLOCK_DRIFT) + MACHINE_LEASE_MARGIN_S;
 
-	if (!has_message(machine) && !machine->bindings)
+	if (!has_sent_message(machine) && !machine->bindings)
 		return boot_is_overdue(core, machine);
 	if (since < 0)
 		since = fmax(machine->agent.up_at, core->leading_since);
 	return core->now - since > limit_s;
 }
 
-/* The cloud lists it no more, and its agent is silent. */
-static bool has_vanished(const struct core *core, const struct machine *machine)
+/* True if the cloud's inventories do not list the machine any more, and its agent is silent. */
+static bool is_absent_from_cloud(const struct core *core, const struct machine *machine)
 {
 	return machine->cloud.missed_inventories >= MACHINE_MISSED_INVENTORIES &&
 	       !machine_is_responsive(core, machine);
 }
 
-/* Our messages have not reached it for long, while its lease must have ended its tasks. */
+/*
+ * True if our messages have not reached the agent for MACHINE_UNREACHABLE_MAX_S and no task is
+ * bound to the machine: no answer has renewed the agent's lease, so its tasks must have ended.
+ */
 static bool is_unreachable_too_long(const struct core *core, const struct machine *machine)
 {
 	return !machine->agent.reachable && !machine->binding_count &&
@@ -49,12 +57,12 @@
 }
 
 /*
- * All agents report to a new leader by themselves within two intervals; a probe to each before that
- * would cost as much again.
+ * All agents report to a new leader by themselves within LEADER_DISCOVERY_REPORTS intervals. To
+ * probe each of them before that would double the cost.
  */
 void probe_unseen_machine(struct core *core, struct machine *machine)
 {
-	if (!has_message(machine) &&
+	if (!has_sent_message(machine) &&
 	    core->now - machine->probes.sent_at > PROBE_UNSEEN_INTERVAL_S &&
 	    core->now - core->leading_since > LEADER_DISCOVERY_REPORTS * core->conf->report_s)
 		probe_machine(core, machine);
@@ -62,24 +70,27 @@
 
 void machine_give_up(struct core *core, struct machine *machine)
 {
-	double age_s = has_message(machine) ? core->now - machine->agent.last_message_at : -1.0;
+	double age_s =
+	    has_sent_message(machine) ? core->now - machine->agent.last_message_at : -1.0;
 
 	log_info("machine_lost",
 		 "machine=%s failed=%d missed_inventories=%d last_message_age=%.1f bound=%d",
 		 machine->id, machine->cloud.failed, machine->cloud.missed_inventories, age_s,
 		 machine->binding_count);
 	machine->cloud.deleting = true;
-	core->events->machine_given_up(core); /* its delete proves the ends of its tasks */
+	/* The cloud's answer to the delete proves that the machine's tasks have ended. */
+	core->events->machine_given_up(core);
 }
 
 static void check_machine(struct core *core, struct machine *machine)
 {
-	/* Resources are not reserved where they can't be used any more. */
+	/* The resources of an unusable machine are of no use to the job that reserved them. */
 	if (machine->scheduling.reserved_for && !machine_is_usable(core, machine))
 		machine->scheduling.reserved_for = NULL;
 	if (machine->cloud.deleting)
 		return;
-	if (machine->cloud.failed || has_vanished(core, machine) || lease_is_over(core, machine)) {
+	if (machine->cloud.failed || is_absent_from_cloud(core, machine) ||
+	    lease_has_expired(core, machine)) {
 		machine_give_up(core, machine);
 		return;
 	}
@@ -91,62 +102,68 @@
 	}
 }
 
-int contact_ages_within(const struct contact_ages *ages, double age_s)
+int contact_histogram_count_within(const struct contact_histogram *histogram, double age_s)
 {
 	int count = 0;
 
 	for (int age = 0; age < CONTACT_BUCKETS && (age + 1) * CONTACT_BUCKET_S <= age_s; age++)
-		count += ages->by_age[age];
+		count += histogram->buckets[age];
 	return count;
 }
 
-static void count_contact(struct core *core, const struct machine *machine)
+static void add_to_histogram(struct core *core, const struct machine *machine)
 {
-	struct contact_ages *ages = &core->agents.contact_ages;
+	struct contact_histogram *histogram = &core->agents.contact_histogram;
 	double age = (core->now - machine->agent.last_message_at) / CONTACT_BUCKET_S;
 
-	if (!has_message(machine) && !machine->binding_count)
+	if (!has_sent_message(machine) && !machine->binding_count)
 		return;
-	ages->expected++;
-	if (has_message(machine) && age < CONTACT_BUCKETS)
-		ages->by_age[(int)age]++;
+	histogram->expected++;
+	if (has_sent_message(machine) && age < CONTACT_BUCKETS)
+		histogram->buckets[(int)age]++;
 }
 
-/* How many machines have sent a message in this term, and how many of them are silent now. */
+/* Numbers of machines that have sent a message in this term, and of those that are silent now. */
 struct contact_summary {
 	int seen, silent;
 };
 
-static void summarize_contact(const struct core *core, const struct machine *machine,
-			      struct contact_summary *summary)
+static void add_to_summary(const struct core *core, const struct machine *machine,
+			   struct contact_summary *summary)
 {
-	if (!has_message(machine))
+	if (!has_sent_message(machine))
 		return;
 	summary->seen++;
 	if (!machine_is_responsive(core, machine))
 		summary->silent++;
 }
 
-/* Renews what is kept of all machines together. */
+/*
+ * Recomputes the state about all machines together: the histogram of ages, and whether replicas
+ * have to move. Machines that are being deleted are left out.
+ */
 static struct contact_summary scan_machines(struct core *core)
 {
 	struct contact_summary summary = {0, 0};
 	struct machine *machine, *next;
 
-	memset(&core->agents.contact_ages, 0, sizeof(core->agents.contact_ages));
+	memset(&core->agents.contact_histogram, 0, sizeof(core->agents.contact_histogram));
 	core->agents.replicas_must_move = false;
 	MACHINES_FOR_EACH (core, machine, next) {
 		if (machine->cloud.deleting)
 			continue;
-		count_contact(core, machine);
-		summarize_contact(core, machine, &summary);
+		add_to_histogram(core, machine);
+		add_to_summary(core, machine, &summary);
 		if (machine->replica_count && replica_must_move(core, machine))
 			core->agents.replicas_must_move = true;
 	}
 	return summary;
 }
 
-/* If nearly all agents fall silent at once, it is this controller that is partitioned off. */
+/*
+ * If nearly all agents fall silent at once, they have not failed: this controller is partitioned
+ * from them.
+ */
 static bool is_partitioned(const struct contact_summary *summary)
 {
 	return summary->seen >= PARTITION_MACHINES_MIN &&
@@ -169,7 +186,7 @@
 	MACHINES_FOR_EACH (core, machine, next) {
 		check_machine(core, machine);
 		if (machine->cloud.deleted && !machine->bindings) {
-			commands_withdraw(core, machine);
+			commands_cancel_request(core, machine);
 			machine_free(core, machine);
 		}
 	}
--- a/src/core/agents/probes.c
+++ b/src/core/agents/probes.c
@@ -7,14 +7,18 @@
 #include "core/state.h"
 #include "wire/names.h"
 
-/* A probe that was never sent, for want of a socket, says nothing about the machine. */
+/*
+ * True if the full timeout has passed. A probe that ended earlier may never have been sent, for
+ * lack of a socket, and then says nothing about the machine.
+ */
 static bool timed_out(const struct core *core, const struct call *call)
 {
 	return core->now - call->sent_at >= call->timeout_s * (1 - CLOCK_DRIFT);
 }
 
-static void note_unanswered(const struct core *core, const struct call *call,
-			    struct machine *machine)
+/* Counts a probe that timed out, unless a message of the agent has come since it was sent. */
+static void record_unanswered_probe(const struct core *core, const struct call *call,
+				    struct machine *machine)
 {
 	if (call->sent_at <= machine->agent.last_message_at || !timed_out(core, call))
 		return;
@@ -30,14 +34,15 @@
 	if (!machine)
 		return;
 	if (answer->outcome != CALL_ANSWERED)
-		note_unanswered(core, call, machine);
+		record_unanswered_probe(core, call, machine);
 	if (answer->status == STATUS_OK)
 		report_apply_solicited(core, machine, call, answer);
 }
 
 /*
- * Probes a second: enough to reach all machines well within a lease, however many there are. While
- * agents find a new leader by themselves, a few are enough.
+ * Returns the allowed rate in probes per second. It lets all machines be probed well within an
+ * agent's lease, whatever their number. At the beginning of a term the least rate is enough, since
+ * agents then find the new leader by themselves.
  */
 static double probe_rate(const struct core *core)
 {
@@ -49,7 +54,7 @@
 
 static void send_probe(struct core *core, struct machine *machine, double timeout_s)
 {
-	agent_call(core, machine, W_PATH_PROBE, NULL, timeout_s, on_probe_answer);
+	agent_call_begin(core, machine, W_PATH_PROBE, NULL, timeout_s, on_probe_answer);
 	machine->probes.sent_at = core->now;
 }
 
@@ -60,7 +65,8 @@
 	rate_limiter_refill(core, limiter, probe_rate(core));
 	if (!*machine->addr || limiter->tokens < 1)
 		return false;
-	if (core->now - machine->probes.sent_at < PROBE_INTERVAL_S || agent_calls_exhausted(core))
+	if (core->now - machine->probes.sent_at < PROBE_INTERVAL_S ||
+	    agent_call_limit_reached(core))
 		return false;
 	limiter->tokens -= 1;
 	send_probe(core, machine, CALL_AGENT_TIMEOUT_S);
@@ -69,7 +75,7 @@
 
 bool probe_replica_machine(struct core *core, struct machine *machine)
 {
-	if (!*machine->addr || agent_calls_exhausted(core))
+	if (!*machine->addr || agent_call_limit_reached(core))
 		return false;
 	send_probe(core, machine, REPLICA_PROBE_TIMEOUT_S);
 	return true;
--- a/src/core/agents/reports.c
+++ b/src/core/agents/reports.c
@@ -9,8 +9,8 @@
 #include "core/state.h"
 #include "util/log.h"
 
-bool report_counts(const struct core *core, const struct machine *machine,
-		   const struct report *report)
+bool report_is_current(const struct core *core, const struct machine *machine,
+		       const struct report *report)
 {
 	return report->token >= election_first_token(core) &&
 	       report->token >= machine->agent.min_token && !machine->agent.restarted;
@@ -24,8 +24,9 @@
 }
 
 /*
- * An incarnation that rises by itself shows that our answers did not arrive. An answer to our own
- * message shows that this did; the first message of the term is taken for the same.
+ * A heartbeat with a newer incarnation shows that the agent's lease has expired because our answers
+ * did not arrive. An answer to our own message shows that the message arrived. The first message of
+ * the term is assumed to show the same.
  */
 static void update_reachability(struct core *core, struct machine *machine,
 				const struct report *report, enum report_origin origin)
@@ -40,8 +41,9 @@
 		machine_mark_reachable(core, machine);
 }
 
-static void note_message(struct core *core, struct machine *machine, const struct report *report,
-			 enum report_origin origin)
+/* Records that the report is the newest message of its agent. */
+static void record_message(struct core *core, struct machine *machine, const struct report *report,
+			   enum report_origin origin)
 {
 	struct machine_agent *agent = &machine->agent;
 
@@ -55,7 +57,7 @@
 		agent->last_heartbeat_at = core->now;
 }
 
-static void note_machine_up(struct core *core, struct machine *machine)
+static void record_machine_up(struct core *core, struct machine *machine)
 {
 	machine->cloud.idle_since = core->now;
 	machine->agent.up_at = core->now;
@@ -78,7 +80,11 @@
 	machine->agent.notice_received_at = core->now;
 }
 
-/* An agent that only answers may report to an earlier leader: our token brings it here. */
+/*
+ * An agent that answers us but has sent no heartbeat here in this term may still report to an
+ * earlier leader. Once the agent has seen our token, it ignores that leader's answers and reports
+ * here.
+ */
 static void announce_token(struct core *core, struct machine *machine, const struct report *report)
 {
 	if (machine->agent.last_heartbeat_at >= 0 || report->token >= election_token(core))
@@ -95,13 +101,13 @@
 	if (!report_is_newer(report, machine->agent.incarnation, machine->agent.sequence))
 		return false;
 	update_reachability(core, machine, report, origin);
-	note_message(core, machine, report, origin);
+	record_message(core, machine, report, origin);
 	if (first)
-		note_machine_up(core, machine);
+		record_machine_up(core, machine);
 	update_preemption_notice(core, machine, report);
 	if (origin == REPORT_SOLICITED)
 		announce_token(core, machine, report);
-	reconcile(core, machine, report, origin);
+	reconcile_report(core, machine, report, origin);
 	if (origin == REPORT_HEARTBEAT)
 		machine_check_ignored_starts(core, machine);
 	if (!machine->agent.reachable)
@@ -110,8 +116,9 @@
 }
 
 /*
- * The answer to a message sent just now is no copy: if even this is older than what was known when
- * the message was sent, the agent was restarted.
+ * An answer to our own message cannot be a late copy. If the report in it is not newer than the
+ * agent's newest message was when the call was made, the agent was restarted. An answer to a call
+ * made before the token that marks the last restart does not count.
  */
 static void apply_answer(struct core *core, struct machine *machine, const struct call *call,
 			 const struct report *report)
@@ -122,7 +129,7 @@
 	if (report_is_newer(report, call->incarnation, call->sequence))
 		report_apply(core, machine, report, REPORT_SOLICITED);
 	else
-		agent_note_restart(core, machine);
+		agent_mark_restarted(core, machine);
 }
 
 void report_apply_solicited(struct core *core, struct machine *machine, const struct call *call,
