--- a/src/core/agents/commands.c
+++ b/src/core/agents/commands.c
@@ -94,7 +94,7 @@
 	if (!machine_fenced(machine) || machine->agent.token < election_token(core))
 		return false;
 	return !job || leftover->task >= job->spec.task_count ||
-	       write_queue_settled(job, leftover->task);
+	       write_queue_is_flushed(job, leftover->task);
 }
 
 static void command_leftover(struct core *core, const struct machine *machine,
--- a/src/core/api/admission.c
+++ b/src/core/api/admission.c
@@ -90,7 +90,7 @@
 		return ADMISSION_UNSATISFIABLE;
 	if (!zones_suffice(core, spec))
 		return ADMISSION_TOO_FEW_ZONES;
-	if (job_record_bytes(spec, submitted_at) > limits_job_record_bytes(core))
+	if (job_record_max_bytes(spec, submitted_at) > limits_job_record_bytes(core))
 		return ADMISSION_RECORD_TOO_LARGE;
 	return ADMISSION_ACCEPTED;
 }
--- a/src/core/api/cancel_requests.c
+++ b/src/core/api/cancel_requests.c
@@ -30,7 +30,7 @@
 {
 	struct user_request *request = call->arg;
 
-	store_note_answer(core, answer);
+	store_update_availability(core, answer);
 	if (answer->status == STATUS_OK) {
 		on_committed(core, request->id, revision_of(answer));
 		user_request_answer_cancelled(core, request);
@@ -51,7 +51,7 @@
 
 	/* A record made before a limit was lowered: where its job might run matters no more. */
 	if (wire_value_bytes(value) > limits_value_bytes(core))
-		job_record_drop_types(value);
+		job_record_remove_machine_types(value);
 	txn_begin(&txn);
 	txn_guard(&txn, item->key, item->version);
 	txn_put(&txn, item->key, value, 0);
--- a/src/core/api/job_index_reads.c
+++ b/src/core/api/job_index_reads.c
@@ -37,7 +37,7 @@
 {
 	(void)call;
 	core->api.index.read_in_flight = false;
-	store_note_answer(core, answer);
+	store_update_availability(core, answer);
 	if (answer->status == STATUS_OK) {
 		apply_changes(core, answer);
 		lookups_answer_batch(core);
@@ -97,7 +97,7 @@
 	json_t *document;
 
 	index->read_in_flight = false;
-	store_note_answer(core, answer);
+	store_update_availability(core, answer);
 	if (answer->status != STATUS_OK) {
 		index->retry_at = core->now + INDEX_RETRY_S;
 		lookups_fail_waiting(core, answer);
--- a/src/core/api/lookups.c
+++ b/src/core/api/lookups.c
@@ -20,7 +20,7 @@
 				     const struct call_answer *answer)
 {
 	core->api.lookups.count--;
-	store_note_answer(core, answer);
+	store_update_availability(core, answer);
 	return call->arg;
 }
 
--- a/src/core/api/submissions.c
+++ b/src/core/api/submissions.c
@@ -69,7 +69,7 @@
 
 static bool is_record_too_large(const struct core *core, const struct user_request *request)
 {
-	return job_record_bytes(request->spec, request->received_wall_at) >
+	return job_record_max_bytes(request->spec, request->received_wall_at) >
 	       limits_value_bytes(core);
 }
 
@@ -83,7 +83,7 @@
 	int count;
 
 	DL_COUNT(batch, request, count);
-	limits_note_refusal(core, count, core->api.submissions.largest_record);
+	limits_learn_from_refusal(core, count, core->api.submissions.largest_record);
 	DL_FOREACH_SAFE (batch, request, next) {
 		DL_DELETE(batch, request);
 		if (count <= LIMITS_TXN_OPS_MIN && is_record_too_large(core, request)) {
@@ -117,7 +117,7 @@
 	struct user_request *batch = take_batch(core);
 
 	(void)call;
-	store_note_answer(core, answer);
+	store_update_availability(core, answer);
 	if (answer->status == STATUS_OK)
 		on_batch_committed(core, batch);
 	else if (answer->status == STATUS_CONFLICT)
@@ -136,7 +136,7 @@
 	txn_guard(txn, key, 0);
 	job_record_key(key, RECORD_OPEN, request->id);
 	txn_guard(txn, key, 0);
-	txn_put(txn, key, job_record_value(request->spec, request->received_wall_at), 0);
+	txn_put(txn, key, job_record_open_value(request->spec, request->received_wall_at), 0);
 }
 
 static bool is_in_flight(const struct core *core, const struct user_request *request)
--- a/src/core/autoscale/catalog_reader.c
+++ b/src/core/autoscale/catalog_reader.c
@@ -25,7 +25,7 @@
 static void on_stored(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	(void)call;
-	store_note_answer(core, answer);
+	store_update_availability(core, answer);
 }
 
 static void store_catalog_value(struct core *core, const char *key, json_t *value)
--- a/src/core/election/format_gate.c
+++ b/src/core/election/format_gate.c
@@ -20,7 +20,7 @@
 	struct format_gate *gate = &core->format;
 
 	(void)call;
-	store_note_answer(core, answer);
+	store_update_availability(core, answer);
 	gate->register_in_flight = false;
 	gate->registered = answer->status == STATUS_OK;
 	gate->next_register_at = core->now + FORMAT_REGISTER_RETRY_S;
@@ -72,7 +72,7 @@
 	const size_t controller_count = core->conf->peer_count + 1;
 	json_t *answer_json;
 
-	store_note_answer(core, answer);
+	store_update_availability(core, answer);
 	if (election_call_is_stale(core, call))
 		return;
 	core->format.scan_in_flight = false;
--- a/src/core/election/leader_key.c
+++ b/src/core/election/leader_key.c
@@ -119,7 +119,7 @@
 
 	(void)call;
 	core->election.read_in_flight = false;
-	store_note_answer(core, answer);
+	store_update_availability(core, answer);
 	core->election.retry_at = core->now + STORE_READ_RETRY_S;
 	if (answer->status != STATUS_OK || election_is_renewing_token(core))
 		return;
@@ -150,7 +150,7 @@
 	(void)call;
 	election->watch_in_flight = false;
 	if (answer->status != STATUS_GONE)
-		store_note_answer(core, answer);
+		store_update_availability(core, answer);
 	if (answer->status != STATUS_OK) {
 		election->key_is_current = false;
 		election->retry_at = core->now + STORE_READ_RETRY_S;
--- a/src/core/election/leader_lease.c
+++ b/src/core/election/leader_lease.c
@@ -54,7 +54,7 @@
 	uint64_t token;
 
 	election->claim_in_flight = false;
-	store_note_answer(core, answer);
+	store_update_availability(core, answer);
 	if (answer->status != STATUS_OK || !core_call_is_current(core, call)) {
 		log_debug("claim_failed", "status=%d", answer->status);
 		election->lease = 0;
@@ -88,7 +88,7 @@
 	struct election *election = &core->election;
 	json_t *answer_json;
 
-	store_note_answer(core, answer);
+	store_update_availability(core, answer);
 	if (answer->status != STATUS_OK || !core_call_is_current(core, call)) {
 		election->claim_in_flight = false;
 		election->retry_at = core->now + STORE_READ_RETRY_S;
@@ -135,7 +135,7 @@
 	if (!core_call_is_current(core, call))
 		return;
 	election->renewal_in_flight = false;
-	store_note_answer(core, answer);
+	store_update_availability(core, answer);
 	if (answer->status == STATUS_OK) {
 		election->renewed_at = call->sent_at;
 		election->next_renewal_at = call->sent_at + LEADER_RENEW_INTERVAL_S;
--- a/src/core/records/job_record.c
+++ b/src/core/records/job_record.c
@@ -20,7 +20,7 @@
 	snprintf(key, KEY_MAX, "%s%s", prefix, id);
 }
 
-json_t *job_record_value(const struct job_spec *spec, double submitted_at)
+json_t *job_record_open_value(const struct job_spec *spec, double submitted_at)
 {
 	return json_pack("{s:o,s:f}", FIELD_SPEC, wire_job_encode(spec), FIELD_SUBMITTED_AT,
 			 submitted_at);
@@ -34,14 +34,14 @@
 	return cancelled;
 }
 
-void job_record_drop_types(json_t *value)
+void job_record_remove_machine_types(json_t *value)
 {
 	json_object_del(json_object_get(value, FIELD_SPEC), W_TYPES);
 }
 
-size_t job_record_bytes(const struct job_spec *spec, double submitted_at)
+size_t job_record_max_bytes(const struct job_spec *spec, double submitted_at)
 {
-	json_t *value = job_record_value(spec, submitted_at);
+	json_t *value = job_record_open_value(spec, submitted_at);
 	size_t bytes;
 
 	json_object_set_new(value, FIELD_CANCELLED, json_true());
@@ -50,7 +50,7 @@
 	return bytes;
 }
 
-int job_record_spec(const json_t *value, struct job_spec *spec, const char **field)
+int job_record_decode_spec(const json_t *value, struct job_spec *spec, const char **field)
 {
 	return wire_job_decode(json_object_get(value, FIELD_SPEC), spec, field);
 }
--- a/src/core/records/job_record.h
+++ b/src/core/records/job_record.h
@@ -23,18 +23,18 @@
 /* Writes the key of the job's open or final record. */
 void job_record_key(char key[KEY_MAX], enum job_record_kind kind, const char *id);
 /* Returns the value of an open record, which the caller owns. `submitted_at` is wall time. */
-json_t *job_record_value(const struct job_spec *spec, double submitted_at);
+json_t *job_record_open_value(const struct job_spec *spec, double submitted_at);
 /* Returns a copy of an open record's value, marked as cancelled. The caller owns the copy. */
 json_t *job_record_cancelled_value(json_t *value);
 /* Removes the list of allowed machine types from an open record's value, to make it smaller. */
-void job_record_drop_types(json_t *value);
+void job_record_remove_machine_types(json_t *value);
 /* Returns the largest size of the job's open record in bytes, which a cancellation makes larger. */
-size_t job_record_bytes(const struct job_spec *spec, double submitted_at);
+size_t job_record_max_bytes(const struct job_spec *spec, double submitted_at);
 /*
  * Decodes the job description in an open record's value. Returns 0, or -1 and the name of the
  * invalid field in `*field`. The caller frees `spec` with wire_job_free in both cases.
  */
-int job_record_spec(const json_t *value, struct job_spec *spec, const char **field);
+int job_record_decode_spec(const json_t *value, struct job_spec *spec, const char **field);
 /* Returns the time (wall) at which the job of an open record's value was submitted. */
 double job_record_submitted_at(const json_t *value);
 /* Returns the value of a final record, which the caller owns. */
--- a/src/core/records/jobs_watch.c
+++ b/src/core/records/jobs_watch.c
@@ -16,7 +16,7 @@
 	struct job *job;
 	const char *field;
 
-	if (job_record_spec(value, &spec, &field)) {
+	if (job_record_decode_spec(value, &spec, &field)) {
 		log_error("record_unreadable", "job=%s field=%s", job_id, field);
 		wire_job_free(&spec);
 		return NULL;
--- a/src/core/records/limits.c
+++ b/src/core/records/limits.c
@@ -63,7 +63,7 @@
 	return smaller_limit(conf->limits.write_rps, conf->upcoming_limits.write_rps);
 }
 
-void limits_note_refusal(struct core *core, int op_count, size_t largest_value)
+void limits_learn_from_refusal(struct core *core, int op_count, size_t largest_value)
 {
 	struct learned_limits *learned = &core->limits;
 	int half = op_count / 2;
--- a/src/core/records/limits.h
+++ b/src/core/records/limits.h
@@ -37,6 +37,6 @@
  * limit. In a smaller one the largest value counts as too large, if it is larger than
  * LIMITS_VALUE_MIN_BYTES.
  */
-void limits_note_refusal(struct core *core, int op_count, size_t largest_value);
+void limits_learn_from_refusal(struct core *core, int op_count, size_t largest_value);
 
 #endif
--- a/src/core/records/recovery.c
+++ b/src/core/records/recovery.c
@@ -146,7 +146,7 @@
 {
 	struct recovery *recovery = call->arg;
 
-	store_note_answer(core, answer);
+	store_update_availability(core, answer);
 	if (election_call_is_stale(core, call)) {
 		free(recovery);
 		return;
--- a/src/core/records/task_record_load.c
+++ b/src/core/records/task_record_load.c
@@ -151,7 +151,7 @@
 	if (record.tasks_per_chunk == job->records.tasks_per_chunk)
 		job->records.chunks[record.chunk_index].version = record.version;
 	else
-		task_record_note_old(job, record.chunk_index, record.version);
+		task_record_set_old_version(job, record.chunk_index, record.version);
 	load_done(job, &record);
 	load_bindings(core, job, &record);
 }
--- a/src/core/records/task_record_migration.c
+++ b/src/core/records/task_record_migration.c
@@ -12,7 +12,7 @@
 
 #define SMALL_PER_LARGE_CHUNK (LARGE_CHUNK_TASKS / SMALL_CHUNK_TASKS)
 
-void task_record_note_old(struct job *job, uint32_t old_index, uint64_t version)
+void task_record_set_old_version(struct job *job, uint32_t old_index, uint64_t version)
 {
 	struct job_records *records = &job->records;
 	uint32_t count = (job->spec.task_count + LARGE_CHUNK_TASKS - 1) / LARGE_CHUNK_TASKS;
@@ -39,7 +39,7 @@
 	old_chunk->version = 0;
 }
 
-void task_record_note_superseded(struct core *core, struct job *job, uint32_t chunk_index)
+void task_record_finish_migration(struct core *core, struct job *job, uint32_t chunk_index)
 {
 	struct chunk *chunk = &job->records.chunks[chunk_index];
 	uint32_t old_index = chunk_index / SMALL_PER_LARGE_CHUNK;
@@ -112,7 +112,8 @@
 
 	for (uint32_t old_index = 0; old_index < large_count; old_index++)
 		if (large_chunks[old_index].version)
-			task_record_note_old(job, old_index, large_chunks[old_index].version);
+			task_record_set_old_version(job, old_index,
+						    large_chunks[old_index].version);
 	job->records.tasks_per_chunk = SMALL_CHUNK_TASKS;
 	job->records.chunks = xcalloc(job_chunk_count(job), sizeof(*job->records.chunks));
 	DL_FOREACH2 (job->bindings, binding, job_next)
@@ -125,7 +126,7 @@
 	task_records_migrate(core, job);
 }
 
-void task_records_raise(struct core *core)
+void task_records_raise_format(struct core *core)
 {
 	struct job *job, *next;
 
--- a/src/core/records/task_records.h
+++ b/src/core/records/task_records.h
@@ -48,14 +48,14 @@
 void task_record_load(struct core *core, const struct kv_item *entry);
 
 /* Sets the version of a large chunk's record, which is kept until newer records replace it. */
-void task_record_note_old(struct job *job, uint32_t old_index, uint64_t version);
+void task_record_set_old_version(struct job *job, uint32_t old_index, uint64_t version);
 /*
  * Ends the migration of a chunk, if it is being migrated: its newer record is committed, or none is
  * needed. The older record is deleted once this holds for all chunks that wait for it.
  */
-void task_record_note_superseded(struct core *core, struct job *job, uint32_t chunk_index);
+void task_record_finish_migration(struct core *core, struct job *job, uint32_t chunk_index);
 /* Switches the records of all jobs' tasks from the first format to the newest. */
-void task_records_raise(struct core *core);
+void task_records_raise_format(struct core *core);
 /* Queues the writes of newer records for the job's records of the older format, and the deletes of
  * older records for which no newer ones are needed. */
 void task_records_migrate(struct core *core, struct job *job);
--- a/src/core/records/transaction.c
+++ b/src/core/records/transaction.c
@@ -39,7 +39,7 @@
 	}
 	chunk->queued_write = write;
 	write->due_at = core->now;
-	write_queue_put_back(core, write);
+	write_queue_requeue(core, write);
 }
 
 static void requeue_write(struct core *core, struct pending_write *write)
@@ -50,7 +50,7 @@
 		break;
 	case WRITE_FINAL:
 		final_record_unmark_chunks(write->job);
-		write_queue_put_back(core, write);
+		write_queue_requeue(core, write);
 		break;
 	case WRITE_DELETE:
 		free(write); /* the next recovery finds the record and deletes it */
@@ -81,7 +81,7 @@
 {
 	json_t *answer_json = wire_parse(answer->body, answer->len);
 
-	transaction_note_committed(core, wire_revision(answer_json));
+	transaction_apply_commit(core, wire_revision(answer_json));
 	json_decref(answer_json);
 }
 
@@ -117,7 +117,7 @@
 		election_step_down(core, STEP_DOWN_LEASE_REFUSED);
 		return;
 	}
-	limits_note_refusal(core, transaction->op_count, transaction->largest_value);
+	limits_learn_from_refusal(core, transaction->op_count, transaction->largest_value);
 	transaction_requeue(core);
 	core->write_queue.retry_at = core->now + retry_s;
 }
@@ -126,7 +126,7 @@
 {
 	struct write_queue *queue = &core->write_queue;
 
-	store_note_answer(core, answer);
+	store_update_availability(core, answer);
 	if (election_call_is_stale(core, call) || !queue->transaction.in_flight)
 		return;
 	switch (answer->status) {
@@ -158,7 +158,7 @@
 
 	queue->transaction.awaits_retry = false;
 	write_queue_refill_limiter(core);
-	queue->put_limiter.tokens -= queue->transaction.op_count;
+	queue->write_limiter.tokens -= queue->transaction.op_count;
 	store_commit(core, xstrdup(queue->transaction.body), on_answer, NULL);
 }
 
--- a/src/core/records/transaction.h
+++ b/src/core/records/transaction.h
@@ -46,7 +46,7 @@
  */
 void transaction_requeue(struct core *core);
 /* Ends the transaction as committed at the revision: applies its writes and the new token. */
-void transaction_note_committed(struct core *core, uint64_t revision);
+void transaction_apply_commit(struct core *core, uint64_t revision);
 /* Applies the job's final record, which is committed. May free the job. */
 void transaction_apply_final(struct core *core, struct job *job);
 /*
--- a/src/core/records/transaction_build.c
+++ b/src/core/records/transaction_build.c
@@ -70,7 +70,7 @@
 
 	/* A write that is the first of its transaction is sent even if it exceeds the limits. */
 	return !txn->op_count ||
-	       (total <= max_ops && total <= core->write_queue.put_limiter.tokens);
+	       (total <= max_ops && total <= core->write_queue.write_limiter.tokens);
 }
 
 static enum batch_result batch_add(struct core *core, struct txn *txn, struct pending_write *write)
@@ -115,7 +115,7 @@
 	struct job *job = write->job;
 
 	write_queue_remove(write);
-	task_record_note_superseded(core, job, write->chunk_index);
+	task_record_finish_migration(core, job, write->chunk_index);
 	job_release_if_over(core, job);
 	free(write);
 }
@@ -180,7 +180,7 @@
 	txn_guard(&txn, election_key(election_format(core)), election_token(core));
 	batch_writes(core, &txn);
 	log_debug("transaction", "nops=%d largest=%zu tokens=%.1f kind=%d", txn.op_count,
-		  txn.largest_value, queue->put_limiter.tokens,
+		  txn.largest_value, queue->write_limiter.tokens,
 		  queue->transaction.writes ? (int)queue->transaction.writes->kind : -1);
 	if (txn.op_count) {
 		transaction_send(core, &txn);
@@ -204,8 +204,8 @@
 	txn_put(&txn, election_key(format), election_leader_value(core), election_lease(core));
 	queue->transaction.renews_token = true;
 	queue->transaction.raises_format = raises_format;
-	queue->new_token_wanted = false;
-	queue->token_renewed_at = core->now;
+	queue->token_renewal_requested = false;
+	queue->token_renewal_sent_at = core->now;
 	election_note_token_renewal_sent(core);
 	transaction_send(core, &txn);
 }
--- a/src/core/records/transaction_commit.c
+++ b/src/core/records/transaction_commit.c
@@ -39,7 +39,7 @@
 			binding_committed(core, binding);
 		binding->in_flight = false;
 	}
-	task_record_note_superseded(core, job, chunk_index);
+	task_record_finish_migration(core, job, chunk_index);
 	job_release_if_over(core, job);
 }
 
@@ -61,7 +61,7 @@
 		chunk->version = 0;
 	chunk->ends_with_job = false;
 	if (!chunk->binding_count && !chunk->queued_write && !chunk->in_flight)
-		task_record_note_superseded(core, job, chunk_index);
+		task_record_finish_migration(core, job, chunk_index);
 }
 
 void transaction_apply_final(struct core *core, struct job *job)
@@ -85,7 +85,7 @@
 static void forget_deleted_machines(struct core *core)
 {
 	election_require_current_token(core);
-	tombstones_trim(core, core->write_queue.token_renewed_at);
+	tombstones_trim(core, core->write_queue.token_renewal_sent_at);
 }
 
 static void token_committed(struct core *core, uint64_t revision)
@@ -97,7 +97,7 @@
 		forget_deleted_machines(core);
 	if (core->write_queue.transaction.raises_format) {
 		election_note_format(core, FORMAT_NEWEST, revision);
-		task_records_raise(core);
+		task_records_raise_format(core);
 		log_info("format", "raised=%d", FORMAT_NEWEST);
 	}
 	log_token(revision);
@@ -112,7 +112,7 @@
 		transaction_apply_final(core, write->job);
 }
 
-void transaction_note_committed(struct core *core, uint64_t revision)
+void transaction_apply_commit(struct core *core, uint64_t revision)
 {
 	struct transaction *transaction = &core->write_queue.transaction;
 	struct pending_write *write, *next;
--- a/src/core/records/transaction_conflict.c
+++ b/src/core/records/transaction_conflict.c
@@ -88,7 +88,7 @@
 
 	if (election_call_is_stale(core, call))
 		return;
-	store_note_answer(core, answer);
+	store_update_availability(core, answer);
 	if (!is_definite(answer)) {
 		store_get(core, call->key, on_written_key, NULL);
 		return;
@@ -148,7 +148,7 @@
 
 	if (election_call_is_stale(core, call) || !core->write_queue.transaction.in_flight)
 		return;
-	store_note_answer(core, answer);
+	store_update_availability(core, answer);
 	if (!is_definite(answer)) {
 		read_token_key(core);
 		return;
@@ -156,7 +156,7 @@
 	answer_json = parse_entry(answer, &entry);
 	name = json_string_value(json_object_get(entry.value, "name"));
 	if (name && !strcmp(name, core->conf->name) && entry.version > election_token(core))
-		transaction_note_committed(core, entry.version);
+		transaction_apply_commit(core, entry.version);
 	else
 		election_step_down(core, STEP_DOWN_GUARD_FAILED);
 	json_decref(answer_json);
--- a/src/core/records/write_queue.c
+++ b/src/core/records/write_queue.c
@@ -113,7 +113,7 @@
 		write->job->records.chunks[write->chunk_index].queued_write = NULL;
 }
 
-void write_queue_put_back(struct core *core, struct pending_write *write)
+void write_queue_requeue(struct core *core, struct pending_write *write)
 {
 	struct write_queue *queue = &core->write_queue;
 
@@ -143,10 +143,10 @@
 	pending_writes_free(&core->write_queue.finals);
 	pending_writes_free(&core->write_queue.deletes);
 	transaction_clear(core);
-	core->write_queue.new_token_wanted = false;
+	core->write_queue.token_renewal_requested = false;
 }
 
-bool write_queue_settled(const struct job *job, uint32_t task)
+bool write_queue_is_flushed(const struct job *job, uint32_t task)
 {
 	const struct chunk *chunk = &job->records.chunks[job_chunk_of(job, task)];
 
@@ -159,7 +159,7 @@
 
 void write_queue_start(struct core *core)
 {
-	struct rate_limiter *limiter = &core->write_queue.put_limiter;
+	struct rate_limiter *limiter = &core->write_queue.write_limiter;
 
 	limiter->refilled_at = core->now;
 	limiter->tokens = limits_write_rps(core) * WRITE_SHARE_LEADER;
@@ -167,13 +167,13 @@
 
 void write_queue_refill_limiter(struct core *core)
 {
-	rate_limiter_refill(core, &core->write_queue.put_limiter,
+	rate_limiter_refill(core, &core->write_queue.write_limiter,
 			    limits_write_rps(core) * WRITE_SHARE_LEADER);
 }
 
 void write_queue_request_token(struct core *core)
 {
-	core->write_queue.new_token_wanted = true;
+	core->write_queue.token_renewal_requested = true;
 }
 
 /* Migrations and deletes have no deadline: they are sent while half of the rate is unused. */
@@ -182,7 +182,7 @@
 	const struct write_queue *queue = &core->write_queue;
 
 	return (queue->deletes || queue->migrations) &&
-	       queue->put_limiter.tokens > limits_write_rps(core) / 2;
+	       queue->write_limiter.tokens > limits_write_rps(core) / 2;
 }
 
 static bool write_is_due(const struct core *core)
@@ -201,8 +201,8 @@
 {
 	const struct write_queue *queue = &core->write_queue;
 
-	return (queue->new_token_wanted &&
-		core->now - queue->token_renewed_at >= TOKEN_RENEW_INTERVAL_S) ||
+	return (queue->token_renewal_requested &&
+		core->now - queue->token_renewal_sent_at >= TOKEN_RENEW_INTERVAL_S) ||
 	       format_raise_due(core);
 }
 
@@ -217,10 +217,10 @@
 	if (core->now < queue->retry_at)
 		return;
 	write_queue_refill_limiter(core);
-	if (queue->put_limiter.tokens < 1)
+	if (queue->write_limiter.tokens < 1)
 		return;
 	if (tombstones_need_new_token(core))
-		queue->new_token_wanted = true;
+		queue->token_renewal_requested = true;
 	if (token_renewal_is_due(core))
 		transaction_send_token_renewal(core);
 	else if (write_is_due(core))
--- a/src/core/records/write_queue.h
+++ b/src/core/records/write_queue.h
@@ -37,10 +37,10 @@
 	struct pending_write *migrations; /* chunks that only a record of the older format covers */
 	struct pending_write *deletes;	  /* records that are not needed any more */
 	struct transaction transaction;
-	double retry_at;		 /* steady; no transaction is sent before */
-	struct rate_limiter put_limiter; /* of changes, deletes included; see limits_write_rps */
-	bool new_token_wanted;		 /* a new fencing token is requested */
-	double token_renewed_at;	 /* steady; when a renewal of the token was last sent */
+	double retry_at;		   /* steady; no transaction is sent before */
+	struct rate_limiter write_limiter; /* of changes, deletes included; see limits_write_rps */
+	bool token_renewal_requested;	   /* a new fencing token is requested */
+	double token_renewal_sent_at;	   /* steady; when a renewal of the token was last sent */
 };
 
 /*
@@ -70,14 +70,14 @@
 void write_queue_clear(struct core *core);
 /* Returns true if no write of the task's chunk is queued or in flight or, once the job's final
  * record was queued, if that record is committed. */
-bool write_queue_settled(const struct job *job, uint32_t task);
+bool write_queue_is_flushed(const struct job *job, uint32_t task);
 
 /* --- used by the transaction files only --- */
 
 /* Removes the write from its queue. The caller owns it from then on. */
 void write_queue_remove(struct pending_write *write);
 /* Inserts a write that is in no queue at the head of its kind's queue, which owns it then. */
-void write_queue_put_back(struct core *core, struct pending_write *write);
+void write_queue_requeue(struct core *core, struct pending_write *write);
 /* Frees all writes of a list. */
 void pending_writes_free(struct pending_write **list);
 /* Adds the tokens that the rate has allowed since the last refill. */
--- a/src/core/scheduling/share_switching.c
+++ b/src/core/scheduling/share_switching.c
@@ -169,7 +169,7 @@
 	struct part_work *work = call->arg;
 	json_t *items;
 
-	store_note_answer(core, answer);
+	store_update_availability(core, answer);
 	if (answer->status != STATUS_OK) {
 		part_work_fail(core, work);
 		return;
@@ -227,7 +227,7 @@
 	struct part_work *work = call->arg;
 	struct call *read;
 
-	store_note_answer(core, answer);
+	store_update_availability(core, answer);
 	if (answer->status != STATUS_OK) {
 		part_work_fail(core, work);
 		return;
--- a/src/core/store/store_client.c
+++ b/src/core/store/store_client.c
@@ -10,7 +10,7 @@
 
 /* --- availability of the state service --- */
 
-void store_note_answer(struct core *core, const struct call_answer *answer)
+void store_update_availability(struct core *core, const struct call_answer *answer)
 {
 	/* A 503 counts like no answer: the state service may refuse this controller alone. */
 	core->store_unavailable =
--- a/src/core/store/store_client.h
+++ b/src/core/store/store_client.h
@@ -34,6 +34,6 @@
 /* Returns the seconds since the last answer of the state service that was not a 503. */
 double store_silence_s(const struct core *core);
 /* Updates whether the state service is available, by the outcome of a call to it. */
-void store_note_answer(struct core *core, const struct call_answer *answer);
+void store_update_availability(struct core *core, const struct call_answer *answer);
 
 #endif
