--- a/src/core/records/limits.c
+++ b/src/core/records/limits.c
@@ -14,7 +14,7 @@
 	return next > 0 ? fmin(present, next) : present;
 }
 
-static bool learned_limits_hold(const struct core *core)
+static bool learned_limits_are_valid(const struct core *core)
 {
 	return core->now < core->limits.expires_at;
 }
@@ -25,7 +25,7 @@
 	size_t learned_bytes = core->limits.value_bytes;
 	size_t bytes = (size_t)(value_kb * 1024);
 
-	if (learned_limits_hold(core) && learned_bytes && learned_bytes < bytes)
+	if (learned_limits_are_valid(core) && learned_bytes && learned_bytes < bytes)
 		return learned_bytes;
 	return bytes;
 }
@@ -51,7 +51,7 @@
 	int learned_ops = core->limits.txn_ops;
 	int ops = (int)smaller_limit(conf->limits.txn_ops, conf->upcoming_limits.txn_ops);
 
-	if (learned_limits_hold(core) && learned_ops && learned_ops < ops)
+	if (learned_limits_are_valid(core) && learned_ops && learned_ops < ops)
 		return learned_ops;
 	return ops;
 }
@@ -68,7 +68,7 @@
 	struct learned_limits *learned = &core->limits;
 	int half = op_count / 2;
 
-	if (!learned_limits_hold(core))
+	if (!learned_limits_are_valid(core))
 		*learned = (struct learned_limits){0};
 	if (op_count > LIMITS_TXN_OPS_MIN)
 		learned->txn_ops = half > LIMITS_TXN_OPS_MIN ? half : LIMITS_TXN_OPS_MIN;
--- a/src/core/records/recovery.c
+++ b/src/core/records/recovery.c
@@ -96,13 +96,13 @@
 
 /* --- reading pages of records --- */
 
-/* Context of load_entry, which is called for each entry of a page. */
+/* Context of load_record, which is called for each entry of a page. */
 struct page_context {
 	struct core *core;
 	struct recovery *recovery;
 };
 
-static void load_entry(void *context, const struct kv_item *entry)
+static void load_record(void *context, const struct kv_item *entry)
 {
 	const struct page_context *page = context;
 	struct recovery *recovery = page->recovery;
@@ -124,7 +124,7 @@
 	if (recovery->first_page)
 		jobs_watch_start(core, wire_revision(answer_json), call->sent_at);
 	recovery->first_page = false;
-	wire_items(answer_json, load_entry, &page);
+	wire_items(answer_json, load_record, &page);
 	if (!wire_more(answer_json)) {
 		recovery->prefix_index++;
 		recovery->cursor[0] = 0;
--- a/src/core/records/task_record_load.c
+++ b/src/core/records/task_record_load.c
@@ -44,7 +44,7 @@
  * Returns true if the task is in the record's range and the record counts for it. A record of the
  * older format counts only for tasks that no newer record covers.
  */
-static bool record_counts_for(const struct job *job, const struct task_record *record,
+static bool record_applies_to(const struct job *job, const struct task_record *record,
 			      uint32_t task)
 {
 	if (task >= job->spec.task_count || task / record->tasks_per_chunk != record->chunk_index)
@@ -64,7 +64,7 @@
 	struct machine *machine;
 	struct binding *binding;
 
-	if (!machine_id || strlen(machine_id) >= ID_MAX || !record_counts_for(job, record, task))
+	if (!machine_id || strlen(machine_id) >= ID_MAX || !record_applies_to(job, record, task))
 		return;
 	machine = machine_find_or_add(core, machine_id);
 	if (zone && !*machine->zone)
@@ -88,7 +88,7 @@
 			load_binding(core, job, record, group, position);
 }
 
-static void load_done(struct job *job, const struct task_record *record)
+static void load_done_tasks(struct job *job, const struct task_record *record)
 {
 	uint8_t bits[LARGE_CHUNK_TASKS / 8] = {0};
 	uint32_t first = record->chunk_index * record->tasks_per_chunk;
@@ -98,7 +98,7 @@
 	for (uint32_t i = 0; i < record->tasks_per_chunk; i++) {
 		uint32_t task = first + i;
 
-		if (task_bit_test(bits, i) && record_counts_for(job, record, task))
+		if (task_bit_test(bits, i) && record_applies_to(job, record, task))
 			task_bit_set(job->done, task);
 	}
 }
@@ -152,6 +152,6 @@
 		job->records.chunks[record.chunk_index].version = record.version;
 	else
 		task_record_set_old_version(job, record.chunk_index, record.version);
-	load_done(job, &record);
+	load_done_tasks(job, &record);
 	load_bindings(core, job, &record);
 }
--- a/src/core/records/task_record_migration.c
+++ b/src/core/records/task_record_migration.c
@@ -104,7 +104,7 @@
 }
 
 /* Replaces the job's large chunks by small chunks of the same tasks and bindings. */
-static void raise_job(struct core *core, struct job *job)
+static void raise_job_format(struct core *core, struct job *job)
 {
 	struct chunk *large_chunks = job->records.chunks;
 	uint32_t large_count = job_chunk_count(job);
@@ -132,5 +132,5 @@
 
 	write_queue_discard_chunks(core);
 	JOBS_FOR_EACH (core, job, next)
-		raise_job(core, job);
+		raise_job_format(core, job);
 }
--- a/src/core/records/task_records.c
+++ b/src/core/records/task_records.c
@@ -51,7 +51,7 @@
 }
 
 /* Returns the group of the binding's attempt and zone, which is added if there is none. */
-static json_t *group_of(json_t *groups, const struct binding *binding)
+static json_t *find_or_add_group(json_t *groups, const struct binding *binding)
 {
 	json_t *group;
 	size_t i;
@@ -72,7 +72,7 @@
 	json_t *value;
 
 	DL_FOREACH2 (job->records.chunks[chunk_index].bindings, binding, chunk_next) {
-		json_t *group = group_of(groups, binding);
+		json_t *group = find_or_add_group(groups, binding);
 
 		json_array_append_new(group, json_integer((json_int_t)binding->task));
 		json_array_append_new(group, json_string(binding->machine->id));
--- a/src/core/records/transaction_build.c
+++ b/src/core/records/transaction_build.c
@@ -15,7 +15,7 @@
 #include "util/log.h"
 
 /* Returns a binding that is neither on record nor part of a transaction; NULL: there is none. */
-static struct binding *unrecorded_binding(const struct chunk *chunk)
+static struct binding *find_unrecorded_binding(const struct chunk *chunk)
 {
 	struct binding *binding;
 
@@ -34,7 +34,7 @@
 {
 	struct job *job = write->job;
 	const struct chunk *chunk = &job->records.chunks[write->chunk_index];
-	struct binding *binding = unrecorded_binding(chunk);
+	struct binding *binding = find_unrecorded_binding(chunk);
 
 	log_info("record_too_large", "job=%s chunk=%u bound=%u limit=%zu", job->spec.id,
 		 write->chunk_index, chunk->binding_count, limits_value_bytes(core));
@@ -43,7 +43,7 @@
 		write->blocked_until = core->now + LIMITS_VALUE_RETRY_S;
 	while (binding) {
 		binding_end(core, binding, END_STOPPED);
-		binding = unrecorded_binding(chunk);
+		binding = find_unrecorded_binding(chunk);
 	}
 }
 
@@ -64,7 +64,7 @@
 };
 
 /* Returns true if `op_count` more changes fit the limits of a transaction and of the rate. */
-static bool has_room(const struct core *core, const struct txn *txn, int op_count, int max_ops)
+static bool fits_batch(const struct core *core, const struct txn *txn, int op_count, int max_ops)
 {
 	int total = txn->op_count + op_count;
 
@@ -81,7 +81,7 @@
 
 	if (core->now < write->blocked_until)
 		return BATCH_SKIPPED;
-	if (!has_room(core, txn, write_ops_count(write, max_ops), max_ops))
+	if (!fits_batch(core, txn, write_ops_count(write, max_ops), max_ops))
 		return BATCH_FULL;
 	value_bytes = write_ops_add(txn, write, max_ops);
 	if (mark.op_count && txn_bytes(txn) > COMMIT_MAX_BYTES) {
@@ -103,14 +103,14 @@
 }
 
 /* Returns true if the chunk has no record of its own and needs none any more. */
-static bool is_needless(const struct pending_write *write)
+static bool is_unneeded(const struct pending_write *write)
 {
 	return task_record_is_obsolete(write->job, write->chunk_index) &&
 	       !write->job->records.chunks[write->chunk_index].version;
 }
 
 /* Removes a write of a chunk that is not needed any more, and frees it. May free the job too. */
-static void discard_write(struct core *core, struct pending_write *write)
+static void discard_unneeded_write(struct core *core, struct pending_write *write)
 {
 	struct job *job = write->job;
 
@@ -129,8 +129,8 @@
  * Adds the chunks of the queue that pass the filter, except for chunks that the transaction already
  * writes. Returns false if it had to stop before the end of the queue.
  */
-static bool batch_chunks(struct core *core, struct txn *txn, struct pending_write **queue,
-			 enum due_filter filter)
+static bool batch_add_chunks(struct core *core, struct txn *txn, struct pending_write **queue,
+			     enum due_filter filter)
 {
 	struct pending_write *write, *next;
 
@@ -139,8 +139,8 @@
 
 		if (due != filter || write->job->records.chunks[write->chunk_index].in_flight)
 			continue;
-		if (is_needless(write))
-			discard_write(core, write);
+		if (is_unneeded(write))
+			discard_unneeded_write(core, write);
 		else if (batch_add(core, txn, write) == BATCH_FULL)
 			return false;
 	}
@@ -149,7 +149,7 @@
 
 /* Adds the writes of a queue of final records or deletes, which are never blocked. Returns false if
  * not all of them fit. */
-static bool batch_all(struct core *core, struct txn *txn, struct pending_write **queue)
+static bool batch_add_all(struct core *core, struct txn *txn, struct pending_write **queue)
 {
 	while (*queue)
 		if (batch_add(core, txn, *queue) == BATCH_FULL)
@@ -157,18 +157,18 @@
 	return true;
 }
 
-static void batch_writes(struct core *core, struct txn *txn)
+static void batch_add_writes(struct core *core, struct txn *txn)
 {
 	struct write_queue *queue = &core->write_queue;
 
 	/* Final records come first: they are few, and users wait for them. */
-	if (batch_all(core, txn, &queue->finals) &&
-	    batch_chunks(core, txn, &queue->chunks, CHUNKS_DUE) && txn->op_count)
-		batch_chunks(core, txn, &queue->chunks, CHUNKS_NOT_DUE);
+	if (batch_add_all(core, txn, &queue->final_records) &&
+	    batch_add_chunks(core, txn, &queue->chunks, CHUNKS_DUE) && txn->op_count)
+		batch_add_chunks(core, txn, &queue->chunks, CHUNKS_NOT_DUE);
 	if (!txn->op_count)
-		batch_chunks(core, txn, &queue->migrations, CHUNKS_DUE);
+		batch_add_chunks(core, txn, &queue->migrations, CHUNKS_DUE);
 	if (!txn->op_count)
-		batch_all(core, txn, &queue->deletes);
+		batch_add_all(core, txn, &queue->deletes);
 }
 
 void transaction_send_writes(struct core *core)
@@ -178,7 +178,7 @@
 
 	txn_begin(&txn);
 	txn_guard(&txn, election_key(election_format(core)), election_token(core));
-	batch_writes(core, &txn);
+	batch_add_writes(core, &txn);
 	log_debug("transaction", "nops=%d largest=%zu tokens=%.1f kind=%d", txn.op_count,
 		  txn.largest_value, queue->write_limiter.tokens,
 		  queue->transaction.writes ? (int)queue->transaction.writes->kind : -1);
--- a/src/core/records/transaction_commit.c
+++ b/src/core/records/transaction_commit.c
@@ -9,7 +9,7 @@
 #include "core/state.h"
 #include "util/log.h"
 
-static void binding_committed(struct core *core, struct binding *committed)
+static void apply_committed_binding(struct core *core, struct binding *committed)
 {
 	struct job *job = committed->job;
 	struct binding *binding;
@@ -26,8 +26,8 @@
 			core->events->commands_due(core, binding->machine);
 }
 
-static void chunk_committed(struct core *core, struct job *job, uint32_t chunk_index,
-			    uint64_t revision)
+static void apply_committed_chunk(struct core *core, struct job *job, uint32_t chunk_index,
+				  uint64_t revision)
 {
 	struct chunk *chunk = &job->records.chunks[chunk_index];
 	struct binding *binding;
@@ -36,7 +36,7 @@
 	chunk->version = task_record_is_obsolete(job, chunk_index) ? 0 : revision;
 	DL_FOREACH2 (chunk->bindings, binding, chunk_next) {
 		if (binding->in_flight && !binding->committed)
-			binding_committed(core, binding);
+			apply_committed_binding(core, binding);
 		binding->in_flight = false;
 	}
 	task_record_finish_migration(core, job, chunk_index);
@@ -48,7 +48,7 @@
  * same transaction, or a delete of it is queued, or it is kept as long as the chunk has bindings or
  * writes.
  */
-static void end_chunk(struct core *core, struct job *job, uint32_t chunk_index)
+static void finish_chunk(struct core *core, struct job *job, uint32_t chunk_index)
 {
 	struct chunk *chunk = &job->records.chunks[chunk_index];
 	char key[KEY_MAX];
@@ -73,7 +73,7 @@
 	job->final_committed = true;
 	job->orphan = true;
 	for (uint32_t chunk_index = 0; chunk_index < job_chunk_count(job); chunk_index++)
-		end_chunk(core, job, chunk_index);
+		finish_chunk(core, job, chunk_index);
 	job_release_if_over(core, job);
 }
 
@@ -82,19 +82,19 @@
  * deleted before it are not needed any more. An agent that shows the token was running after the
  * token was written; no copy of a message from a machine that was deleted before can show it.
  */
-static void forget_deleted_machines(struct core *core)
+static void expire_tombstones(struct core *core)
 {
 	election_require_current_token(core);
 	tombstones_trim(core, core->write_queue.token_renewal_sent_at);
 }
 
-static void token_committed(struct core *core, uint64_t revision)
+static void apply_committed_token(struct core *core, uint64_t revision)
 {
 	log_info("token_renewed", "old=%llu new=%llu", (unsigned long long)election_token(core),
 		 (unsigned long long)revision);
 	election_note_token(core, revision);
 	if (tombstones_need_new_token(core))
-		forget_deleted_machines(core);
+		expire_tombstones(core);
 	if (core->write_queue.transaction.raises_format) {
 		election_note_format(core, FORMAT_NEWEST, revision);
 		task_records_raise_format(core);
@@ -104,10 +104,11 @@
 	core->events->token_renewed(core);
 }
 
-static void write_committed(struct core *core, const struct pending_write *write, uint64_t revision)
+static void apply_committed_write(struct core *core, const struct pending_write *write,
+				  uint64_t revision)
 {
 	if (write->kind == WRITE_CHUNK)
-		chunk_committed(core, write->job, write->chunk_index, revision);
+		apply_committed_chunk(core, write->job, write->chunk_index, revision);
 	else if (write->kind == WRITE_FINAL)
 		transaction_apply_final(core, write->job);
 }
@@ -119,10 +120,10 @@
 
 	DL_FOREACH_SAFE (transaction->writes, write, next) {
 		DL_DELETE(transaction->writes, write);
-		write_committed(core, write, revision);
+		apply_committed_write(core, write, revision);
 		free(write);
 	}
 	if (transaction->renews_token)
-		token_committed(core, revision);
+		apply_committed_token(core, revision);
 	transaction_clear(core);
 }
--- a/src/core/records/transaction_conflict.c
+++ b/src/core/records/transaction_conflict.c
@@ -31,7 +31,7 @@
 
 /* --- conflicts of writes: reading the keys that they write --- */
 
-static void adopt_open_job(struct core *core, struct job *job, json_t *value, uint64_t version)
+static void update_final_write(struct core *core, struct job *job, json_t *value, uint64_t version)
 {
 	/* The open record is deleted only by the transaction that writes the final one. So an
 	 * earlier copy of our own transaction was applied. */
@@ -44,7 +44,7 @@
 }
 
 /* Updates the transaction's writes of this key by the key's present version and value. */
-static void adopt_entry(struct core *core, const char *key, const struct kv_item *entry)
+static void update_writes_of_key(struct core *core, const char *key, const struct kv_item *entry)
 {
 	struct pending_write *write;
 	char write_key[KEY_MAX];
@@ -59,7 +59,7 @@
 		} else if (write->kind == WRITE_FINAL) {
 			job_record_key(write_key, RECORD_OPEN, job->spec.id);
 			if (!strcmp(write_key, key))
-				adopt_open_job(core, job, entry->value, entry->version);
+				update_final_write(core, job, entry->value, entry->version);
 		}
 	}
 }
@@ -81,7 +81,7 @@
 	transaction_requeue(core);
 }
 
-static void on_written_key(struct core *core, struct call *call, const struct call_answer *answer)
+static void on_key_read(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	struct kv_item entry;
 	json_t *answer_json;
@@ -90,17 +90,17 @@
 		return;
 	store_update_availability(core, answer);
 	if (!is_definite(answer)) {
-		store_get(core, call->key, on_written_key, NULL);
+		store_get(core, call->key, on_key_read, NULL);
 		return;
 	}
 	answer_json = parse_entry(answer, &entry);
-	adopt_entry(core, call->key, &entry);
+	update_writes_of_key(core, call->key, &entry);
 	json_decref(answer_json);
 	if (--core->write_queue.transaction.reads_in_flight == 0)
 		finish_reads(core);
 }
 
-static void read_written_keys(struct core *core)
+static void read_keys_of_writes(struct core *core)
 {
 	struct transaction *transaction = &core->write_queue.transaction;
 	const struct pending_write *write;
@@ -115,7 +115,7 @@
 		else
 			job_record_key(key, RECORD_OPEN, write->job->spec.id);
 		transaction->reads_in_flight++;
-		store_get(core, key, on_written_key, NULL);
+		store_get(core, key, on_key_read, NULL);
 	}
 	if (!transaction->reads_in_flight)
 		transaction_requeue(core);
@@ -123,15 +123,16 @@
 
 /* --- conflicts of token renewals: reading the leader's key --- */
 
-static void on_token_key(struct core *core, struct call *call, const struct call_answer *answer);
+static void on_leader_key_read(struct core *core, struct call *call,
+			       const struct call_answer *answer);
 
 /* Reads the leader's key of the format that is in force if the transaction was committed. */
-static void read_token_key(struct core *core)
+static void read_leader_key(struct core *core)
 {
 	int format =
 	    core->write_queue.transaction.raises_format ? FORMAT_NEWEST : election_format(core);
 
-	store_get(core, election_key(format), on_token_key, NULL);
+	store_get(core, election_key(format), on_leader_key_read, NULL);
 }
 
 /*
@@ -140,7 +141,8 @@
  * version above this term's token: only our own renewal, which is guarded by that token, writes it.
  * Any other value ends the term.
  */
-static void on_token_key(struct core *core, struct call *call, const struct call_answer *answer)
+static void on_leader_key_read(struct core *core, struct call *call,
+			       const struct call_answer *answer)
 {
 	const char *name;
 	struct kv_item entry;
@@ -150,7 +152,7 @@
 		return;
 	store_update_availability(core, answer);
 	if (!is_definite(answer)) {
-		read_token_key(core);
+		read_leader_key(core);
 		return;
 	}
 	answer_json = parse_entry(answer, &entry);
@@ -165,9 +167,9 @@
 void transaction_resolve_conflict(struct core *core, json_t *answer)
 {
 	if (core->write_queue.transaction.renews_token)
-		read_token_key(core);
+		read_leader_key(core);
 	else if (wire_failed_has(answer, election_key(election_format(core))))
 		election_step_down(core, STEP_DOWN_GUARD_FAILED);
 	else
-		read_written_keys(core);
+		read_keys_of_writes(core);
 }
--- a/src/core/records/write_queue.c
+++ b/src/core/records/write_queue.c
@@ -100,7 +100,7 @@
 		write_queue_remove(write);
 		free(write);
 	}
-	append_write(&core->write_queue.finals, WRITE_FINAL, job, 0);
+	append_write(&core->write_queue.final_records, WRITE_FINAL, job, 0);
 }
 
 /* --- removing writes --- */
@@ -117,7 +117,7 @@
 {
 	struct write_queue *queue = &core->write_queue;
 
-	write->queue = write->kind == WRITE_CHUNK ? &queue->chunks : &queue->finals;
+	write->queue = write->kind == WRITE_CHUNK ? &queue->chunks : &queue->final_records;
 	DL_PREPEND(*write->queue, write);
 }
 
@@ -140,7 +140,7 @@
 void write_queue_clear(struct core *core)
 {
 	write_queue_discard_chunks(core);
-	pending_writes_free(&core->write_queue.finals);
+	pending_writes_free(&core->write_queue.final_records);
 	pending_writes_free(&core->write_queue.deletes);
 	transaction_clear(core);
 	core->write_queue.token_renewal_requested = false;
@@ -177,7 +177,7 @@
 }
 
 /* Migrations and deletes have no deadline: they are sent while half of the rate is unused. */
-static bool spare_write_is_due(const struct core *core)
+static bool background_write_is_due(const struct core *core)
 {
 	const struct write_queue *queue = &core->write_queue;
 
@@ -189,7 +189,7 @@
 {
 	const struct pending_write *write;
 
-	if (core->write_queue.finals || spare_write_is_due(core))
+	if (core->write_queue.final_records || background_write_is_due(core))
 		return true;
 	DL_FOREACH (core->write_queue.chunks, write)
 		if (write->due_at <= core->now && write->blocked_until <= core->now)
--- a/src/core/records/write_queue.h
+++ b/src/core/records/write_queue.h
@@ -32,8 +32,8 @@
 
 /* The queues own their writes. */
 struct write_queue {
-	struct pending_write *finals;	  /* final records of jobs */
-	struct pending_write *chunks;	  /* changed chunks */
+	struct pending_write *final_records; /* final records of jobs */
+	struct pending_write *chunks;	     /* changed chunks */
 	struct pending_write *migrations; /* chunks that only a record of the older format covers */
 	struct pending_write *deletes;	  /* records that are not needed any more */
 	struct transaction transaction;
