--- a/src/core/records/limits.c
+++ b/src/core/records/limits.c
@@ -8,10 +8,10 @@
 #include "core/state.h"
 #include "util/log.h"
 
-/* Returns the smaller of the present limit and the announced one, which is 0 if there is none. */
-static double smaller_limit(double present, double next)
+/* Returns the smaller of the present limit and the upcoming one, which is 0 if there is none. */
+static double smaller_limit(double present, double upcoming)
 {
-	return next > 0 ? fmin(present, next) : present;
+	return upcoming > 0 ? fmin(present, upcoming) : present;
 }
 
 static bool learned_limits_are_valid(const struct core *core)
@@ -19,7 +19,7 @@
 	return core->now < core->limits.expires_at;
 }
 
-/* Converts the limit to bytes. Returns the learned limit if that is smaller. */
+/* Returns the limit of `value_kb` in bytes, or the learned limit if that is smaller. */
 static size_t value_limit(const struct core *core, double value_kb)
 {
 	size_t learned_bytes = core->limits.value_bytes;
--- a/src/core/records/limits.h
+++ b/src/core/records/limits.h
@@ -1,8 +1,8 @@
 /*
  * The limits of the state service that this controller keeps to. The settings state the present
- * limits, and may announce others that take effect at an unknown time. Where a record may outlive
- * that change, the smaller of both limits is used. A lower limit that was learned from a refusal
- * replaces them for a while.
+ * limits, and may announce upcoming ones that take effect at an unknown time. The smaller of both
+ * is used, since records outlive that change; limits_value_bytes has an exception. A lower limit
+ * that was learned from a refusal replaces them for a while.
  */
 #ifndef PLOVERLOFT_LIMITS_H
 #define PLOVERLOFT_LIMITS_H
@@ -19,12 +19,12 @@
 };
 
 /*
- * Returns the largest size of one value in bytes. In the first format of the records, the announced
+ * Returns the largest size of one value in bytes. In the first format of the records, the upcoming
  * limit is left out: records of large chunks may need all of the present one.
  */
 size_t limits_value_bytes(const struct core *core);
-/* Returns the largest size of a job's open record in bytes. The announced limit counts in all
- * formats, since the record may be written again after it has taken effect. */
+/* Returns the largest size of a job's open record in bytes. The upcoming limit counts in all
+ * formats, since the record may be written again after that limit has taken effect. */
 size_t limits_job_record_bytes(const struct core *core);
 /* Returns the largest number of changes in one transaction. */
 int limits_txn_ops(const struct core *core);
--- a/src/core/records/write_queue.c
+++ b/src/core/records/write_queue.c
@@ -38,8 +38,8 @@
 	DL_APPEND(*queue, write);
 }
 
-/* Returns true if the chunk needs no write because the job's final record, which is queued or in
- * flight, makes it needless. */
+/* Returns true if the job's final record, which is queued or in flight, makes a write of the chunk
+ * needless. A chunk with bindings is written all the same. */
 static bool is_covered_by_final(const struct job *job, const struct chunk *chunk)
 {
 	return job->final_queued && !job->final_committed && !chunk->binding_count;
--- a/src/core/records/write_queue.h
+++ b/src/core/records/write_queue.h
@@ -1,6 +1,5 @@
 /*
- * The leader's queues of writes to the state service, one per kind of write. Kinds differ in
- * urgency.
+ * The leader's queues of writes to the state service, in order of urgency.
  */
 #ifndef PLOVERLOFT_WRITE_QUEUE_H
 #define PLOVERLOFT_WRITE_QUEUE_H
@@ -32,7 +31,7 @@
 
 /* The queues own their writes. */
 struct write_queue {
-	struct pending_write *final_records; /* final records of jobs */
+	struct pending_write *final_records; /* of jobs that are over */
 	struct pending_write *chunks;	     /* changed chunks */
 	struct pending_write *migrations; /* chunks that only a record of the older format covers */
 	struct pending_write *deletes;	  /* records that are not needed any more */
@@ -68,8 +67,8 @@
 void write_queue_start(struct core *core);
 /* Drops all writes and the transaction in flight at the end of a term. */
 void write_queue_clear(struct core *core);
-/* Returns true if no write of the task's chunk is queued or in flight or, once the job's final
- * record was queued, if that record is committed. */
+/* Returns true if the task's state is on record: no write of its chunk is queued or in flight. Once
+ * the job's final record has been queued, returns whether that record is committed. */
 bool write_queue_is_flushed(const struct job *job, uint32_t task);
 
 /* --- used by the transaction files only --- */
