--- a/src/core/records/task_records.h
+++ b/src/core/records/task_records.h
@@ -42,7 +42,7 @@
 
 /*
  * Loads a record that recovery has read into its job. If the job has no open record any more, it is
- * added as an orphaned job, which only stands for the bindings. Keys that do not have the form of a
+ * added as an orphaned job, which only keeps the bindings. Keys that do not have the form of a
  * task record's key are ignored.
  */
 void task_record_load(struct core *core, const struct kv_item *entry);
