--- a/src/core/agents/commands.c
+++ b/src/core/agents/commands.c
@@ -110,7 +110,7 @@
 	if (!machine_starts_are_fenced(machine) || machine->agent.token < election_token(core))
 		return false;
 	return !job || unbound->task >= job->spec.task_count ||
-	       write_queue_settled(job, unbound->task);
+	       write_queue_is_flushed(job, unbound->task);
 }
 
 /*
--- a/src/core/records/limits.c
+++ b/src/core/records/limits.c
@@ -1,5 +1,5 @@
 /*
- * The limits of the state service in force.
+ * The limits of the state service: those of the settings, and lower ones learned from refusals.
  */
 #include "core/records/limits.h"
 
@@ -8,24 +8,24 @@
 #include "core/state.h"
 #include "util/log.h"
 
-/* The smaller of the present limit and the one to come, which need not be stated. */
-static double smaller_limit(double present, double next)
+/* Returns the smaller of the present limit and the upcoming one, which is 0 if there is none. */
+static double smaller_limit(double present, double upcoming)
 {
-	return next > 0 ? fmin(present, next) : present;
+	return upcoming > 0 ? fmin(present, upcoming) : present;
 }
 
-static bool learned_limits_hold(const struct core *core)
+static bool learned_limits_are_valid(const struct core *core)
 {
 	return core->now < core->limits.expires_at;
 }
 
-/* The limit in bytes, or the learned one if that is smaller. */
+/* Returns the limit of `value_kb` in bytes, or the learned limit if that is smaller. */
 static size_t value_limit(const struct core *core, double value_kb)
 {
 	size_t learned_bytes = core->limits.value_bytes;
 	size_t bytes = (size_t)(value_kb * 1024);
 
-	if (learned_limits_hold(core) && learned_bytes && learned_bytes < bytes)
+	if (learned_limits_are_valid(core) && learned_bytes && learned_bytes < bytes)
 		return learned_bytes;
 	return bytes;
 }
@@ -51,7 +51,7 @@
 	int learned_ops = core->limits.txn_ops;
 	int ops = (int)smaller_limit(conf->limits.txn_ops, conf->upcoming_limits.txn_ops);
 
-	if (learned_limits_hold(core) && learned_ops && learned_ops < ops)
+	if (learned_limits_are_valid(core) && learned_ops && learned_ops < ops)
 		return learned_ops;
 	return ops;
 }
@@ -63,12 +63,12 @@
 	return smaller_limit(conf->limits.write_rps, conf->upcoming_limits.write_rps);
 }
 
-void limits_note_refusal(struct core *core, int op_count, size_t largest_value)
+void limits_learn_from_refusal(struct core *core, int op_count, size_t largest_value)
 {
 	struct learned_limits *learned = &core->limits;
 	int half = op_count / 2;
 
-	if (!learned_limits_hold(core))
+	if (!learned_limits_are_valid(core))
 		*learned = (struct learned_limits){0};
 	if (op_count > LIMITS_TXN_OPS_MIN)
 		learned->txn_ops = half > LIMITS_TXN_OPS_MIN ? half : LIMITS_TXN_OPS_MIN;
--- a/src/core/records/task_records.c
+++ b/src/core/records/task_records.c
@@ -1,5 +1,5 @@
 /*
- * The keys and values of the records of a job's tasks.
+ * Builds the keys and values of the records of a job's tasks.
  */
 #include "core/records/task_records.h"
 
@@ -31,7 +31,7 @@
 
 /* --- values --- */
 
-/* The done bits of the chunk's tasks as text, which the caller owns. */
+/* Encodes the bitmap of the chunk's done tasks as text, which the caller owns. */
 static char *encode_done(const struct job *job, uint32_t chunk_index)
 {
 	uint32_t first = chunk_index * job->records.tasks_per_chunk;
@@ -50,8 +50,8 @@
 	return (uint64_t)attempt == binding->attempt && !strcmp(zone, binding->machine->zone);
 }
 
-/* The group of the binding's attempt and zone, which is added if it is missing. */
-static json_t *group_of(json_t *groups, const struct binding *binding)
+/* Returns the group of the binding's attempt and zone, which is added if there is none. */
+static json_t *find_or_add_group(json_t *groups, const struct binding *binding)
 {
 	json_t *group;
 	size_t i;
@@ -72,7 +72,7 @@
 	json_t *value;
 
 	DL_FOREACH2 (job->records.chunks[chunk_index].bindings, binding, chunk_next) {
-		json_t *group = group_of(groups, binding);
+		json_t *group = find_or_add_group(groups, binding);
 
 		json_array_append_new(group, json_integer((json_int_t)binding->task));
 		json_array_append_new(group, json_string(binding->machine->id));
@@ -82,7 +82,7 @@
 	return value;
 }
 
-/* --- states --- */
+/* --- states of records --- */
 
 bool task_record_is_full(const struct core *core, const struct job *job, uint32_t task)
 {
--- a/src/core/records/transaction.c
+++ b/src/core/records/transaction.c
@@ -1,5 +1,5 @@
 /*
- * The transaction in flight: sent, and retried unchanged until its answer is definite.
+ * The transaction in flight: sends it, and retries it unchanged until its answer is definite.
  */
 #include "core/records/transaction.h"
 
@@ -11,9 +11,9 @@
 #include "util/log.h"
 #include "util/xalloc.h"
 
-#define LOGGED_BODY_MAX 200 /* bytes of an answer in a log line */
+#define LOGGED_BODY_MAX 200 /* bytes of an answer that are logged */
 
-/* --- its end --- */
+/* --- ending the transaction --- */
 
 void transaction_clear(struct core *core)
 {
@@ -39,7 +39,7 @@
 	}
 	chunk->queued_write = write;
 	write->due_at = core->now;
-	write_queue_put_back(core, write);
+	write_queue_requeue(core, write);
 }
 
 static void requeue_write(struct core *core, struct pending_write *write)
@@ -50,10 +50,10 @@
 		break;
 	case WRITE_FINAL:
 		final_record_unmark_chunks(write->job);
-		write_queue_put_back(core, write);
+		write_queue_requeue(core, write);
 		break;
 	case WRITE_DELETE:
-		free(write); /* the next recovery finds the record */
+		free(write); /* the next recovery finds the record and deletes it */
 		break;
 	}
 }
@@ -70,7 +70,7 @@
 	transaction_clear(core);
 }
 
-/* --- its answer --- */
+/* --- handling the answer --- */
 
 static int logged_length(const struct call_answer *answer)
 {
@@ -81,7 +81,7 @@
 {
 	json_t *answer_json = wire_parse(answer->body, answer->len);
 
-	transaction_note_committed(core, wire_revision(answer_json));
+	transaction_apply_commit(core, wire_revision(answer_json));
 	json_decref(answer_json);
 }
 
@@ -94,7 +94,7 @@
 	json_decref(answer_json);
 }
 
-/* Nothing of it can be made smaller. */
+/* Returns true if neither the number of changes nor a value can be made smaller. */
 static bool is_minimal(const struct transaction *transaction)
 {
 	return transaction->op_count <= LIMITS_TXN_OPS_MIN &&
@@ -102,8 +102,9 @@
 }
 
 /*
- * A definite answer: too many changes or too large a value, if the key of the leader has no part in
- * it. What was sent so is not sent again unchanged, unless nothing of it can be smaller.
+ * Handles a 400, which is a definite answer. If the transaction renews the token, the write of the
+ * leader's key was refused, and the term ends. Otherwise the transaction has too many changes or
+ * too large a value. It is not sent again unchanged, unless it can't be made smaller.
  */
 static void on_refused(struct core *core, const struct call_answer *answer)
 {
@@ -116,7 +117,7 @@
 		election_step_down(core, STEP_DOWN_LEASE_REFUSED);
 		return;
 	}
-	limits_note_refusal(core, transaction->op_count, transaction->largest_value);
+	limits_learn_from_refusal(core, transaction->op_count, transaction->largest_value);
 	transaction_requeue(core);
 	core->write_queue.retry_at = core->now + retry_s;
 }
@@ -125,7 +126,7 @@
 {
 	struct write_queue *queue = &core->write_queue;
 
-	store_note_answer(core, answer);
+	store_update_availability(core, answer);
 	if (election_call_is_stale(core, call) || !queue->transaction.in_flight)
 		return;
 	switch (answer->status) {
@@ -140,9 +141,9 @@
 		break;
 	default:
 		/*
-		 * Refused for now, or unknown: the very same transaction goes again. Only a
-		 * definite answer ends it, since an unknown one may still be applied at any time
-		 * until then.
+		 * The transaction was refused for now, or its outcome is unknown. It is sent again
+		 * unchanged and ends only with a definite answer: until then, an earlier copy may
+		 * be applied at any time.
 		 */
 		queue->retry_at = core->now + COMMIT_RETRY_S;
 		queue->transaction.awaits_retry = true;
@@ -157,7 +158,7 @@
 
 	queue->transaction.awaits_retry = false;
 	write_queue_refill_limiter(core);
-	queue->put_limiter.tokens -= queue->transaction.op_count;
+	queue->write_limiter.tokens -= queue->transaction.op_count;
 	store_commit(core, xstrdup(queue->transaction.body), on_answer, NULL);
 }
 
--- a/src/core/records/transaction_conflict.c
+++ b/src/core/records/transaction_conflict.c
@@ -1,6 +1,6 @@
 /*
- * What a conflict means. Another party may have changed a key, or an earlier copy of the very same
- * transaction was applied without an answer: the keys show which.
+ * Resolves a conflict. Either another party has changed a key, or an earlier copy of the same
+ * transaction was applied though its answer was lost. The present values of the keys show which.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -9,15 +9,15 @@
 #include "core/records/job_record.h"
 #include "core/state.h"
 
-/* The state service returned the key's value, or said that it is absent. */
+/* Returns true if the state service returned the key's value or said that the key is absent. */
 static bool is_definite(const struct call_answer *answer)
 {
 	return answer->status == STATUS_OK || answer->status == STATUS_NOT_FOUND;
 }
 
 /*
- * Parses a definite answer to a read of one key; entry->value is NULL if the key is absent. The
- * entry's fields live as long as the returned document, which the caller releases.
+ * Parses a definite answer to a read of one key. entry->value is NULL if the key is absent. The
+ * entry's fields are valid until the caller releases the returned document.
  */
 static json_t *parse_entry(const struct call_answer *answer, struct kv_item *entry)
 {
@@ -29,11 +29,12 @@
 	return answer_json;
 }
 
-/* --- the keys that were to be written --- */
+/* --- conflicts of writes: reading the keys that they write --- */
 
-static void adopt_open_job(struct core *core, struct job *job, json_t *value, uint64_t version)
+static void update_final_write(struct core *core, struct job *job, json_t *value, uint64_t version)
 {
-	/* Without an open record there is a final one, and it was our own write. */
+	/* The open record is deleted only by the transaction that writes the final one. So an
+	 * earlier copy of our own transaction was applied. */
 	job->final_committed = !value;
 	if (!value)
 		return;
@@ -42,8 +43,8 @@
 		job_cancel(core, job);
 }
 
-/* Takes the key's present version into the writes that concern it. */
-static void adopt_entry(struct core *core, const char *key, const struct kv_item *entry)
+/* Updates the transaction's writes of this key by the key's present version and value. */
+static void update_writes_of_key(struct core *core, const char *key, const struct kv_item *entry)
 {
 	struct pending_write *write;
 	char write_key[KEY_MAX];
@@ -58,12 +59,13 @@
 		} else if (write->kind == WRITE_FINAL) {
 			job_record_key(write_key, RECORD_OPEN, job->spec.id);
 			if (!strcmp(write_key, key))
-				adopt_open_job(core, job, entry->value, entry->version);
+				update_final_write(core, job, entry->value, entry->version);
 		}
 	}
 }
 
-/* All keys are read: final records that are there already count as committed, the rest waits. */
+/* Called when all keys have been read. Final records that exist already are applied as committed,
+ * all other writes are queued again. */
 static void finish_reads(struct core *core)
 {
 	struct transaction *transaction = &core->write_queue.transaction;
@@ -79,26 +81,26 @@
 	transaction_requeue(core);
 }
 
-static void on_written_key(struct core *core, struct call *call, const struct call_answer *answer)
+static void on_key_read(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	struct kv_item entry;
 	json_t *answer_json;
 
 	if (election_call_is_stale(core, call))
 		return;
-	store_note_answer(core, answer);
+	store_update_availability(core, answer);
 	if (!is_definite(answer)) {
-		store_get(core, call->key, on_written_key, NULL);
+		store_get(core, call->key, on_key_read, NULL);
 		return;
 	}
 	answer_json = parse_entry(answer, &entry);
-	adopt_entry(core, call->key, &entry);
+	update_writes_of_key(core, call->key, &entry);
 	json_decref(answer_json);
 	if (--core->write_queue.transaction.reads_in_flight == 0)
 		finish_reads(core);
 }
 
-static void read_written_keys(struct core *core)
+static void read_keys_of_writes(struct core *core)
 {
 	struct transaction *transaction = &core->write_queue.transaction;
 	const struct pending_write *write;
@@ -113,30 +115,34 @@
 		else
 			job_record_key(key, RECORD_OPEN, write->job->spec.id);
 		transaction->reads_in_flight++;
-		store_get(core, key, on_written_key, NULL);
+		store_get(core, key, on_key_read, NULL);
 	}
 	if (!transaction->reads_in_flight)
 		transaction_requeue(core);
 }
 
-/* --- the leader's key, after a renewal of the token --- */
+/* --- conflicts of token renewals: reading the leader's key --- */
 
-static void on_token_key(struct core *core, struct call *call, const struct call_answer *answer);
+static void on_leader_key_read(struct core *core, struct call *call,
+			       const struct call_answer *answer);
 
-/* Reads the leader's key as it is once the transaction in flight is committed. */
-static void read_token_key(struct core *core)
+/* Reads the leader's key of the format that is in force if the transaction was committed. */
+static void read_leader_key(struct core *core)
 {
 	int format =
 	    core->write_queue.transaction.raises_format ? FORMAT_NEWEST : election_format(core);
 
-	store_get(core, election_key(format), on_token_key, NULL);
+	store_get(core, election_key(format), on_leader_key_read, NULL);
 }
 
 /*
- * A new token without an answer may have been written all the same, and its second copy then finds
- * it: only our own transaction, guarded by this term's token, writes our name over it.
+ * Handles the value of the leader's key. A renewal whose answer was lost may have been committed;
+ * the retry then failed since it found the new version. The key shows this by our own name at a
+ * version above this term's token: only our own renewal, which is guarded by that token, writes it.
+ * Any other value ends the term.
  */
-static void on_token_key(struct core *core, struct call *call, const struct call_answer *answer)
+static void on_leader_key_read(struct core *core, struct call *call,
+			       const struct call_answer *answer)
 {
 	const char *name;
 	struct kv_item entry;
@@ -144,15 +150,15 @@
 
 	if (election_call_is_stale(core, call) || !core->write_queue.transaction.in_flight)
 		return;
-	store_note_answer(core, answer);
+	store_update_availability(core, answer);
 	if (!is_definite(answer)) {
-		read_token_key(core);
+		read_leader_key(core);
 		return;
 	}
 	answer_json = parse_entry(answer, &entry);
 	name = json_string_value(json_object_get(entry.value, "name"));
 	if (name && !strcmp(name, core->conf->name) && entry.version > election_token(core))
-		transaction_note_committed(core, entry.version);
+		transaction_apply_commit(core, entry.version);
 	else
 		election_step_down(core, STEP_DOWN_GUARD_FAILED);
 	json_decref(answer_json);
@@ -161,9 +167,9 @@
 void transaction_resolve_conflict(struct core *core, json_t *answer)
 {
 	if (core->write_queue.transaction.renews_token)
-		read_token_key(core);
+		read_leader_key(core);
 	else if (wire_failed_has(answer, election_key(election_format(core))))
 		election_step_down(core, STEP_DOWN_GUARD_FAILED);
 	else
-		read_written_keys(core);
+		read_keys_of_writes(core);
 }
--- a/src/core/records/write_queue.c
+++ b/src/core/records/write_queue.c
@@ -1,9 +1,10 @@
 /*
  * The queues of writes, and when a transaction is due.
  *
- * What changed waits in a queue; all that has come while one transaction was in flight goes with
- * the next, so batches widen with the load. Bindings are kept by job and range of tasks: a gang's
- * placement, or an array's share of a scheduling cycle, is one put however many machines it spans.
+ * Writes that are queued while a transaction is in flight are sent together in the next one, so
+ * batches grow with the load. Bindings are recorded per job and range of tasks: the placement of a
+ * gang, or of an array's tasks in one scheduling cycle, takes one write per range, however many
+ * machines it spans.
  */
 #include "core/records/write_queue.h"
 
@@ -14,7 +15,7 @@
 #include "core/state.h"
 #include "util/xalloc.h"
 
-/* --- adding --- */
+/* --- adding writes --- */
 
 static struct pending_write *append_write(struct pending_write **queue,
 					  enum pending_write_kind kind, struct job *job,
@@ -37,7 +38,8 @@
 	DL_APPEND(*queue, write);
 }
 
-/* The final record is to be written, and will stand for the chunk too. */
+/* Returns true if the job's final record, which is queued or in flight, makes a write of the chunk
+ * needless. A chunk with bindings is written all the same. */
 static bool is_covered_by_final(const struct job *job, const struct chunk *chunk)
 {
 	return job->final_queued && !job->final_committed && !chunk->binding_count;
@@ -89,7 +91,7 @@
 	if (job->final_queued)
 		return;
 	job->final_queued = true;
-	/* The final record stands for the chunks that were still to be written. */
+	/* The final record makes the queued writes of the job's chunks needless. */
 	for (uint32_t chunk_index = 0; chunk_index < job_chunk_count(job); chunk_index++) {
 		struct pending_write *write = job->records.chunks[chunk_index].queued_write;
 
@@ -98,10 +100,10 @@
 		write_queue_remove(write);
 		free(write);
 	}
-	append_write(&core->write_queue.finals, WRITE_FINAL, job, 0);
+	append_write(&core->write_queue.final_records, WRITE_FINAL, job, 0);
 }
 
-/* --- removing --- */
+/* --- removing writes --- */
 
 void write_queue_remove(struct pending_write *write)
 {
@@ -111,11 +113,11 @@
 		write->job->records.chunks[write->chunk_index].queued_write = NULL;
 }
 
-void write_queue_put_back(struct core *core, struct pending_write *write)
+void write_queue_requeue(struct core *core, struct pending_write *write)
 {
 	struct write_queue *queue = &core->write_queue;
 
-	write->queue = write->kind == WRITE_CHUNK ? &queue->chunks : &queue->finals;
+	write->queue = write->kind == WRITE_CHUNK ? &queue->chunks : &queue->final_records;
 	DL_PREPEND(*write->queue, write);
 }
 
@@ -138,13 +140,13 @@
 void write_queue_clear(struct core *core)
 {
 	write_queue_discard_chunks(core);
-	pending_writes_free(&core->write_queue.finals);
+	pending_writes_free(&core->write_queue.final_records);
 	pending_writes_free(&core->write_queue.deletes);
 	transaction_clear(core);
-	core->write_queue.new_token_wanted = false;
+	core->write_queue.token_renewal_requested = false;
 }
 
-bool write_queue_settled(const struct job *job, uint32_t task)
+bool write_queue_is_flushed(const struct job *job, uint32_t task)
 {
 	const struct chunk *chunk = &job->records.chunks[job_chunk_of(job, task)];
 
@@ -153,11 +155,11 @@
 	return !chunk->queued_write && !chunk->in_flight;
 }
 
-/* --- when a transaction is due --- */
+/* --- sending transactions when they are due --- */
 
 void write_queue_start(struct core *core)
 {
-	struct rate_limiter *limiter = &core->write_queue.put_limiter;
+	struct rate_limiter *limiter = &core->write_queue.write_limiter;
 
 	limiter->refilled_at = core->now;
 	limiter->tokens = limits_write_rps(core) * WRITE_SHARE_LEADER;
@@ -165,29 +167,29 @@
 
 void write_queue_refill_limiter(struct core *core)
 {
-	rate_limiter_refill(core, &core->write_queue.put_limiter,
+	rate_limiter_refill(core, &core->write_queue.write_limiter,
 			    limits_write_rps(core) * WRITE_SHARE_LEADER);
 }
 
 void write_queue_request_token(struct core *core)
 {
-	core->write_queue.new_token_wanted = true;
+	core->write_queue.token_renewal_requested = true;
 }
 
-/* Migrations and deletes have no deadline: they go while much of the rate is unused. */
-static bool spare_write_is_due(const struct core *core)
+/* Migrations and deletes have no deadline: they are sent while half of the rate is unused. */
+static bool background_write_is_due(const struct core *core)
 {
 	const struct write_queue *queue = &core->write_queue;
 
 	return (queue->deletes || queue->migrations) &&
-	       queue->put_limiter.tokens > limits_write_rps(core) / 2;
+	       queue->write_limiter.tokens > limits_write_rps(core) / 2;
 }
 
 static bool write_is_due(const struct core *core)
 {
 	const struct pending_write *write;
 
-	if (core->write_queue.finals || spare_write_is_due(core))
+	if (core->write_queue.final_records || background_write_is_due(core))
 		return true;
 	DL_FOREACH (core->write_queue.chunks, write)
 		if (write->due_at <= core->now && write->blocked_until <= core->now)
@@ -199,8 +201,8 @@
 {
 	const struct write_queue *queue = &core->write_queue;
 
-	return (queue->new_token_wanted &&
-		core->now - queue->token_renewed_at >= TOKEN_RENEW_INTERVAL_S) ||
+	return (queue->token_renewal_requested &&
+		core->now - queue->token_renewal_sent_at >= TOKEN_RENEW_INTERVAL_S) ||
 	       format_raise_due(core);
 }
 
@@ -215,10 +217,10 @@
 	if (core->now < queue->retry_at)
 		return;
 	write_queue_refill_limiter(core);
-	if (queue->put_limiter.tokens < 1)
+	if (queue->write_limiter.tokens < 1)
 		return;
 	if (tombstones_need_new_token(core))
-		queue->new_token_wanted = true;
+		queue->token_renewal_requested = true;
 	if (token_renewal_is_due(core))
 		transaction_send_token_renewal(core);
 	else if (write_is_due(core))
