--- a/src/core/model/binding.c
+++ b/src/core/model/binding.c
@@ -41,7 +41,8 @@
 	core->events->commands_due(core, binding->machine);
 }
 
-/* The slot stays with its array, unless share switching gave it to another. */
+/* Keeps the freed slot for a while for its own array, or for the one that share switching gave it
+ * to. */
 static void keep_freed_slot(const struct core *core, const struct binding *binding)
 {
 	struct machine_scheduling *scheduling = &binding->machine->scheduling;
@@ -54,14 +55,15 @@
 	scheduling->freed_slot_until = core->now + FREED_SLOT_HOLD_S;
 }
 
-/* Takes the binding off its machine, job, chunk and team, whatever the reason, and frees it. */
+/* Removes the binding from its machine, job, chunk and team, and frees it. */
 static void remove_binding(struct core *core, struct binding *binding)
 {
 	struct job *job = binding->job;
 
 	if (binding->running_since > 0)
 		job->running_count--;
-	/* Records of an older leader may bind a task twice: it is free when both have ended. */
+	/* Records of an earlier leader may bind a task twice: the task waits again only when both
+	 * bindings have ended. */
 	if (!chunk_binds_task_again(binding))
 		job_mark_task_unbound(job, binding->task);
 	chunk_remove_binding(binding);
@@ -74,8 +76,10 @@
 	free(binding);
 }
 
-/* A gang of which a task ended early stops as a whole; its other tasks would notice by themselves,
- * later. */
+/*
+ * Requests stops of all tasks of a gang of which one ended before it was done. Without that, the
+ * other tasks would notice the loss by themselves, but later. A gang that is done is left alone.
+ */
 static void stop_gang(struct core *core, struct job *job, enum task_end_reason reason)
 {
 	struct binding *binding;
@@ -84,39 +88,43 @@
 		return;
 	job->gang_stopping = true;
 	DL_FOREACH2 (job->bindings, binding, job_next) {
-		/* An orderly stop under way must not be cut short: the others are saving. */
+		/* If the task ended because it was stopped, the other tasks that are being stopped
+		 * may be saving their work: their grace periods must not be cut short. */
 		if (reason != END_STOPPED || !binding->stopping)
 			binding_stop(core, binding, 0);
 	}
 }
 
 /*
- * A replica is to run until its job is cancelled. One that ends by itself soon after its start,
- * whatever it says, is tried again after a time that grows, so that it does not take all starts;
- * one that has run begins again at once.
+ * Handles a replica that exited by itself, although it is to run until its job is cancelled. A
+ * replica that exits soon after its start, with whatever reason, is started again after a backoff
+ * that grows, so that its restarts don't displace the starts of other tasks. One that has run for
+ * REPLICA_MIN_UPTIME_S is started again at once.
  */
-static void note_replica_end(struct core *core, const struct binding *binding,
-			     enum task_end_reason reason)
+static void handle_replica_exit(struct core *core, const struct binding *binding,
+				enum task_end_reason reason)
 {
 	struct job *job = binding->job;
-	bool was_steady = binding->running_since > 0 &&
-			  core->now - binding->running_since >= REPLICA_MIN_UPTIME_S;
+	bool ran_long_enough = binding->running_since > 0 &&
+			       core->now - binding->running_since >= REPLICA_MIN_UPTIME_S;
 
-	if (was_steady)
+	if (ran_long_enough)
 		job_reset_failures(job);
 	job_note_failure(core, job, binding->machine);
 	if (reason == END_ERROR)
 		machine_note_failed_job(binding->machine, job);
 }
 
-static void note_end(struct core *core, const struct binding *binding, enum task_end_reason reason)
+/* Applies the reason of the end to the job and to the machine. */
+static void apply_end_reason(struct core *core, const struct binding *binding,
+			     enum task_end_reason reason)
 {
 	struct machine *machine = binding->machine;
 	struct job *job = binding->job;
 	bool ended_by_itself = reason == END_DONE || reason == END_ERROR;
 
 	if (job->spec.kind == JOB_SERVICE && ended_by_itself) {
-		note_replica_end(core, binding, reason);
+		handle_replica_exit(core, binding, reason);
 		return;
 	}
 	switch (reason) {
@@ -134,7 +142,7 @@
 		job_note_refused_start(core, job);
 		machine_note_refused_start(core, machine);
 		break;
-	case END_UNKNOWN_JOB: /* the description is on its way to the machine */
+	case END_UNKNOWN_JOB: /* the job's description is still on its way to the machine */
 		job_note_refused_start(core, job);
 		break;
 	case END_NONE:
@@ -152,7 +160,7 @@
 	log_info("binding_ended", "job=%s task=%u attempt=%llu machine=%s end_reason=%d",
 		 job->spec.id, binding->task, (unsigned long long)binding->attempt,
 		 binding->machine->id, reason);
-	note_end(core, binding, reason);
+	apply_end_reason(core, binding, reason);
 	remove_binding(core, binding);
 	if (job->spec.kind == JOB_GANG && reason != END_DONE && !job->cancelled)
 		stop_gang(core, job, reason);
--- a/src/core/model/binding.h
+++ b/src/core/model/binding.h
@@ -1,8 +1,12 @@
 /*
- * Bindings: one attempt of a task, placed on a machine. A binding is on record before the start is
- * sent, and ends by proof only: the agent reports the end, or a report that counts lacks it, or its
- * incarnation is newer, or the machine is deleted. One whose start was never sent ends at once.
- * docs/failure-model.md has the proofs.
+ * Bindings. A binding places one attempt of a task on a machine; its resources count as used on the
+ * machine and by the job's team.
+ *
+ * A binding is on record before the command to start its task is sent. Once that command may have
+ * been sent, the binding ends only when it is proved that the attempt does not run and cannot start
+ * any more: the agent reports its end, a heartbeat that counts as proof does not list it, the agent
+ * has begun a newer incarnation, or the machine is deleted. A binding whose start was never sent
+ * may end at once. docs/failure-model.md has the proofs.
  */
 #ifndef PLOVERLOFT_BINDING_H
 #define PLOVERLOFT_BINDING_H
@@ -16,45 +20,59 @@
 struct job;
 struct machine;
 
+/* One attempt of a task on a machine. Times are seconds on the steady clock, as core->now. */
 struct binding {
 	struct machine *machine;
 	struct job *job;
-	uint32_t task;
+	uint32_t task; /* index in the job */
+	/* The number of the attempt: the fencing token under which it was made, and in the low
+	 * ATTEMPT_COUNTER_BITS bits a counter. Tasks that are placed together may share it. */
 	uint64_t attempt;
-	uint64_t min_token;	    /* a report proves absence only if its agent saw this token */
-	uint64_t start_incarnation; /* of the agent when the newest start of this term was sent; 0:
-				       none sent */
-	uint64_t start_sequence;    /* report whose answer carried the newest start */
-	uint64_t listed_sequence;   /* newest message that lists it */
-	double start_sent_at;	    /* steady */
-	double stop_sent_at;	    /* steady; when the newest stop was sent; 0: none */
-	double grace_s;		    /* of the stop: seconds in which to save its work */
-	double running_since;	    /* steady; 0: not running */
-	uint32_t record_bytes;	    /* in its chunk's record, at most */
-	bool committed, in_flight;
-	bool recovered; /* made by an earlier leader */
-	bool observed;	/* listed by its agent under this leader */
-	bool stopping;
-	char switched_to[ID_MAX]; /* the array that its slot serves next; empty: none */
-	enum task_state state;
-	struct binding *machine_prev, *machine_next; /* on its machine */
-	struct binding *job_prev, *job_next;	     /* of its job */
-	struct binding *chunk_prev, *chunk_next;     /* in its chunk of the job */
+	/* A heartbeat that does not list the task proves its end only if the agent has shown this
+	 * fencing token or a newer one. */
+	uint64_t min_token;
+	/* The agent's incarnation when the start was last sent; 0: not sent since this term began
+	 * or the agent was restarted. */
+	uint64_t start_incarnation;
+	/* The sequence number of the heartbeat whose answer last carried the start; 0: none. */
+	uint64_t start_sequence;
+	uint64_t listed_sequence; /* sequence number of the newest report that lists the task */
+	double start_sent_at;	  /* when the start was last sent; 0: never */
+	double stop_sent_at;	  /* when the stop with this grace_s was last sent; 0: never */
+	double grace_s;		  /* seconds that the task has to save its work when stopped */
+	double running_since;	  /* when a report first showed the task running; 0: none has */
+	uint32_t record_bytes;	  /* its size in the chunk's record, at most */
+	bool committed;		  /* the binding is on record */
+	bool in_flight;		  /* the transaction in flight writes the binding */
+	/* The start may have been sent by an earlier leader, or before the agent was restarted. */
+	bool recovered;
+	bool observed; /* the agent has listed the task since this term began or it was restarted */
+	bool stopping; /* the task is to be stopped */
+	char switched_to[ID_MAX]; /* id of the array that gets its slot next; empty: its own job */
+	enum task_state state;	  /* by the newest report that lists the task */
+	struct binding *machine_prev, *machine_next; /* in the list of its machine */
+	struct binding *job_prev, *job_next;	     /* in the list of its job */
+	struct binding *chunk_prev, *chunk_next;     /* in the list of its chunk */
 };
 
-/* Binds the task; the machine and the job own the binding, which binding_end frees. */
+/*
+ * Adds a binding of the task to the machine. Its record is to be written by the caller. The binding
+ * is in the lists of its machine, job and chunk until binding_end frees it.
+ */
 struct binding *binding_add(struct core *core, struct machine *machine, struct job *job,
 			    uint32_t task, uint64_t attempt);
 /*
- * Wants the task stopped, with so many seconds to save its work. A stop already wanted is only
- * replaced by one with a shorter grace.
+ * Requests that the task is stopped, with `grace_s` seconds to save its work. An earlier request is
+ * replaced only if its grace period was longer.
  */
 void binding_stop(struct core *core, struct binding *binding, double grace_s);
-/* No start was sent, neither by this leader nor, as far as it can know, by an earlier one. */
+/* True if no start was sent in this term, and an earlier leader can't have sent one either. */
 bool binding_start_never_sent(const struct binding *binding);
 /*
- * The end of the binding is proved: notes what it means for the job and the machine, and frees the
- * binding, and the job too if it is over. The record follows in the next transaction.
+ * Ends the binding, whose attempt is proved to have ended or was never started. `reason` decides on
+ * backoffs and on whether the task is done. Returns the resources, requests a write of the chunk's
+ * record, and frees the binding, and the job too if it is over. If a task of a gang ends for
+ * another reason than END_DONE, it requests stops of the gang's other tasks.
  */
 void binding_end(struct core *core, struct binding *binding, enum task_end_reason reason);
 
--- a/src/core/model/chunk.c
+++ b/src/core/model/chunk.c
@@ -15,14 +15,17 @@
 	return task / job->records.tasks_per_chunk;
 }
 
+/* The chunk of the binding's task. */
 static struct chunk *chunk_of_binding(const struct binding *binding)
 {
 	return &binding->job->records.chunks[job_chunk_of(binding->job, binding->task)];
 }
 
+/* The size of the binding in its chunk's record, at most. */
 static uint32_t binding_record_bytes(const struct binding *binding)
 {
-	/* [attempt,"zone",task,"machine"], if it shares its start and zone with no other. */
+	/* The text is longest if no other binding of the chunk has the same attempt and zone: then
+	 * it is a group of its own, [attempt,"zone",task,"machine"]. */
 	int bytes =
 	    snprintf(NULL, 0, "[%llu,\"%s\",%u,\"%s\"],", (unsigned long long)binding->attempt,
 		     binding->machine->zone, binding->task, binding->machine->id);
--- a/src/core/model/job.c
+++ b/src/core/model/job.c
@@ -35,7 +35,7 @@
 	return job;
 }
 
-/* Resizes an array of which `count` elements are in use; the new elements are zero. */
+/* Extends an array from `count` to `new_count` elements; the new ones are zero. */
 static void *grow_zeroed(void *array, size_t count, size_t new_count, size_t element_size)
 {
 	char *grown = xreallocarray(array, new_count, element_size);
@@ -119,13 +119,15 @@
 		job->first_waiting_hint = task;
 }
 
-/* Whether the end of the task with success would be news. A service's tasks are never done. */
+/* True if the task's success still has to be recorded. A service's tasks are never done, and those
+ * of an orphan don't matter any more. */
 static bool may_become_done(const struct job *job, uint32_t task)
 {
 	return !job->orphan && task < job->spec.task_count && !task_bit_test(job->done, task) &&
 	       job->spec.kind != JOB_SERVICE;
 }
 
+/* Marks the task as done, and requests a write of its chunk's record. */
 static void mark_task_done(struct core *core, struct job *job, uint32_t task)
 {
 	if (!may_become_done(job, task))
@@ -134,7 +136,8 @@
 	job->done_count++;
 	log_debug("task_done", "job=%s task=%u done=%u of=%u", job->spec.id, task, job->done_count,
 		  job->spec.task_count);
-	/* The end of the last one is recorded by the job's final record. */
+	/* The chunk of the last task need not be written: the final record says that all are done.
+	 */
 	if (job->done_count < job->spec.task_count)
 		core->events->task_record_changed(core, job, task, TASK_END_WRITE_DELAY_S);
 }
@@ -176,7 +179,8 @@
 	}
 	if (job->done_count < job->spec.task_count)
 		return;
-	/* The ends of a gang's last tasks are reported within moments: one transaction for all. */
+	/* The tasks of a gang report their ends within moments of each other. The final record
+	 * waits for them, up to FINAL_RECORD_DELAY_S, so that one transaction is enough. */
 	if (job->all_done_at <= 0)
 		job->all_done_at = core->now;
 	if (!job->bindings || core->now - job->all_done_at >= FINAL_RECORD_DELAY_S)
@@ -204,7 +208,7 @@
 	job->cancelled = true;
 	log_info("job_cancelled", "job=%s bound=%u", job->spec.id, job->bound_count);
 	DL_FOREACH_SAFE2 (job->bindings, binding, next, job_next) {
-		/* A start that was never sent needs no proof of its end. */
+		/* If no start was sent, the attempt never runs, and its end needs no proof. */
 		if (binding_start_never_sent(binding))
 			binding_end(core, binding, END_STOPPED);
 		else
--- a/src/core/model/job.h
+++ b/src/core/model/job.h
@@ -1,4 +1,10 @@
-/* Jobs: their descriptions, which of their tasks are done or bound, and when they are over. */
+/*
+ * Jobs: their descriptions, which of their tasks are done or bound, their cancellation and their
+ * end.
+ *
+ * A task is waiting while it is neither done nor bound. A job is over when all of its tasks are
+ * done or its cancellation is carried out; it is open until its final record is committed.
+ */
 #ifndef PLOVERLOFT_JOB_H
 #define PLOVERLOFT_JOB_H
 
@@ -14,80 +20,110 @@
 struct binding;
 struct core;
 
-/* How the scheduler treats a job that waits. Times are steady seconds. */
+/*
+ * What the scheduler keeps of a job for its waiting tasks. Times are seconds on the steady clock,
+ * as core->now.
+ */
 struct job_scheduling {
-	double retry_at; /* backoff after failures: no placement before */
-	double waiting_since;
-	double order_key; /* its place in the order of a scheduling cycle */
-	int failures;	  /* in a row */
-	char failed_machines[JOB_FAILED_MACHINES_MAX][ID_MAX]; /* a ring of the latest */
-	int failed_machine_count;			       /* ever */
-	double reserved_until;		  /* room is reserved for it; 0: none */
-	bool reserving;			  /* more is reserved as it falls free */
-	char reserved_zone[NAME_MAX_LEN]; /* empty: any */
-	double next_preemption_at;	  /* no preemption for it before */
+	double retry_at;      /* end of a backoff: no task is placed before */
+	double waiting_since; /* when the job was added or one of its bindings last ended */
+	double order_key;     /* sort key in its priority, of the newest cycle; lowest first */
+	/* Failures since a task last succeeded or a replica last ran for REPLICA_MIN_UPTIME_S. */
+	int consecutive_failures;
+	/* Ids of the machines of its latest failures, as a ring. */
+	char failed_machines[JOB_FAILED_MACHINES_MAX][ID_MAX];
+	/* Failures in this term; modulo JOB_FAILED_MACHINES_MAX, the next index of the ring. */
+	int failed_machine_count;
+	double reserved_until; /* end of its reservation of capacity; 0: it has none */
+	/* Its reservation grows: each cycle adds capacity that has fallen free. */
+	bool reserving;
+	/* The zone to which a growing reservation is limited; empty: all zones. */
+	char reserved_zone[NAME_MAX_LEN];
+	double next_preemption_at; /* no other work is stopped for it before */
 };
 
+/* A job whose record was read, or of which only records of tasks are left. */
 struct job {
-	struct job_spec spec;
-	uint64_t record_version;
-	double submitted_at; /* wall */
-	bool cancelled;
-	bool orphan; /* it is final, and stands only for its bindings */
-	bool final_queued, final_committed;
-	uint8_t *done; /* one bit per task */
-	uint8_t *bound;
-	uint32_t done_count, bound_count, running_count;
-	uint32_t first_waiting_hint; /* no waiting task lies before it */
-	uint64_t gang_attempt;	     /* the attempt under way */
+	struct job_spec spec;	 /* only `id` and `task_count` if its record was not read */
+	uint64_t record_version; /* version of its record's key, as last read */
+	double submitted_at;	 /* seconds since 1970 on the wall clock */
+	bool cancelled;		 /* its cancellation is on record */
+	/* It has no open record any more. It is kept only until its last bindings have ended and
+	 * their records are written. */
+	bool orphan;
+	bool final_queued;    /* its final record is queued for writing, in flight or committed */
+	bool final_committed; /* its final record is committed */
+	uint8_t *done;	      /* bitmap of the tasks that are done */
+	uint8_t *bound;	      /* bitmap of the tasks that have a binding */
+	uint32_t done_count, bound_count; /* set bits of `done` and of `bound` */
+	uint32_t running_count;		  /* bindings whose task a report has shown running */
+	uint32_t first_waiting_hint;	  /* no task with a lower index is waiting */
+	uint64_t gang_attempt;		  /* number of a gang's newest attempt */
+	/* A gang's tasks are being stopped: none is started until all bindings have ended. */
 	bool gang_stopping;
-	double all_done_at; /* steady; when its last task was learned to be done; 0: not yet */
-	uint32_t uncommitted_count; /* bindings not on record yet */
-	struct binding *bindings;
+	double all_done_at; /* steady seconds; when all of its tasks were found done; 0: not yet */
+	uint32_t uncommitted_count; /* bindings that are not on record yet */
+	struct binding *bindings;   /* list, by job_prev and job_next */
 	struct job_scheduling scheduling;
 	struct job_records records;
-	UT_hash_handle hh;
+	UT_hash_handle hh; /* in core->jobs, by spec.id */
 };
 
-/* All jobs; `next` is a second cursor, so that `job` may be freed. */
+/* Iterates over all jobs. `next` is a second cursor, so that the body may free `job`. */
 #define JOBS_FOR_EACH(core, job, next) HASH_ITER (hh, (core)->jobs, job, next)
 
-/* How many jobs are known, orphans included. */
+/* The number of known jobs, including orphans. */
 unsigned job_count(const struct core *core);
-/* NULL if there is none of this id. */
+/* The job with this id; NULL if there is none. */
 struct job *job_find(const struct core *core, const char *id);
-/* The job owns what the description refers to. */
+/* Adds a job with a copy of the description, and owns the memory that the description refers to. */
 struct job *job_add(struct core *core, const struct job_spec *spec);
-/* Makes room for so many tasks of a job whose description was not read. */
+/*
+ * Raises the number of tasks of a job whose description was not read, and with it the sizes of its
+ * bitmaps and chunks. Never lowers it.
+ */
 void job_grow(struct job *job, uint32_t task_count);
-/* Forgets the job and frees it; it has no bindings any more, or leadership has ended. */
+/* Removes the job and frees it. It must have no bindings, unless leadership has ended. */
 void job_free(struct core *core, struct job *job);
-/* Frees a job that is over once nothing of it is bound or being written. */
+/* Frees an orphan that has no bindings and no write of a chunk queued or in flight. */
 void job_release_if_over(struct core *core, struct job *job);
 
-/* Tasks that are neither done nor bound; 0 if the job may start none any more. */
+/* The number of waiting tasks; 0 if none of the job's tasks may be started any more. */
 uint32_t job_waiting_count(const struct job *job);
-/* The first of them; the job's task count if there is none. */
+/* The lowest index of a waiting task; the job's task count if there is none. */
 uint32_t job_first_waiting(struct job *job);
-/* A task beyond the job's task count is ignored. */
+/* Marks the task as bound. A task beyond the job's task count is ignored. */
 void job_mark_task_bound(struct job *job, uint32_t task);
-/* The task waits again. */
+/* Marks the task as not bound, so that it waits again unless it is done. */
 void job_mark_task_unbound(struct job *job, uint32_t task);
-/* The task ended with success, and if it is of a gang, all tasks of the gang did. */
+/* Marks a task that succeeded as done; in a gang, all tasks, which succeed together. */
 void job_note_task_done(struct core *core, struct job *job, uint32_t task);
 /*
- * An agent lists a task as done that is not bound to it any more: the leader before recorded the
- * end of its binding, and ended before its result was on record. Any other attempt is needless.
+ * Handles a task that an agent lists as done although it is not bound to that machine any more: the
+ * previous leader recorded the end of the binding, but its term ended before the task's success was
+ * on record. Marks the task as done, and stops other attempts of it, which are not needed.
  */
 void job_note_done_unbound(struct core *core, const char *id, uint32_t task);
 
-/* Checks whether the job is over; to be called after anything that ends a task or a binding. */
+/*
+ * Requests the final record of a job that is over. To be called whenever a task is done, a binding
+ * has ended or the job is cancelled. Once a gang has no bindings, it may also be started again.
+ */
 void job_check_end(struct core *core, struct job *job);
-/* Ends jobs whose last tasks are done, when it is due. Only the leader calls it. */
+/*
+ * Calls job_check_end for all jobs whose tasks are done, once in JOB_SCAN_INTERVAL_S. Only the
+ * leader calls it.
+ */
 void job_tick(struct core *core);
-/* Stops all tasks of the job; its final record follows once their ends are proved. */
+/*
+ * Marks the job as cancelled and stops its tasks. Its final record is requested once the ends of
+ * all of them are proved.
+ */
 void job_cancel(struct core *core, struct job *job);
-/* A cancellation is on record, with this version of the job's key: the leader stops its tasks. */
+/*
+ * Handles a cancellation that is on record, as `version` of the job's key: cancels the job if this
+ * controller leads.
+ */
 void job_cancel_committed(struct core *core, const char *id, uint64_t version);
 
 #endif
--- a/src/core/model/job_failures.c
+++ b/src/core/model/job_failures.c
@@ -7,12 +7,12 @@
 #include "core/state.h"
 #include "util/log.h"
 
-/* Seconds before the next attempt, after so many failures in a row before the present one. */
+/* The backoff in seconds after a failure that `earlier_failures` consecutive ones preceded. */
 static double backoff_s(int earlier_failures)
 {
 	double wait_s = ERROR_BACKOFF_S;
 
-	/* The first failure is mostly the machine's: try elsewhere at once. */
+	/* The first failure is mostly the machine's fault: the job is tried elsewhere at once. */
 	if (!earlier_failures)
 		return 0;
 	for (int i = 0; i < earlier_failures && wait_s < ERROR_BACKOFF_MAX_S; i++)
@@ -25,15 +25,15 @@
 	struct job_scheduling *scheduling = &job->scheduling;
 	int oldest = scheduling->failed_machine_count % JOB_FAILED_MACHINES_MAX;
 
-	scheduling->retry_at = core->now + backoff_s(scheduling->failures);
-	scheduling->failures++;
+	scheduling->retry_at = core->now + backoff_s(scheduling->consecutive_failures);
+	scheduling->consecutive_failures++;
 	snprintf(scheduling->failed_machines[oldest], ID_MAX, "%s", machine->id);
 	scheduling->failed_machine_count++;
 }
 
 void job_reset_failures(struct job *job)
 {
-	job->scheduling.failures = 0;
+	job->scheduling.consecutive_failures = 0;
 }
 
 void job_note_refused_start(const struct core *core, struct job *job)
@@ -46,6 +46,7 @@
 	machine->scheduling.backoff_until = core->now + START_REFUSED_BACKOFF_S;
 }
 
+/* True if the job is among those remembered as failed on the machine. */
 static bool has_failed_job(const struct machine *machine, const struct job *job)
 {
 	for (int i = 0; i < machine->scheduling.failed_job_count; i++)
@@ -60,7 +61,8 @@
 
 	if (has_failed_job(machine, job))
 		return;
-	/* A job that failed elsewhere too is its owner's mistake, not this machine's. */
+	/* A job that failed before on another machine is probably faulty itself: its failure says
+	 * nothing about this machine. */
 	if (job->scheduling.failed_machine_count > 1)
 		return;
 	if (scheduling->failed_job_count < MACHINE_FAILED_JOBS_MAX) {
--- a/src/core/model/job_failures.h
+++ b/src/core/model/job_failures.h
@@ -1,6 +1,6 @@
 /*
- * Failures: the backoff of a job whose tasks fail or whose starts are refused, and the machines on
- * which jobs fail.
+ * Failures of tasks and refused starts: the backoffs of jobs and machines that follow from them,
+ * and the drain of machines on which several jobs have failed.
  */
 #ifndef PLOVERLOFT_JOB_FAILURES_H
 #define PLOVERLOFT_JOB_FAILURES_H
@@ -9,17 +9,27 @@
 struct job;
 struct machine;
 
-/* A task of the job failed on the machine: it is retried after a time that doubles. */
+/*
+ * Handles a failure of one of the job's tasks on the machine. After the first failure, its tasks
+ * may be placed again at once; from the second consecutive one on, the job gets a backoff that
+ * doubles. The job also remembers the machine.
+ */
 void job_note_failure(const struct core *core, struct job *job, const struct machine *machine);
-/* A task of the job did what it is for: the next failure counts as the first. */
+/* Resets the count of consecutive failures: a task succeeded, or a replica ran long enough. */
 void job_reset_failures(struct job *job);
-/* An agent refused to start a task of the job. */
+/* Handles an agent's refusal to start a task of the job, which gets a backoff. */
 void job_note_refused_start(const struct core *core, struct job *job);
-/* The agent has no room: nothing is started there for a while. */
+/*
+ * Handles a start that the machine's agent refused, since capacity is lacking or another attempt of
+ * the task still runs there. The machine gets a backoff, in which no task is placed on it.
+ */
 void machine_note_refused_start(const struct core *core, struct machine *machine);
-/* The job failed on the machine, which is drained if that happened to several jobs. */
+/*
+ * Adds the job to those that failed on the machine, unless it also failed on another one. The
+ * machine is drained once MACHINE_FAILED_JOBS_MAX jobs have failed on it.
+ */
 void machine_note_failed_job(struct machine *machine, const struct job *job);
-/* A task succeeded on the machine: earlier failures do not count any more. */
+/* Forgets the jobs that failed on the machine, since a task has succeeded there. */
 void machine_reset_failed_jobs(struct machine *machine);
 
 #endif
--- a/src/core/model/machine.c
+++ b/src/core/model/machine.c
@@ -46,14 +46,16 @@
 	free(machine);
 }
 
-static void take_room(struct machine *machine, const struct job_spec *spec)
+/* Subtracts the resources of one task from the free capacity. */
+static void allocate_resources(struct machine *machine, const struct job_spec *spec)
 {
 	machine->free_cpus -= spec->cpus;
 	machine->free_gpus -= spec->gpus;
 	machine->free_mem_gb -= spec->mem_gb;
 }
 
-static void return_room(struct machine *machine, const struct job_spec *spec)
+/* Adds the resources of one task to the free capacity. */
+static void release_resources(struct machine *machine, const struct job_spec *spec)
 {
 	machine->free_cpus += spec->cpus;
 	machine->free_gpus += spec->gpus;
@@ -69,7 +71,7 @@
 	machine->binding_count++;
 	machine->replica_count += spec->kind == JOB_SERVICE;
 	core->events->replicas_changed(core, machine);
-	take_room(machine, spec);
+	allocate_resources(machine, spec);
 }
 
 void machine_remove_binding(struct core *core, struct binding *binding)
@@ -81,12 +83,15 @@
 	machine->binding_count--;
 	machine->replica_count -= spec->kind == JOB_SERVICE;
 	core->events->replicas_changed(core, machine);
-	return_room(machine, spec);
+	release_resources(machine, spec);
 	if (!machine->binding_count)
 		machine->cloud.idle_since = core->now;
 }
 
-/* Free room is what the type offers less what is bound; an unknown type offers nothing. */
+/*
+ * Looks up the machine's type in the catalog. The free capacity is what the type has less what is
+ * bound; an unknown type counts as one without any capacity.
+ */
 static void machine_apply_type(const struct core *core, struct machine *machine)
 {
 	const struct binding *binding;
@@ -96,7 +101,7 @@
 	machine->free_gpus = machine->type ? machine->type->gpus : 0;
 	machine->free_mem_gb = machine->type ? machine->type->mem_gb : 0;
 	DL_FOREACH2 (machine->bindings, binding, machine_next)
-		take_room(machine, &binding->job->spec);
+		allocate_resources(machine, &binding->job->spec);
 }
 
 void machines_apply_catalog(const struct core *core)
@@ -120,7 +125,10 @@
 	machine_apply_type(core, machine);
 }
 
-/* Whether this time of a message lies within the reports that may be missed; < 0: never. */
+/*
+ * True if the message that was received at `received_at` (steady seconds) is recent: less than
+ * MACHINE_FRESH_REPORTS report intervals old. A negative time stands for no message.
+ */
 static bool is_fresh(const struct core *core, double received_at)
 {
 	return received_at >= 0 &&
@@ -139,8 +147,9 @@
 }
 
 /*
- * Only reports keep an agent's lease: one that answers direct commands but reports to nobody, or to
- * a leader of before, will lose what runs on it. So messages alone do not make it usable.
+ * A recent message is not enough: only answers to heartbeats renew an agent's lease. An agent that
+ * answers probes and direct commands, but whose heartbeats don't arrive here, will lose its lease
+ * and its tasks with it.
  */
 bool machine_is_usable(const struct core *core, const struct machine *machine)
 {
@@ -168,7 +177,7 @@
 	return false;
 }
 
-/* Most recently used first, as the machines' caches keep them. */
+/* The images are kept in the order of their last use, as in the machine's own cache. */
 void machine_note_image(struct machine *machine, const char *image)
 {
 	struct machine_scheduling *scheduling = &machine->scheduling;
--- a/src/core/model/machine.h
+++ b/src/core/model/machine.h
@@ -1,4 +1,7 @@
-/* Machines: what the cloud, the records and the agents say of them, and their free room. */
+/*
+ * Machines: what the cloud, the records and the agents say of them, their free capacity, and
+ * whether tasks may be placed on them. Only the leader keeps machines.
+ */
 #ifndef PLOVERLOFT_MACHINE_H
 #define PLOVERLOFT_MACHINE_H
 
@@ -15,145 +18,173 @@
 struct job;
 struct report_cache_entry;
 
-/* A task that the agent lists though it is bound no more: to be stopped or forgotten. */
+/* A task that the agent lists without a binding to it: it is to be stopped, or forgotten. */
 struct unbound_task {
 	char job[ID_MAX];
-	uint32_t task;
-	uint64_t attempt;
-	bool ended;
+	uint32_t task;	  /* index in the job */
+	uint64_t attempt; /* number of the attempt; see struct binding */
+	bool ended;	  /* the attempt has exited, and the agent may be told to forget it */
 };
 
 /*
- * The agent, which is the agent process on the machine, by its own messages. Times are
- * steady seconds; < 0: never in this term.
+ * The agent on the machine, as its messages show it: its heartbeats, and its answers to probes and
+ * direct commands. Times are seconds on the steady clock, as core->now. Those named `last_..._at`
+ * are negative while there was no such message in this term, or since the agent's restart.
  */
 struct machine_agent {
-	uint64_t incarnation; /* rises each time that the agent's lease expired or it began anew */
-	uint64_t sequence;    /* of its newest message within the incarnation */
-	uint64_t token;	      /* the newest fencing token that it has shown */
-	uint64_t
-	    min_token;	   /* lower ones are those of copies from before a restart; 0: any counts */
-	bool restarted;	   /* it began anew, and awaits a new token */
-	bool reachable;	   /* false: an outbound partition, our messages do not reach it */
-	int stale_reports; /* reports that did not count since one last did */
-	int ignored_starts; /* reports in a row that lack a start sent with an earlier answer */
-	double unreachable_since;
-	double last_heartbeat_at; /* the newest report that it sent by itself */
-	double last_message_at;	  /* the newest message, also answers to probes and commands */
-	double last_report_at;	  /* any report, be it a copy or a new machine's first */
-	double up_at;		  /* its first message this term */
-	double notice_s;	  /* preemption notice: remaining seconds when it came; < 0: none */
-	double notice_received_at;
-	struct report_cache_entry *cached_report; /* in agents.report_cache */
-	struct unbound_task *leftovers;		  /* listed, but bound no more */
+	/* The incarnation in its newest message; 0: no message in this term, or since it was
+	 * restarted. It rises when the agent's lease expires or the agent is restarted; only a
+	 * restart within a fraction of a second may lower it. */
+	uint64_t incarnation;
+	uint64_t sequence; /* sequence number of its newest message in the incarnation */
+	uint64_t token;	   /* newest fencing token that it has shown */
+	/* Reports with a lower fencing token may be copies from before its restart, and don't
+	 * count; 0: it was not restarted in this term. */
+	uint64_t min_token;
+	bool restarted; /* it was restarted: no report counts until a new fencing token is held */
+	bool reachable; /* false: an outbound partition; our messages do not reach the agent */
+	int stale_reports;  /* heartbeats that did not count since it was last found reachable */
+	int ignored_starts; /* consecutive heartbeats that lack a start sent before them */
+	double unreachable_since; /* when `reachable` last became false; 0: never */
+	double last_heartbeat_at; /* its newest heartbeat that counted */
+	double last_message_at;	  /* its newest message that counted, of any kind */
+	double last_report_at;	  /* its last heartbeat, even if that did not count */
+	double up_at;		  /* its first message in this term, or its restart; 0: neither */
+	/* The preemption notice of its newest message: seconds until the cloud takes the machine
+	 * back, counted from `notice_received_at`; < 0: no notice. */
+	double notice_s;
+	double notice_received_at;		  /* when `notice_s` was last set; 0: never */
+	struct report_cache_entry *cached_report; /* owned by agents.report_cache; NULL: none */
+	struct unbound_task *leftovers; /* owned; tasks of its newest report that are not bound */
 	size_t leftover_count;
 };
 
-/* Probes: status requests that the leader sends to the agent. */
+/* The probes of the machine: requests for a report that the leader sends to its agent. */
 struct machine_probes {
-	double sent_at;		 /* steady; the newest */
-	int unanswered;		 /* in a row since the agent's last message */
-	double unanswered_since; /* steady; when the first of them was sent */
-	bool supervised;	 /* in the list of machines with replicas */
-	struct machine *supervised_prev, *supervised_next;
+	double sent_at;		 /* steady seconds; when the newest probe was sent */
+	int unanswered;		 /* probes that timed out since the agent's last message */
+	double unanswered_since; /* steady seconds; when the first of those was sent */
+	bool supervised;	 /* in the list of machines with replicas that are supervised */
+	struct machine *supervised_prev, *supervised_next; /* in that list */
 };
 
-/* Commands sent directly, not with the answer to a report. */
+/* Commands that are sent to the agent directly, not with the answer to a heartbeat. */
 struct machine_commands {
-	uint64_t unanswered_token; /* newest token of an unanswered command to start */
-	int in_flight;
-	bool announce_token; /* it may report to an earlier leader: our token brings it here */
-	bool due;	     /* commands wait to be sent */
-	bool queued;	     /* in agents.command_queue */
-	struct machine *queue_prev, *queue_next;
+	/* Fencing token of the newest message with a start that was not answered; 0: there is none.
+	 * That start may still arrive until the agent has shown a newer token. */
+	uint64_t unanswered_token;
+	int in_flight; /* messages that wait for their answer */
+	/* A message is to be sent even without commands: the agent may still report to an earlier
+	 * leader, and our fencing token makes it report here. */
+	bool announce_token;
+	bool due;    /* commands may have become due since the last message was sent */
+	bool queued; /* in agents.command_queue */
+	struct machine *queue_prev, *queue_next; /* in that queue */
 };
 
-/* What the cloud says of the machine, and what was decided about keeping it. */
+/* What the cloud says of the machine, and what the leader has decided about keeping it. */
 struct machine_cloud {
-	bool listed;		   /* an inventory has named it */
-	bool expected;		   /* granted or listed: it stands for room before it reports */
-	bool failed;		   /* the cloud says so */
-	uint64_t inventory_number; /* the newest inventory that named it */
-	int missed_inventories;	   /* in a row, without it */
-	double rented_at;	   /* steady; when it was requested, as far as is known */
-	double idle_since;	   /* steady */
-	bool draining;		   /* it gets no new tasks, and is deleted once it is empty */
-	bool deleting;		   /* a delete was decided: it gets no tasks any more */
-	bool delete_in_flight;
-	bool deleted; /* the cloud's 200 to its delete came */
+	bool listed; /* an inventory has named it */
+	/* The cloud has granted or listed it: it counts as capacity even before its agent has sent
+	 * a message. */
+	bool expected;
+	bool failed;		   /* an inventory says that it has failed */
+	uint64_t inventory_number; /* number of the newest inventory that named it */
+	int missed_inventories;	   /* complete inventories that lacked it since then */
+	/* Steady seconds; when it was rented, as far as is known, or its agent was restarted. The
+	 * limit of its boot time counts from then. */
+	double rented_at;
+	double idle_since; /* steady seconds; when its last binding ended or it came up */
+	bool draining;	   /* it gets no new tasks, and is deleted once it has no bindings */
+	bool deleting;	   /* it is to be deleted: no task is placed or started on it any more */
+	bool delete_in_flight; /* the request to delete it is not answered yet */
+	bool deleted;	       /* the cloud has answered 200 to the request to delete it */
 };
 
-/* What placement remembers of the machine. */
+/* What the scheduler keeps of the machine. Times are seconds on the steady clock, as core->now. */
 struct machine_scheduling {
-	char images[MACHINE_IMAGES_MAX][NAME_MAX_LEN]; /* most recently used first */
+	/* Images that its cache probably holds, most recently used first. */
+	char images[MACHINE_IMAGES_MAX][NAME_MAX_LEN];
 	int image_count;
+	/* Ids of different jobs that failed here since a task last succeeded here. */
 	char failed_jobs[MACHINE_FAILED_JOBS_MAX][ID_MAX];
 	int failed_job_count;
-	struct job *reserved_for;    /* the job that room here is reserved for; NULL: none */
-	uint32_t reserved_tasks;     /* room for so many of its tasks */
-	uint32_t room_index;	     /* place in the scheduling cycle's list of rooms */
-	char freed_slot_job[ID_MAX]; /* the array that the slot that fell free belongs to */
-	double freed_slot_until;     /* steady */
-	double backoff_until;	     /* steady; a start was refused: none before */
+	struct job *reserved_for; /* the job that capacity is reserved for here; NULL: none */
+	uint32_t reserved_tasks;  /* tasks of that job for which it is reserved */
+	uint32_t room_index;	  /* index in the scheduling cycle's rooms, if it is usable */
+	/* Id of the array that gets the slot that was last freed here; empty: no slot is kept. */
+	char freed_slot_job[ID_MAX];
+	double freed_slot_until; /* end of the time that the slot is kept for it */
+	double backoff_until;	 /* end of the backoff after a refused start: no placement before */
 };
 
+/* A rented machine, or one that is named only by a record or by a late copy of a report. */
 struct machine {
 	char id[ID_MAX];
-	char addr[NAME_MAX_LEN];
-	char type_name[NAME_MAX_LEN];
-	char zone[NAME_MAX_LEN];
-	const struct machine_type *type; /* NULL: not in the catalog */
-	bool spot;
+	char addr[NAME_MAX_LEN];	 /* address of its agent; empty: not known yet */
+	char type_name[NAME_MAX_LEN];	 /* empty: not known yet */
+	char zone[NAME_MAX_LEN];	 /* empty: not known yet */
+	const struct machine_type *type; /* in the catalog; NULL: not there or not known yet */
+	bool spot;			 /* a spot machine, which the cloud may take back */
+	/* What its type has and its bindings do not use, in CPUs, GPUs and GB. Negative if more is
+	 * bound, as while the type is not known. */
 	double free_cpus, free_gpus, free_mem_gb;
-	struct binding *bindings;
-	int binding_count;
-	int replica_count; /* of the bindings, tasks of services */
+	struct binding *bindings; /* list, by machine_prev and machine_next */
+	int binding_count;	  /* length of `bindings` */
+	int replica_count;	  /* bindings that are tasks of services */
 	struct machine_agent agent;
 	struct machine_probes probes;
 	struct machine_commands commands;
 	struct machine_cloud cloud;
 	struct machine_scheduling scheduling;
-	UT_hash_handle hh;
+	UT_hash_handle hh; /* in core->machines, by id */
 };
 
-/* All machines; `next` is a second cursor, so that `machine` may be freed. */
+/* Iterates over all machines. `next` is a second cursor, so that the body may free `machine`. */
 #define MACHINES_FOR_EACH(core, machine, next) HASH_ITER (hh, (core)->machines, machine, next)
 
-/* How many machines are known, those about to be deleted included. */
+/* The number of known machines, including those that are being deleted. */
 unsigned machine_count(const struct core *core);
-/* NULL if there is none of this id. */
+/* The machine with this id; NULL if there is none. */
 struct machine *machine_find(const struct core *core, const char *id);
-/* A machine that is added has only its name. */
+/* The machine with this id. If there is none, it is added, and nothing but its id is known. */
 struct machine *machine_find_or_add(struct core *core, const char *id);
-/* All of its bindings must have been freed. */
+/* Removes the machine and frees it. All of its bindings must have been freed. */
 void machine_free(struct core *core, struct machine *machine);
-/* An empty address replaces none. Zone and kind are kept if the machine has the type already, and
- * the catalog has it too. */
+/*
+ * Sets what a report, an inventory or a grant says of the machine. An empty address does not
+ * replace a known one. Once the machine has a type of the catalog, type, zone and `spot` are set
+ * only if the type is another.
+ */
 void machine_set_identity(struct core *core, struct machine *machine, const char *addr,
 			  const char *type, const char *zone, bool spot);
-/* The cloud answered 200 to its delete: all that was bound to it has ended. */
+/* Handles the cloud's answer 200 to the request to delete the machine: ends all of its bindings. */
 void machine_note_deleted(struct core *core, struct machine *machine);
-/* The catalog was replaced: all machines refer to its types from now on. */
+/* Points all machines to the types of a new catalog, and computes their free capacity again. */
 void machines_apply_catalog(const struct core *core);
 
-/* A message of its agent came lately, be it a report or an answer. */
+/* True if its agent has sent a message that counted within MACHINE_FRESH_REPORTS intervals. */
 bool machine_is_responsive(const struct core *core, const struct machine *machine);
-/* It has a preemption notice, or is drained, and no delete was decided yet. */
+/* True if it has a preemption notice or is drained, and its deletion is not decided yet. */
 bool machine_is_leaving(const struct machine *machine);
-/* Tasks may be placed on it now. */
+/*
+ * True if tasks may be placed on it now: its type is known, its agent reports and is reachable, and
+ * it has neither failed nor a backoff, a preemption notice, a drain or a delete ahead.
+ */
 bool machine_is_usable(const struct core *core, const struct machine *machine);
-/* Whether the job may run on machines of this type, zone and kind, whatever their size. */
+/* True if the job allows machines of this type and zone, spot or not. Sizes are not compared. */
 bool machine_type_allowed(const struct machine_type *type, const char *zone, bool spot,
 			  const struct job_spec *spec);
 
-/* Whether the image is probably in the machine's cache. */
+/* True if the image is probably in the machine's cache. */
 bool machine_has_image(const struct machine *machine, const char *image);
-/* The machine fetched the image, so it is probably in its cache. */
+/* Makes the image the most recently used one of those that the machine's cache probably holds. */
 void machine_note_image(struct machine *machine, const char *image);
 
-/* Puts the binding in the list of its machine, and takes its room. For binding.c alone. */
+/* Adds the binding to the list of its machine, and takes its resources. Only for binding.c. */
 void machine_add_binding(struct core *core, struct binding *binding);
-/* Takes back machine_add_binding; a machine without bindings is idle from now on. */
+/* Reverts machine_add_binding. If it was the machine's last binding, the machine is idle from now
+ * on. Only for binding.c. */
 void machine_remove_binding(struct core *core, struct binding *binding);
 
 #endif
--- a/src/core/model/task_bitmap.h
+++ b/src/core/model/task_bitmap.h
@@ -1,6 +1,7 @@
 /*
- * Bitmaps with one bit per task of a job, and their form as text in the records: base64 without
- * padding, cut behind the last set bit.
+ * Bitmaps with one bit per task of a job, and their text form in the records. The text has six bits
+ * per character, the first as the lowest, in the alphabet of base64url, without padding. It ends
+ * with the last byte that is not zero.
  */
 #ifndef PLOVERLOFT_TASK_BITMAP_H
 #define PLOVERLOFT_TASK_BITMAP_H
@@ -9,20 +10,21 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* Bytes of a bitmap of so many tasks: one more than they fill. */
+/* The size in bytes of a bitmap for so many tasks: one more than their bits fill. */
 size_t task_bitmap_bytes(uint32_t task_count);
-/* Whether the task's bit is set. */
+/* True if the task's bit is set. */
 bool task_bit_test(const uint8_t *bits, uint32_t task);
 /* Sets the task's bit. */
 void task_bit_set(uint8_t *bits, uint32_t task);
 /* Clears the task's bit. */
 void task_bit_clear(uint8_t *bits, uint32_t task);
 
-/* The first `nbits` bits as text, which the caller frees. */
+/* The text form of the first `nbits` bits. The caller frees it. */
 char *bits_encode(const uint8_t *bits, uint32_t nbits);
 /*
- * Sets in `bits` those that the text names, and leaves the others as they are. -1: the text has a
- * character that is not of the alphabet, or names a bit from `nbits` on.
+ * Sets in `bits` the bits that are set in the text, and leaves the others as they are. Returns 0,
+ * or -1 if the text has a character that is not in the alphabet or sets a bit beyond the first
+ * `nbits`.
  */
 int bits_decode(const char *text, uint8_t *bits, uint32_t nbits);
 
--- a/src/core/model/team.c
+++ b/src/core/model/team.c
@@ -4,7 +4,9 @@
 
 #include "core/state.h"
 
-#define QUOTA_SLACK 1e-6 /* CPUs, GPUs: sums of decimal amounts */
+/* Tolerance when a team's use is compared with its quota, in CPUs or GPUs: decimal amounts are
+ * summed up, which is not exact. */
+#define QUOTA_SLACK 1e-6
 
 struct team *team_find(const struct core *core, const char *name)
 {
@@ -14,10 +16,13 @@
 	return NULL;
 }
 
-/* A quota of 0 is none. What asks for nothing fits also where the quota is exceeded. */
-static bool within_quota(double used, double more, double quota)
+/*
+ * True if the quota allows `requested` more. A quota of 0 means that there is no limit. A request
+ * for nothing is allowed even if the use already exceeds the quota.
+ */
+static bool within_quota(double used, double requested, double quota)
 {
-	return quota <= 0 || more <= 0 || used + more <= quota + QUOTA_SLACK;
+	return quota <= 0 || requested <= 0 || used + requested <= quota + QUOTA_SLACK;
 }
 
 bool team_has_room(const struct core *core, const struct job_spec *spec, uint32_t tasks)
--- a/src/core/model/team.h
+++ b/src/core/model/team.h
@@ -1,4 +1,4 @@
-/* Teams: what each of them uses of the cluster, and the quotas that bound it. */
+/* Teams: the CPUs and GPUs that the tasks of each team use, and its quotas. */
 #ifndef PLOVERLOFT_TEAM_H
 #define PLOVERLOFT_TEAM_H
 
@@ -10,21 +10,30 @@
 
 struct core;
 
-/* A team's use. A task counts from its binding on until its end is proved. */
+/*
+ * A team and what it uses. A task counts from its binding on until the end of the binding, which
+ * needs a proof.
+ */
 struct team {
-	const struct conf_team *conf;
-	double cpus, gpus; /* bound */
+	const struct conf_team *conf; /* its name and quotas in the settings */
+	double cpus, gpus;	      /* sums over the team's bound tasks */
 };
 
-/* NULL if the settings have no team of this name. */
+/* The team with this name; NULL if the settings have none. */
 struct team *team_find(const struct core *core, const char *name);
-/* Whether so many more tasks of the job are within its team's quotas; false without a team. */
+/*
+ * True if the quotas of the job's team allow so many more of its tasks; false if the settings don't
+ * have the team.
+ */
 bool team_has_room(const struct core *core, const struct job_spec *spec, uint32_t tasks);
-/* Whether the job could run if its team used nothing: an array by a task at a time. */
+/*
+ * True if the quotas of the job's team allow the job while the team uses nothing else: a single
+ * task of an array, or all tasks of a gang or service. False if the settings don't have the team.
+ */
 bool team_ever_fits(const struct conf *conf, const struct job_spec *spec);
-/* Counts one task of the job as bound. */
+/* Adds the resources of one task of the job to the team's use. */
 void team_charge(struct core *core, const struct job_spec *spec);
-/* Takes back team_charge. */
+/* Subtracts the resources of one task of the job from the team's use. */
 void team_release(struct core *core, const struct job_spec *spec);
 
 #endif
--- a/src/core/model/tombstones.c
+++ b/src/core/model/tombstones.c
@@ -27,25 +27,25 @@
 	HASH_ADD_STR(core->tombstones.list, id, tombstone);
 }
 
-/* No inventory still names a machine that was deleted before this moment. */
-static double oldest_named_deletion(const struct core *core)
+/* The steady time before which a machine must have been deleted for no inventory to name it now. */
+static double inventory_cutoff(const struct core *core)
 {
 	return core->now - TOMBSTONE_INVENTORY_MARGIN_S - 2 * core->conf->inventory_lag_s;
 }
 
 bool tombstones_need_new_token(const struct core *core)
 {
-	const struct tombstone *oldest =
-	    core->tombstones.list; /* in the order in which they were added */
+	/* The list is in the order of additions. */
+	const struct tombstone *oldest = core->tombstones.list;
 
 	return HASH_COUNT(core->tombstones.list) > TOMBSTONES_MAX &&
 	       core->now - core->tombstones.trimmed_at > TOMBSTONE_INVENTORY_MARGIN_S &&
-	       oldest->deleted_at < oldest_named_deletion(core);
+	       oldest->deleted_at < inventory_cutoff(core);
 }
 
 void tombstones_trim(struct core *core, double fenced_at)
 {
-	double cutoff = fmin(fenced_at, oldest_named_deletion(core));
+	double cutoff = fmin(fenced_at, inventory_cutoff(core));
 	struct tombstone *tombstone, *next;
 
 	core->tombstones.trimmed_at = core->now;
--- a/src/core/model/tombstones.h
+++ b/src/core/model/tombstones.h
@@ -1,6 +1,7 @@
 /*
- * Tombstones: the ids of machines that were deleted in this term. Inventories lag, and copies of
- * reports may arrive late; neither may bring a deleted machine back to life.
+ * Tombstones: the ids of machines that were deleted in this term. Inventories lag behind the cloud,
+ * and copies of reports may arrive late. Without a tombstone, either could add a machine again that
+ * no longer exists.
  */
 #ifndef PLOVERLOFT_TOMBSTONES_H
 #define PLOVERLOFT_TOMBSTONES_H
@@ -13,30 +14,36 @@
 
 struct core;
 
+/* A machine that was deleted. */
 struct tombstone {
 	char id[ID_MAX];
-	double deleted_at; /* steady */
-	UT_hash_handle hh;
+	double deleted_at; /* steady seconds; when the cloud's answer to the delete came */
+	UT_hash_handle hh; /* in tombstones.list, by id */
 };
 
+/* All tombstones of the term. */
 struct tombstones {
-	struct tombstone *list; /* oldest first */
-	double trimmed_at;	/* steady; when a new token last allowed it */
+	struct tombstone *list; /* hash table that keeps the order of additions, oldest first */
+	double trimmed_at;	/* steady seconds; when tombstones_trim was last called; 0: never */
 };
 
-/* Whether a machine of this name was deleted in this term. */
+/* True if the machine with this id was deleted in this term and its tombstone is still kept. */
 bool machine_has_tombstone(const struct core *core, const char *id);
-/* The machine is deleted: inventories and copies of its reports that still name it are void. */
+/* Adds a tombstone for a machine that was deleted now. */
 void tombstone_add(struct core *core, const char *id);
-/* Whether enough tombstones are old enough that a new token, under which they are needless, is
- * worth its write. */
+/*
+ * True if a new fencing token is worth its write: there are more than TOMBSTONES_MAX tombstones, at
+ * least the oldest is not needed under a new token, and they were not trimmed lately.
+ */
 bool tombstones_need_new_token(const struct core *core);
 /*
- * A new token is held, taken at that moment: copies of reports of machines deleted before it are
- * void under it, and so are tombstones that no inventory needs any more.
+ * Removes the tombstones that are not needed under a new fencing token, whose write was sent at
+ * `fenced_at` (steady seconds). Late copies of reports of machines that were deleted before then
+ * show an older token and do not count any more. The tombstone of such a machine is needed only
+ * while an inventory may still name it.
  */
 void tombstones_trim(struct core *core, double fenced_at);
-/* Frees all tombstones. Leadership has ended. */
+/* Frees all tombstones. Called when leadership has ended. */
 void tombstones_clear(struct core *core);
 
 #endif
