--- a/src/core/agents/commands.c
+++ b/src/core/agents/commands.c
@@ -115,8 +115,8 @@
 
 	list->count = 0;
 	list->has_start = false;
-	for (size_t i = 0; i < machine->agent.leftover_count; i++)
-		command_leftover(core, machine, &machine->agent.leftovers[i], list);
+	for (size_t i = 0; i < machine->agent.unbound_task_count; i++)
+		command_leftover(core, machine, &machine->agent.unbound_tasks[i], list);
 	if (machine->cloud.deleting)
 		return;
 	DL_FOREACH2 (machine->bindings, binding, machine_next)
--- a/src/core/agents/reconciliation.c
+++ b/src/core/agents/reconciliation.c
@@ -38,7 +38,7 @@
 	binding->observed = true;
 	binding->listed_sequence = binding->machine->agent.sequence;
 	if (state != TASK_FETCHING)
-		machine_note_image(binding->machine, binding->job->spec.image);
+		machine_mark_image_used(binding->machine, binding->job->spec.image);
 	if (running && binding->running_since <= 0)
 		note_first_running(core, binding);
 	binding->state = state;
@@ -49,9 +49,9 @@
 	struct machine_agent *agent = &machine->agent;
 	struct unbound_task *leftover;
 
-	agent->leftovers =
-	    xreallocarray(agent->leftovers, agent->leftover_count + 1, sizeof(*agent->leftovers));
-	leftover = &agent->leftovers[agent->leftover_count++];
+	agent->unbound_tasks = xreallocarray(agent->unbound_tasks, agent->unbound_task_count + 1,
+					     sizeof(*agent->unbound_tasks));
+	leftover = &agent->unbound_tasks[agent->unbound_task_count++];
 	snprintf(leftover->job, sizeof(leftover->job), "%s", listed->job);
 	leftover->task = listed->task;
 	leftover->attempt = listed->attempt;
@@ -60,9 +60,9 @@
 
 void leftovers_clear(struct machine *machine)
 {
-	free(machine->agent.leftovers);
-	machine->agent.leftovers = NULL;
-	machine->agent.leftover_count = 0;
+	free(machine->agent.unbound_tasks);
+	machine->agent.unbound_tasks = NULL;
+	machine->agent.unbound_task_count = 0;
 }
 
 static void reconcile_listed(struct core *core, struct machine *machine,
@@ -78,10 +78,10 @@
 	leftovers_add(machine, listed);
 	if (binding) {
 		if (done)
-			machine_note_image(machine, binding->job->spec.image);
+			machine_mark_image_used(machine, binding->job->spec.image);
 		binding_end(core, binding, listed->end_reason);
 	} else if (listed->state == TASK_EXITED && done) {
-		job_note_done_unbound(core, listed->job, listed->task);
+		job_handle_unbound_task_done(core, listed->job, listed->task);
 	}
 }
 
--- a/src/core/api/admission.c
+++ b/src/core/api/admission.c
@@ -82,7 +82,7 @@
 {
 	if (!team_find(core, spec->team))
 		return ADMISSION_UNKNOWN_TEAM;
-	if (!team_ever_fits(core->conf, spec))
+	if (!team_quota_covers_job(core->conf, spec))
 		return ADMISSION_OVER_QUOTA;
 	if (!catalog_is_known(core))
 		return ADMISSION_NOT_READY;
--- a/src/core/autoscale/scale_in.c
+++ b/src/core/autoscale/scale_in.c
@@ -109,7 +109,7 @@
 
 	tombstone_add(core, machine->id);
 	capacity_refusal_lift(core, pool);
-	machine_note_deleted(core, machine);
+	machine_handle_deleted(core, machine);
 }
 
 static void take_delete_answer(struct core *core, const struct delete_batch *batch,
--- a/src/core/autoscale/scale_out_jobs.c
+++ b/src/core/autoscale/scale_out_jobs.c
@@ -84,7 +84,7 @@
 	    .choice = can_wait(core, job) ? SPOT_ONLY : ANY_KIND,
 	};
 
-	for (uint32_t i = 0; i < waiting && team_has_room(core, spec, i + 1); i++) {
+	for (uint32_t i = 0; i < waiting && team_quota_allows(core, spec, i + 1); i++) {
 		if (planned_rooms_take(rooms, spec, ROOMS_TO_COME, demand.zone))
 			continue;
 		demand.tasks = waiting - i;
--- a/src/core/model/binding.c
+++ b/src/core/model/binding.c
@@ -64,7 +64,7 @@
 		job->running_count--;
 	/* Records of an earlier leader may bind a task twice: the task waits again only when both
 	 * bindings have ended. */
-	if (!chunk_binds_task_again(binding))
+	if (!chunk_has_other_binding(binding))
 		job_mark_task_unbound(job, binding->task);
 	chunk_remove_binding(binding);
 	job->uncommitted_count -= !binding->committed;
@@ -110,9 +110,9 @@
 
 	if (ran_long_enough)
 		job_reset_failures(job);
-	job_note_failure(core, job, binding->machine);
+	job_handle_task_failure(core, job, binding->machine);
 	if (reason == END_ERROR)
-		machine_note_failed_job(binding->machine, job);
+		machine_add_failed_job(binding->machine, job);
 }
 
 /* Applies the reason of the end to the job and to the machine. */
@@ -131,19 +131,19 @@
 	case END_DONE:
 		machine_reset_failed_jobs(machine);
 		job_reset_failures(job);
-		job_note_task_done(core, job, binding->task);
+		job_complete_task(core, job, binding->task);
 		break;
 	case END_ERROR:
-		job_note_failure(core, job, machine);
-		machine_note_failed_job(machine, job);
+		job_handle_task_failure(core, job, machine);
+		machine_add_failed_job(machine, job);
 		break;
 	case END_NO_ROOM:
 	case END_BUSY:
-		job_note_refused_start(core, job);
-		machine_note_refused_start(core, machine);
+		job_handle_refused_start(core, job);
+		machine_handle_refused_start(core, machine);
 		break;
 	case END_UNKNOWN_JOB: /* the job's description is still on its way to the machine */
-		job_note_refused_start(core, job);
+		job_handle_refused_start(core, job);
 		break;
 	case END_NONE:
 	case END_STOPPED:
@@ -166,6 +166,6 @@
 		stop_gang(core, job, reason);
 	job->scheduling.waiting_since = core->now;
 	job_check_end(core, job);
-	job_release_if_over(core, job);
+	job_free_if_unused(core, job);
 	core->events->placement_needed(core);
 }
--- a/src/core/model/chunk.c
+++ b/src/core/model/chunk.c
@@ -10,7 +10,7 @@
 	       job->records.tasks_per_chunk;
 }
 
-uint32_t job_chunk_of(const struct job *job, uint32_t task)
+uint32_t job_chunk_index(const struct job *job, uint32_t task)
 {
 	return task / job->records.tasks_per_chunk;
 }
@@ -18,7 +18,7 @@
 /* The chunk of the binding's task. */
 static struct chunk *chunk_of_binding(const struct binding *binding)
 {
-	return &binding->job->records.chunks[job_chunk_of(binding->job, binding->task)];
+	return &binding->job->records.chunks[job_chunk_index(binding->job, binding->task)];
 }
 
 /* The size of the binding in its chunk's record, at most. */
@@ -52,7 +52,7 @@
 	chunk->bytes -= binding->record_bytes;
 }
 
-bool chunk_binds_task_again(const struct binding *binding)
+bool chunk_has_other_binding(const struct binding *binding)
 {
 	const struct binding *other;
 
--- a/src/core/model/chunk.h
+++ b/src/core/model/chunk.h
@@ -20,7 +20,7 @@
 	uint32_t bytes;			    /* size of its bindings in the record, at most */
 	struct pending_write *queued_write; /* owned by the write queue; NULL: no write is queued */
 	bool in_flight;			    /* the transaction in flight writes its record */
-	bool ends_with_job; /* the transaction in flight deletes its record and ends its job */
+	bool deleted_with_job; /* the transaction in flight deletes its record and ends its job */
 	/* Its bindings and done tasks are on record only in the older record of a large chunk. */
 	bool in_old_format;
 };
@@ -45,12 +45,12 @@
 /* The number of chunks that the job's tasks are divided into; the last one may be smaller. */
 uint32_t job_chunk_count(const struct job *job);
 /* The index of the chunk that contains the task. */
-uint32_t job_chunk_of(const struct job *job, uint32_t task);
+uint32_t job_chunk_index(const struct job *job, uint32_t task);
 /* Adds the binding to the chunk of its task, and sets the binding's `record_bytes`. */
 void chunk_add_binding(struct binding *binding);
 /* Removes the binding from its chunk. The caller requests the write of the record. */
 void chunk_remove_binding(struct binding *binding);
 /* True if the chunk has another binding of the same task. */
-bool chunk_binds_task_again(const struct binding *binding);
+bool chunk_has_other_binding(const struct binding *binding);
 
 #endif
--- a/src/core/model/job.c
+++ b/src/core/model/job.c
@@ -71,7 +71,7 @@
 	free(job);
 }
 
-void job_release_if_over(struct core *core, struct job *job)
+void job_free_if_unused(struct core *core, struct job *job)
 {
 	if (!job->orphan || job->bindings)
 		return;
@@ -142,7 +142,7 @@
 		core->events->task_record_changed(core, job, task, TASK_END_WRITE_DELAY_S);
 }
 
-void job_note_task_done(struct core *core, struct job *job, uint32_t task)
+void job_complete_task(struct core *core, struct job *job, uint32_t task)
 {
 	if (job->spec.kind != JOB_GANG) {
 		mark_task_done(core, job, task);
@@ -152,14 +152,14 @@
 		mark_task_done(core, job, member);
 }
 
-void job_note_done_unbound(struct core *core, const char *id, uint32_t task)
+void job_handle_unbound_task_done(struct core *core, const char *id, uint32_t task)
 {
 	struct job *job = job_find(core, id);
 	struct binding *binding;
 
 	if (!job || !may_become_done(job, task))
 		return;
-	job_note_task_done(core, job, task);
+	job_complete_task(core, job, task);
 	DL_FOREACH2 (job->bindings, binding, job_next)
 		if (task_bit_test(job->done, binding->task))
 			binding_stop(core, binding, 0);
--- a/src/core/model/job.h
+++ b/src/core/model/job.h
@@ -36,7 +36,7 @@
 	int failed_machine_count;
 	double reserved_until; /* end of its reservation of capacity; 0: it has none */
 	/* Its reservation grows: each cycle adds capacity that has fallen free. */
-	bool reserving;
+	bool has_growing_reservation;
 	/* The zone to which a growing reservation is limited; empty: all zones. */
 	char reserved_zone[NAME_MAX_LEN];
 	double next_preemption_at; /* no other work is stopped for it before */
@@ -86,7 +86,7 @@
 /* Removes the job and frees it. It must have no bindings, unless leadership has ended. */
 void job_free(struct core *core, struct job *job);
 /* Frees an orphan that has no bindings and no write of a chunk queued or in flight. */
-void job_release_if_over(struct core *core, struct job *job);
+void job_free_if_unused(struct core *core, struct job *job);
 
 /* The number of waiting tasks; 0 if none of the job's tasks may be started any more. */
 uint32_t job_waiting_count(const struct job *job);
@@ -97,13 +97,13 @@
 /* Marks the task as not bound, so that it waits again unless it is done. */
 void job_mark_task_unbound(struct job *job, uint32_t task);
 /* Marks a task that succeeded as done; in a gang, all tasks, which succeed together. */
-void job_note_task_done(struct core *core, struct job *job, uint32_t task);
+void job_complete_task(struct core *core, struct job *job, uint32_t task);
 /*
  * Handles a task that an agent lists as done although it is not bound to that machine any more: the
  * previous leader recorded the end of the binding, but its term ended before the task's success was
  * on record. Marks the task as done, and stops other attempts of it, which are not needed.
  */
-void job_note_done_unbound(struct core *core, const char *id, uint32_t task);
+void job_handle_unbound_task_done(struct core *core, const char *id, uint32_t task);
 
 /*
  * Requests the final record of a job that is over. To be called whenever a task is done, a binding
--- a/src/core/model/job_failures.c
+++ b/src/core/model/job_failures.c
@@ -20,7 +20,8 @@
 	return fmin(wait_s, ERROR_BACKOFF_MAX_S);
 }
 
-void job_note_failure(const struct core *core, struct job *job, const struct machine *machine)
+void job_handle_task_failure(const struct core *core, struct job *job,
+			     const struct machine *machine)
 {
 	struct job_scheduling *scheduling = &job->scheduling;
 	int oldest = scheduling->failed_machine_count % JOB_FAILED_MACHINES_MAX;
@@ -36,12 +37,12 @@
 	job->scheduling.consecutive_failures = 0;
 }
 
-void job_note_refused_start(const struct core *core, struct job *job)
+void job_handle_refused_start(const struct core *core, struct job *job)
 {
 	job->scheduling.retry_at = core->now + START_REFUSED_BACKOFF_S;
 }
 
-void machine_note_refused_start(const struct core *core, struct machine *machine)
+void machine_handle_refused_start(const struct core *core, struct machine *machine)
 {
 	machine->scheduling.backoff_until = core->now + START_REFUSED_BACKOFF_S;
 }
@@ -55,7 +56,7 @@
 	return false;
 }
 
-void machine_note_failed_job(struct machine *machine, const struct job *job)
+void machine_add_failed_job(struct machine *machine, const struct job *job)
 {
 	struct machine_scheduling *scheduling = &machine->scheduling;
 
--- a/src/core/model/job_failures.h
+++ b/src/core/model/job_failures.h
@@ -14,21 +14,22 @@
  * may be placed again at once; from the second consecutive one on, the job gets a backoff that
  * doubles. The job also remembers the machine.
  */
-void job_note_failure(const struct core *core, struct job *job, const struct machine *machine);
+void job_handle_task_failure(const struct core *core, struct job *job,
+			     const struct machine *machine);
 /* Resets the count of consecutive failures: a task succeeded, or a replica ran long enough. */
 void job_reset_failures(struct job *job);
 /* Handles an agent's refusal to start a task of the job, which gets a backoff. */
-void job_note_refused_start(const struct core *core, struct job *job);
+void job_handle_refused_start(const struct core *core, struct job *job);
 /*
  * Handles a start that the machine's agent refused, since capacity is lacking or another attempt of
  * the task still runs there. The machine gets a backoff, in which no task is placed on it.
  */
-void machine_note_refused_start(const struct core *core, struct machine *machine);
+void machine_handle_refused_start(const struct core *core, struct machine *machine);
 /*
  * Adds the job to those that failed on the machine, unless it also failed on another one. The
  * machine is drained once MACHINE_FAILED_JOBS_MAX jobs have failed on it.
  */
-void machine_note_failed_job(struct machine *machine, const struct job *job);
+void machine_add_failed_job(struct machine *machine, const struct job *job);
 /* Forgets the jobs that failed on the machine, since a task has succeeded there. */
 void machine_reset_failed_jobs(struct machine *machine);
 
--- a/src/core/model/machine.c
+++ b/src/core/model/machine.c
@@ -42,7 +42,7 @@
 {
 	HASH_DEL(core->machines, machine);
 	core->events->machine_forgotten(core, machine);
-	free(machine->agent.leftovers);
+	free(machine->agent.unbound_tasks);
 	free(machine);
 }
 
@@ -178,7 +178,7 @@
 }
 
 /* The images are kept in the order of their last use, as in the machine's own cache. */
-void machine_note_image(struct machine *machine, const char *image)
+void machine_mark_image_used(struct machine *machine, const char *image)
 {
 	struct machine_scheduling *scheduling = &machine->scheduling;
 	int place = scheduling->image_count < MACHINE_IMAGES_MAX ? scheduling->image_count
@@ -193,7 +193,7 @@
 	snprintf(scheduling->images[0], NAME_MAX_LEN, "%s", image);
 }
 
-void machine_note_deleted(struct core *core, struct machine *machine)
+void machine_handle_deleted(struct core *core, struct machine *machine)
 {
 	log_info("machine_deleted", "machine=%s bound=%d", machine->id, machine->binding_count);
 	machine->cloud.deleted = machine->cloud.deleting = true;
--- a/src/core/model/machine.h
+++ b/src/core/model/machine.h
@@ -55,8 +55,8 @@
 	double notice_s;
 	double notice_received_at;		  /* when `notice_s` was last set; 0: never */
 	struct report_cache_entry *cached_report; /* owned by agents.report_cache; NULL: none */
-	struct unbound_task *leftovers; /* owned; tasks of its newest report that are not bound */
-	size_t leftover_count;
+	struct unbound_task *unbound_tasks;	  /* owned; listed in its newest report */
+	size_t unbound_task_count;
 };
 
 /* The probes of the machine: requests for a report that the leader sends to its agent. */
@@ -159,7 +159,7 @@
 void machine_set_identity(struct core *core, struct machine *machine, const char *addr,
 			  const char *type, const char *zone, bool spot);
 /* Handles the cloud's answer 200 to the request to delete the machine: ends all of its bindings. */
-void machine_note_deleted(struct core *core, struct machine *machine);
+void machine_handle_deleted(struct core *core, struct machine *machine);
 /* Points all machines to the types of a new catalog, and computes their free capacity again. */
 void machines_apply_catalog(const struct core *core);
 
@@ -179,7 +179,7 @@
 /* True if the image is probably in the machine's cache. */
 bool machine_has_image(const struct machine *machine, const char *image);
 /* Makes the image the most recently used one of those that the machine's cache probably holds. */
-void machine_note_image(struct machine *machine, const char *image);
+void machine_mark_image_used(struct machine *machine, const char *image);
 
 /* Adds the binding to the list of its machine, and takes its resources. Only for binding.c. */
 void machine_add_binding(struct core *core, struct binding *binding);
--- a/src/core/model/team.c
+++ b/src/core/model/team.c
@@ -25,7 +25,7 @@
 	return quota <= 0 || requested <= 0 || used + requested <= quota + QUOTA_SLACK;
 }
 
-bool team_has_room(const struct core *core, const struct job_spec *spec, uint32_t tasks)
+bool team_quota_allows(const struct core *core, const struct job_spec *spec, uint32_t tasks)
 {
 	const struct team *team = team_find(core, spec->team);
 
@@ -33,7 +33,7 @@
 	       within_quota(team->gpus, spec->gpus * tasks, team->conf->gpus_max);
 }
 
-bool team_ever_fits(const struct conf *conf, const struct job_spec *spec)
+bool team_quota_covers_job(const struct conf *conf, const struct job_spec *spec)
 {
 	uint32_t tasks = spec->kind == JOB_ARRAY ? 1 : spec->task_count;
 
--- a/src/core/model/team.h
+++ b/src/core/model/team.h
@@ -25,12 +25,12 @@
  * True if the quotas of the job's team allow so many more of its tasks; false if the settings don't
  * have the team.
  */
-bool team_has_room(const struct core *core, const struct job_spec *spec, uint32_t tasks);
+bool team_quota_allows(const struct core *core, const struct job_spec *spec, uint32_t tasks);
 /*
  * True if the quotas of the job's team allow the job while the team uses nothing else: a single
  * task of an array, or all tasks of a gang or service. False if the settings don't have the team.
  */
-bool team_ever_fits(const struct conf *conf, const struct job_spec *spec);
+bool team_quota_covers_job(const struct conf *conf, const struct job_spec *spec);
 /* Adds the resources of one task of the job to the team's use. */
 void team_charge(struct core *core, const struct job_spec *spec);
 /* Subtracts the resources of one task of the job from the team's use. */
--- a/src/core/records/recovery.c
+++ b/src/core/records/recovery.c
@@ -77,7 +77,7 @@
 	JOBS_FOR_EACH (core, job, next) {
 		task_records_migrate(core, job);
 		job_check_end(core, job);
-		job_release_if_over(core, job);
+		job_free_if_unused(core, job);
 	}
 	election_note_recovered(core);
 	core->leading_since = core->now;
--- a/src/core/records/task_record_load.c
+++ b/src/core/records/task_record_load.c
@@ -47,7 +47,7 @@
 	if (task >= job->spec.task_count || task / record->tasks_per_chunk != record->chunk_index)
 		return false;
 	return record->tasks_per_chunk == job->records.tasks_per_chunk ||
-	       !job->records.chunks[job_chunk_of(job, task)].version;
+	       !job->records.chunks[job_chunk_index(job, task)].version;
 }
 
 /* Loads the binding at the position of the group: its task, and its machine behind it. */
--- a/src/core/records/task_records.c
+++ b/src/core/records/task_records.c
@@ -86,7 +86,7 @@
 
 bool task_record_is_full(const struct core *core, const struct job *job, uint32_t task)
 {
-	const struct chunk *chunk = &job->records.chunks[job_chunk_of(job, task)];
+	const struct chunk *chunk = &job->records.chunks[job_chunk_index(job, task)];
 
 	return chunk->bytes + CHUNK_OVERHEAD_BYTES + CHUNK_BINDING_BYTES > limits_value_bytes(core);
 }
--- a/src/core/records/transaction_build.c
+++ b/src/core/records/transaction_build.c
@@ -115,7 +115,7 @@
 
 	write_queue_remove(write);
 	task_record_note_superseded(core, job, write->chunk_index);
-	job_release_if_over(core, job);
+	job_free_if_unused(core, job);
 	free(write);
 }
 
--- a/src/core/records/transaction_commit.c
+++ b/src/core/records/transaction_commit.c
@@ -40,7 +40,7 @@
 		binding->in_flight = false;
 	}
 	task_record_note_superseded(core, job, chunk_index);
-	job_release_if_over(core, job);
+	job_free_if_unused(core, job);
 }
 
 /* The chunk's record went with the job's final record, is deleted next, or is still needed. */
@@ -49,13 +49,13 @@
 	struct chunk *chunk = &job->records.chunks[chunk_index];
 	char key[KEY_MAX];
 
-	if (!chunk->ends_with_job && task_record_is_idle(chunk)) {
+	if (!chunk->deleted_with_job && task_record_is_idle(chunk)) {
 		task_record_key(key, job, chunk_index);
 		write_queue_add_delete(core, key, chunk->version);
 	}
-	if (chunk->ends_with_job)
+	if (chunk->deleted_with_job)
 		chunk->version = 0;
-	chunk->ends_with_job = false;
+	chunk->deleted_with_job = false;
 	if (!chunk->binding_count && !chunk->queued_write && !chunk->in_flight)
 		task_record_note_superseded(core, job, chunk_index);
 }
@@ -70,7 +70,7 @@
 	job->orphan = true;
 	for (uint32_t chunk_index = 0; chunk_index < job_chunk_count(job); chunk_index++)
 		end_chunk(core, job, chunk_index);
-	job_release_if_over(core, job);
+	job_free_if_unused(core, job);
 }
 
 /*
--- a/src/core/records/write_ops.c
+++ b/src/core/records/write_ops.c
@@ -17,7 +17,7 @@
 void final_record_unmark_chunks(struct job *job)
 {
 	for (uint32_t chunk_index = 0; chunk_index < job_chunk_count(job); chunk_index++)
-		job->records.chunks[chunk_index].ends_with_job = false;
+		job->records.chunks[chunk_index].deleted_with_job = false;
 }
 
 static void add_delete(struct txn *txn, const char *key, uint64_t version)
@@ -40,7 +40,7 @@
 			continue;
 		task_record_key(key, job, chunk_index);
 		add_delete(txn, key, chunk->version);
-		chunk->ends_with_job = true;
+		chunk->deleted_with_job = true;
 		op_count++;
 	}
 }
--- a/src/core/records/write_queue.c
+++ b/src/core/records/write_queue.c
@@ -46,7 +46,7 @@
 void write_queue_add_chunk(struct core *core, struct job *job, uint32_t task, double delay_s)
 {
 	struct write_queue *queue = &core->write_queue;
-	uint32_t chunk_index = job_chunk_of(job, task);
+	uint32_t chunk_index = job_chunk_index(job, task);
 	double due_at = core->now + delay_s;
 	struct chunk *chunk;
 
@@ -146,7 +146,7 @@
 
 bool write_queue_settled(const struct job *job, uint32_t task)
 {
-	const struct chunk *chunk = &job->records.chunks[job_chunk_of(job, task)];
+	const struct chunk *chunk = &job->records.chunks[job_chunk_index(job, task)];
 
 	if (job->final_queued)
 		return job->final_committed;
--- a/src/core/scheduling/array_placement.c
+++ b/src/core/scheduling/array_placement.c
@@ -69,7 +69,7 @@
 static bool may_start_now(struct core *core, const struct job *job)
 {
 	return job->spec.kind == JOB_ARRAY && job_waiting_count(job) &&
-	       core->now >= job->scheduling.retry_at && team_has_room(core, &job->spec, 1);
+	       core->now >= job->scheduling.retry_at && team_quota_allows(core, &job->spec, 1);
 }
 
 /* Whether one more task of the job may take room on the machine, by all rules. */
--- a/src/core/scheduling/gang_placement.c
+++ b/src/core/scheduling/gang_placement.c
@@ -120,7 +120,7 @@
 	uint32_t task_count = job->spec.task_count;
 
 	/* Tasks of an old attempt keep their places and zones until they exit. */
-	if (job->bindings || !team_has_room(cycle->core, &job->spec, task_count))
+	if (job->bindings || !team_quota_allows(cycle->core, &job->spec, task_count))
 		return false;
 	if (cycle_found_no_room(cycle, job, task_count))
 		return false;
--- a/src/core/scheduling/job_order.c
+++ b/src/core/scheduling/job_order.c
@@ -22,7 +22,8 @@
 
 	if (job->spec.kind == JOB_ARRAY)
 		return job->submitted_at + (job->spec.deadline_s >= 0 ? job->spec.deadline_s : 0);
-	if (job->scheduling.reserving || core->wall - job->submitted_at > ORDER_FIRST_AFTER_S)
+	if (job->scheduling.has_growing_reservation ||
+	    core->wall - job->submitted_at > ORDER_FIRST_AFTER_S)
 		return -ORDER_KEY_EXTREME_S;
 	objective = wait_objective_s(core, job);
 	return objective > 0 ? objective : ORDER_KEY_EXTREME_S;
--- a/src/core/scheduling/placement.c
+++ b/src/core/scheduling/placement.c
@@ -114,7 +114,7 @@
 	struct machine *machine;
 	uint32_t task;
 
-	if (!job_waiting_count(job) || !team_has_room(cycle->core, &job->spec, 1) ||
+	if (!job_waiting_count(job) || !team_quota_allows(cycle->core, &job->spec, 1) ||
 	    cycle_found_no_room(cycle, job, 1))
 		return false;
 	task = next_placeable_task(cycle->core, job);
--- a/src/core/scheduling/preemption.c
+++ b/src/core/scheduling/preemption.c
@@ -191,8 +191,8 @@
 	struct preemption_demand demand = {.core = core, .job = job};
 
 	demand.tasks = preemption_task_count(job);
-	demand.scope = team_has_room(core, &job->spec, demand.tasks) ? VICTIMS_OF_ANY_TEAM
-								     : VICTIMS_OF_OWN_TEAM;
+	demand.scope = team_quota_allows(core, &job->spec, demand.tasks) ? VICTIMS_OF_ANY_TEAM
+									 : VICTIMS_OF_OWN_TEAM;
 	return demand;
 }
 
@@ -201,7 +201,7 @@
 	struct core *core = cycle->core;
 	struct preemption_demand demand;
 
-	if (job->scheduling.reserving) {
+	if (job->scheduling.has_growing_reservation) {
 		reservation_renew(cycle, job);
 		return;
 	}
--- a/src/core/scheduling/reservation.c
+++ b/src/core/scheduling/reservation.c
@@ -52,7 +52,7 @@
 	if (!job->scheduling.reserved_until)
 		return;
 	job->scheduling.reserved_until = 0;
-	job->scheduling.reserving = false;
+	job->scheduling.has_growing_reservation = false;
 	job->scheduling.reserved_zone[0] = 0;
 	MACHINES_FOR_EACH (core, machine, next)
 		if (machine->scheduling.reserved_for == job)
@@ -91,7 +91,7 @@
 	struct job *job, *next;
 
 	JOBS_FOR_EACH (core, job, next) {
-		if (!job->scheduling.reserving)
+		if (!job->scheduling.has_growing_reservation)
 			continue;
 		gangs++;
 		cpus += total_cpus(job);
@@ -196,7 +196,7 @@
 		return;
 	if (job->spec.one_zone)
 		snprintf(scheduling->reserved_zone, sizeof(scheduling->reserved_zone), "%s", zone);
-	scheduling->reserving = true;
+	scheduling->has_growing_reservation = true;
 	reservation_renew(cycle, job);
 	log_info("reservation_started", "job=%s tasks=%u zone=%s waited=%.1f", job->spec.id,
 		 job->spec.task_count, scheduling->reserved_zone,
--- a/src/core/scheduling/share_switching_leader.c
+++ b/src/core/scheduling/share_switching_leader.c
@@ -145,7 +145,7 @@
 
 		/* A job whose team is at its limit, or with nothing waiting, is not drawn. */
 		if (job->spec.kind != JOB_ARRAY || !job_waiting_count(job) ||
-		    !team_has_room(core, &job->spec, 1))
+		    !team_quota_allows(core, &job->spec, 1))
 			continue;
 		peer__open_job__init(open);
 		open->job = job->spec.id;
