--- a/src/core/model/binding.c
+++ b/src/core/model/binding.c
@@ -41,8 +41,10 @@
 	core->events->commands_due(core, binding->machine);
 }
 
-/* Keeps the freed slot for a while for its own array, or for the one that share switching gave it
- * to. */
+/*
+ * Keeps a freed slot for FREED_SLOT_HOLD_S for the array that it was freed by, or for the one that
+ * share switching gave it to. Other kinds of jobs have no slots.
+ */
 static void keep_freed_slot(const struct core *core, const struct binding *binding)
 {
 	struct machine_scheduling *scheduling = &binding->machine->scheduling;
--- a/src/core/model/job.c
+++ b/src/core/model/job.c
@@ -83,11 +83,12 @@
 
 uint32_t job_waiting_count(const struct job *job)
 {
-	uint32_t busy = job->done_count + job->bound_count;
+	uint32_t done_or_bound = job->done_count + job->bound_count;
 
-	if (job->cancelled || job->orphan || job->final_queued || busy >= job->spec.task_count)
+	if (job->cancelled || job->orphan || job->final_queued ||
+	    done_or_bound >= job->spec.task_count)
 		return 0;
-	return job->spec.task_count - busy;
+	return job->spec.task_count - done_or_bound;
 }
 
 uint32_t job_first_waiting(struct job *job)
@@ -119,8 +120,10 @@
 		job->first_waiting_hint = task;
 }
 
-/* True if the task's success still has to be recorded. A service's tasks are never done, and those
- * of an orphan don't matter any more. */
+/*
+ * True if the task's success still has to be recorded. A service's tasks are never done, and those
+ * of an orphan don't matter any more.
+ */
 static bool may_become_done(const struct job *job, uint32_t task)
 {
 	return !job->orphan && task < job->spec.task_count && !task_bit_test(job->done, task) &&
@@ -136,8 +139,7 @@
 	job->done_count++;
 	log_debug("task_done", "job=%s task=%u done=%u of=%u", job->spec.id, task, job->done_count,
 		  job->spec.task_count);
-	/* The chunk of the last task need not be written: the final record says that all are done.
-	 */
+	/* The last task's chunk need not be written: the final record says that all are done. */
 	if (job->done_count < job->spec.task_count)
 		core->events->task_record_changed(core, job, task, TASK_END_WRITE_DELAY_S);
 }
--- a/src/core/model/machine.c
+++ b/src/core/model/machine.c
@@ -129,7 +129,7 @@
  * True if the message that was received at `received_at` (steady seconds) is recent: less than
  * MACHINE_FRESH_REPORTS report intervals old. A negative time stands for no message.
  */
-static bool is_fresh(const struct core *core, double received_at)
+static bool is_recent(const struct core *core, double received_at)
 {
 	return received_at >= 0 &&
 	       core->now - received_at < MACHINE_FRESH_REPORTS * core->conf->report_s;
@@ -137,7 +137,7 @@
 
 bool machine_is_responsive(const struct core *core, const struct machine *machine)
 {
-	return is_fresh(core, machine->agent.last_message_at);
+	return is_recent(core, machine->agent.last_message_at);
 }
 
 bool machine_is_leaving(const struct machine *machine)
@@ -155,7 +155,7 @@
 {
 	return machine->type && machine->agent.incarnation && machine->agent.reachable &&
 	       !machine->cloud.draining && !machine->cloud.deleting && !machine->cloud.failed &&
-	       machine->agent.notice_s < 0 && is_fresh(core, machine->agent.last_report_at) &&
+	       machine->agent.notice_s < 0 && is_recent(core, machine->agent.last_report_at) &&
 	       core->now >= machine->scheduling.backoff_until;
 }
 
--- a/src/core/model/machine.h
+++ b/src/core/model/machine.h
@@ -183,8 +183,10 @@
 
 /* Adds the binding to the list of its machine, and takes its resources. Only for binding.c. */
 void machine_add_binding(struct core *core, struct binding *binding);
-/* Reverts machine_add_binding. If it was the machine's last binding, the machine is idle from now
- * on. Only for binding.c. */
+/*
+ * Reverts machine_add_binding. After its last binding, the machine is idle from now on. Only for
+ * binding.c.
+ */
 void machine_remove_binding(struct core *core, struct binding *binding);
 
 #endif
