--- a/src/core/api/cancel_requests.c
+++ b/src/core/api/cancel_requests.c
@@ -12,7 +12,7 @@
 static void on_committed(struct core *core, const char *id, uint64_t version)
 {
 	log_info("cancel_committed", "job=%s", id);
-	job_cancel_committed(core, id, version);
+	job_on_cancel_committed(core, id, version);
 	cancellations_announce(core, id, version);
 	cancellations_note_confirmed(core, id, version);
 }
--- a/src/core/api/cancellations.c
+++ b/src/core/api/cancellations.c
@@ -47,7 +47,7 @@
 		core_reply_error(core, request->connection, STATUS_BAD_REQUEST, 0, "cancelled");
 		return;
 	}
-	job_cancel_committed(core, message->job, message->version);
+	job_on_cancel_committed(core, message->job, message->version);
 	peer__cancellation__free_unpacked(message, NULL);
 	core_reply(core, request->connection, STATUS_OK, 0, xstrdup("{}"));
 }
@@ -159,8 +159,8 @@
 	if (message->token > election_token(core))
 		election_deposed(core, core->conf->peers[index].name);
 	for (size_t i = 0; i < message->n_cancelled; i++)
-		job_cancel_committed(core, message->cancelled[i]->job,
-				     message->cancelled[i]->version);
+		job_on_cancel_committed(core, message->cancelled[i]->job,
+					message->cancelled[i]->version);
 	if (election_is_leader(core) && peer->incarnation_since <= election_jobs_read_at(core))
 		peer->confirmed_until = sent_at;
 	election_note_peers_confirmed(core, confirmed_until(core));
--- a/src/core/model/job.c
+++ b/src/core/model/job.c
@@ -219,7 +219,7 @@
 	job_check_end(core, job);
 }
 
-void job_cancel_committed(struct core *core, const char *id, uint64_t version)
+void job_on_cancel_committed(struct core *core, const char *id, uint64_t version)
 {
 	struct job *job = election_is_leader(core) ? job_find(core, id) : NULL;
 
--- a/src/core/model/job.h
+++ b/src/core/model/job.h
@@ -124,6 +124,6 @@
  * Handles a cancellation that is on record, as `version` of the job's key: cancels the job if this
  * controller leads.
  */
-void job_cancel_committed(struct core *core, const char *id, uint64_t version);
+void job_on_cancel_committed(struct core *core, const char *id, uint64_t version);
 
 #endif
