--- a/src/core/agents/reconciliation.c
+++ b/src/core/agents/reconciliation.c
@@ -39,7 +39,7 @@
 	binding->observed = true;
 	binding->listed_sequence = binding->machine->agent.sequence;
 	if (state != TASK_FETCHING)
-		machine_note_image(binding->machine, binding->job->spec.image);
+		machine_mark_image_used(binding->machine, binding->job->spec.image);
 	if (running && binding->running_since <= 0)
 		record_first_run(core, binding);
 	binding->state = state;
@@ -51,9 +51,9 @@
 	struct machine_agent *agent = &machine->agent;
 	struct unbound_task *unbound;
 
-	agent->leftovers =
-	    xreallocarray(agent->leftovers, agent->leftover_count + 1, sizeof(*agent->leftovers));
-	unbound = &agent->leftovers[agent->leftover_count++];
+	agent->unbound_tasks = xreallocarray(agent->unbound_tasks, agent->unbound_task_count + 1,
+					     sizeof(*agent->unbound_tasks));
+	unbound = &agent->unbound_tasks[agent->unbound_task_count++];
 	snprintf(unbound->job, sizeof(unbound->job), "%s", listed->job);
 	unbound->task = listed->task;
 	unbound->attempt = listed->attempt;
@@ -62,9 +62,9 @@
 
 void unbound_tasks_clear(struct machine *machine)
 {
-	free(machine->agent.leftovers);
-	machine->agent.leftovers = NULL;
-	machine->agent.leftover_count = 0;
+	free(machine->agent.unbound_tasks);
+	machine->agent.unbound_tasks = NULL;
+	machine->agent.unbound_task_count = 0;
 }
 
 static void reconcile_listed_task(struct core *core, struct machine *machine,
@@ -80,10 +80,10 @@
 	add_unbound_task(machine, listed);
 	if (binding) {
 		if (done)
-			machine_note_image(machine, binding->job->spec.image);
+			machine_mark_image_used(machine, binding->job->spec.image);
 		binding_end(core, binding, listed->end_reason);
 	} else if (listed->state == TASK_EXITED && done) {
-		job_note_done_unbound(core, listed->job, listed->task);
+		job_handle_unbound_task_done(core, listed->job, listed->task);
 	}
 }
 
--- a/src/core/model/job.c
+++ b/src/core/model/job.c
@@ -35,7 +35,7 @@
 	return job;
 }
 
-/* Resizes an array of which `count` elements are in use; the new elements are zero. */
+/* Extends an array from `count` to `new_count` elements; the new ones are zero. */
 static void *grow_zeroed(void *array, size_t count, size_t new_count, size_t element_size)
 {
 	char *grown = xreallocarray(array, new_count, element_size);
@@ -71,7 +71,7 @@
 	free(job);
 }
 
-void job_release_if_over(struct core *core, struct job *job)
+void job_free_if_unused(struct core *core, struct job *job)
 {
 	if (!job->orphan || job->bindings)
 		return;
@@ -83,11 +83,12 @@
 
 uint32_t job_waiting_count(const struct job *job)
 {
-	uint32_t busy = job->done_count + job->bound_count;
+	uint32_t done_or_bound = job->done_count + job->bound_count;
 
-	if (job->cancelled || job->orphan || job->final_queued || busy >= job->spec.task_count)
+	if (job->cancelled || job->orphan || job->final_queued ||
+	    done_or_bound >= job->spec.task_count)
 		return 0;
-	return job->spec.task_count - busy;
+	return job->spec.task_count - done_or_bound;
 }
 
 uint32_t job_first_waiting(struct job *job)
@@ -119,13 +120,17 @@
 		job->first_waiting_hint = task;
 }
 
-/* Whether the end of the task with success would be news. A service's tasks are never done. */
+/*
+ * True if the task's success still has to be recorded. A service's tasks are never done, and those
+ * of an orphan don't matter any more.
+ */
 static bool may_become_done(const struct job *job, uint32_t task)
 {
 	return !job->orphan && task < job->spec.task_count && !task_bit_test(job->done, task) &&
 	       job->spec.kind != JOB_SERVICE;
 }
 
+/* Marks the task as done, and requests a write of its chunk's record. */
 static void mark_task_done(struct core *core, struct job *job, uint32_t task)
 {
 	if (!may_become_done(job, task))
@@ -134,12 +139,12 @@
 	job->done_count++;
 	log_debug("task_done", "job=%s task=%u done=%u of=%u", job->spec.id, task, job->done_count,
 		  job->spec.task_count);
-	/* The end of the last one is recorded by the job's final record. */
+	/* The last task's chunk need not be written: the final record says that all are done. */
 	if (job->done_count < job->spec.task_count)
 		core->events->task_record_changed(core, job, task, TASK_END_WRITE_DELAY_S);
 }
 
-void job_note_task_done(struct core *core, struct job *job, uint32_t task)
+void job_complete_task(struct core *core, struct job *job, uint32_t task)
 {
 	if (job->spec.kind != JOB_GANG) {
 		mark_task_done(core, job, task);
@@ -149,14 +154,14 @@
 		mark_task_done(core, job, member);
 }
 
-void job_note_done_unbound(struct core *core, const char *id, uint32_t task)
+void job_handle_unbound_task_done(struct core *core, const char *id, uint32_t task)
 {
 	struct job *job = job_find(core, id);
 	struct binding *binding;
 
 	if (!job || !may_become_done(job, task))
 		return;
-	job_note_task_done(core, job, task);
+	job_complete_task(core, job, task);
 	DL_FOREACH2 (job->bindings, binding, job_next)
 		if (task_bit_test(job->done, binding->task))
 			binding_stop(core, binding, 0);
@@ -176,7 +181,8 @@
 	}
 	if (job->done_count < job->spec.task_count)
 		return;
-	/* The ends of a gang's last tasks are reported within moments: one transaction for all. */
+	/* The tasks of a gang report their ends within moments of each other. The final record
+	 * waits for them, up to FINAL_RECORD_DELAY_S, so that one transaction is enough. */
 	if (job->all_done_at <= 0)
 		job->all_done_at = core->now;
 	if (!job->bindings || core->now - job->all_done_at >= FINAL_RECORD_DELAY_S)
@@ -204,7 +210,7 @@
 	job->cancelled = true;
 	log_info("job_cancelled", "job=%s bound=%u", job->spec.id, job->bound_count);
 	DL_FOREACH_SAFE2 (job->bindings, binding, next, job_next) {
-		/* A start that was never sent needs no proof of its end. */
+		/* If no start was sent, the attempt never runs, and its end needs no proof. */
 		if (binding_start_never_sent(binding))
 			binding_end(core, binding, END_STOPPED);
 		else
@@ -213,7 +219,7 @@
 	job_check_end(core, job);
 }
 
-void job_cancel_committed(struct core *core, const char *id, uint64_t version)
+void job_on_cancel_committed(struct core *core, const char *id, uint64_t version)
 {
 	struct job *job = election_is_leader(core) ? job_find(core, id) : NULL;
 
--- a/src/core/records/task_record_load.c
+++ b/src/core/records/task_record_load.c
@@ -50,7 +50,7 @@
 	if (task >= job->spec.task_count || task / record->tasks_per_chunk != record->chunk_index)
 		return false;
 	return record->tasks_per_chunk == job->records.tasks_per_chunk ||
-	       !job->records.chunks[job_chunk_of(job, task)].version;
+	       !job->records.chunks[job_chunk_index(job, task)].version;
 }
 
 /* Loads one binding of a group: the task at `position`, bound to the machine at the next index. */
--- a/src/core/records/transaction_build.c
+++ b/src/core/records/transaction_build.c
@@ -116,7 +116,7 @@
 
 	write_queue_remove(write);
 	task_record_finish_migration(core, job, write->chunk_index);
-	job_release_if_over(core, job);
+	job_free_if_unused(core, job);
 	free(write);
 }
 
