--- a/src/core/election/election.c
+++ b/src/core/election/election.c
@@ -1,8 +1,8 @@
 /*
- * Leadership: the role of this controller, and the end of its terms.
+ * The state of the election, and the end of this controller's terms.
  *
- * Every deciding transaction is guarded by the fencing token, so an early failover wastes work but
- * breaks nothing.
+ * Every transaction that makes a decision is guarded by the fencing token, so a premature failover
+ * wastes work but breaks nothing.
  */
 #include "core/election/election.h"
 
@@ -69,7 +69,7 @@
 	return core->election.role != ROLE_FOLLOWER && core->election.token_renewal_in_flight;
 }
 
-/* --- course of a term --- */
+/* --- start, token and end of a term --- */
 
 void election_note_recovered(struct core *core)
 {
@@ -110,6 +110,7 @@
 		core->election.retry_at = core->now;
 }
 
+/* The reason as the log shows it. A "worker" is the agent on a machine. */
 static const char *reason_text(enum step_down_reason reason)
 {
 	static const char *const texts[] = {
@@ -150,6 +151,6 @@
 	if (core->election.role == ROLE_FOLLOWER)
 		return;
 	election_step_down(core, STEP_DOWN_PEER_LEADS);
-	/* Agents are redirected there, though the key may be out of reach. */
+	/* Agents are redirected to that controller even if the leader's key can't be read now. */
 	snprintf(core->election.leader, sizeof(core->election.leader), "%s", leader);
 }
--- a/src/core/election/election.h
+++ b/src/core/election/election.h
@@ -1,136 +1,181 @@
 /*
- * Leadership: a key of the state service, held under a lease. The key's revision is the fencing
- * token, which guards every deciding transaction and orders the commands to agents.
+ * Leadership. A controller leads while it holds the leader's key, which it writes to the state
+ * service under a lease. The revision of that key is the fencing token: it guards every transaction
+ * that makes a decision, and orders the commands to agents.
  *
  * leader_key.h reads and watches the key, leader_lease.h claims it and renews its lease, and
- * serving_deadline.c says how long a leader without the state service may answer.
+ * serving_deadline.c computes how long a leader that cannot reach the state service may answer
+ * agents.
  */
 #ifndef PLOVERLOFT_ELECTION_H
 #define PLOVERLOFT_ELECTION_H
 
 #include "core/runtime/call.h"
 
-/* Says in which format the records are; in the first format it is the leader's key as well. */
+/*
+ * Key of the state service that holds the version of the records' format. In the first format it is
+ * the leader's key as well.
+ */
 #define LEADER_KEY "leader"
 
 enum leadership_role {
-	ROLE_FOLLOWER,
-	ROLE_RECOVERING, /* holds the key, and reads the records */
-	ROLE_LEADER
+	ROLE_FOLLOWER,	 /* does not hold the leader's key */
+	ROLE_RECOVERING, /* holds the leader's key and reads the records */
+	ROLE_LEADER	 /* holds the leader's key and has read the records */
 };
 
 /* Why a term ends. */
 enum step_down_reason {
-	STEP_DOWN_KEY_TAKEN,	     /* the leader's key was written by another */
-	STEP_DOWN_FORMAT_RAISED,     /* another raised the records' format */
-	STEP_DOWN_LEASE_ENDED,	     /* the state service does not know the lease any more */
-	STEP_DOWN_LEASE_REFUSED,     /* it refused a write of the leader's key */
-	STEP_DOWN_GUARD_FAILED,	     /* a transaction found another revision of the leader's key */
-	STEP_DOWN_WATCH_TOO_OLD,     /* changes of jobs may have been missed */
-	STEP_DOWN_STATE_UNREACHABLE, /* the deadline of serving_deadline.c has passed */
-	STEP_DOWN_PEER_LEADS,	     /* another controller leads under a newer token */
-	STEP_DOWN_HIGHER_TOKEN_SEEN, /* an agent has seen a newer token */
-	STEP_DOWN_PARTITIONED	     /* too many agents are silent at once */
+	/* another controller wrote the leader's key, or it was deleted with its lease */
+	STEP_DOWN_KEY_TAKEN,
+	/* another controller raised the version of the records' format */
+	STEP_DOWN_FORMAT_RAISED,
+	/* the state service no longer knows the lease */
+	STEP_DOWN_LEASE_ENDED,
+	/* the state service refused the transaction that writes the leader's key */
+	STEP_DOWN_LEASE_REFUSED,
+	/* a transaction was rejected because the leader's key has another revision */
+	STEP_DOWN_GUARD_FAILED,
+	/* the state service no longer keeps the changes since the last watch of the open jobs:
+	 * some may have been missed */
+	STEP_DOWN_WATCH_TOO_OLD,
+	/* the serving deadline has passed, see serving_deadline.c */
+	STEP_DOWN_STATE_UNREACHABLE,
+	/* another controller answered that it leads, under a newer token */
+	STEP_DOWN_PEER_LEADS,
+	/* an agent's report shows a newer token */
+	STEP_DOWN_HIGHER_TOKEN_SEEN,
+	/* too many agents are silent at once */
+	STEP_DOWN_PARTITIONED
 };
 
-/* Times are steady. */
+/* All times are in seconds of the steady clock. */
 struct election {
 	enum leadership_role role;
-	char leader[CONF_NAME_MAX]; /* as last read; empty: none */
-	int format;		    /* of the records, as the leader's keys say */
+	char leader[CONF_NAME_MAX]; /* name of the leader as last read; empty: none */
+	int format;		    /* version of the records' format, as last read */
 	uint64_t key_revision;	    /* of the leader's key; 0: absent */
-	uint64_t gate_revision;	    /* of LEADER_KEY, in formats after the first */
-	uint64_t watch_revision;    /* from which to watch */
-	bool key_is_current;	    /* the key was read, and a watch can go on from there */
+	uint64_t gate_revision;	    /* of LEADER_KEY, used in formats after the first */
+	uint64_t watch_revision;    /* the next watch returns the changes after this revision */
+	bool key_is_current;	    /* the keys were read, and a watch can continue from there */
 	bool read_in_flight;
 	bool watch_in_flight;
-	bool claim_in_flight;
+	bool claim_in_flight;	      /* the request for a lease, or the claim under it */
 	bool renewal_in_flight;	      /* of the lease */
-	bool token_renewal_in_flight; /* the term's own write of the leader's key */
+	bool token_renewal_in_flight; /* the write of the leader's key that renews the token */
 	uint64_t first_token;	      /* see election_first_token */
-	uint64_t token;		      /* 0: this controller does not lead */
-	uint64_t lease;		      /* 0: none */
-	double renewed_at;	      /* when the last renewal that succeeded was sent */
+	uint64_t token;		      /* 0: this controller does not hold the leader's key */
+	uint64_t lease;		      /* id of the lease of the leader's key; 0: none */
+	double renewed_at;	      /* when the last successful renewal, or the request that the
+				       * lease was granted on, was sent */
 	double next_renewal_at;
-	double retry_at;	   /* no read of the key and no claim before */
-	double no_claim_before;	   /* after this controller resigned */
-	double jobs_read_at;	   /* when the newest read of the jobs' changes was sent */
+	double retry_at;	   /* the keys are not read and not claimed before this time */
+	double no_claim_before;	   /* set when this controller resigns: no claim before then */
+	double jobs_read_at;	   /* see election_jobs_read_at */
 	double peers_confirmed_at; /* see election_note_peers_confirmed; < 0: never */
 };
 
 /* --- state --- */
 
+/* The role of this controller. */
 enum leadership_role election_role(const struct core *core);
-/* Whether this controller leads, its records read. */
+/* True if this controller leads and has read the records. */
 bool election_is_leader(const struct core *core);
 /* The leader's name as last read; empty if there is none. */
 const char *election_leader(const struct core *core);
-/* The fencing token under which this controller acts; 0: it does not lead. */
+/* The fencing token under which this controller acts; 0 if it does not hold the leader's key. */
 uint64_t election_token(const struct core *core);
-/* The lowest token by which a report shows that its agent was there in this term. */
+/*
+ * The lowest token that a report must show to count. It proves that the agent was running in this
+ * term.
+ */
 uint64_t election_first_token(const struct core *core);
-/* The lease of the leader's key; 0: none. */
+/* The id of the lease of the leader's key; 0 if there is none. */
 uint64_t election_lease(const struct core *core);
-/* The format of the records, as the leader's keys say. */
+/* The version of the records' format, as last read from the state service. */
 int election_format(const struct core *core);
-/* Seconds since the last renewal of the lease that succeeded was sent. */
+/*
+ * Seconds since the last successful renewal of the lease, or else the request that it was granted
+ * on, was sent.
+ */
 double election_renewal_age(const struct core *core);
-/* True if the call was made in an earlier term, or this controller does not lead. */
+/*
+ * True if a term began or ended after the call was made, or if this controller does not hold the
+ * leader's key.
+ */
 bool election_call_is_stale(const struct core *core, const struct call *call);
-/* The term's own write of the leader's key is in flight: its answer says who leads. */
+/*
+ * True while this controller's own write of the leader's key, which renews its token, is in flight.
+ * Only the answer to that write then shows who leads: a newer revision of the key may be its own.
+ */
 bool election_is_renewing_token(const struct core *core);
 
-/* --- course of a term --- */
+/* --- start, token and end of a term --- */
 
+/* Sets the initial state: a follower that has read nothing yet. */
 void election_init(struct core *core);
-/* Reads, watches, claims or renews the leader's key, as is due. */
+/* Reads or watches the keys, claims the leader's key or renews its lease, as each is due. */
 void election_tick(struct core *core);
-/* The records are read: this controller leads from now on. */
+/* Makes this controller the leader, after it has read the records. */
 void election_note_recovered(struct core *core);
-/* A write of the leader's key, which renews the token, is sent. */
+/* Records that a write of the leader's key was sent, which renews the token. */
 void election_note_token_renewal_sent(struct core *core);
-/* No such write is in flight any more. */
+/* Records that no write of the leader's key is in flight any more. */
 void election_note_token_renewal_over(struct core *core);
-/* The leader's key was written anew: its revision is the token from now on. */
+/* Sets the token: the revision of the leader's key after this leader has written it again. */
 void election_note_token(struct core *core, uint64_t token);
-/* Reports that show an older token than the present one do not count any more. */
+/* From now on only reports that show the present token, or a newer one, count. */
 void election_require_current_token(struct core *core);
-/* This term raised the records' format, by a commit at the revision. */
+/* Sets the format after this leader has raised it, by a commit with the given revision. */
 void election_note_format(struct core *core, int format, uint64_t revision);
-/* Ends this controller's leadership. */
+/* Ends this controller's term. The lease is not returned and expires by itself. */
 void election_step_down(struct core *core, enum step_down_reason reason);
-/* The same, with the lease returned, so that another controller need not wait for its end. */
+/*
+ * Ends this controller's term and returns the lease, so that another controller need not wait until
+ * it expires. For LEADER_RECLAIM_DELAY_S this controller does not claim leadership again.
+ */
 void election_resign(struct core *core, enum step_down_reason reason);
-/* The same, since the named controller says that it leads: agents are redirected to it. */
+/*
+ * Ends this controller's term because the named controller says that it leads. Agents are
+ * redirected to that controller.
+ */
 void election_deposed(struct core *core, const char *leader);
-/* Reads the leader's key anew. */
+/* Makes the next tick read the keys again, once the retry delay is over. */
 void election_reread(struct core *core);
 
-/* --- the deadline to serve without the state service --- */
+/* --- serving deadline: how long the leader may answer without the state service --- */
 
-/* The jobs' changes were read by a request sent at `at` (steady). */
+/* Records that a read of the open jobs, or of their changes, was answered; it was sent at the
+ * steady time `at`. */
 void election_note_jobs_read(struct core *core, double at);
-/* When the newest such request was sent (steady). */
+/* The steady time at which the newest such read was sent. */
 double election_jobs_read_at(const struct core *core);
-/* All cancellations that the other controllers confirmed by `at` (steady) were received. */
+/*
+ * Records that all cancellations which the other controllers confirmed before `at` (steady) were
+ * received; `at` < 0: that is not known for any time.
+ */
 void election_note_peers_confirmed(struct core *core, double at);
-/* True while it may answer agents: a cancellation elsewhere is still carried out in time. */
+/*
+ * True if this controller leads and the serving deadline has not passed: a cancellation that
+ * another controller confirms is then still carried out in time.
+ */
 bool election_may_serve(const struct core *core);
 /*
- * Steps down if it may not serve any more. Called before each answer, not only at ticks: a process
- * that was frozen wakes with requests waiting.
+ * Steps down if the serving deadline has passed. Called before each heartbeat is handled, not only
+ * in ticks: a process that was suspended resumes with requests waiting.
  */
 void election_check_deadline(struct core *core);
 
-/* --- the leader's key --- */
+/* --- keys and values in the state service --- */
 
-/* The key whose holder leads in the given format of the records. */
+/* The leader's key: the controller that holds it leads, in the given format of the records. */
 const char *election_key(int format);
 /* The value of the leader's key while this controller leads. The caller owns it. */
 json_t *election_leader_value(const struct core *core);
 /*
- * The value that LEADER_KEY keeps for ever once the format is raised: no controller has this name.
- * The caller owns it.
+ * The value that LEADER_KEY gets when the format is raised. It stays for ever, and its name is that
+ * of no controller, so that a version which reads only the first format sees the key as held. The
+ * caller owns it.
  */
 json_t *election_gate_value(int format);
 
--- a/src/core/election/election_tick.c
+++ b/src/core/election/election_tick.c
@@ -1,4 +1,4 @@
-/* What the election does as time passes: the only file of it that calls all others. */
+/* The periodic work of the election. No other file of this folder calls all of its parts. */
 #include "core/election/election.h"
 
 #include "core/election/leader_key.h"
--- a/src/core/election/format_gate.c
+++ b/src/core/election/format_gate.c
@@ -1,8 +1,9 @@
 /*
- * The cluster's format version. Each controller commits the newest format that it reads under a key
- * of its own. Once all have, the leader raises the format of the records with one transaction,
- * which renews its token as well; until then it writes only what every version reads. No controller
- * has to be up for it: the versions are records.
+ * The format version gate. Each controller commits the newest format that it reads under a key of
+ * its own. Once all controllers have registered the newest format, the leader raises the format of
+ * the records with one transaction, which renews its token as well. Until then it writes only
+ * records that every controller reads. The other controllers need not be running when the format is
+ * raised, since what they registered is stored.
  */
 #include "core/election/format_gate.h"
 
@@ -11,9 +12,10 @@
 
 #include "core/state.h"
 
-#define KEY_VERSIONS "v/" /* one entry a controller */
+/* Prefix of the keys under which the controllers register: one key for each, with its name. */
+#define KEY_VERSIONS "v/"
 
-/* --- this controller's version --- */
+/* --- registration of this controller's version --- */
 
 static void on_registered(struct core *core, struct call *call, const struct call_answer *answer)
 {
@@ -26,6 +28,7 @@
 	gate->next_register_at = core->now + FORMAT_REGISTER_RETRY_S;
 }
 
+/* With `hold_format`, only the first format is registered, so the format is not raised. */
 static void register_version(struct core *core)
 {
 	int format = core->conf->hold_format ? FORMAT_LARGE_CHUNKS : FORMAT_NEWEST;
@@ -39,8 +42,9 @@
 	store_commit(core, txn_finish(&txn), on_registered, NULL);
 }
 
-/* --- the leader's scan of all versions --- */
+/* --- the leader's scan of all registered versions --- */
 
+/* Context of a pass over the registered versions. */
 struct version_scan {
 	const struct core *core;
 	size_t newest_count; /* controllers of this cluster that read the newest format */
@@ -56,6 +60,7 @@
 	return false;
 }
 
+/* Counts the controllers that read the newest format; those not in the settings do not count. */
 static void count_version(void *context, const struct kv_item *entry)
 {
 	struct version_scan *scan = context;
--- a/src/core/election/format_gate.h
+++ b/src/core/election/format_gate.h
@@ -1,5 +1,6 @@
 /*
- * The cluster's format version: which layout of records all controllers read.
+ * The format version gate: the leader raises the version of the records' format once all
+ * controllers have recorded that they read it.
  */
 #ifndef PLOVERLOFT_FORMAT_GATE_H
 #define PLOVERLOFT_FORMAT_GATE_H
@@ -8,21 +9,24 @@
 
 struct core;
 
-/* The formats that the controllers read, as far as registered and scanned. Times are steady. */
+/* State of the registration and of the leader's scans. Times are in seconds of the steady clock. */
 struct format_gate {
-	bool registered; /* this controller's version is on record */
+	bool registered; /* this controller's version is committed */
 	bool register_in_flight;
 	double next_register_at;
-	bool scan_in_flight; /* the leader reads all controllers' versions */
+	bool scan_in_flight; /* the leader's read of all controllers' versions */
 	double next_scan_at;
-	bool all_read_newest; /* as of the last scan */
+	bool all_read_newest; /* all controllers read the newest format, by the last scan */
 };
 
-/* Registers this controller's version; the leader also scans all versions until it may raise. */
+/*
+ * Registers the newest format that this controller reads. The leader also scans what all
+ * controllers have registered, until the format may be raised.
+ */
 void format_tick(struct core *core);
-/* True if the leader is to raise the format: all controllers read the new one. */
+/* True if the leader is to raise the format, since all controllers read the newest one. */
 bool format_raise_due(const struct core *core);
-/* Forgets what the term's scans showed. */
+/* Clears the result of the scans when a term ends. */
 void format_clear(struct core *core);
 
 #endif
--- a/src/core/election/leader_key.c
+++ b/src/core/election/leader_key.c
@@ -1,5 +1,6 @@
 /*
- * The leader's key, and the key of the records' format beside it: reading and watching them.
+ * Reads and watches the leader's key and the key that holds the version of the records' format, and
+ * applies what they hold to the state of the election.
  */
 #include "core/election/leader_key.h"
 
@@ -9,7 +10,10 @@
 #include "core/state.h"
 #include "util/log.h"
 
-/* Formats after the first have a key of their own beside the one that older versions know. */
+/*
+ * The leader's key in formats after the first. Versions that know only the first format use
+ * LEADER_KEY. Both keys have the prefix LEADER_KEY, so that one read or watch covers them.
+ */
 #define LEADER_KEY_SMALL_CHUNKS LEADER_KEY "/2"
 
 const char *election_key(int format)
@@ -27,8 +31,12 @@
 	return json_pack("{s:s}", "name", core->conf->name);
 }
 
-/* --- the two keys --- */
+/* --- applying the entries of the keys --- */
 
+/*
+ * Updates the leader from the entry of the leader's key; an entry without a value: nobody leads. A
+ * controller that holds the key steps down if the key's revision is not its token.
+ */
 static void take_leader_key(struct core *core, const struct kv_item *entry)
 {
 	struct election *election = &core->election;
@@ -36,7 +44,10 @@
 
 	election->key_revision = entry->value ? entry->version : 0;
 	snprintf(election->leader, sizeof(election->leader), "%s", name ? name : "");
-	/* Our own name while we do not lead: a process that has ended, or a term given up. */
+	/*
+	 * If the key names this controller although it does not lead, an earlier process of it or
+	 * an ended term has left the key: there is no leader.
+	 */
 	if (election->role == ROLE_FOLLOWER && !election->claim_in_flight &&
 	    !strcmp(election->leader, core->conf->name))
 		election->leader[0] = 0;
@@ -47,8 +58,11 @@
 }
 
 /*
- * A format that this version does not support leaves it a follower: LEADER_KEY then names a leader
- * that is no controller, and is never free.
+ * Updates the format from the entry of LEADER_KEY; without a number in it, it is the first format.
+ *
+ * A controller whose version does not support the format stays a follower. claim_is_due checks
+ * this; for versions that take LEADER_KEY for the leader's key, that key is never free, since it
+ * names a leader that is no controller.
  */
 static void take_format_key(struct core *core, const struct kv_item *entry)
 {
@@ -61,17 +75,18 @@
 	log_info("format", "old=%d new=%d", election->format, format);
 	election->format = format;
 	election->gate_revision = entry->value ? entry->version : 0;
-	/* The key of the new format may be free, or its entry comes next. */
+	/* Whether there is a leader in the new format is unknown: its leader's key may be absent;
+	 * otherwise its entry is applied after this one. */
 	election->leader[0] = 0;
 	election->key_revision = 0;
 	if (election->role != ROLE_FOLLOWER)
 		election_step_down(core, STEP_DOWN_FORMAT_RAISED);
 }
 
-/* One pass over the entries of a read, or of an answer of the watch. */
+/* Context of a pass over the entries in the answer to a read or a watch. */
 struct key_scan {
 	struct core *core;
-	/* False for an entry from before the term's own write of the key. */
+	/* False for an entry that is older than this leader's own write of the leader's key. */
 	bool (*is_current)(const struct core *core, const struct kv_item *entry);
 	bool leader_found;
 };
@@ -95,16 +110,19 @@
 		take_leader_key(scan->core, entry);
 }
 
-/* The format comes first: it says which of the keys is the leader's. */
+/* Applies the format first, since it determines which key is the leader's. */
 static void scan_keys(struct key_scan *scan, json_t *answer_json)
 {
 	wire_items(answer_json, scan_format, scan);
 	wire_items(answer_json, scan_leader, scan);
 }
 
-/* --- reading --- */
+/* --- reading the keys --- */
 
-/* Versions of a key only grow: a smaller one is from before the term's own write. */
+/*
+ * The versions of a key only grow: an entry with a version below the token was read before this
+ * leader wrote the key.
+ */
 static bool read_is_current(const struct core *core, const struct kv_item *entry)
 {
 	return core->election.role == ROLE_FOLLOWER || !entry->version ||
@@ -132,9 +150,12 @@
 	json_decref(answer_json);
 }
 
-/* --- watching --- */
+/* --- watching the keys --- */
 
-/* The watch may lag behind the answers to the term's own writes. */
+/*
+ * A watch may deliver changes later than the answers to this leader's own writes: changes up to its
+ * token are ignored, and all changes while it writes the leader's key.
+ */
 static bool change_is_current(const struct core *core, const struct kv_item *entry)
 {
 	return !election_is_renewing_token(core) &&
--- a/src/core/election/leader_key.h
+++ b/src/core/election/leader_key.h
@@ -1,15 +1,18 @@
 /*
- * The leader's key, and the key of the records' format beside it: reading and watching them.
+ * Reads and watches the leader's key and the key that holds the version of the records' format.
  *
- * LEADER_KEY says in which format the records are. In the first format it is also the leader's key;
- * later formats have one of their own, see election_key.
+ * LEADER_KEY holds the version of the format. In the first format it is the leader's key as well;
+ * later formats have a leader's key of their own, see election_key.
  */
 #ifndef PLOVERLOFT_LEADER_KEY_H
 #define PLOVERLOFT_LEADER_KEY_H
 
 struct core;
 
-/* Reads the keys if what was read of them may be out of date, and else keeps a watch on them. */
+/*
+ * Reads both keys if the last read may be out of date and the retry delay is over; otherwise starts
+ * a watch on them if none is in flight.
+ */
 void leader_key_tick(struct core *core);
 
 #endif
--- a/src/core/election/leader_lease.c
+++ b/src/core/election/leader_lease.c
@@ -1,5 +1,5 @@
 /*
- * The lease under which this controller holds the leader's key: claim, renewal and return.
+ * Claims the leader's key under a lease of the state service, renews that lease and returns it.
  */
 #include "core/election/leader_lease.h"
 
@@ -10,9 +10,9 @@
 #include "util/xalloc.h"
 #include "wire/names.h"
 
-/* --- return --- */
+/* --- returning the lease --- */
 
-/* The lease ends by itself if the request is lost. */
+/* Nothing to do: if the request was lost, the lease expires by itself. */
 static void on_returned(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	(void)core;
@@ -30,8 +30,9 @@
 	core->election.lease = 0;
 }
 
-/* --- claim --- */
+/* --- claiming the leader's key --- */
 
+/* Starts a term under the token: the revision of the claim. */
 static void begin_term(struct core *core, uint64_t token)
 {
 	struct election *election = &core->election;
@@ -47,6 +48,7 @@
 	core->events->leadership_won(core);
 }
 
+/* A lease without a successful claim is not returned; it expires by itself. */
 static void on_claim(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	struct election *election = &core->election;
@@ -68,7 +70,7 @@
 	begin_term(core, token);
 }
 
-/* Writes the leader's key, guarded by the keys as they were read before the lease was requested. */
+/* Writes the leader's key, on condition that both keys still have the revisions last read. */
 static void send_claim(struct core *core)
 {
 	const struct election *election = &core->election;
@@ -97,7 +99,10 @@
 	answer_json = wire_parse(answer->body, answer->len);
 	election->lease = wire_lease(answer_json);
 	json_decref(answer_json);
-	/* Another took the key while the lease was requested: it must not be overwritten. */
+	/*
+	 * Another controller claimed the key while the lease was requested. Its claim must not be
+	 * overwritten, and the guard would not prevent that, since it has the revision last read.
+	 */
 	if (*election->leader) {
 		election->claim_in_flight = false;
 		leader_lease_return(core);
@@ -126,8 +131,12 @@
 		  wire_lease_body(LEADER_TTL_MS), CALL_STORE_TIMEOUT_S, on_lease, NULL);
 }
 
-/* --- renewal --- */
+/* --- renewing the lease --- */
 
+/*
+ * The lease is taken to be renewed from the time at which the request was sent, since the state
+ * service may have renewed it at any time after that.
+ */
 static void on_renewed(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	struct election *election = &core->election;
--- a/src/core/election/leader_lease.h
+++ b/src/core/election/leader_lease.h
@@ -1,17 +1,19 @@
 /*
- * The lease under which this controller holds the leader's key: claim, renewal and return.
+ * Claims the leader's key under a lease of the state service, renews that lease and returns it.
  */
 #ifndef PLOVERLOFT_LEADER_LEASE_H
 #define PLOVERLOFT_LEADER_LEASE_H
 
 struct core;
 
-/* Takes out a lease and claims the leader's key under it, if the key is free and the time has come.
+/*
+ * If there is no leader and no retry delay is running, requests a lease and then claims the
+ * leader's key under it.
  */
 void leader_lease_claim_if_due(struct core *core);
-/* Renews the lease if its time has come. */
+/* Renews the lease if the renewal is due. */
 void leader_lease_renew_if_due(struct core *core);
-/* Gives the lease back, if there is one: the key is free at once. */
+/* Returns the lease, if there is one: the state service then deletes the leader's key at once. */
 void leader_lease_return(struct core *core);
 
 #endif
--- a/src/core/election/serving_deadline.c
+++ b/src/core/election/serving_deadline.c
@@ -1,12 +1,20 @@
 /*
- * The deadline until which a leader that is cut off from the state service may answer agents.
+ * The serving deadline: until when a leader that cannot reach the state service may answer agents.
  *
- * A cancellation that another controller confirms to its user must be carried out within `cancel_s`
- * though this leader cannot read of it: after the last answer to its agent, a task runs on for the
- * agent's lease at most. Whatever this leader does not know was committed after the last read of
- * the jobs' changes that came back was sent. A renewal of the lease proves less: that the key is
- * held, not that the changes were read. In an outage for all, the other controllers, who alone can
- * have confirmed cancellations to users, list what they confirmed.
+ * A cancellation that another controller confirms to a user must be carried out within `cancel_s`,
+ * even if this leader cannot read that it was committed. Once the leader no longer answers an
+ * agent, the agent's tasks run for its lease (`lease_s`) at most. So the leader may answer agents
+ * for `cancel_s` less the agent's lease, counted from the last time up to which it knows all
+ * confirmed cancellations.
+ *
+ * That time is the later one of two:
+ * - The time at which the newest answered read of the jobs' changes was sent: a cancellation that
+ *   the leader does not know was committed after it. If the last successful renewal of the
+ *   leader's lease was sent earlier, the time of the renewal counts instead. A renewal alone
+ *   proves less: that the leader's key is held, not that the changes were read.
+ * - The time up to which all other controllers have listed the cancellations that they confirmed.
+ *   This serves in an outage of the state service for all controllers: only the other controllers
+ *   can have confirmed a cancellation that this leader does not know.
  */
 #include <math.h>
 
@@ -27,15 +35,20 @@
 	core->election.peers_confirmed_at = at;
 }
 
-/* Seconds after the last proof that all confirmed cancellations are known. */
+/*
+ * Seconds for which the leader may answer agents after the time up to which it knows all confirmed
+ * cancellations. The agent measures its lease, and the leader this span, each by its own clock: by
+ * the share CLOCK_DRIFT, the lease is taken as longer and the rest of cancel_s as shorter.
+ */
 static double serving_span_s(const struct conf *conf)
 {
 	double agent_lease_s = conf->lease_s * (1 + CLOCK_DRIFT);
 	double cancel_budget_s = (conf->cancel_s - agent_lease_s) * (1 - CLOCK_DRIFT);
 
 	/*
-	 * With less than the key's own lease, a slow answer would end a term: if cancel_s leaves so
-	 * little, all of it is used.
+	 * The span is never shorter than the lease of the leader's key, else a slow answer of the
+	 * state service would end a term. If cancel_s leaves less than that after the margin, the
+	 * margin is used as well.
 	 */
 	return fmax(cancel_budget_s - CANCEL_MARGIN_S, LEADER_TTL_MS / 1000.0);
 }
--- a/src/core/peers/peer_link.c
+++ b/src/core/peers/peer_link.c
@@ -1,3 +1,6 @@
+/*
+ * The link to the other controllers (peers): calls, incarnations, and readiness for users.
+ */
 #include "core/peers/peer_link.h"
 
 #include <stdlib.h>
@@ -79,9 +82,10 @@
 }
 
 /*
- * An outage of the state service concerns all controllers: if users were turned away, they would
- * only come back later. A controller that reaches neither the state service nor any other
- * controller is of no use to them, while others may be.
+ * While a peer answers, this controller stays ready without the state service: in an outage for all
+ * controllers, users who are turned away would only come back later. A controller that reaches
+ * neither the state service nor any peer can't serve users, while another controller may be able
+ * to.
  */
 bool peers_ready(const struct core *core)
 {
--- a/src/core/peers/peer_link.h
+++ b/src/core/peers/peer_link.h
@@ -1,4 +1,6 @@
-/* The link to the other controllers, and what is known of each of them. */
+/*
+ * The link to the other controllers (peers): sends calls to them, and keeps what is known of each.
+ */
 #ifndef PLOVERLOFT_PEER_LINK_H
 #define PLOVERLOFT_PEER_LINK_H
 
@@ -10,49 +12,55 @@
 
 struct ProtobufCMessage;
 
-/* Another controller. Times are steady. */
+/* Another controller. All times are in seconds of the steady clock. */
 struct peer {
-	double answered_at;	  /* its last answer */
-	double no_forward_before; /* no request is forwarded to it before */
-	uint64_t incarnation;	  /* of its process */
-	double incarnation_since; /* when its first answer under this incarnation came */
-	double confirmed_until;	  /* all cancellations it had confirmed by then are known here */
+	double answered_at;	  /* when its last answer of any kind came */
+	double no_forward_before; /* no user's request is forwarded to it before this time */
+	uint64_t incarnation;	  /* of its process, as last answered */
+	double incarnation_since; /* when its first answer with this incarnation came */
+	double confirmed_until;	  /* all cancellations that it confirmed to users before this time
+				   * are known here; < 0: none */
 };
 
 struct peers {
-	struct peer *list;    /* in the order of the settings; owned */
+	struct peer *list;    /* one for each peer of the settings, in their order; owned */
 	uint64_t incarnation; /* of this process */
 };
 
-/* `incarnation` is to differ from that of any earlier process of this controller. */
+/* Initialises the link. `incarnation` must differ from that of each earlier process of this
+ * controller. */
 void peer_link_init(struct core *core, uint64_t incarnation);
-/* Frees what peer_link_init has made. */
+/* Frees what peer_link_init allocated. */
 void peer_link_clear(struct core *core);
 
-/* The peer of this index in the settings; it stays owned by the link. */
+/* The peer with this index in the settings. The link owns it. */
 struct peer *peer_get(const struct core *core, size_t index);
-/* The message's bytes, which the caller owns; *len is their number. */
+/* Encodes the message. The caller owns the bytes; *len is set to their number. */
 uint8_t *peers_pack(const struct ProtobufCMessage *message, size_t *len);
-/* Posts a packed message to the peer; the call owns `packed` from then on. */
+/* Sends an encoded message to the peer by POST and takes ownership of `packed`. */
 void peer_send(struct core *core, size_t peer, const char *path, uint8_t *packed, size_t len,
 	       answer_fn on_answer);
-/* Posts an empty message to the peer. */
+/* Sends an empty message to the peer by POST. */
 void peer_send_empty(struct core *core, size_t peer, const char *path, answer_fn on_answer);
-/* The peer that a call of peer_send or peer_send_empty went to. */
+/* The index of the peer to which peer_send or peer_send_empty made the call. */
 size_t peer_of_call(const struct call *call);
 
-/* A call to the peer has ended: any answer shows that it is alive. */
+/* Records the end of a call to the peer. An answer with any status shows that the peer is running.
+ */
 void peer_note_answer(struct core *core, size_t peer, const struct call_answer *answer);
-/* An answer of the peer names the incarnation of its process. */
+/* Records the incarnation of the peer's process, which an answer of the peer contains. */
 void peers_note_incarnation(struct core *core, size_t peer, uint64_t incarnation);
-/* The incarnation of this process, as the others know it. */
+/* The incarnation of this process, as this controller's answers give it to the others. */
 uint64_t peers_incarnation(const struct core *core);
 /*
- * Something that the others rely on was dropped early: they are to take this process for a new one,
- * which has no memory of it.
+ * Gives this process a new incarnation, since data that the other controllers rely on was discarded
+ * early. They then treat it as a new process, which does not have the data of the one before.
  */
 void peers_renew_incarnation(struct core *core);
-/* Whether users should come here: false if neither the state service nor a peer answers. */
+/*
+ * True if users' requests should be sent to this controller: false if neither the state service nor
+ * any peer has answered it for READY_SILENCE_MAX_S. Always true without peers.
+ */
 bool peers_ready(const struct core *core);
 
 #endif
