--- a/src/core/core.c
+++ b/src/core/core.c
@@ -1,3 +1,7 @@
+/*
+ * The inputs and outputs of the core, and its periodic work: passes them on to the folders, and
+ * sets up the events between them.
+ */
 #include "core/core.h"
 
 #include <stdlib.h>
@@ -45,7 +49,7 @@
 	}
 }
 
-/* Drops all state that only a leader has; what the next one needs is in the records. */
+/* Drops the state that only a leader has. What the next leader needs is in the records. */
 static void leader_state_clear(struct core *core)
 {
 	write_queue_clear(core);
@@ -129,6 +133,7 @@
 	return core;
 }
 
+/* The steady time of the core never goes back. */
 static void set_time(struct core *core, struct core_time now)
 {
 	if (now.steady > core->now)
@@ -136,6 +141,7 @@
 	core->wall = now.wall;
 }
 
+/* The answer "method" means that the path does not allow the method. */
 static void handle_heartbeat(struct core *core, const struct core_request *request)
 {
 	if (!strcmp(request->method, "POST"))
@@ -144,6 +150,7 @@
 		core_reply_error(core, request->connection, STATUS_METHOD_NOT_ALLOWED, 0, "method");
 }
 
+/* Handles a request of another controller, from the back listener. */
 static void handle_back_request(struct core *core, const struct core_request *request)
 {
 	if (!strcmp(request->path, SHARE_SWITCHING_PATH))
@@ -164,7 +171,7 @@
 	core_tick(core, now);
 }
 
-/* The status of the interface holds outcome and HTTP status; inside, they are apart. */
+/* Splits the status of core.h into outcome and HTTP status. */
 static struct call_answer call_answer_of(const struct core_answer *answer)
 {
 	struct call_answer ended = {CALL_ANSWERED, answer->status, answer->body, answer->len};
@@ -210,7 +217,10 @@
 		leader_tick(core);
 }
 
-/* Each part checks its own due times: a coarse period is enough for all but scheduling cycles. */
+/*
+ * Each tick function checks by itself whether its work is due. One coarse interval between ticks is
+ * enough for all of them but scheduling cycles.
+ */
 double core_next(const struct core *core)
 {
 	double periodic = core->now + TICK_S;
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -1,9 +1,11 @@
 /*
- * The core: a state machine. It is given what arrived and the time, and returns what to send and
- * answer. It reads no clock, no socket and no global.
+ * The core: the controller as a state machine. Its inputs are requests, ends of calls and the time;
+ * its outputs are actions: calls to send and answers to requests. It reads no clock, no socket and
+ * no global variable.
  *
- * Each function that is given the time carries out what is due by then; afterwards the caller takes
- * the actions, until there are none, and asks for the time of the next tick.
+ * Each function with a parameter for the time also does the periodic work that is due by then.
+ * After it, the caller takes actions until there are none left, and asks for the time of the next
+ * tick.
  */
 #ifndef PLOVERLOFT_CORE_H
 #define PLOVERLOFT_CORE_H
@@ -16,34 +18,34 @@
 struct core;
 
 enum core_action_kind {
-	ACT_SEND,  /* send a request, and give the answer to core_answer */
-	ACT_ANSWER /* answer a request that was given to core_request */
+	ACT_SEND,  /* send a call, and pass its end to core_answer */
+	ACT_ANSWER /* answer a request that was passed to core_request */
 };
 
-/* What the caller is to carry out. */
+/* An output of the core, which the caller carries out. */
 struct core_action {
 	enum core_action_kind kind;
-	uint64_t id;		  /* of the call, or the connection answered */
-	char addr[CONF_NAME_MAX]; /* the receiver of a request */
-	const char *method;	  /* of a request; static */
-	char *path;		  /* of a request */
-	char *body;		  /* NULL: none */
+	uint64_t id;		  /* id of the call, or of the connection to answer */
+	char addr[CONF_NAME_MAX]; /* calls: address of the receiver */
+	const char *method;	  /* calls: HTTP method, a static string */
+	char *path;		  /* calls; owned */
+	char *body;		  /* NULL: none; owned */
 	size_t len;		  /* bytes of the body */
-	double timeout_s;	  /* of a request: then it counts as not answered */
-	int status;		  /* of an answer: HTTP */
-	int retry_after;	  /* of an answer: seconds; 0: none */
+	double timeout_s;	  /* calls: time after which the call counts as not answered */
+	int status;		  /* answers: HTTP status */
+	int retry_after;	  /* answers: Retry-After in seconds; 0: no such header */
 	struct core_action *prev, *next;
 };
 
-/* The listener that a request came by. */
+/* The listener on which a request arrived. */
 enum core_side {
 	CORE_FRONT, /* for users and agents */
 	CORE_BACK   /* for other controllers */
 };
 
-/* A request that arrived; its strings need to last only for the call. */
+/* A request that arrived. Its strings must be valid during core_request only. */
 struct core_request {
-	uint64_t connection; /* names the connection that is to be answered */
+	uint64_t connection; /* id of the connection to answer */
 	enum core_side side;
 	const char *method;
 	const char *path;
@@ -52,37 +54,40 @@
 };
 
 /*
- * The end of a call. status 0: no answer came, and it may still be carried out. -1: it was never
- * sent.
+ * The end of a call. A `status` above 0 is that of the HTTP answer. 0: no answer came, and the
+ * receiver may have carried the call out, or may yet. -1: the call was never sent.
  */
 struct core_answer {
-	uint64_t id; /* of the call, from its action */
+	uint64_t id; /* id of the call, from its action */
 	int status;
 	const char *body;
 	size_t len;
 };
 
+/* The time of an input, by two clocks. */
 struct core_time {
-	double steady; /* seconds */
-	double wall;   /* seconds since 1970 */
+	double steady; /* seconds of the steady (monotonic) clock */
+	double wall;   /* seconds since 1970 of the wall clock */
 };
 
 /*
- * `seed` is to differ between processes. The settings are to outlive the core, which the caller
- * frees with core_free.
+ * Makes a core, which the caller frees with core_free. `seed` must differ between processes: it
+ * seeds random numbers and is this process's incarnation for other controllers. `conf` must outlive
+ * the core.
  */
 struct core *core_new(const struct conf *conf, uint64_t seed, struct core_time now);
 /* Frees the core and the actions that were not taken. */
 void core_free(struct core *core);
-/* A request arrived: it is answered by an action, now or after a later call. */
+/* Handles a request that arrived. An action answers it, now or after a later input. */
 void core_request(struct core *core, struct core_time now, const struct core_request *request);
-/* A call has ended. An answer to a call that is not under way is ignored. */
+/* Handles the end of a call. It is ignored if no call with this id is in flight. */
 void core_answer(struct core *core, struct core_time now, const struct core_answer *answer);
-/* Carries out what is due. */
+/* Does the periodic work that is due at the given time. */
 void core_tick(struct core *core, struct core_time now);
-/* The steady time by which the next tick is wanted. */
+/* The steady time by which core_tick should be called next. */
 double core_next(const struct core *core);
-/* The next action, which the caller frees with core_action_free; NULL if there is none. */
+/* Removes and returns the oldest action; NULL if there is none. The caller frees it with
+ * core_action_free. */
 struct core_action *core_take(struct core *core);
 /* Frees an action with its path and body. */
 void core_action_free(struct core_action *action);
--- a/src/core/runtime/call.c
+++ b/src/core/runtime/call.c
@@ -1,3 +1,6 @@
+/*
+ * Calls that have not ended yet, and the queue of actions: calls to send and answers to requests.
+ */
 #include "core/runtime/call.h"
 
 #include <stdarg.h>
@@ -117,7 +120,7 @@
 	return call->term == core->term;
 }
 
-/* --- answers --- */
+/* --- answers to requests --- */
 
 void core_reply(struct core *core, uint64_t connection, int status, int retry_after, char *body)
 {
@@ -126,7 +129,7 @@
 
 	if (core->events->wrap_forwarded_answer(core, connection, &status, retry_after, &body,
 						&len))
-		retry_after = 0; /* it is in the message */
+		retry_after = 0; /* the message to the other controller contains it */
 	action->status = status;
 	action->retry_after = retry_after;
 	action->body = body;
--- a/src/core/runtime/rate_limiter.c
+++ b/src/core/runtime/rate_limiter.c
@@ -1,3 +1,4 @@
+/* Rate limiters: token buckets. */
 #include "core/runtime/rate_limiter.h"
 
 #include <math.h>
--- a/src/core/runtime/rate_limiter.h
+++ b/src/core/runtime/rate_limiter.h
@@ -1,16 +1,22 @@
-/* Rate limiters: token buckets that hold a second's worth at most. */
+/* Rate limiters: token buckets whose capacity is what the rate allows in one second. */
 #ifndef PLOVERLOFT_RATE_LIMITER_H
 #define PLOVERLOFT_RATE_LIMITER_H
 
 struct core;
 
-/* A limiter that is all zero is empty, and fills from the first refill on. */
+/*
+ * A zero-initialised limiter is empty. Its first refill counts the time since 0 of the steady
+ * clock.
+ */
 struct rate_limiter {
-	double tokens;	    /* what may be done now; whoever does it takes them off */
-	double refilled_at; /* steady */
+	double tokens;	    /* operations allowed now; the caller subtracts those it performs */
+	double refilled_at; /* steady time of the last refill */
 };
 
-/* Adds what `rate` (per second) has allowed since the last refill. */
+/*
+ * Adds the tokens for the time since the last refill: `rate` per second, up to `rate` tokens in
+ * all.
+ */
 void rate_limiter_refill(const struct core *core, struct rate_limiter *limiter, double rate);
 
 #endif
--- a/src/core/state.h
+++ b/src/core/state.h
@@ -1,6 +1,6 @@
 /*
- * The whole state of a controller. Each folder declares its part in headers of its own and is the
- * only one to touch its fields; .ci/layers.conf has the owners.
+ * The complete state of a controller. Each folder declares its part of the state in its own
+ * headers, and only that folder accesses its fields. .ci/layers.conf lists the owner of each field.
  */
 #ifndef PLOVERLOFT_STATE_H
 #define PLOVERLOFT_STATE_H
@@ -45,27 +45,27 @@
 	const struct conf *conf;
 	const struct core_events *events;
 	unsigned short rand48[3];
-	double now;		     /* steady seconds, of the input that is handled */
-	double wall;		     /* seconds since 1970, of the same */
-	struct core_action *actions; /* not taken yet */
-	struct call *calls;	     /* by id; without an answer yet */
-	uint64_t next_call;
-	uint64_t term; /* counts leaderships begun and given up */
+	double now;		     /* time of the present input: seconds of the steady clock */
+	double wall;		     /* the same by the wall clock: seconds since 1970 */
+	struct core_action *actions; /* the caller has not taken them yet, oldest first */
+	struct call *calls;	     /* hash table by id of the calls that have not ended */
+	uint64_t next_call;	     /* id of the next call */
+	uint64_t term;		     /* counts the starts and the ends of this controller's terms */
 
 	struct election election;
 	struct format_gate format;
 	struct learned_limits limits;
-	bool store_unavailable;	  /* the state service's last answer was a refusal or none */
-	double store_answered_at; /* steady; when it last served us */
+	bool store_unavailable;	  /* the last call to the state service got no answer or a 503 */
+	double store_answered_at; /* steady time of its last answer that was no 503 */
 	struct catalog catalog;
 	struct job_api api;
 	struct peers peers;
 
-	/* the leader's */
-	double leading_since; /* steady */
+	/* Used by the leader only; see leader_state_clear in core.c. */
+	double leading_since; /* steady time at which it had read the records */
 	struct jobs_watch jobs_watch;
 	struct job *jobs;
-	double next_job_scan_at; /* steady; when job_tick checks all jobs */
+	double next_job_scan_at; /* steady time at which job_tick checks all jobs next */
 	struct team *teams;
 	struct machine *machines;
 	struct tombstones tombstones;
