--- a/daemon/controller.c
+++ b/daemon/controller.c
@@ -77,7 +77,7 @@
 {
 	struct core_action *action;
 
-	while ((action = core_take(controller->core))) {
+	while ((action = core_pop_action(controller->core))) {
 		perform(controller, action);
 		core_action_free(action);
 	}
@@ -136,7 +136,7 @@
 	core_tick(controller.core, current_time());
 	for (;;) {
 		perform_actions(&controller);
-		net_poll(controller.net, core_next(controller.core) - net_now());
+		net_poll(controller.net, core_next_tick_at(controller.core) - net_now());
 		core_tick(controller.core, current_time());
 	}
 }
--- a/src/core/agents/reports.c
+++ b/src/core/agents/reports.c
@@ -12,7 +12,7 @@
 bool report_counts(const struct core *core, const struct machine *machine,
 		   const struct report *report)
 {
-	return report->token >= election_first_token(core) &&
+	return report->token >= election_min_report_token(core) &&
 	       report->token >= machine->agent.min_token && !machine->agent.restarted;
 }
 
--- a/src/core/api/cancellations.c
+++ b/src/core/api/cancellations.c
@@ -13,7 +13,7 @@
 static void on_announce_answer(struct core *core, struct call *call,
 			       const struct call_answer *answer)
 {
-	peer_note_answer(core, peer_of_call(call), answer);
+	peer_record_answer(core, peer_of_call(call), answer);
 }
 
 static void announce_to(struct core *core, size_t peer, const char *id, uint64_t version)
@@ -155,15 +155,15 @@
 {
 	struct peer *peer = peer_get(core, index);
 
-	peers_note_incarnation(core, index, message->incarnation);
+	peer_record_incarnation(core, index, message->incarnation);
 	if (message->token > election_token(core))
-		election_deposed(core, core->conf->peers[index].name);
+		election_on_newer_leader(core, core->conf->peers[index].name);
 	for (size_t i = 0; i < message->n_cancelled; i++)
 		job_cancel_committed(core, message->cancelled[i]->job,
 				     message->cancelled[i]->version);
 	if (election_is_leader(core) && peer->incarnation_since <= election_jobs_read_at(core))
 		peer->confirmed_until = sent_at;
-	election_note_peers_confirmed(core, confirmed_until(core));
+	election_record_peers_confirmed(core, confirmed_until(core));
 }
 
 static void on_confirmed(struct core *core, struct call *call, const struct call_answer *answer)
@@ -171,7 +171,7 @@
 	size_t peer = peer_of_call(call);
 	Peer__ConfirmedCancellations *message;
 
-	peer_note_answer(core, peer, answer);
+	peer_record_answer(core, peer, answer);
 	if (answer->status != STATUS_OK)
 		return;
 	message =
--- a/src/core/api/forwarding.c
+++ b/src/core/api/forwarding.c
@@ -48,7 +48,7 @@
 	if (answer->status == STATUS_OK)
 		message = peer__forwarded_answer__unpack(NULL, answer->len,
 							 (const uint8_t *)answer->body);
-	peer_note_answer(core, context->peer, answer);
+	peer_record_answer(core, context->peer, answer);
 	/* It is not served either, or does not answer: the outage concerns all for now. */
 	if (!message || message->status == STATUS_UNAVAILABLE)
 		peer->no_forward_before = core->now + PEER_FORWARD_BACKOFF_S;
--- a/src/core/api/task_counts.c
+++ b/src/core/api/task_counts.c
@@ -108,7 +108,7 @@
 	Peer__TaskCounts *message;
 
 	core->api.counts.in_flight = false;
-	peer_note_answer(core, peer_of_call(call), answer);
+	peer_record_answer(core, peer_of_call(call), answer);
 	if (answer->status != STATUS_OK)
 		return;
 	message = peer__task_counts__unpack(NULL, answer->len, (const uint8_t *)answer->body);
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -64,7 +64,7 @@
 	core->cycles.attempt_counter = 0;
 }
 
-static void on_machine_forgotten(struct core *core, struct machine *machine)
+static void on_machine_removed(struct core *core, struct machine *machine)
 {
 	replica_supervision_remove(core, machine);
 	report_cache_remove(&core->agents.report_cache, &machine->agent.cached_report);
@@ -78,16 +78,16 @@
 
 static const struct core_events events = {
     .task_record_changed = write_queue_add_chunk,
-    .job_over = write_queue_add_final,
+    .job_ended = write_queue_add_final,
     .leadership_won = recovery_start,
     .leadership_lost = leader_state_clear,
     .token_renewed = on_token_renewed,
-    .job_finished = job_index_note_final,
+    .final_record_committed = job_index_note_final,
     .placement_needed = cycle_request,
     .commands_due = commands_request,
     .replicas_changed = replica_supervision_update,
-    .machine_forgotten = on_machine_forgotten,
-    .job_forgotten = reservation_release,
+    .machine_removed = on_machine_removed,
+    .job_removed = reservation_release,
     .machine_given_up = autoscale_request_scan,
     .wrap_forwarded_answer = forwarding_wrap_answer,
 };
@@ -221,7 +221,7 @@
  * Each tick function checks by itself whether its work is due. One coarse interval between ticks is
  * enough for all of them but scheduling cycles.
  */
-double core_next(const struct core *core)
+double core_next_tick_at(const struct core *core)
 {
 	double periodic = core->now + TICK_S;
 
@@ -230,7 +230,7 @@
 	return periodic;
 }
 
-struct core_action *core_take(struct core *core)
+struct core_action *core_pop_action(struct core *core)
 {
 	struct core_action *action = core->actions;
 
@@ -253,7 +253,7 @@
 	leader_state_clear(core);
 	api_clear(core);
 	peer_requests_clear(core);
-	while ((action = core_take(core)))
+	while ((action = core_pop_action(core)))
 		core_action_free(action);
 	core_calls_clear(core);
 	catalog_free(core);
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -85,10 +85,10 @@
 /* Does the periodic work that is due at the given time. */
 void core_tick(struct core *core, struct core_time now);
 /* The steady time by which core_tick should be called next. */
-double core_next(const struct core *core);
+double core_next_tick_at(const struct core *core);
 /* Removes and returns the oldest action; NULL if there is none. The caller frees it with
  * core_action_free. */
-struct core_action *core_take(struct core *core);
+struct core_action *core_pop_action(struct core *core);
 /* Frees an action with its path and body. */
 void core_action_free(struct core_action *action);
 
--- a/src/core/election/election.c
+++ b/src/core/election/election.c
@@ -39,9 +39,9 @@
 	return core->election.token;
 }
 
-uint64_t election_first_token(const struct core *core)
+uint64_t election_min_report_token(const struct core *core)
 {
-	return core->election.first_token;
+	return core->election.min_report_token;
 }
 
 uint64_t election_lease(const struct core *core)
@@ -71,22 +71,22 @@
 
 /* --- start, token and end of a term --- */
 
-void election_note_recovered(struct core *core)
+void election_start_leading(struct core *core)
 {
 	core->election.role = ROLE_LEADER;
 }
 
-void election_note_token_renewal_sent(struct core *core)
+void election_on_token_renewal_sent(struct core *core)
 {
 	core->election.token_renewal_in_flight = true;
 }
 
-void election_note_token_renewal_over(struct core *core)
+void election_on_token_renewal_ended(struct core *core)
 {
 	core->election.token_renewal_in_flight = false;
 }
 
-void election_note_token(struct core *core, uint64_t token)
+void election_set_token(struct core *core, uint64_t token)
 {
 	core->election.token = token;
 	core->election.key_revision = token;
@@ -94,16 +94,16 @@
 
 void election_require_current_token(struct core *core)
 {
-	core->election.first_token = core->election.token;
+	core->election.min_report_token = core->election.token;
 }
 
-void election_note_format(struct core *core, int format, uint64_t revision)
+void election_set_format(struct core *core, int format, uint64_t revision)
 {
 	core->election.format = format;
-	core->election.gate_revision = revision;
+	core->election.format_key_revision = revision;
 }
 
-void election_reread(struct core *core)
+void election_invalidate_keys(struct core *core)
 {
 	core->election.key_is_current = false;
 	if (core->election.retry_at < core->now)
@@ -137,16 +137,16 @@
 		return;
 	log_info("step_down", "reason=%s", reason_text(reason));
 	election->role = ROLE_FOLLOWER;
-	core_begin_term(core);
+	core_invalidate_calls(core);
 	election->lease = 0;
 	election->token = 0;
 	election->renewal_in_flight = false;
 	log_token(0);
 	core->events->leadership_lost(core);
-	election_reread(core);
+	election_invalidate_keys(core);
 }
 
-void election_deposed(struct core *core, const char *leader)
+void election_on_newer_leader(struct core *core, const char *leader)
 {
 	if (core->election.role == ROLE_FOLLOWER)
 		return;
--- a/src/core/election/election.h
+++ b/src/core/election/election.h
@@ -52,18 +52,18 @@
 /* All times are in seconds of the steady clock. */
 struct election {
 	enum leadership_role role;
-	char leader[CONF_NAME_MAX]; /* name of the leader as last read; empty: none */
-	int format;		    /* version of the records' format, as last read */
-	uint64_t key_revision;	    /* of the leader's key; 0: absent */
-	uint64_t gate_revision;	    /* of LEADER_KEY, used in formats after the first */
-	uint64_t watch_revision;    /* the next watch returns the changes after this revision */
-	bool key_is_current;	    /* the keys were read, and a watch can continue from there */
+	char leader[CONF_NAME_MAX];   /* name of the leader as last read; empty: none */
+	int format;		      /* version of the records' format, as last read */
+	uint64_t key_revision;	      /* of the leader's key; 0: absent */
+	uint64_t format_key_revision; /* of LEADER_KEY, used in formats after the first */
+	uint64_t watch_revision;      /* the next watch returns the changes after this revision */
+	bool key_is_current;	      /* the keys were read, and a watch can continue from there */
 	bool read_in_flight;
 	bool watch_in_flight;
 	bool claim_in_flight;	      /* the request for a lease, or the claim under it */
 	bool renewal_in_flight;	      /* of the lease */
 	bool token_renewal_in_flight; /* the write of the leader's key that renews the token */
-	uint64_t first_token;	      /* see election_first_token */
+	uint64_t min_report_token;    /* see election_min_report_token */
 	uint64_t token;		      /* 0: this controller does not hold the leader's key */
 	uint64_t lease;		      /* id of the lease of the leader's key; 0: none */
 	double renewed_at;	      /* when the last successful renewal, or the request that the
@@ -72,7 +72,7 @@
 	double retry_at;	   /* the keys are not read and not claimed before this time */
 	double no_claim_before;	   /* set when this controller resigns: no claim before then */
 	double jobs_read_at;	   /* see election_jobs_read_at */
-	double peers_confirmed_at; /* see election_note_peers_confirmed; < 0: never */
+	double peers_confirmed_at; /* see election_record_peers_confirmed; < 0: never */
 };
 
 /* --- state --- */
@@ -89,7 +89,7 @@
  * The lowest token that a report must show to count. It proves that the agent was running in this
  * term.
  */
-uint64_t election_first_token(const struct core *core);
+uint64_t election_min_report_token(const struct core *core);
 /* The id of the lease of the leader's key; 0 if there is none. */
 uint64_t election_lease(const struct core *core);
 /* The version of the records' format, as last read from the state service. */
@@ -117,17 +117,17 @@
 /* Reads or watches the keys, claims the leader's key or renews its lease, as each is due. */
 void election_tick(struct core *core);
 /* Makes this controller the leader, after it has read the records. */
-void election_note_recovered(struct core *core);
+void election_start_leading(struct core *core);
 /* Records that a write of the leader's key was sent, which renews the token. */
-void election_note_token_renewal_sent(struct core *core);
+void election_on_token_renewal_sent(struct core *core);
 /* Records that no write of the leader's key is in flight any more. */
-void election_note_token_renewal_over(struct core *core);
+void election_on_token_renewal_ended(struct core *core);
 /* Sets the token: the revision of the leader's key after this leader has written it again. */
-void election_note_token(struct core *core, uint64_t token);
+void election_set_token(struct core *core, uint64_t token);
 /* From now on only reports that show the present token, or a newer one, count. */
 void election_require_current_token(struct core *core);
 /* Sets the format after this leader has raised it, by a commit with the given revision. */
-void election_note_format(struct core *core, int format, uint64_t revision);
+void election_set_format(struct core *core, int format, uint64_t revision);
 /* Ends this controller's term. The lease is not returned and expires by itself. */
 void election_step_down(struct core *core, enum step_down_reason reason);
 /*
@@ -139,22 +139,22 @@
  * Ends this controller's term because the named controller says that it leads. Agents are
  * redirected to that controller.
  */
-void election_deposed(struct core *core, const char *leader);
+void election_on_newer_leader(struct core *core, const char *leader);
 /* Makes the next tick read the keys again, once the retry delay is over. */
-void election_reread(struct core *core);
+void election_invalidate_keys(struct core *core);
 
 /* --- serving deadline: how long the leader may answer without the state service --- */
 
 /* Records that a read of the open jobs, or of their changes, was answered; it was sent at the
  * steady time `at`. */
-void election_note_jobs_read(struct core *core, double at);
+void election_record_jobs_read(struct core *core, double at);
 /* The steady time at which the newest such read was sent. */
 double election_jobs_read_at(const struct core *core);
 /*
  * Records that all cancellations which the other controllers confirmed before `at` (steady) were
  * received; `at` < 0: that is not known for any time.
  */
-void election_note_peers_confirmed(struct core *core, double at);
+void election_record_peers_confirmed(struct core *core, double at);
 /*
  * True if this controller leads and the serving deadline has not passed: a cancellation that
  * another controller confirms is then still carried out in time.
@@ -169,14 +169,14 @@
 /* --- keys and values in the state service --- */
 
 /* The leader's key: the controller that holds it leads, in the given format of the records. */
-const char *election_key(int format);
+const char *election_leader_key(int format);
 /* The value of the leader's key while this controller leads. The caller owns it. */
-json_t *election_leader_value(const struct core *core);
+json_t *election_leader_key_value(const struct core *core);
 /*
  * The value that LEADER_KEY gets when the format is raised. It stays for ever, and its name is that
  * of no controller, so that a version which reads only the first format sees the key as held. The
  * caller owns it.
  */
-json_t *election_gate_value(int format);
+json_t *election_format_key_value(int format);
 
 #endif
--- a/src/core/election/leader_key.c
+++ b/src/core/election/leader_key.c
@@ -16,17 +16,17 @@
  */
 #define LEADER_KEY_SMALL_CHUNKS LEADER_KEY "/2"
 
-const char *election_key(int format)
+const char *election_leader_key(int format)
 {
 	return format >= FORMAT_SMALL_CHUNKS ? LEADER_KEY_SMALL_CHUNKS : LEADER_KEY;
 }
 
-json_t *election_gate_value(int format)
+json_t *election_format_key_value(int format)
 {
 	return json_pack("{s:o,s:i}", "name", json_sprintf("format-%d", format), "format", format);
 }
 
-json_t *election_leader_value(const struct core *core)
+json_t *election_leader_key_value(const struct core *core)
 {
 	return json_pack("{s:s}", "name", core->conf->name);
 }
@@ -74,7 +74,7 @@
 		return;
 	log_info("format", "old=%d new=%d", election->format, format);
 	election->format = format;
-	election->gate_revision = entry->value ? entry->version : 0;
+	election->format_key_revision = entry->value ? entry->version : 0;
 	/* Whether there is a leader in the new format is unknown: its leader's key may be absent;
 	 * otherwise its entry is applied after this one. */
 	election->leader[0] = 0;
@@ -103,7 +103,7 @@
 {
 	struct key_scan *scan = context;
 
-	if (strcmp(entry->key, election_key(scan->core->election.format)))
+	if (strcmp(entry->key, election_leader_key(scan->core->election.format)))
 		return;
 	scan->leader_found = true;
 	if (scan->is_current(scan->core, entry))
--- a/src/core/election/leader_key.h
+++ b/src/core/election/leader_key.h
@@ -2,7 +2,7 @@
  * Reads and watches the leader's key and the key that holds the version of the records' format.
  *
  * LEADER_KEY holds the version of the format. In the first format it is the leader's key as well;
- * later formats have a leader's key of their own, see election_key.
+ * later formats have a leader's key of their own, see election_leader_key.
  */
 #ifndef PLOVERLOFT_LEADER_KEY_H
 #define PLOVERLOFT_LEADER_KEY_H
--- a/src/core/election/leader_lease.c
+++ b/src/core/election/leader_lease.c
@@ -38,11 +38,11 @@
 	struct election *election = &core->election;
 
 	election->token = token;
-	election->first_token = token;
+	election->min_report_token = token;
 	election->key_revision = token;
 	snprintf(election->leader, sizeof(election->leader), "%s", core->conf->name);
 	election->role = ROLE_RECOVERING;
-	core_begin_term(core);
+	core_invalidate_calls(core);
 	log_token(token);
 	log_info("leader", "state=recovering");
 	core->events->leadership_won(core);
@@ -74,14 +74,14 @@
 static void send_claim(struct core *core)
 {
 	const struct election *election = &core->election;
-	const char *key = election_key(election->format);
+	const char *key = election_leader_key(election->format);
 	struct txn txn;
 
 	txn_begin(&txn);
 	txn_guard(&txn, key, election->key_revision);
 	if (election->format >= FORMAT_SMALL_CHUNKS)
-		txn_guard(&txn, LEADER_KEY, election->gate_revision);
-	txn_put(&txn, key, election_leader_value(core), election->lease);
+		txn_guard(&txn, LEADER_KEY, election->format_key_revision);
+	txn_put(&txn, key, election_leader_key_value(core), election->lease);
 	store_commit(core, txn_finish(&txn), on_claim, NULL);
 }
 
--- a/src/core/election/serving_deadline.c
+++ b/src/core/election/serving_deadline.c
@@ -20,7 +20,7 @@
 
 #include "core/state.h"
 
-void election_note_jobs_read(struct core *core, double at)
+void election_record_jobs_read(struct core *core, double at)
 {
 	core->election.jobs_read_at = at;
 }
@@ -30,7 +30,7 @@
 	return core->election.jobs_read_at;
 }
 
-void election_note_peers_confirmed(struct core *core, double at)
+void election_record_peers_confirmed(struct core *core, double at)
 {
 	core->election.peers_confirmed_at = at;
 }
--- a/src/core/model/job.c
+++ b/src/core/model/job.c
@@ -61,7 +61,7 @@
 
 void job_free(struct core *core, struct job *job)
 {
-	core->events->job_forgotten(core, job);
+	core->events->job_removed(core, job);
 	HASH_DEL(core->jobs, job);
 	wire_job_free(&job->spec);
 	free(job->done);
@@ -171,7 +171,7 @@
 		return;
 	if (job->cancelled) {
 		if (!job->bindings)
-			core->events->job_over(core, job);
+			core->events->job_ended(core, job);
 		return;
 	}
 	if (job->done_count < job->spec.task_count)
@@ -180,7 +180,7 @@
 	if (job->all_done_at <= 0)
 		job->all_done_at = core->now;
 	if (!job->bindings || core->now - job->all_done_at >= FINAL_RECORD_DELAY_S)
-		core->events->job_over(core, job);
+		core->events->job_ended(core, job);
 }
 
 void job_tick(struct core *core)
--- a/src/core/model/machine.c
+++ b/src/core/model/machine.c
@@ -41,7 +41,7 @@
 void machine_free(struct core *core, struct machine *machine)
 {
 	HASH_DEL(core->machines, machine);
-	core->events->machine_forgotten(core, machine);
+	core->events->machine_removed(core, machine);
 	free(machine->agent.leftovers);
 	free(machine);
 }
--- a/src/core/peers/peer_link.c
+++ b/src/core/peers/peer_link.c
@@ -55,13 +55,13 @@
 	return (size_t)(uintptr_t)call->arg;
 }
 
-void peer_note_answer(struct core *core, size_t peer, const struct call_answer *answer)
+void peer_record_answer(struct core *core, size_t peer, const struct call_answer *answer)
 {
 	if (answer->outcome == CALL_ANSWERED)
 		core->peers.list[peer].answered_at = core->now;
 }
 
-void peers_note_incarnation(struct core *core, size_t peer, uint64_t incarnation)
+void peer_record_incarnation(struct core *core, size_t peer, uint64_t incarnation)
 {
 	struct peer *entry = &core->peers.list[peer];
 
--- a/src/core/peers/peer_link.h
+++ b/src/core/peers/peer_link.h
@@ -47,9 +47,9 @@
 
 /* Records the end of a call to the peer. An answer with any status shows that the peer is running.
  */
-void peer_note_answer(struct core *core, size_t peer, const struct call_answer *answer);
+void peer_record_answer(struct core *core, size_t peer, const struct call_answer *answer);
 /* Records the incarnation of the peer's process, which an answer of the peer contains. */
-void peers_note_incarnation(struct core *core, size_t peer, uint64_t incarnation);
+void peer_record_incarnation(struct core *core, size_t peer, uint64_t incarnation);
 /* The incarnation of this process, as this controller's answers give it to the others. */
 uint64_t peers_incarnation(const struct core *core);
 /*
--- a/src/core/records/jobs_watch.c
+++ b/src/core/records/jobs_watch.c
@@ -84,14 +84,14 @@
 	wire_items(answer_json, load_change, core);
 	if (wire_revision(answer_json) > watch->revision)
 		watch->revision = wire_revision(answer_json);
-	election_note_jobs_read(core, call->sent_at);
+	election_record_jobs_read(core, call->sent_at);
 	json_decref(answer_json);
 }
 
 void jobs_watch_start(struct core *core, uint64_t revision, double sent_at)
 {
 	core->jobs_watch.revision = revision;
-	election_note_jobs_read(core, sent_at);
+	election_record_jobs_read(core, sent_at);
 }
 
 void jobs_watch_clear(struct core *core)
--- a/src/core/records/recovery.c
+++ b/src/core/records/recovery.c
@@ -79,7 +79,7 @@
 		job_check_end(core, job);
 		job_release_if_over(core, job);
 	}
-	election_note_recovered(core);
+	election_start_leading(core);
 	core->leading_since = core->now;
 	write_queue_start(core);
 	log_info("leader", "state=leading jobs=%u machines=%u", job_count(core),
--- a/src/core/records/transaction.c
+++ b/src/core/records/transaction.c
@@ -22,7 +22,7 @@
 	pending_writes_free(&transaction->writes);
 	free(transaction->body);
 	*transaction = (struct transaction){0};
-	election_note_token_renewal_over(core);
+	election_on_token_renewal_ended(core);
 }
 
 static void requeue_chunk(struct core *core, struct pending_write *write)
--- a/src/core/records/transaction_build.c
+++ b/src/core/records/transaction_build.c
@@ -172,7 +172,7 @@
 	struct txn txn;
 
 	txn_begin(&txn);
-	txn_guard(&txn, election_key(election_format(core)), election_token(core));
+	txn_guard(&txn, election_leader_key(election_format(core)), election_token(core));
 	batch_writes(core, &txn);
 	log_debug("transaction", "nops=%d largest=%zu tokens=%.1f kind=%d", txn.op_count,
 		  txn.largest_value, queue->put_limiter.tokens,
@@ -193,14 +193,15 @@
 	struct txn txn;
 
 	txn_begin(&txn);
-	txn_guard(&txn, election_key(election_format(core)), election_token(core));
+	txn_guard(&txn, election_leader_key(election_format(core)), election_token(core));
 	if (raises_format)
-		txn_put(&txn, LEADER_KEY, election_gate_value(FORMAT_NEWEST), 0);
-	txn_put(&txn, election_key(format), election_leader_value(core), election_lease(core));
+		txn_put(&txn, LEADER_KEY, election_format_key_value(FORMAT_NEWEST), 0);
+	txn_put(&txn, election_leader_key(format), election_leader_key_value(core),
+		election_lease(core));
 	queue->transaction.renews_token = true;
 	queue->transaction.raises_format = raises_format;
 	queue->new_token_wanted = false;
 	queue->token_renewed_at = core->now;
-	election_note_token_renewal_sent(core);
+	election_on_token_renewal_sent(core);
 	transaction_send(core, &txn);
 }
--- a/src/core/records/transaction_commit.c
+++ b/src/core/records/transaction_commit.c
@@ -65,7 +65,7 @@
 	enum job_state state = final_record_state(job);
 
 	log_info("job_final", "job=%s state=%s", job->spec.id, wire_job_state(state));
-	core->events->job_finished(core, job->spec.id, state, job->spec.task_count);
+	core->events->final_record_committed(core, job->spec.id, state, job->spec.task_count);
 	job->final_committed = true;
 	job->orphan = true;
 	for (uint32_t chunk_index = 0; chunk_index < job_chunk_count(job); chunk_index++)
@@ -88,11 +88,11 @@
 {
 	log_info("token_renewed", "old=%llu new=%llu", (unsigned long long)election_token(core),
 		 (unsigned long long)revision);
-	election_note_token(core, revision);
+	election_set_token(core, revision);
 	if (tombstones_need_new_token(core))
 		forget_deleted_machines(core);
 	if (core->write_queue.transaction.raises_format) {
-		election_note_format(core, FORMAT_NEWEST, revision);
+		election_set_format(core, FORMAT_NEWEST, revision);
 		task_records_raise(core);
 		log_info("format", "raised=%d", FORMAT_NEWEST);
 	}
--- a/src/core/records/transaction_conflict.c
+++ b/src/core/records/transaction_conflict.c
@@ -129,7 +129,7 @@
 	int format =
 	    core->write_queue.transaction.raises_format ? FORMAT_NEWEST : election_format(core);
 
-	store_get(core, election_key(format), on_token_key, NULL);
+	store_get(core, election_leader_key(format), on_token_key, NULL);
 }
 
 /*
@@ -162,7 +162,7 @@
 {
 	if (core->write_queue.transaction.renews_token)
 		read_token_key(core);
-	else if (wire_failed_has(answer, election_key(election_format(core))))
+	else if (wire_failed_has(answer, election_leader_key(election_format(core))))
 		election_step_down(core, STEP_DOWN_GUARD_FAILED);
 	else
 		read_written_keys(core);
--- a/src/core/runtime/call.c
+++ b/src/core/runtime/call.c
@@ -110,7 +110,7 @@
 	}
 }
 
-void core_begin_term(struct core *core)
+void core_invalidate_calls(struct core *core)
 {
 	core->term++;
 }
--- a/src/core/runtime/call.h
+++ b/src/core/runtime/call.h
@@ -72,7 +72,7 @@
  * Called when a term of this controller begins or ends: from now on, core_call_is_current is false
  * for all earlier calls, whose answers must not be applied to the leader's state.
  */
-void core_begin_term(struct core *core);
+void core_invalidate_calls(struct core *core);
 /* True if no term of this controller began or ended since the call was made. */
 bool core_call_is_current(const struct core *core, const struct call *call);
 
--- a/src/core/runtime/events.h
+++ b/src/core/runtime/events.h
@@ -27,12 +27,12 @@
 	void (*task_record_changed)(struct core *core, struct job *job, uint32_t task,
 				    double delay_s);
 	/* model: the job has ended; its final record must be written */
-	void (*job_over)(struct core *core, struct job *job);
+	void (*job_ended)(struct core *core, struct job *job);
 	/* records: a new fencing token was committed */
 	void (*token_renewed)(struct core *core);
 	/* records: the final record of the job was committed */
-	void (*job_finished)(struct core *core, const char *id, enum job_state state,
-			     uint32_t task_count);
+	void (*final_record_committed)(struct core *core, const char *id, enum job_state state,
+				       uint32_t task_count);
 	/* model, records, agents: a change may allow tasks to be placed */
 	void (*placement_needed)(struct core *core);
 	/* model, records: the agent must be sent a start or stop for a binding of the machine */
@@ -40,9 +40,9 @@
 	/* model: the number of replicas on the machine has changed */
 	void (*replicas_changed)(struct core *core, struct machine *machine);
 	/* model: the machine is about to be freed */
-	void (*machine_forgotten)(struct core *core, struct machine *machine);
+	void (*machine_removed)(struct core *core, struct machine *machine);
 	/* model: the job is about to be freed */
-	void (*job_forgotten)(struct core *core, struct job *job);
+	void (*job_removed)(struct core *core, struct job *job);
 	/* agents: a machine was given up and must be deleted at once */
 	void (*machine_given_up)(struct core *core);
 	/*
--- a/src/core/scheduling/share_switching_leader.c
+++ b/src/core/scheduling/share_switching_leader.c
@@ -51,7 +51,7 @@
 	if (!switches)
 		return;
 	if (peer < core->conf->peer_count)
-		peers_note_incarnation(core, peer, switches->incarnation);
+		peer_record_incarnation(core, peer, switches->incarnation);
 	if (switches->token == election_token(core))
 		for (size_t i = 0; i < switches->n_switches; i++)
 			apply_switch(core, switches->switches[i]);
--- a/tests/bench/services.c
+++ b/tests/bench/services.c
@@ -182,7 +182,7 @@
 {
 	struct core_action *action;
 
-	while ((action = core_take(bench->core))) {
+	while ((action = core_pop_action(bench->core))) {
 		if (action->kind == ACT_SEND)
 			answer_call(bench, action);
 		core_action_free(action);
--- a/tests/runner/outbox.c
+++ b/tests/runner/outbox.c
@@ -123,7 +123,7 @@
 	struct controller *controller = &world->controllers[index];
 	struct core_action *action;
 
-	while (controller->up && (action = core_take(controller->core))) {
+	while (controller->up && (action = core_pop_action(controller->core))) {
 		if (world->trace)
 			behaviour_trace_add(world->trace, world->now_s, index, action);
 		if (action->kind == ACT_ANSWER)
