--- a/src/core/core.c
+++ b/src/core/core.c
@@ -172,23 +172,23 @@
 }
 
 /* Splits the status of core.h into outcome and HTTP status. */
-static struct call_answer call_answer_of(const struct core_answer *answer)
+static struct call_answer to_call_answer(const struct core_answer *answer)
 {
-	struct call_answer ended = {CALL_ANSWERED, answer->status, answer->body, answer->len};
+	struct call_answer result = {CALL_ANSWERED, answer->status, answer->body, answer->len};
 
 	if (answer->status > 0)
-		return ended;
-	ended.outcome = answer->status < 0 ? CALL_NOT_SENT : CALL_UNANSWERED;
-	ended.status = 0;
-	return ended;
+		return result;
+	result.outcome = answer->status < 0 ? CALL_NOT_SENT : CALL_UNANSWERED;
+	result.status = 0;
+	return result;
 }
 
 void core_answer(struct core *core, struct core_time now, const struct core_answer *answer)
 {
-	struct call_answer ended = call_answer_of(answer);
+	struct call_answer result = to_call_answer(answer);
 
 	set_time(core, now);
-	if (core_call_end(core, answer->id, &ended))
+	if (core_call_end(core, answer->id, &result))
 		core_tick(core, now);
 }
 
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -3,9 +3,9 @@
  * its outputs are actions: calls to send and answers to requests. It reads no clock, no socket and
  * no global variable.
  *
- * Each function with a parameter for the time also does the periodic work that is due by then.
- * After it, the caller takes actions until there are none left, and asks for the time of the next
- * tick.
+ * core_request, core_answer and core_tick also do the periodic work that is due at the given time.
+ * After each of them, the caller takes actions until there are none left, and asks for the time of
+ * the next tick.
  */
 #ifndef PLOVERLOFT_CORE_H
 #define PLOVERLOFT_CORE_H
--- a/src/core/election/election.c
+++ b/src/core/election/election.c
@@ -17,7 +17,7 @@
 	core->election.peers_confirmed_at = -1;
 }
 
-/* --- state --- */
+/* --- present state --- */
 
 enum leadership_role election_role(const struct core *core)
 {
@@ -105,7 +105,7 @@
 
 void election_invalidate_keys(struct core *core)
 {
-	core->election.key_is_current = false;
+	core->election.keys_are_current = false;
 	if (core->election.retry_at < core->now)
 		core->election.retry_at = core->now;
 }
--- a/src/core/election/election.h
+++ b/src/core/election/election.h
@@ -45,7 +45,7 @@
 	STEP_DOWN_PEER_LEADS,
 	/* an agent's report shows a newer token */
 	STEP_DOWN_HIGHER_TOKEN_SEEN,
-	/* too many agents are silent at once */
+	/* too many agents are silent at once: this controller is probably cut off from them */
 	STEP_DOWN_PARTITIONED
 };
 
@@ -53,11 +53,11 @@
 struct election {
 	enum leadership_role role;
 	char leader[CONF_NAME_MAX];   /* name of the leader as last read; empty: none */
-	int format;		      /* version of the records' format, as last read */
+	int format;		      /* see election_format */
 	uint64_t key_revision;	      /* of the leader's key; 0: absent */
 	uint64_t format_key_revision; /* of LEADER_KEY, used in formats after the first */
 	uint64_t watch_revision;      /* the next watch returns the changes after this revision */
-	bool key_is_current;	      /* the keys were read, and a watch can continue from there */
+	bool keys_are_current;	      /* the keys were read, and a watch can continue from there */
 	bool read_in_flight;
 	bool watch_in_flight;
 	bool claim_in_flight;	      /* the request for a lease, or the claim under it */
@@ -75,7 +75,7 @@
 	double peers_confirmed_at; /* see election_record_peers_confirmed; < 0: never */
 };
 
-/* --- state --- */
+/* --- present state --- */
 
 /* The role of this controller. */
 enum leadership_role election_role(const struct core *core);
@@ -92,7 +92,7 @@
 uint64_t election_min_report_token(const struct core *core);
 /* The id of the lease of the leader's key; 0 if there is none. */
 uint64_t election_lease(const struct core *core);
-/* The version of the records' format, as last read from the state service. */
+/* The version of the records' format, as last read from the state service or raised here. */
 int election_format(const struct core *core);
 /*
  * Seconds since the last successful renewal of the lease, or else the request that it was granted
@@ -112,7 +112,7 @@
 
 /* --- start, token and end of a term --- */
 
-/* Sets the initial state: a follower that has read nothing yet. */
+/* Sets the initial state: a follower that has read nothing yet and assumes the first format. */
 void election_init(struct core *core);
 /* Reads or watches the keys, claims the leader's key or renews its lease, as each is due. */
 void election_tick(struct core *core);
@@ -173,9 +173,9 @@
 /* The value of the leader's key while this controller leads. The caller owns it. */
 json_t *election_leader_key_value(const struct core *core);
 /*
- * The value that LEADER_KEY gets when the format is raised. It stays for ever, and its name is that
- * of no controller, so that a version which reads only the first format sees the key as held. The
- * caller owns it.
+ * The value that LEADER_KEY gets when the format is raised, and then keeps forever. The name in it
+ * is that of no controller, so that a program version which reads only the first format takes the
+ * leader's key as held. The caller owns the value.
  */
 json_t *election_format_key_value(int format);
 
--- a/src/core/election/format_gate.c
+++ b/src/core/election/format_gate.c
@@ -17,7 +17,8 @@
 
 /* --- registration of this controller's version --- */
 
-static void on_registered(struct core *core, struct call *call, const struct call_answer *answer)
+static void on_registration_answer(struct core *core, struct call *call,
+				   const struct call_answer *answer)
 {
 	struct format_gate *gate = &core->format;
 
@@ -39,7 +40,7 @@
 	txn_begin(&txn);
 	txn_put(&txn, key, json_pack("{s:i}", "format", format), 0);
 	core->format.register_in_flight = true;
-	store_commit(core, txn_finish(&txn), on_registered, NULL);
+	store_commit(core, txn_finish(&txn), on_registration_answer, NULL);
 }
 
 /* --- the leader's scan of all registered versions --- */
--- a/src/core/election/leader_key.c
+++ b/src/core/election/leader_key.c
@@ -37,7 +37,7 @@
  * Updates the leader from the entry of the leader's key; an entry without a value: nobody leads. A
  * controller that holds the key steps down if the key's revision is not its token.
  */
-static void take_leader_key(struct core *core, const struct kv_item *entry)
+static void apply_leader_key(struct core *core, const struct kv_item *entry)
 {
 	struct election *election = &core->election;
 	const char *name = json_string_value(json_object_get(entry->value, "name"));
@@ -46,7 +46,8 @@
 	snprintf(election->leader, sizeof(election->leader), "%s", name ? name : "");
 	/*
 	 * If the key names this controller although it does not lead, an earlier process of it or
-	 * an ended term has left the key: there is no leader.
+	 * an ended term has left the key: there is no leader. A claim in flight may have written
+	 * it, however.
 	 */
 	if (election->role == ROLE_FOLLOWER && !election->claim_in_flight &&
 	    !strcmp(election->leader, core->conf->name))
@@ -60,11 +61,11 @@
 /*
  * Updates the format from the entry of LEADER_KEY; without a number in it, it is the first format.
  *
- * A controller whose version does not support the format stays a follower. claim_is_due checks
- * this; for versions that take LEADER_KEY for the leader's key, that key is never free, since it
- * names a leader that is no controller.
+ * A controller whose program version does not support the format stays a follower. claim_is_due
+ * checks this; for versions that take LEADER_KEY for the leader's key, that key is never free,
+ * since it names a leader that is no controller.
  */
-static void take_format_key(struct core *core, const struct kv_item *entry)
+static void apply_format_key(struct core *core, const struct kv_item *entry)
 {
 	struct election *election = &core->election;
 	const json_t *format_value = json_object_get(entry->value, "format");
@@ -75,8 +76,8 @@
 	log_info("format", "old=%d new=%d", election->format, format);
 	election->format = format;
 	election->format_key_revision = entry->value ? entry->version : 0;
-	/* Whether there is a leader in the new format is unknown: its leader's key may be absent;
-	 * otherwise its entry is applied after this one. */
+	/* Nothing is known yet of the leader's key of the new format: it may be absent, or its
+	 * entry is applied after this one. */
 	election->leader[0] = 0;
 	election->key_revision = 0;
 	if (election->role != ROLE_FOLLOWER)
@@ -91,15 +92,15 @@
 	bool leader_found;
 };
 
-static void scan_format(void *context, const struct kv_item *entry)
+static void scan_format_key(void *context, const struct kv_item *entry)
 {
 	const struct key_scan *scan = context;
 
 	if (!strcmp(entry->key, LEADER_KEY) && scan->is_current(scan->core, entry))
-		take_format_key(scan->core, entry);
+		apply_format_key(scan->core, entry);
 }
 
-static void scan_leader(void *context, const struct kv_item *entry)
+static void scan_leader_key(void *context, const struct kv_item *entry)
 {
 	struct key_scan *scan = context;
 
@@ -107,14 +108,14 @@
 		return;
 	scan->leader_found = true;
 	if (scan->is_current(scan->core, entry))
-		take_leader_key(scan->core, entry);
+		apply_leader_key(scan->core, entry);
 }
 
 /* Applies the format first, since it determines which key is the leader's. */
 static void scan_keys(struct key_scan *scan, json_t *answer_json)
 {
-	wire_items(answer_json, scan_format, scan);
-	wire_items(answer_json, scan_leader, scan);
+	wire_items(answer_json, scan_format_key, scan);
+	wire_items(answer_json, scan_leader_key, scan);
 }
 
 /* --- reading the keys --- */
@@ -123,7 +124,7 @@
  * The versions of a key only grow: an entry with a version below the token was read before this
  * leader wrote the key.
  */
-static bool read_is_current(const struct core *core, const struct kv_item *entry)
+static bool read_entry_is_current(const struct core *core, const struct kv_item *entry)
 {
 	return core->election.role == ROLE_FOLLOWER || !entry->version ||
 	       entry->version >= core->election.token;
@@ -131,7 +132,7 @@
 
 static void on_read(struct core *core, struct call *call, const struct call_answer *answer)
 {
-	struct key_scan scan = {.core = core, .is_current = read_is_current};
+	struct key_scan scan = {.core = core, .is_current = read_entry_is_current};
 	const struct kv_item absent = {0};
 	json_t *answer_json;
 
@@ -143,10 +144,10 @@
 		return;
 	answer_json = wire_parse(answer->body, answer->len);
 	core->election.watch_revision = wire_revision(answer_json);
-	core->election.key_is_current = true;
+	core->election.keys_are_current = true;
 	scan_keys(&scan, answer_json);
 	if (!scan.leader_found)
-		take_leader_key(core, &absent);
+		apply_leader_key(core, &absent);
 	json_decref(answer_json);
 }
 
@@ -156,7 +157,7 @@
  * A watch may deliver changes later than the answers to this leader's own writes: changes up to its
  * token are ignored, and all changes while it writes the leader's key.
  */
-static bool change_is_current(const struct core *core, const struct kv_item *entry)
+static bool watched_entry_is_current(const struct core *core, const struct kv_item *entry)
 {
 	return !election_is_renewing_token(core) &&
 	       (core->election.role == ROLE_FOLLOWER || entry->version > core->election.token);
@@ -164,7 +165,7 @@
 
 static void on_watch(struct core *core, struct call *call, const struct call_answer *answer)
 {
-	struct key_scan scan = {.core = core, .is_current = change_is_current};
+	struct key_scan scan = {.core = core, .is_current = watched_entry_is_current};
 	struct election *election = &core->election;
 	json_t *answer_json;
 
@@ -173,7 +174,7 @@
 	if (answer->status != STATUS_GONE)
 		store_note_answer(core, answer);
 	if (answer->status != STATUS_OK) {
-		election->key_is_current = false;
+		election->keys_are_current = false;
 		election->retry_at = core->now + STORE_READ_RETRY_S;
 		return;
 	}
@@ -188,7 +189,7 @@
 {
 	struct election *election = &core->election;
 
-	if (!election->key_is_current) {
+	if (!election->keys_are_current) {
 		if (election->read_in_flight || core->now < election->retry_at)
 			return;
 		election->read_in_flight = true;
--- a/src/core/election/leader_lease.c
+++ b/src/core/election/leader_lease.c
@@ -13,7 +13,7 @@
 /* --- returning the lease --- */
 
 /* Nothing to do: if the request was lost, the lease expires by itself. */
-static void on_returned(struct core *core, struct call *call, const struct call_answer *answer)
+static void on_return_answer(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	(void)core;
 	(void)call;
@@ -26,7 +26,7 @@
 		core_call(
 		    core, core->conf->store_addr, "DELETE",
 		    format_path(W_PATH_LEASES "/%llu", (unsigned long long)core->election.lease),
-		    NULL, CALL_STORE_TIMEOUT_S, on_returned, NULL);
+		    NULL, CALL_STORE_TIMEOUT_S, on_return_answer, NULL);
 	core->election.lease = 0;
 }
 
@@ -49,7 +49,7 @@
 }
 
 /* A lease without a successful claim is not returned; it expires by itself. */
-static void on_claim(struct core *core, struct call *call, const struct call_answer *answer)
+static void on_claim_answer(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	struct election *election = &core->election;
 	json_t *answer_json;
@@ -60,7 +60,7 @@
 	if (answer->status != STATUS_OK || !core_call_is_current(core, call)) {
 		log_debug("claim_failed", "status=%d", answer->status);
 		election->lease = 0;
-		election->key_is_current = false;
+		election->keys_are_current = false;
 		election->retry_at = core->now + STORE_READ_RETRY_S;
 		return;
 	}
@@ -82,10 +82,10 @@
 	if (election->format >= FORMAT_SMALL_CHUNKS)
 		txn_guard(&txn, LEADER_KEY, election->format_key_revision);
 	txn_put(&txn, key, election_leader_key_value(core), election->lease);
-	store_commit(core, txn_finish(&txn), on_claim, NULL);
+	store_commit(core, txn_finish(&txn), on_claim_answer, NULL);
 }
 
-static void on_lease(struct core *core, struct call *call, const struct call_answer *answer)
+static void on_lease_answer(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	struct election *election = &core->election;
 	json_t *answer_json;
@@ -117,7 +117,7 @@
 {
 	const struct election *election = &core->election;
 
-	return election->key_is_current && !*election->leader && !election->claim_in_flight &&
+	return election->keys_are_current && !*election->leader && !election->claim_in_flight &&
 	       core->now >= election->retry_at && core->now >= election->no_claim_before &&
 	       election->format <= FORMAT_NEWEST;
 }
@@ -128,7 +128,7 @@
 		return;
 	core->election.claim_in_flight = true;
 	core_call(core, core->conf->store_addr, "POST", format_path(W_PATH_LEASES),
-		  wire_lease_body(LEADER_TTL_MS), CALL_STORE_TIMEOUT_S, on_lease, NULL);
+		  wire_lease_body(LEADER_TTL_MS), CALL_STORE_TIMEOUT_S, on_lease_answer, NULL);
 }
 
 /* --- renewing the lease --- */
@@ -137,7 +137,8 @@
  * The lease is taken to be renewed from the time at which the request was sent, since the state
  * service may have renewed it at any time after that.
  */
-static void on_renewed(struct core *core, struct call *call, const struct call_answer *answer)
+static void on_renewal_answer(struct core *core, struct call *call,
+			      const struct call_answer *answer)
 {
 	struct election *election = &core->election;
 
@@ -166,7 +167,7 @@
 	core_call(
 	    core, core->conf->store_addr, "POST",
 	    format_path(W_PATH_LEASES "/%llu" W_PATH_RENEW, (unsigned long long)election->lease),
-	    xstrdup("{}"), CALL_STORE_TIMEOUT_S, on_renewed, NULL);
+	    xstrdup("{}"), CALL_STORE_TIMEOUT_S, on_renewal_answer, NULL);
 }
 
 void election_resign(struct core *core, enum step_down_reason reason)
--- a/src/core/election/leader_lease.h
+++ b/src/core/election/leader_lease.h
@@ -7,8 +7,8 @@
 struct core;
 
 /*
- * If there is no leader and no retry delay is running, requests a lease and then claims the
- * leader's key under it.
+ * Requests a lease and then claims the leader's key under it, if there is no leader, this program
+ * version supports the records' format, and no delay after a failure or a resignation is running.
  */
 void leader_lease_claim_if_due(struct core *core);
 /* Renews the lease if the renewal is due. */
--- a/src/core/peers/peer_link.h
+++ b/src/core/peers/peer_link.h
@@ -22,6 +22,7 @@
 				   * are known here; < 0: none */
 };
 
+/* The other controllers, and what this process tells them of itself. */
 struct peers {
 	struct peer *list;    /* one for each peer of the settings, in their order; owned */
 	uint64_t incarnation; /* of this process */
