--- a/src/core/election/election.h
+++ b/src/core/election/election.h
@@ -128,7 +128,10 @@
 void election_require_current_token(struct core *core);
 /* Sets the format after this leader has raised it, by a commit with the given revision. */
 void election_set_format(struct core *core, int format, uint64_t revision);
-/* Ends this controller's term. The lease is not returned and expires by itself. */
+/*
+ * Ends this controller's term. The lease is not returned and expires by itself. Nothing happens in
+ * a follower.
+ */
 void election_step_down(struct core *core, enum step_down_reason reason);
 /*
  * Ends this controller's term and returns the lease, so that another controller need not wait until
@@ -136,8 +139,8 @@
  */
 void election_resign(struct core *core, enum step_down_reason reason);
 /*
- * Ends this controller's term because the named controller says that it leads. Agents are
- * redirected to that controller.
+ * Ends this controller's term because the named controller says that it leads under a newer token.
+ * Agents are redirected to that controller. Nothing happens in a follower.
  */
 void election_on_newer_leader(struct core *core, const char *leader);
 /* Makes the next tick read the keys again, once the retry delay is over. */
