--- a/src/core/core.c
+++ b/src/core/core.c
@@ -1,3 +1,7 @@
+/*
+ * The inputs and outputs of the core, and its periodic work: passes them on to the folders, and
+ * sets up the events between them.
+ */
 #include "core/core.h"
 
 #include <stdlib.h>
@@ -45,7 +49,7 @@
 	}
 }
 
-/* Drops all state that only a leader has; what the next one needs is in the records. */
+/* Drops the state that only a leader has. What the next leader needs is in the records. */
 static void leader_state_clear(struct core *core)
 {
 	write_queue_clear(core);
@@ -60,7 +64,7 @@
 	core->cycles.attempt_counter = 0;
 }
 
-static void on_machine_forgotten(struct core *core, struct machine *machine)
+static void on_machine_removed(struct core *core, struct machine *machine)
 {
 	replica_supervision_remove(core, machine);
 	report_cache_remove(&core->agents.report_cache, &machine->agent.cached_report);
@@ -74,16 +78,16 @@
 
 static const struct core_events events = {
     .task_record_changed = write_queue_add_chunk,
-    .job_over = write_queue_add_final,
+    .job_ended = write_queue_add_final,
     .leadership_won = recovery_start,
     .leadership_lost = leader_state_clear,
     .token_renewed = on_token_renewed,
-    .job_finished = job_index_note_final,
+    .final_record_committed = job_index_note_final,
     .placement_needed = cycle_request,
     .commands_due = commands_request,
     .replicas_changed = replica_supervision_update,
-    .machine_forgotten = on_machine_forgotten,
-    .job_forgotten = reservation_release,
+    .machine_removed = on_machine_removed,
+    .job_removed = reservation_release,
     .machine_given_up = autoscale_request_scan,
     .wrap_forwarded_answer = forwarding_wrap_answer,
 };
@@ -129,6 +133,7 @@
 	return core;
 }
 
+/* The steady time of the core never goes back. */
 static void set_time(struct core *core, struct core_time now)
 {
 	if (now.steady > core->now)
@@ -136,6 +141,7 @@
 	core->wall = now.wall;
 }
 
+/* The answer "method" means that the path does not allow the method. */
 static void handle_heartbeat(struct core *core, const struct core_request *request)
 {
 	if (!strcmp(request->method, "POST"))
@@ -144,6 +150,7 @@
 		core_reply_error(core, request->connection, STATUS_METHOD_NOT_ALLOWED, 0, "method");
 }
 
+/* Handles a request of another controller, from the back listener. */
 static void handle_back_request(struct core *core, const struct core_request *request)
 {
 	if (!strcmp(request->path, SHARE_SWITCHING_PATH))
@@ -164,24 +171,24 @@
 	core_tick(core, now);
 }
 
-/* The status of the interface holds outcome and HTTP status; inside, they are apart. */
-static struct call_answer call_answer_of(const struct core_answer *answer)
+/* Splits the status of core.h into outcome and HTTP status. */
+static struct call_answer to_call_answer(const struct core_answer *answer)
 {
-	struct call_answer ended = {CALL_ANSWERED, answer->status, answer->body, answer->len};
+	struct call_answer result = {CALL_ANSWERED, answer->status, answer->body, answer->len};
 
 	if (answer->status > 0)
-		return ended;
-	ended.outcome = answer->status < 0 ? CALL_NOT_SENT : CALL_UNANSWERED;
-	ended.status = 0;
-	return ended;
+		return result;
+	result.outcome = answer->status < 0 ? CALL_NOT_SENT : CALL_UNANSWERED;
+	result.status = 0;
+	return result;
 }
 
 void core_answer(struct core *core, struct core_time now, const struct core_answer *answer)
 {
-	struct call_answer ended = call_answer_of(answer);
+	struct call_answer result = to_call_answer(answer);
 
 	set_time(core, now);
-	if (core_call_end(core, answer->id, &ended))
+	if (core_call_end(core, answer->id, &result))
 		core_tick(core, now);
 }
 
@@ -210,8 +217,11 @@
 		leader_tick(core);
 }
 
-/* Each part checks its own due times: a coarse period is enough for all but scheduling cycles. */
-double core_next(const struct core *core)
+/*
+ * Each tick function checks by itself whether its work is due. One coarse interval between ticks is
+ * enough for all of them but scheduling cycles.
+ */
+double core_next_tick_at(const struct core *core)
 {
 	double periodic = core->now + TICK_S;
 
@@ -220,7 +230,7 @@
 	return periodic;
 }
 
-struct core_action *core_take(struct core *core)
+struct core_action *core_pop_action(struct core *core)
 {
 	struct core_action *action = core->actions;
 
@@ -243,7 +253,7 @@
 	leader_state_clear(core);
 	api_clear(core);
 	peer_requests_clear(core);
-	while ((action = core_take(core)))
+	while ((action = core_pop_action(core)))
 		core_action_free(action);
 	core_calls_clear(core);
 	catalog_free(core);
--- a/src/core/election/leader_key.c
+++ b/src/core/election/leader_key.c
@@ -1,5 +1,6 @@
 /*
- * The leader's key, and the key of the records' format beside it: reading and watching them.
+ * Reads and watches the leader's key and the key that holds the version of the records' format, and
+ * applies what they hold to the state of the election.
  */
 #include "core/election/leader_key.h"
 
@@ -9,34 +10,45 @@
 #include "core/state.h"
 #include "util/log.h"
 
-/* Formats after the first have a key of their own beside the one that older versions know. */
+/*
+ * The leader's key in formats after the first. Versions that know only the first format use
+ * LEADER_KEY. Both keys have the prefix LEADER_KEY, so that one read or watch covers them.
+ */
 #define LEADER_KEY_SMALL_CHUNKS LEADER_KEY "/2"
 
-const char *election_key(int format)
+const char *election_leader_key(int format)
 {
 	return format >= FORMAT_SMALL_CHUNKS ? LEADER_KEY_SMALL_CHUNKS : LEADER_KEY;
 }
 
-json_t *election_gate_value(int format)
+json_t *election_format_key_value(int format)
 {
 	return json_pack("{s:o,s:i}", "name", json_sprintf("format-%d", format), "format", format);
 }
 
-json_t *election_leader_value(const struct core *core)
+json_t *election_leader_key_value(const struct core *core)
 {
 	return json_pack("{s:s}", "name", core->conf->name);
 }
 
-/* --- the two keys --- */
+/* --- applying the entries of the keys --- */
 
-static void take_leader_key(struct core *core, const struct kv_item *entry)
+/*
+ * Updates the leader from the entry of the leader's key; an entry without a value: nobody leads. A
+ * controller that holds the key steps down if the key's revision is not its token.
+ */
+static void apply_leader_key(struct core *core, const struct kv_item *entry)
 {
 	struct election *election = &core->election;
 	const char *name = json_string_value(json_object_get(entry->value, "name"));
 
 	election->key_revision = entry->value ? entry->version : 0;
 	snprintf(election->leader, sizeof(election->leader), "%s", name ? name : "");
-	/* Our own name while we do not lead: a process that has ended, or a term given up. */
+	/*
+	 * If the key names this controller although it does not lead, an earlier process of it or
+	 * an ended term has left the key: there is no leader. A claim in flight may have written
+	 * it, however.
+	 */
 	if (election->role == ROLE_FOLLOWER && !election->claim_in_flight &&
 	    !strcmp(election->leader, core->conf->name))
 		election->leader[0] = 0;
@@ -47,10 +59,13 @@
 }
 
 /*
- * A format that this version does not support leaves it a follower: LEADER_KEY then names a leader
- * that is no controller, and is never free.
+ * Updates the format from the entry of LEADER_KEY; without a number in it, it is the first format.
+ *
+ * A controller whose program version does not support the format stays a follower. claim_is_due
+ * checks this; for versions that take LEADER_KEY for the leader's key, that key is never free,
+ * since it names a leader that is no controller.
  */
-static void take_format_key(struct core *core, const struct kv_item *entry)
+static void apply_format_key(struct core *core, const struct kv_item *entry)
 {
 	struct election *election = &core->election;
 	const json_t *format_value = json_object_get(entry->value, "format");
@@ -60,52 +75,56 @@
 		return;
 	log_info("format", "old=%d new=%d", election->format, format);
 	election->format = format;
-	election->gate_revision = entry->value ? entry->version : 0;
-	/* The key of the new format may be free, or its entry comes next. */
+	election->format_key_revision = entry->value ? entry->version : 0;
+	/* Nothing is known yet of the leader's key of the new format: it may be absent, or its
+	 * entry is applied after this one. */
 	election->leader[0] = 0;
 	election->key_revision = 0;
 	if (election->role != ROLE_FOLLOWER)
 		election_step_down(core, STEP_DOWN_FORMAT_RAISED);
 }
 
-/* One pass over the entries of a read, or of an answer of the watch. */
+/* Context of a pass over the entries in the answer to a read or a watch. */
 struct key_scan {
 	struct core *core;
-	/* False for an entry from before the term's own write of the key. */
+	/* False for an entry that is older than this leader's own write of the leader's key. */
 	bool (*is_current)(const struct core *core, const struct kv_item *entry);
 	bool leader_found;
 };
 
-static void scan_format(void *context, const struct kv_item *entry)
+static void scan_format_key(void *context, const struct kv_item *entry)
 {
 	const struct key_scan *scan = context;
 
 	if (!strcmp(entry->key, LEADER_KEY) && scan->is_current(scan->core, entry))
-		take_format_key(scan->core, entry);
+		apply_format_key(scan->core, entry);
 }
 
-static void scan_leader(void *context, const struct kv_item *entry)
+static void scan_leader_key(void *context, const struct kv_item *entry)
 {
 	struct key_scan *scan = context;
 
-	if (strcmp(entry->key, election_key(scan->core->election.format)))
+	if (strcmp(entry->key, election_leader_key(scan->core->election.format)))
 		return;
 	scan->leader_found = true;
 	if (scan->is_current(scan->core, entry))
-		take_leader_key(scan->core, entry);
+		apply_leader_key(scan->core, entry);
 }
 
-/* The format comes first: it says which of the keys is the leader's. */
+/* Applies the format first, since it determines which key is the leader's. */
 static void scan_keys(struct key_scan *scan, json_t *answer_json)
 {
-	wire_items(answer_json, scan_format, scan);
-	wire_items(answer_json, scan_leader, scan);
+	wire_items(answer_json, scan_format_key, scan);
+	wire_items(answer_json, scan_leader_key, scan);
 }
 
-/* --- reading --- */
+/* --- reading the keys --- */
 
-/* Versions of a key only grow: a smaller one is from before the term's own write. */
-static bool read_is_current(const struct core *core, const struct kv_item *entry)
+/*
+ * The versions of a key only grow: an entry with a version below the token was read before this
+ * leader wrote the key.
+ */
+static bool read_entry_is_current(const struct core *core, const struct kv_item *entry)
 {
 	return core->election.role == ROLE_FOLLOWER || !entry->version ||
 	       entry->version >= core->election.token;
@@ -113,7 +132,7 @@
 
 static void on_read(struct core *core, struct call *call, const struct call_answer *answer)
 {
-	struct key_scan scan = {.core = core, .is_current = read_is_current};
+	struct key_scan scan = {.core = core, .is_current = read_entry_is_current};
 	const struct kv_item absent = {0};
 	json_t *answer_json;
 
@@ -125,17 +144,20 @@
 		return;
 	answer_json = wire_parse(answer->body, answer->len);
 	core->election.watch_revision = wire_revision(answer_json);
-	core->election.key_is_current = true;
+	core->election.keys_are_current = true;
 	scan_keys(&scan, answer_json);
 	if (!scan.leader_found)
-		take_leader_key(core, &absent);
+		apply_leader_key(core, &absent);
 	json_decref(answer_json);
 }
 
-/* --- watching --- */
+/* --- watching the keys --- */
 
-/* The watch may lag behind the answers to the term's own writes. */
-static bool change_is_current(const struct core *core, const struct kv_item *entry)
+/*
+ * A watch may deliver changes later than the answers to this leader's own writes: changes up to its
+ * token are ignored, and all changes while it writes the leader's key.
+ */
+static bool watched_entry_is_current(const struct core *core, const struct kv_item *entry)
 {
 	return !election_is_renewing_token(core) &&
 	       (core->election.role == ROLE_FOLLOWER || entry->version > core->election.token);
@@ -143,7 +165,7 @@
 
 static void on_watch(struct core *core, struct call *call, const struct call_answer *answer)
 {
-	struct key_scan scan = {.core = core, .is_current = change_is_current};
+	struct key_scan scan = {.core = core, .is_current = watched_entry_is_current};
 	struct election *election = &core->election;
 	json_t *answer_json;
 
@@ -152,7 +174,7 @@
 	if (answer->status != STATUS_GONE)
 		store_update_availability(core, answer);
 	if (answer->status != STATUS_OK) {
-		election->key_is_current = false;
+		election->keys_are_current = false;
 		election->retry_at = core->now + STORE_READ_RETRY_S;
 		return;
 	}
@@ -167,7 +189,7 @@
 {
 	struct election *election = &core->election;
 
-	if (!election->key_is_current) {
+	if (!election->keys_are_current) {
 		if (election->read_in_flight || core->now < election->retry_at)
 			return;
 		election->read_in_flight = true;
--- a/src/core/election/leader_lease.c
+++ b/src/core/election/leader_lease.c
@@ -1,5 +1,5 @@
 /*
- * The lease under which this controller holds the leader's key: claim, renewal and return.
+ * Claims the leader's key under a lease of the state service, renews that lease and returns it.
  */
 #include "core/election/leader_lease.h"
 
@@ -10,10 +10,10 @@
 #include "util/xalloc.h"
 #include "wire/names.h"
 
-/* --- return --- */
+/* --- returning the lease --- */
 
-/* The lease ends by itself if the request is lost. */
-static void on_returned(struct core *core, struct call *call, const struct call_answer *answer)
+/* Nothing to do: if the request was lost, the lease expires by itself. */
+static void on_return_answer(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	(void)core;
 	(void)call;
@@ -26,28 +26,30 @@
 		core_call(
 		    core, core->conf->store_addr, "DELETE",
 		    format_path(W_PATH_LEASES "/%llu", (unsigned long long)core->election.lease),
-		    NULL, CALL_STORE_TIMEOUT_S, on_returned, NULL);
+		    NULL, CALL_STORE_TIMEOUT_S, on_return_answer, NULL);
 	core->election.lease = 0;
 }
 
-/* --- claim --- */
+/* --- claiming the leader's key --- */
 
+/* Starts a term under the token: the revision of the claim. */
 static void begin_term(struct core *core, uint64_t token)
 {
 	struct election *election = &core->election;
 
 	election->token = token;
-	election->first_token = token;
+	election->min_report_token = token;
 	election->key_revision = token;
 	snprintf(election->leader, sizeof(election->leader), "%s", core->conf->name);
 	election->role = ROLE_RECOVERING;
-	core_begin_term(core);
+	core_invalidate_calls(core);
 	log_token(token);
 	log_info("leader", "state=recovering");
 	core->events->leadership_won(core);
 }
 
-static void on_claim(struct core *core, struct call *call, const struct call_answer *answer)
+/* A lease without a successful claim is not returned; it expires by itself. */
+static void on_claim_answer(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	struct election *election = &core->election;
 	json_t *answer_json;
@@ -58,7 +60,7 @@
 	if (answer->status != STATUS_OK || !core_call_is_current(core, call)) {
 		log_debug("claim_failed", "status=%d", answer->status);
 		election->lease = 0;
-		election->key_is_current = false;
+		election->keys_are_current = false;
 		election->retry_at = core->now + STORE_READ_RETRY_S;
 		return;
 	}
@@ -68,22 +70,22 @@
 	begin_term(core, token);
 }
 
-/* Writes the leader's key, guarded by the keys as they were read before the lease was requested. */
+/* Writes the leader's key, on condition that both keys still have the revisions last read. */
 static void send_claim(struct core *core)
 {
 	const struct election *election = &core->election;
-	const char *key = election_key(election->format);
+	const char *key = election_leader_key(election->format);
 	struct txn txn;
 
 	txn_begin(&txn);
 	txn_guard(&txn, key, election->key_revision);
 	if (election->format >= FORMAT_SMALL_CHUNKS)
-		txn_guard(&txn, LEADER_KEY, election->gate_revision);
-	txn_put(&txn, key, election_leader_value(core), election->lease);
-	store_commit(core, txn_finish(&txn), on_claim, NULL);
+		txn_guard(&txn, LEADER_KEY, election->format_key_revision);
+	txn_put(&txn, key, election_leader_key_value(core), election->lease);
+	store_commit(core, txn_finish(&txn), on_claim_answer, NULL);
 }
 
-static void on_lease(struct core *core, struct call *call, const struct call_answer *answer)
+static void on_lease_answer(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	struct election *election = &core->election;
 	json_t *answer_json;
@@ -97,7 +99,10 @@
 	answer_json = wire_parse(answer->body, answer->len);
 	election->lease = wire_lease(answer_json);
 	json_decref(answer_json);
-	/* Another took the key while the lease was requested: it must not be overwritten. */
+	/*
+	 * Another controller claimed the key while the lease was requested. Its claim must not be
+	 * overwritten, and the guard would not prevent that, since it has the revision last read.
+	 */
 	if (*election->leader) {
 		election->claim_in_flight = false;
 		leader_lease_return(core);
@@ -112,7 +117,7 @@
 {
 	const struct election *election = &core->election;
 
-	return election->key_is_current && !*election->leader && !election->claim_in_flight &&
+	return election->keys_are_current && !*election->leader && !election->claim_in_flight &&
 	       core->now >= election->retry_at && core->now >= election->no_claim_before &&
 	       election->format <= FORMAT_NEWEST;
 }
@@ -123,12 +128,17 @@
 		return;
 	core->election.claim_in_flight = true;
 	core_call(core, core->conf->store_addr, "POST", format_path(W_PATH_LEASES),
-		  wire_lease_body(LEADER_TTL_MS), CALL_STORE_TIMEOUT_S, on_lease, NULL);
+		  wire_lease_body(LEADER_TTL_MS), CALL_STORE_TIMEOUT_S, on_lease_answer, NULL);
 }
 
-/* --- renewal --- */
+/* --- renewing the lease --- */
 
-static void on_renewed(struct core *core, struct call *call, const struct call_answer *answer)
+/*
+ * The lease is taken to be renewed from the time at which the request was sent, since the state
+ * service may have renewed it at any time after that.
+ */
+static void on_renewal_answer(struct core *core, struct call *call,
+			      const struct call_answer *answer)
 {
 	struct election *election = &core->election;
 
@@ -157,7 +167,7 @@
 	core_call(
 	    core, core->conf->store_addr, "POST",
 	    format_path(W_PATH_LEASES "/%llu" W_PATH_RENEW, (unsigned long long)election->lease),
-	    xstrdup("{}"), CALL_STORE_TIMEOUT_S, on_renewed, NULL);
+	    xstrdup("{}"), CALL_STORE_TIMEOUT_S, on_renewal_answer, NULL);
 }
 
 void election_resign(struct core *core, enum step_down_reason reason)
--- a/src/core/peers/peer_link.c
+++ b/src/core/peers/peer_link.c
@@ -1,3 +1,6 @@
+/*
+ * The link to the other controllers (peers): calls, incarnations, and readiness for users.
+ */
 #include "core/peers/peer_link.h"
 
 #include <stdlib.h>
@@ -52,13 +55,13 @@
 	return (size_t)(uintptr_t)call->arg;
 }
 
-void peer_note_answer(struct core *core, size_t peer, const struct call_answer *answer)
+void peer_record_answer(struct core *core, size_t peer, const struct call_answer *answer)
 {
 	if (answer->outcome == CALL_ANSWERED)
 		core->peers.list[peer].answered_at = core->now;
 }
 
-void peers_note_incarnation(struct core *core, size_t peer, uint64_t incarnation)
+void peer_record_incarnation(struct core *core, size_t peer, uint64_t incarnation)
 {
 	struct peer *entry = &core->peers.list[peer];
 
@@ -79,9 +82,10 @@
 }
 
 /*
- * An outage of the state service concerns all controllers: if users were turned away, they would
- * only come back later. A controller that reaches neither the state service nor any other
- * controller is of no use to them, while others may be.
+ * While a peer answers, this controller stays ready without the state service: in an outage for all
+ * controllers, users who are turned away would only come back later. A controller that reaches
+ * neither the state service nor any peer can't serve users, while another controller may be able
+ * to.
  */
 bool peers_ready(const struct core *core)
 {
