--- a/src/core/scheduling/array_placement.c
+++ b/src/core/scheduling/array_placement.c
@@ -1,7 +1,7 @@
 /*
- * Placement of job arrays, one task at a time. The steps go from what an array must have to what it
- * may have beyond that; the last one fills the arrays level by level, so that the one with fewest
- * slots is served first.
+ * Places job arrays, one task at a time. The steps go from the slots that an array must have to
+ * those that it may have in addition. The last step shares the other capacity equally: the next
+ * task is always of an array that has the fewest slots (max-min fairness).
  */
 #include "core/scheduling/array_placement.h"
 
@@ -18,7 +18,7 @@
 #include "core/state.h"
 #include "util/xalloc.h"
 
-/* One slot for each array that has none; for it, lower work may be stopped. */
+/* Places one task of each array that has no slot. Preemption is tried only for these tasks. */
 static void place_first_tasks(struct scheduling_cycle *cycle, const struct job_list *arrays)
 {
 	for (size_t i = 0; i < arrays->count; i++) {
@@ -29,7 +29,7 @@
 	}
 }
 
-/* --- deadlines --- */
+/* --- slots that deadlines need --- */
 
 static int compare_needs(const void *a, const void *b)
 {
@@ -42,8 +42,10 @@
 }
 
 /*
- * When not all can be done by their deadlines, equal shares would make all of them late. The array
- * that needs least is served first, up to what it needs; what is left is shared equally.
+ * Places as many tasks of each array as its deadline needs. If not all arrays can meet their
+ * deadlines, equal shares would make all of them late; so the arrays that can still meet their own
+ * deadline come first, and among them the array that needs the fewest slots. The capacity that is
+ * left is shared equally afterwards.
  */
 static void place_for_deadlines(struct scheduling_cycle *cycle, const struct job_list *arrays)
 {
@@ -64,7 +66,7 @@
 	free(needs);
 }
 
-/* --- freed slots --- */
+/* --- freed slots that are kept for an array --- */
 
 static bool may_start_now(struct core *core, const struct job *job)
 {
@@ -72,7 +74,8 @@
 	       core->now >= job->scheduling.retry_at && team_has_room(core, &job->spec, 1);
 }
 
-/* Whether one more task of the job may take room on the machine, by all rules. */
+/* Whether one more task of the job may be placed on the machine: the job has not failed there, the
+ * machine suits it, and neither reservations, zones nor waiting gangs are against it. */
 static bool may_use_machine(struct scheduling_cycle *cycle, const struct job *job,
 			    const struct machine *machine)
 {
@@ -87,8 +90,9 @@
 }
 
 /*
- * Takes the note of a freed slot off the machine. Returns the array that the slot is kept for or
- * was switched to; NULL if it can't use it.
+ * Clears the machine's record of a freed slot. Returns the array for which the slot is kept: the
+ * one whose task ended there, or the one that the slot was switched to. NULL: it can't use the slot
+ * now.
  */
 static struct job *take_freed_slot(struct scheduling_cycle *cycle, struct machine *machine)
 {
@@ -119,11 +123,11 @@
 	}
 }
 
-/* --- equal shares --- */
+/* --- equal shares of the other capacity --- */
 
 /*
- * Gives one task more to each array that has no more than `level` slots. Returns the number of
- * arrays that may still get some; those that find no room are taken off the list.
+ * Places one more task of each array that has at most `level` slots. Arrays for which none can be
+ * placed are removed from the list. Returns the number of arrays that remain.
  */
 static size_t fill_level(struct scheduling_cycle *cycle, struct job_list *arrays, uint32_t level)
 {
--- a/src/core/scheduling/array_placement.h
+++ b/src/core/scheduling/array_placement.h
@@ -5,9 +5,10 @@
 #include "core/scheduling/cycle.h"
 
 /*
- * Serves the arrays of one priority: one slot for each that has none, what deadlines need, slots
- * that were freed for a certain array, and equal shares of the rest. Jobs are taken off the list
- * once nothing more can be placed for them.
+ * Places tasks of the arrays of one priority in these steps: one task of each array that has none;
+ * the tasks that deadlines need; tasks for freed slots that are kept for a certain array; equal
+ * shares of the other capacity. Jobs for which nothing more can be placed are removed from the
+ * list.
  */
 void place_arrays(struct scheduling_cycle *cycle, struct job_list *arrays);
 
--- a/src/core/scheduling/candidates.c
+++ b/src/core/scheduling/candidates.c
@@ -1,4 +1,4 @@
-/* Sorts, sums and the choice of a zone over the candidates of a cycle. */
+/* Sorts the candidates of a cycle, counts their slots, and chooses a zone among them. */
 #include "core/scheduling/candidates.h"
 
 #include <math.h>
@@ -42,7 +42,8 @@
 	return slots;
 }
 
-/* What room for so many tasks costs in the zone, or anywhere; INFINITY if there is not enough. */
+/* Returns the cost of placing so many tasks on the first candidates of the zone (NULL: of all
+ * zones); INFINITY if they do not fit. */
 static double zone_cost(const struct scheduling_cycle *cycle, const char *zone, uint32_t tasks,
 			enum cost_rule rule)
 {
--- a/src/core/scheduling/candidates.h
+++ b/src/core/scheduling/candidates.h
@@ -1,29 +1,31 @@
-/* The machines that a job may be placed on in a cycle, and the choice of a zone among them. */
+/* Operations on a cycle's candidates: sorting, counting slots, and the choice of a zone. */
 #ifndef PLOVERLOFT_CANDIDATES_H
 #define PLOVERLOFT_CANDIDATES_H
 
 #include "core/scheduling/cycle.h"
 
-/* What several candidates cost together. */
+/* How the costs of several candidates are combined. */
 enum cost_rule {
-	COST_OF_DEAREST, /* all begin when the last of them can */
+	COST_OF_DEAREST, /* the maximum: all tasks begin when the last one can */
 	COST_OF_ALL	 /* the sum */
 };
 
 struct zone_choice {
-	const char *zone; /* NULL: the candidates of all zones count; the text is borrowed */
-	double cost;	  /* seconds; INFINITY: there is not enough room */
+	const char *zone; /* owned by a machine; NULL: machines of all zones may be used */
+	double cost;	  /* seconds; INFINITY: there is not enough capacity */
 };
 
-/* Cheapest first. */
+/* Sorts the candidates by their cost, the cheapest first. */
 void candidates_sort_by_cost(struct scheduling_cycle *cycle);
-/* Cheapest for each slot first. */
+/* Sorts the candidates by their cost for each slot, the cheapest first. */
 void candidates_sort_by_cost_per_slot(struct scheduling_cycle *cycle);
-/* The slots of the zone, or of all if it is NULL; not counted on once there are `enough`. */
+/* Counts the candidates' slots in the zone, or in all zones if it is NULL. Counting ends when
+ * `enough` slots are found, so that the result may be below the total. */
 uint32_t candidates_slots(const struct scheduling_cycle *cycle, const char *zone, uint32_t enough);
 /*
- * The cheapest zone that has room for so many tasks, or all zones if the job has no rule. The
- * candidates must be sorted, and the job's pools be marked.
+ * Returns the cheapest zone in which so many tasks of the job fit. A job that need not run in one
+ * zone, or a single task, may use machines of all zones. The candidates must be sorted by cost, and
+ * the pools must be evaluated for the job with cycle_mark_allowed.
  */
 struct zone_choice candidates_choose_zone(const struct scheduling_cycle *cycle,
 					  const struct job_spec *spec, uint32_t tasks,
--- a/src/core/scheduling/compare.h
+++ b/src/core/scheduling/compare.h
@@ -1,8 +1,8 @@
-/* Comparisons for qsort. */
+/* Comparison of numbers in functions that are passed to qsort. */
 #ifndef PLOVERLOFT_COMPARE_H
 #define PLOVERLOFT_COMPARE_H
 
-/* Less than, equal to or greater than 0, as qsort expects: the smaller number comes first. */
+/* Returns -1, 0 or 1 if `a` is less than, equal to or greater than `b`: this sorts ascending. */
 static inline int compare_numbers(double a, double b)
 {
 	if (a == b)
--- a/src/core/scheduling/cycle.c
+++ b/src/core/scheduling/cycle.c
@@ -1,4 +1,4 @@
-/* The compact copy of the machines' free room that one scheduling cycle works on. */
+/* Makes and updates the copy of the machines' free capacity that one scheduling cycle works on. */
 #include "core/scheduling/cycle.h"
 
 #include <math.h>
@@ -14,7 +14,7 @@
 	       !strcmp(pool->zone, machine->zone);
 }
 
-/* The index of the machine's pool, which is added if it is the first of its kind. */
+/* Returns the index of the machine's pool, which is added if there is none yet. */
 static size_t find_or_add_pool(struct scheduling_cycle *cycle, const struct machine *machine)
 {
 	for (size_t i = 0; i < cycle->pool_count; i++)
@@ -63,7 +63,7 @@
 			cycle->open_rooms[cycle->open_count++] = (uint32_t)i;
 }
 
-/* Takes the room off the open ones: it is too small for all from now on. */
+/* Removes the room from the open ones, if it is there: it is too small for all waiting tasks. */
 static void close_room(struct scheduling_cycle *cycle, uint32_t room_index)
 {
 	size_t low = 0, high = cycle->open_count;
@@ -141,7 +141,7 @@
 {
 	double cost = spec->gpus <= 0 && pool->type->gpus > 0 ? GPU_WASTE_COST_S : 0;
 
-	/* Jobs that may not use spot machines need these more. */
+	/* On-demand machines are left to jobs that may not use spot machines. */
 	if (cycle->on_demand_needed && spec->spot && !pool->spot)
 		cost += ON_DEMAND_COST_S;
 	return cost;
--- a/src/core/scheduling/cycle.h
+++ b/src/core/scheduling/cycle.h
@@ -1,7 +1,8 @@
 /*
- * The free room of all usable machines as one scheduling cycle sees it: a compact copy, so that the
- * search for room does not touch every machine's own memory. Built when a cycle begins, kept up to
- * date by cycle_take_room; nothing else binds or frees while a cycle lasts, so room only shrinks.
+ * The working state of one scheduling cycle: above all a compact copy of the free capacity of all
+ * usable machines, so that a search for capacity does not access each machine's own memory. The
+ * copy is made when the cycle begins, and cycle_take_room keeps it up to date. Nothing else creates
+ * or ends bindings during a cycle, so the free capacity only shrinks.
  */
 #ifndef PLOVERLOFT_CYCLE_H
 #define PLOVERLOFT_CYCLE_H
@@ -14,68 +15,70 @@
 #include "core/scheduling/job_list.h"
 #include "core/state.h"
 
-/* Machines that are alike to the demands of a job: of one type, one zone, and spot or not. */
+/* The machines of one type and zone that are all spot, or all on-demand. The rules of a job on
+ * types, zones and spot machines allow all machines of a pool or none. */
 struct pool {
 	const struct machine_type *type;
 	const char *zone;
 	bool spot;
-	bool allowed;	      /* for the job last given to cycle_mark_allowed */
-	uint32_t gang_shapes; /* one bit for each of the cycle's gang shapes that may use it */
-	double cost_s;	      /* the part of the placement cost that its machines share */
+	bool allowed;	      /* for the job that cycle_mark_allowed was last called for */
+	uint32_t gang_shapes; /* bit i: gangs of the cycle's `gang_shapes[i]` may use it */
+	double cost_s;	      /* part of the placement cost that is the same for all its machines */
 };
 
-/* The room of one machine that is left in the cycle. */
+/* A room: one machine with its free capacity, less what this cycle has placed on it. */
 struct machine_room {
 	struct free_room free;
 	struct machine *machine;
-	uint16_t pool; /* index */
+	uint16_t pool; /* index of the machine's pool */
 };
 
-/* A machine that a job may be placed on. */
+/* A machine on which tasks of a job may be placed. */
 struct candidate {
 	struct machine_room *room;
-	uint32_t slots; /* tasks of the job that fit */
-	double cost;	/* seconds; of the placement, or of the work that is stopped for it */
+	uint32_t slots; /* tasks of the job that fit, perhaps only after preemption */
+	double cost;	/* seconds: the placement cost, or the cost of the tasks to be stopped */
 };
 
-/* Tasks of one shape that found no room in this cycle. */
+/* A shape for which the cycle has found no capacity. */
 struct shape_without_room {
-	const struct job_spec *spec;
-	uint32_t tasks;
+	const struct job_spec *spec; /* of a job of this shape */
+	uint32_t tasks;		     /* so many tasks, or more, do not fit */
 };
 
 struct scheduling_cycle {
 	struct core *core;
-	uint64_t attempt; /* of the starts of arrays and services; 0: none yet */
-	struct machine_room *rooms;
+	uint64_t attempt; /* of the array tasks and replicas that are placed; 0: none yet */
+	struct machine_room *rooms; /* one for each usable machine */
 	size_t room_count;
-	uint32_t *open_rooms; /* indices of those that a waiting task may fit in, ascending */
+	uint32_t *open_rooms; /* ascending indices of the rooms that a waiting task may fit in */
 	size_t open_count;
-	double least_cpus, least_mem_gb; /* of the waiting tasks */
-	double visit_budget;   /* rooms that the search for single tasks may still visit */
-	bool budget_exhausted; /* what is left follows in another cycle */
+	double least_cpus, least_mem_gb; /* smallest demands of the waiting tasks */
+	double visit_budget;		 /* rooms that searches for single tasks may still visit */
+	bool budget_exhausted;		 /* the other waiting tasks are placed in a further cycle */
 	struct pool *pools;
 	size_t pool_count;
-	struct candidate *candidates; /* for the job that is being placed */
+	struct candidate *candidates; /* machines for the job that is served at present */
 	size_t candidate_count;
 	struct shape_without_room shapes_without_room[CYCLE_NO_ROOM_SHAPES_MAX];
 	size_t shape_without_room_count;
-	const struct job_spec *gang_shapes[CYCLE_GANG_SHAPES_MAX]; /* of gangs that wait */
+	const struct job_spec *gang_shapes[CYCLE_GANG_SHAPES_MAX]; /* of waiting gangs */
 	size_t gang_shape_count;
-	bool on_demand_needed; /* some job may not use spot machines */
+	bool on_demand_needed; /* there is a job that may not use spot machines */
 };
 
 /*
- * Copies the free room of all usable machines. Rooms too small for any of the jobs are left out of
- * the open ones; with an empty list, all rooms are open. cycle_end frees what the cycle owns.
+ * Initializes the cycle with the free capacity of all usable machines. `open_rooms` leaves out
+ * rooms that are too small for all of the jobs; with an empty list, it holds all rooms. cycle_end
+ * frees what the cycle owns.
  */
 void cycle_begin(struct core *core, struct scheduling_cycle *cycle, const struct job_list *jobs);
-/* Frees what cycle_begin has made. */
+/* Frees what the cycle owns, but not the cycle itself. */
 void cycle_end(struct scheduling_cycle *cycle);
-/* A task of the job was bound to the machine, or is to be. */
+/* Subtracts the demand of a task, bound to the machine or soon to be, from its free capacity. */
 void cycle_take_room(struct scheduling_cycle *cycle, const struct machine *machine,
 		     const struct job_spec *spec);
-/* Marks the pools that the job may use, and sets what their machines cost it. */
+/* Sets the fields `allowed` and `cost_s` of all pools for the job. */
 void cycle_mark_allowed(struct scheduling_cycle *cycle, const struct job_spec *spec);
 
 #endif
--- a/src/core/scheduling/cycle_trigger.c
+++ b/src/core/scheduling/cycle_trigger.c
@@ -1,4 +1,4 @@
-/* When scheduling cycles run, and the steps of one. */
+/* Runs scheduling cycles when they are due: places the waiting jobs, one priority after another. */
 #include "core/scheduling/cycle_trigger.h"
 
 #include <stdlib.h>
@@ -26,7 +26,7 @@
 	return job->spec.kind == JOB_GANG ? place_gang(cycle, job) : place_service(cycle, job);
 }
 
-/* Serves the jobs of one priority: gangs and services in their order, then the arrays together. */
+/* Places the jobs of one priority: gangs and services in their order, then all arrays together. */
 static void place_jobs(struct scheduling_cycle *cycle, const struct job_list *jobs)
 {
 	struct job_list arrays = {.jobs = xcalloc(jobs->count, sizeof(*arrays.jobs))};
@@ -43,7 +43,8 @@
 	free(arrays.jobs);
 }
 
-/* The jobs from `first` on that have its priority; the array stays owned by `jobs`. */
+/* Returns the jobs from index `first` on that have the same priority as that one. The result shares
+ * the array of `jobs`. */
 static struct job_list jobs_of_priority(const struct job_list *jobs, size_t first)
 {
 	struct job_list same = {.jobs = jobs->jobs + first};
@@ -61,7 +62,8 @@
 	struct scheduling_cycle cycle;
 	struct job_list group;
 
-	/* A replica that moves is no waiting job: any room may be of use to it. */
+	/* A replica to be moved is not a waiting task, so its demand may be below that of all
+	 * waiting tasks: all rooms have to stay open for it. */
 	cycle_begin(core, &cycle, must_move ? &no_jobs : jobs);
 	for (size_t first = 0; first < jobs->count; first += group.count) {
 		group = jobs_of_priority(jobs, first);
@@ -79,13 +81,13 @@
 	struct job_list jobs;
 
 	if (core->now >= core->cycles.next_periodic_at)
-		cycle_request(core); /* backoffs and freshness pass without an event */
+		cycle_request(core); /* backoffs end and reports age without an event */
 	if (!core->cycles.requested || core->now < core->cycles.next_at)
 		return;
 	core->cycles.requested = false;
 	core->cycles.next_periodic_at = core->now + CYCLE_PERIOD_S;
 	if (election_renewal_age(core) > LEADER_TTL_MS / 1000.0 * 2)
-		return; /* without the state service nothing can be committed */
+		return; /* the state service does not answer, so no binding could be committed */
 	jobs = waiting_jobs(core);
 	if (jobs.count || replicas_must_move(core))
 		run_cycle(core, &jobs);
--- a/src/core/scheduling/cycle_trigger.h
+++ b/src/core/scheduling/cycle_trigger.h
@@ -1,6 +1,6 @@
 /*
- * When scheduling cycles run: soon after an event, later the more jobs there are, and now and then
- * without one.
+ * Decides when scheduling cycles run: shortly after an event, with a delay that grows with the
+ * number of jobs, and periodically without an event.
  */
 #ifndef PLOVERLOFT_CYCLE_TRIGGER_H
 #define PLOVERLOFT_CYCLE_TRIGGER_H
@@ -10,17 +10,17 @@
 
 struct core;
 
-/* The state of the scheduling cycles; times are steady seconds. */
+/* When the next scheduling cycle runs; times are steady seconds. */
 struct scheduling_cycles {
-	bool requested;		  /* one is to run at next_at */
-	double next_at;		  /* of the cycle that is requested */
-	double next_periodic_at;  /* a cycle runs then also without an event */
-	uint32_t attempt_counter; /* numbers given to starts under this token */
+	bool requested;		  /* a cycle is to run at next_at */
+	double next_at;		  /* when the requested cycle runs */
+	double next_periodic_at;  /* when a cycle is requested without an event */
+	uint32_t attempt_counter; /* attempts numbered under the current fencing token */
 };
 
-/* Something happened that placements may follow from: a cycle runs soon. */
+/* Requests a cycle, after an event that may make placements possible or necessary. */
 void cycle_request(struct core *core);
-/* Runs a cycle when its time has come. Only the leader calls it. */
+/* Runs a cycle if one is due. Only the leader calls it. */
 void cycle_tick(struct core *core);
 
 #endif
--- a/src/core/scheduling/free_room.c
+++ b/src/core/scheduling/free_room.c
@@ -1,4 +1,4 @@
-/* Sums of CPUs, GPUs and memory. They are of decimal amounts, hence the slack. */
+/* Adds, subtracts and compares amounts of CPUs, GPUs and memory. */
 #include "core/scheduling/free_room.h"
 
 #include <math.h>
--- a/src/core/scheduling/gang_placement.c
+++ b/src/core/scheduling/gang_placement.c
@@ -1,6 +1,6 @@
 /*
- * Placement of gangs: first fit in the order of the jobs, all tasks or none, on the machines where
- * they begin soonest.
+ * Places gangs. In the order of the jobs, each gang that fits is placed at once, with all its
+ * tasks, on the machines where they start soonest.
  */
 #include "core/scheduling/gang_placement.h"
 
@@ -14,7 +14,7 @@
 #include "core/scheduling/zones.h"
 #include "core/state.h"
 
-/* Lists the machines with room for a task of the job; their costs are not set yet. */
+/* Sets the candidates to the machines on which a task of the job fits, without their costs. */
 static void find_candidates(struct scheduling_cycle *cycle, const struct job *job)
 {
 	cycle_mark_allowed(cycle, &job->spec);
@@ -43,7 +43,7 @@
 	candidates_sort_by_cost(cycle);
 }
 
-/* Whether a pool before this one is of the same zone. */
+/* Whether a pool with a lower index is in the same zone. */
 static bool zone_came_before(const struct scheduling_cycle *cycle, size_t pool)
 {
 	for (size_t i = 0; i < pool; i++)
@@ -52,7 +52,8 @@
 	return false;
 }
 
-/* Whether a spread gang finds room at all: half of it in any one zone at most. */
+/* Whether all tasks of the gang fit if each zone gets no more of them than the gang's rules allow:
+ * for a spread gang, half of them. */
 static bool spread_fits(const struct scheduling_cycle *cycle, const struct job *job)
 {
 	uint32_t task_count = job->spec.task_count;
@@ -71,7 +72,8 @@
 	return slots >= task_count;
 }
 
-/* Binds as many tasks as the candidate takes, from `task` on; returns the first one left. */
+/* Binds tasks from `task` on to the candidate's machine, as many as its slots and the rules on
+ * zones allow. Returns the first task that is not bound yet. */
 static uint32_t bind_to_candidate(struct scheduling_cycle *cycle, struct job *job,
 				  const struct candidate *candidate, uint32_t task,
 				  uint64_t attempt)
@@ -84,7 +86,7 @@
 	return task;
 }
 
-/* Binds all tasks, to the cheapest machines first; `zone` NULL: anywhere. */
+/* Binds all tasks to the cheapest machines of the zone; NULL: of any zone. */
 static void bind_gang(struct scheduling_cycle *cycle, struct job *job, const char *zone)
 {
 	uint64_t attempt = new_attempt(cycle->core);
@@ -99,7 +101,7 @@
 	job->gang_attempt = attempt;
 }
 
-/* Binds the gang where its tasks would begin soonest; false if there is no room. */
+/* Binds the gang to the machines where its tasks start soonest; false if they do not all fit. */
 static bool bind_where_cheapest(struct scheduling_cycle *cycle, struct job *job)
 {
 	uint32_t task_count = job->spec.task_count;
@@ -119,7 +121,7 @@
 {
 	uint32_t task_count = job->spec.task_count;
 
-	/* Tasks of an old attempt keep their places and zones until they exit. */
+	/* Tasks of an earlier attempt use capacity and restrict the zones until they have ended. */
 	if (job->bindings || !team_has_room(cycle->core, &job->spec, task_count))
 		return false;
 	if (cycle_found_no_room(cycle, job, task_count))
--- a/src/core/scheduling/job_counts.c
+++ b/src/core/scheduling/job_counts.c
@@ -1,4 +1,4 @@
-/* The table of slots per job. */
+/* The hash table of the number of slots of each job. */
 #include "core/scheduling/job_counts.h"
 
 #include <stdio.h>
--- a/src/core/scheduling/job_counts.h
+++ b/src/core/scheduling/job_counts.h
@@ -1,4 +1,4 @@
-/* Slots per job, as the controllers count them for share switching. */
+/* A hash table of the number of slots of each job, for share switching. */
 #ifndef PLOVERLOFT_JOB_COUNTS_H
 #define PLOVERLOFT_JOB_COUNTS_H
 
@@ -9,21 +9,21 @@
 #include "constants.h"
 #include "wire/wire.h"
 
-/* The slots of one job, in a table by id that owns it. An empty table is NULL. */
+/* An entry: the slots of one job. The table owns its entries; an empty table is NULL. */
 struct job_count {
 	char id[ID_MAX];
 	double slots;
-	bool accepts_slots; /* slots may be switched to it */
+	bool accepts_slots; /* slots of other jobs may be switched to this one */
 	UT_hash_handle hh;
 };
 
-/* The job's entry, which stays owned by the table; a new one has no slots. */
+/* Returns the job's entry, which the table owns; adds one without slots if there is none. */
 struct job_count *job_counts_get(struct job_count **counts, const char *id);
-/* Takes the entry out of the table and frees it. */
+/* Removes the entry from the table and frees it. */
 void job_counts_remove(struct job_count **counts, struct job_count *count);
-/* The slots of all jobs together. */
+/* Returns the sum of the slots of all jobs. */
 double job_counts_total(const struct job_count *counts);
-/* Frees all entries. */
+/* Frees all entries and leaves the table empty. */
 void job_counts_free(struct job_count **counts);
 
 #endif
--- a/src/core/scheduling/job_list.h
+++ b/src/core/scheduling/job_list.h
@@ -1,4 +1,4 @@
-/* A list of jobs in the order in which they are served. */
+/* A list of jobs in the order in which a scheduling cycle places them. */
 #ifndef PLOVERLOFT_JOB_LIST_H
 #define PLOVERLOFT_JOB_LIST_H
 
@@ -7,7 +7,7 @@
 struct job;
 
 struct job_list {
-	struct job **jobs; /* the array is owned by whoever made the list, the jobs never */
+	struct job **jobs; /* the list's creator frees the array, never the jobs */
 	size_t count;
 };
 
--- a/src/core/scheduling/job_order.c
+++ b/src/core/scheduling/job_order.c
@@ -1,4 +1,4 @@
-/* The order of waiting jobs: by priority, and within it by objectives, deadlines and size. */
+/* Sorts waiting jobs by priority, and within a priority by wait objectives, deadlines and size. */
 #include "core/scheduling/job_order.h"
 
 #include <stdlib.h>
@@ -10,11 +10,18 @@
 #include "util/xalloc.h"
 
 /*
- * The order within a priority: lower keys first. When not all can be served in time, first come
- * would make all of them late: gangs that can still meet a wait objective go before those that have
- * missed it, the tightest objective first. Among those, small before large: one large gang's room
- * serves several. Who has waited long goes before all; so does who has a reservation that grows,
- * else others take what falls free before it is reserved. Arrays go by their deadlines.
+ * Returns the job's key for the order within a priority: lower keys come first.
+ *
+ * Gangs and services that can still meet a wait objective come before those that can't, the
+ * tightest objective first. If jobs were placed in order of submission while capacity is short,
+ * all of them would miss their objectives. Among equal keys the smaller gang comes first, since the
+ * capacity of one large gang is enough for several small ones.
+ *
+ * Those that have waited longer than ORDER_FIRST_AFTER_S come before all others. So do gangs with a
+ * growing reservation: otherwise other jobs would use the capacity that falls free before it is
+ * reserved.
+ *
+ * Arrays are ordered by their deadlines, or by submission if they have none.
  */
 static double order_key(const struct core *core, const struct job *job)
 {
@@ -28,7 +35,8 @@
 	return objective > 0 ? objective : ORDER_KEY_EXTREME_S;
 }
 
-/* CPUs of a gang, for comparison with others alike; an array is served task by task. */
+/* Returns the CPUs of all tasks, which decide between jobs with equal keys. 0 for arrays, whose
+ * tasks are placed one by one, and for jobs that come before all others. */
 static double gang_size(const struct job *job)
 {
 	if (job->spec.kind == JOB_ARRAY || job->scheduling.order_key < 0)
--- a/src/core/scheduling/job_order.h
+++ b/src/core/scheduling/job_order.h
@@ -1,4 +1,4 @@
-/* The order in which a cycle serves the jobs that wait. */
+/* The order in which a scheduling cycle places the waiting jobs. */
 #ifndef PLOVERLOFT_JOB_ORDER_H
 #define PLOVERLOFT_JOB_ORDER_H
 
@@ -6,7 +6,8 @@
 
 struct core;
 
-/* All jobs with tasks that wait and no backoff, in order. The caller frees the array. */
+/* Returns all jobs that have waiting tasks and are not in backoff, in this order. The caller frees
+ * the array. */
 struct job_list waiting_jobs(struct core *core);
 
 #endif
--- a/src/core/scheduling/objectives.c
+++ b/src/core/scheduling/objectives.c
@@ -1,4 +1,4 @@
-/* Wait objectives and deadlines, from the settings and the descriptions of jobs. */
+/* Evaluates the objectives of the settings for jobs, with the deadlines that the jobs specify. */
 #include "core/scheduling/objectives.h"
 
 #include <math.h>
@@ -6,7 +6,8 @@
 
 #include "core/state.h"
 
-/* The tightest wait objective of the job's class beyond so many seconds; 0: there is none. */
+/* Returns the tightest wait objective of the job's class that is longer than `beyond_s`; 0: there
+ * is none. */
 static double wait_objective_beyond(const struct core *core, const struct job *job, double beyond_s)
 {
 	double tightest = 0;
@@ -34,8 +35,8 @@
 }
 
 /*
- * Slots that the array needs at once to be done by `factor` times its deadline, by the job's
- * estimate of a task's time; 0: it is too late.
+ * Returns the slots that the array needs at the same time to be done by `factor` times its
+ * deadline, by the job's estimate of a task's run time; 0: no task can start now and end by then.
  */
 static uint32_t slots_needed(const struct core *core, const struct job *job, double factor)
 {
@@ -47,7 +48,8 @@
 	return left_s < task_s ? 0 : (uint32_t)ceil(tasks_left / floor(left_s / task_s));
 }
 
-/* Whether the objective allows the job's class to end some time after its deadline. */
+/* Whether the objective is for the job's class and names a multiple of the deadline that is later
+ * than the deadline itself. */
 static bool is_later_deadline(const struct conf_objective *objective, const struct job *job)
 {
 	return objective->kind == OBJECTIVE_DEADLINE && objective->times > 1 &&
--- a/src/core/scheduling/objectives.h
+++ b/src/core/scheduling/objectives.h
@@ -1,4 +1,4 @@
-/* Service-level objectives of waiting jobs: how long they may wait, and their deadlines. */
+/* Service-level objectives of jobs: wait objectives, and deadlines of arrays. */
 #ifndef PLOVERLOFT_OBJECTIVES_H
 #define PLOVERLOFT_OBJECTIVES_H
 
@@ -8,21 +8,26 @@
 struct job;
 
 /*
- * The tightest wait objective of the job's class that it can still meet: seconds from submission
- * within which its tasks should start; 0: there is none.
+ * Returns the tightest wait objective of the job's class that the job can still meet, in seconds
+ * from its submission to the start of its tasks; 0: there is none.
  */
 double wait_objective_s(const struct core *core, const struct job *job);
-/* The tightest wait objective of the job's class, met or not; 0: there is none. */
+/* Returns the tightest wait objective of the job's class, also if the job has already missed it;
+ * 0: there is none. */
 double tightest_wait_objective_s(const struct core *core, const struct job *job);
 
-/* What an array needs to be done in time. */
+/* The slots that an array needs to be done by its deadline. */
 struct array_need {
 	struct job *job;
-	double deadline_factor; /* times its deadline: the soonest end that it can still meet */
-	uint32_t slots;		/* at once, from now on, by the job's estimate; 0: none */
+	double deadline_factor; /* the deadline that counts, as a multiple of the job's own */
+	uint32_t slots;		/* at the same time from now on, by the job's estimate; 0: none */
 };
 
-/* By the soonest of the times at which a deadline objective of its class counts. */
+/*
+ * Returns the slots that the array needs for the earliest deadline that it can still meet: its own,
+ * or a multiple of it that a deadline objective of its class names. No slots: it has no deadline,
+ * or can meet none.
+ */
 struct array_need array_need(const struct core *core, struct job *job);
 
 #endif
--- a/src/core/scheduling/placement.c
+++ b/src/core/scheduling/placement.c
@@ -1,4 +1,4 @@
-/* The search for the cheapest machine for one task, and the binding to it. */
+/* Searches for the cheapest machine for one task and binds the task to it. */
 #include "core/scheduling/placement.h"
 
 #include <math.h>
@@ -10,7 +10,7 @@
 #include "core/state.h"
 #include "util/log.h"
 
-/* --- the search for a machine --- */
+/* --- searching for a machine --- */
 
 uint32_t machine_room_slots(const struct machine_room *room, const struct job *job)
 {
@@ -54,7 +54,7 @@
 	return best;
 }
 
-/* --- the binding --- */
+/* --- binding a task --- */
 
 uint64_t new_attempt(struct core *core)
 {
@@ -68,7 +68,8 @@
 	return cycle->attempt;
 }
 
-/* The job has what the room was reserved for: of a service, one replica more. */
+/* Updates the job's reservation when a task is bound. A bound replica reduces the reservation on
+ * its machine by one; for a gang or an array the whole reservation ends. */
 static void use_reservation(struct core *core, struct job *job, struct machine *machine)
 {
 	if (job->spec.kind == JOB_SERVICE)
@@ -91,7 +92,7 @@
 	write_queue_add_chunk(core, job, task, 0);
 }
 
-/* --- task by task --- */
+/* --- placing one task --- */
 
 uint32_t next_placeable_task(const struct core *core, struct job *job)
 {
@@ -120,7 +121,7 @@
 	task = next_placeable_task(cycle->core, job);
 	if (task >= job->spec.task_count)
 		return false;
-	/* A cycle must not last so long that renewals are late. */
+	/* A longer cycle would delay renewals of the leader's lease. */
 	cycle->budget_exhausted |= cycle->visit_budget <= 0;
 	if (cycle->budget_exhausted)
 		return false;
--- a/src/core/scheduling/placement.h
+++ b/src/core/scheduling/placement.h
@@ -1,35 +1,39 @@
-/* Placement of single tasks: the search for a machine, and the binding to it. */
+/* Placement of single tasks: searches for a machine and binds the task to it. */
 #ifndef PLOVERLOFT_PLACEMENT_H
 #define PLOVERLOFT_PLACEMENT_H
 
 #include "core/scheduling/cycle.h"
 
-/* The room that a task may take. */
+/* The free capacity that a search may use. */
 enum room_scope {
-	ROOM_ANY,
-	ROOM_SPARE /* only what no waiting gang of higher priority could use */
+	ROOM_ANY,  /* all */
+	ROOM_SPARE /* all but what a waiting gang of higher priority could use */
 };
 
-/* Tasks of the job that fit in the room; what is reserved there for another job is left out. */
+/* How many tasks of the job fit in the room, less what is reserved there for another job. */
 uint32_t machine_room_slots(const struct machine_room *room, const struct job *job);
-/* The machine where a task of the job costs least; NULL: there is no room. */
+/* Returns the machine with the least placement cost for a task of the job; NULL: none fits. */
 struct machine *find_machine(struct scheduling_cycle *cycle, const struct job *job,
 			     enum room_scope scope);
-/* The next waiting task whose record has room for one more binding; the task count if none. */
+/* Returns the next waiting task whose record can hold one more binding; the job's task count if
+ * there is none. */
 uint32_t next_placeable_task(const struct core *core, struct job *job);
 
-/* A number that no other start of a task of the job has had. */
+/* Returns a number that no earlier attempt of a task of the job has: the fencing token, followed by
+ * a counter of ATTEMPT_COUNTER_BITS. */
 uint64_t new_attempt(struct core *core);
 /*
- * Starts of tasks of arrays and services are distinguished by it. None starts twice in a cycle, so
- * that all of them share the cycle's attempt and a record names it once.
+ * Returns the attempt of all array tasks and replicas that the cycle places. A task starts at most
+ * once in a cycle, so one number is enough, and a record names it only once.
  */
 uint64_t cycle_attempt(struct scheduling_cycle *cycle);
-/* Binds the task to the machine, takes the room in the cycle, and has the record written. */
+/* Binds the task to the machine, updates the free capacity in the cycle, consumes the job's
+ * reservation and queues the write of the task's record. */
 void bind_task(struct scheduling_cycle *cycle, struct job *job, struct machine *machine,
 	       uint32_t task, uint64_t attempt);
 
-/* Places one task of an array or a service; false if none waits or there is no room. */
+/* Places one task of an array or a service. False: none can be placed now, because none waits, the
+ * team is at its quota, no machine fits, or the cycle's budget is exhausted. */
 bool place_next_task(struct scheduling_cycle *cycle, struct job *job, enum room_scope scope);
 
 #endif
--- a/src/core/scheduling/placement_cost.c
+++ b/src/core/scheduling/placement_cost.c
@@ -1,4 +1,4 @@
-/* Placement costs, in seconds of waiting. */
+/* Computes placement costs, in seconds of waiting. */
 #include "core/scheduling/placement_cost.h"
 
 #include <string.h>
@@ -32,7 +32,8 @@
 	return cost;
 }
 
-/* The service's other replicas nearby, which would be lost together with this one. */
+/* The cost of other replicas of the service on the machine or in its zone: they would be lost
+ * together with this one. */
 static double shared_loss_cost(const struct job *job, const struct machine *machine)
 {
 	const struct binding *binding;
@@ -48,9 +49,10 @@
 }
 
 /*
- * Replicas of one service are kept apart, so that the loss of one machine or zone takes one of
- * them, and off machines that may be taken back, that tasks failed on or that are overdue: seconds
- * that it is worth to wait for an image elsewhere.
+ * Spreads the replicas of a service over machines and zones, so that the loss of one does not stop
+ * several of them. Also avoids spot machines, which may be taken back, machines on which jobs
+ * failed, and machines whose agent is late with its messages. Each cost is the time for which it is
+ * better to fetch the image on another machine.
  */
 double replica_cost(const struct core *core, const struct job *job, const struct machine *machine)
 {
@@ -61,7 +63,7 @@
 		return 0;
 	cost = shared_loss_cost(job, machine);
 	cost += REPLICA_COLOCATED_COST_S * machine->replica_count;
-	/* It may be gone without anyone having noticed yet. */
+	/* The machine may have failed without being detected as failed yet. */
 	if (silence > REPLICA_OVERDUE_REPORTS * core->conf->report_s)
 		cost += REPLICA_OVERDUE_COST_S;
 	return cost + (machine->spot ? REPLICA_SPOT_COST_S : 0) +
--- a/src/core/scheduling/placement_cost.h
+++ b/src/core/scheduling/placement_cost.h
@@ -1,6 +1,6 @@
 /*
- * Placement cost: what it is worth to a task to start on one machine rather than another, in
- * seconds of waiting.
+ * Placement cost: compares machines for a task, in seconds of waiting. A machine with a cost of 5 s
+ * is as good as a machine without cost on which the task starts 5 s later.
  */
 #ifndef PLOVERLOFT_PLACEMENT_COST_H
 #define PLOVERLOFT_PLACEMENT_COST_H
@@ -11,14 +11,14 @@
 struct job;
 struct machine;
 
-/* Whether tasks of the job failed on the machine of late. */
+/* Whether tasks of the job failed on the machine, as far as the job remembers such machines. */
 bool job_failed_on(const struct job *job, const struct machine *machine);
 /*
- * The cost of one task of the job on the machine, as far as it can be foreseen: fetching the
- * image, bin packing (the best fit, and machines in use first), and earlier failures.
+ * Returns the cost of one task of the job on the machine: the time to fetch the image, bin packing
+ * (prefers the best fit, and machines in use), and earlier failures of the job there.
  */
 double placement_cost(const struct machine *machine, const struct job *job);
-/* The further cost of a replica there; 0 for jobs that are no service. */
+/* Returns the additional cost if the task is a replica; 0 if the job is not a service. */
 double replica_cost(const struct core *core, const struct job *job, const struct machine *machine);
 
 #endif
--- a/src/core/scheduling/preemption.c
+++ b/src/core/scheduling/preemption.c
@@ -1,6 +1,6 @@
 /*
- * Preemption: chooses the machines where stopping lower work costs least, reserves their room for
- * the job, and stops no more tasks there than it needs.
+ * Chooses the machines where preemption costs least, reserves their capacity for the job, and stops
+ * no more tasks there than necessary.
  */
 #include "core/scheduling/preemption.h"
 
@@ -17,7 +17,8 @@
 
 /* --- choosing machines --- */
 
-/* Sets the slots that the machine would have, and the cost of the work stopped for them. */
+/* Sets the slots that the machine would have for the job after preemption, and the cost of the
+ * tasks that would be stopped. */
 static void weigh_candidate(const struct preemption_demand *demand, struct candidate *candidate)
 {
 	const struct machine *machine = candidate->room->machine;
@@ -38,7 +39,8 @@
 	candidate->cost = candidate->slots > free_slots ? cost : 0;
 }
 
-/* Lists the machines where the job would find room, the cheapest slots first. */
+/* Sets the candidates to the machines where tasks of the job would fit after preemption, those with
+ * the cheapest slots first. */
 static void find_candidates(struct scheduling_cycle *cycle, const struct preemption_demand *demand)
 {
 	const struct job *job = demand->job;
@@ -62,7 +64,7 @@
 
 /* --- stopping tasks --- */
 
-/* The machine's task that costs least to stop; NULL: none may be. */
+/* Returns the task on the machine that costs least to stop; NULL: none may be stopped. */
 static struct binding *cheapest_victim(const struct preemption_demand *demand,
 				       struct machine *machine)
 {
@@ -80,7 +82,7 @@
 	return best;
 }
 
-/* The machine's room once all tasks that are stopping have ended. */
+/* Returns the machine's free capacity once all tasks that are stopping will have ended. */
 static struct free_room room_after_stops(const struct machine *machine)
 {
 	struct free_room room = free_room_of(machine);
@@ -99,7 +101,7 @@
 	binding_stop(demand->core, victim, stop_grace_s(victim));
 }
 
-/* Stops tasks on the machine until there will be so many slots. */
+/* Stops tasks on the machine until so many slots for the job will be free, if that is possible. */
 static void stop_victims(const struct preemption_demand *demand, struct machine *machine,
 			 uint32_t slots)
 {
@@ -115,7 +117,8 @@
 	}
 }
 
-/* Reserves the cheapest candidates of the zone, and stops what is in the way there. */
+/* Reserves capacity on the cheapest candidates of the zone (NULL: of all zones), and stops the
+ * tasks that use it. */
 static void preempt_on_candidates(const struct scheduling_cycle *cycle,
 				  const struct preemption_demand *demand, const char *zone)
 {
@@ -134,7 +137,8 @@
 	}
 }
 
-/* Stops lower work for all tasks of the demand; false if that does not make enough room. */
+/* Frees capacity for all tasks of the demand; false, without stopping any task, if that is not
+ * possible. */
 static bool preempt(struct scheduling_cycle *cycle, const struct preemption_demand *demand)
 {
 	struct job *job = demand->job;
@@ -152,11 +156,11 @@
 	return true;
 }
 
-/* --- when room is made --- */
+/* --- deciding whether to preempt --- */
 
 /*
- * Seconds of waiting before lower work is stopped: room may fall free while the wait objective is
- * not at risk.
+ * Returns the seconds that the job has to wait before tasks are stopped for it. While its wait
+ * objective is not at risk, capacity may fall free by itself.
  */
 static double preempt_after_s(const struct core *core, const struct job *job)
 {
@@ -165,8 +169,9 @@
 }
 
 /*
- * Tasks of a gang keep their places, and the zones of a spread one are not weighed against each
- * other.
+ * Whether preemption can free capacity for the job. It can't for a gang with tasks of an earlier
+ * attempt, which stay where they are, nor for a spread gang, since the choice of machines does not
+ * distribute tasks over zones.
  */
 static bool may_be_made_room_for(const struct job *job)
 {
@@ -178,7 +183,7 @@
 	const struct core *core = cycle->core;
 	double waited_s = core->now - job->scheduling.waiting_since;
 
-	/* There may be room that the search has not visited. */
+	/* Capacity may be free that the search has not visited. */
 	if (cycle->budget_exhausted && job->spec.kind != JOB_GANG)
 		return false;
 	return may_be_made_room_for(job) && !job->scheduling.reserved_until &&
@@ -214,7 +219,7 @@
 	if (preempt(cycle, &demand))
 		return;
 	if (job->spec.kind == JOB_SERVICE) {
-		/* Room for one replica is worth more than none for all. */
+		/* Not all replicas fit even then: one is better than none. */
 		demand.tasks = 1;
 		preempt(cycle, &demand);
 	} else if (job->spec.kind == JOB_GANG && demand.scope == VICTIMS_OF_ANY_TEAM &&
--- a/src/core/scheduling/preemption_victims.c
+++ b/src/core/scheduling/preemption_victims.c
@@ -1,6 +1,7 @@
 /*
- * Which tasks preemption may stop: those of arrays that are of lower priority, or of a team that
- * uses more than its guarantee, unless just the restart would make them miss a deadline.
+ * Decides which tasks preemption may stop: tasks of arrays that have a lower priority, or whose
+ * team uses more than its guarantee. Tasks that would miss a deadline just because of the restart
+ * are not stopped.
  */
 #include "core/scheduling/preemption_victims.h"
 
@@ -18,7 +19,8 @@
 
 /* --- quotas of teams --- */
 
-/* Without one such task, the team would still have all its guaranteed CPUs, or all its GPUs. */
+/* Whether the team would use all its guaranteed CPUs, or all its guaranteed GPUs, even without one
+ * task of the job. */
 static bool is_beyond_guarantee(const struct team *team, const struct job_spec *spec)
 {
 	if (team->cpus - spec->cpus >= team->conf->cpus)
@@ -27,7 +29,7 @@
 	       team->gpus - spec->gpus >= team->conf->gpus;
 }
 
-/* Whether the team would still be within its guarantee with so many tasks more. */
+/* Whether the team would stay within its guarantee with so many more tasks of the job. */
 static bool stays_within_guarantee(const struct team *team, const struct job_spec *spec,
 				   double tasks)
 {
@@ -36,7 +38,9 @@
 }
 
 /*
- * What a team has beyond its guarantee was borrowed, and is returned to a team within its own.
+ * Whether the binding uses borrowed capacity that has to be returned to the job's team. What a team
+ * uses beyond its guarantee is borrowed. It is returned to a team that stays within its own
+ * guarantee with all tasks of the job for which capacity is to be freed.
  */
 static bool is_borrowed_from(struct core *core, const struct binding *binding,
 			     const struct job *job)
@@ -55,8 +59,9 @@
 /* --- deadlines and wait objectives --- */
 
 /*
- * A task that would still be done by its job's deadline, but not if it began again: stopping it
- * trades one missed objective for another. Past the deadline there is nothing more to protect.
+ * Whether the deadline of the task's job is still ahead, but too near for the task to meet if it
+ * started again. Stopping it would just replace one missed objective by another. After the deadline
+ * the objective is missed anyway, so the task may be stopped.
  */
 static bool would_miss_deadline(const struct core *core, const struct binding *binding)
 {
@@ -67,18 +72,19 @@
 	return spec->deadline_s >= 0 && left_s > 0 && left_s < restart_s;
 }
 
-/* Whether the array needs all slots that it has to be done in time. */
+/* Whether the array needs all slots that it has now to be done by its deadline. */
 static bool needs_all_slots(const struct core *core, struct job *array)
 {
 	return array->bound_count <= array_need(core, array).slots;
 }
 
-/* Whether the job goes before an array of lower priority at the expense of its task. */
+/* Whether tasks of the victim may be stopped because it has a lower priority than the job. */
 static bool may_stop_lower(const struct core *core, const struct job *job, struct job *victim)
 {
 	if (victim->spec.priority <= job->spec.priority)
 		return false;
-	/* A gang that has missed all its wait objectives gets a reservation instead. */
+	/* A gang that has missed all its wait objectives does not make an array miss its deadline:
+	 * it gets a reservation instead. */
 	return job->spec.kind == JOB_SERVICE || wait_objective_s(core, job) > 0 ||
 	       !needs_all_slots(core, victim);
 }
@@ -102,16 +108,16 @@
 	return may_stop(demand->core, demand->job, binding);
 }
 
-/* --- costs --- */
+/* --- costs of stopping a task --- */
 
 double stop_cost_s(const struct core *core, const struct binding *binding)
 {
-	/* What ran longest since placement is nearest its end. */
+	/* A task that has run longer is nearer to its end, so it costs more to stop. */
 	return 1 + (binding->running_since > 0 ? core->now - binding->running_since : 0);
 }
 
 double stop_grace_s(const struct binding *binding)
 {
-	/* Saving needs the full time; a margin for the way there. */
+	/* Saving needs the full time; 1 s more is for the stop to reach the agent. */
 	return binding->job->spec.checkpoint_s > 0 ? binding->job->spec.save_s + 1 : 0;
 }
--- a/src/core/scheduling/preemption_victims.h
+++ b/src/core/scheduling/preemption_victims.h
@@ -1,4 +1,4 @@
-/* Which tasks may be stopped to make room for a job, and what stopping them costs. */
+/* Which tasks preemption may stop to free capacity for a job, and the cost of stopping them. */
 #ifndef PLOVERLOFT_PREEMPTION_VICTIMS_H
 #define PLOVERLOFT_PREEMPTION_VICTIMS_H
 
@@ -9,29 +9,31 @@
 struct core;
 struct job;
 
+/* Whose tasks may be stopped. */
 enum victim_scope {
 	VICTIMS_OF_ANY_TEAM,
-	VICTIMS_OF_OWN_TEAM /* the team is at its limit: it makes room among its own tasks only */
+	VICTIMS_OF_OWN_TEAM /* the job's team is at its quota: only its own tasks may be stopped */
 };
 
-/* The job that room is made for. */
+/* The job for which capacity is to be freed. */
 struct preemption_demand {
 	struct core *core;
 	struct job *job;
 	enum victim_scope scope;
-	uint32_t tasks; /* that it is made for */
+	uint32_t tasks; /* of the job for which capacity is needed */
 };
 
 /*
- * Tasks that room is made for: all of a gang, the first of an array that has none, and of a service
- * those that do not run.
+ * Returns the number of tasks for which capacity is to be freed: all tasks of a gang, one task of
+ * an array, the waiting replicas of a service.
  */
 uint32_t preemption_task_count(const struct job *job);
-/* Whether the binding's room falls to the job: it is stopping already, or may be stopped. */
+/* Whether the binding's capacity can become free for the job: its task is stopping already, or may
+ * be stopped. */
 bool preemption_frees(const struct preemption_demand *demand, const struct binding *binding);
-/* Seconds of work lost or delayed by stopping the task. */
+/* Returns the seconds of work that are lost or delayed if the task is stopped. */
 double stop_cost_s(const struct core *core, const struct binding *binding);
-/* Seconds that the task is given to save its work. */
+/* Returns the seconds that the task gets to save its work when it is stopped. */
 double stop_grace_s(const struct binding *binding);
 
 #endif
--- a/src/core/scheduling/reservation.c
+++ b/src/core/scheduling/reservation.c
@@ -1,6 +1,6 @@
 /*
- * Reservations on single machines, and those of gangs that grow cycle by cycle with the room that
- * falls free.
+ * Sets and removes reservations on machines, and decides when a gang's growing reservation begins,
+ * in which zone, and which free capacity it takes in each cycle.
  */
 #include "core/scheduling/reservation.h"
 
@@ -12,7 +12,7 @@
 #include "core/state.h"
 #include "util/log.h"
 
-/* --- on one machine --- */
+/* --- the reservation on one machine --- */
 
 bool machine_is_reserved_for_other(const struct machine *machine, const struct job *job)
 {
@@ -59,7 +59,7 @@
 			reservation_set(machine, NULL, 0);
 }
 
-/* --- when a reservation may begin to grow --- */
+/* --- deciding when a growing reservation begins --- */
 
 static double total_cpus(const struct job *job)
 {
@@ -78,8 +78,9 @@
 }
 
 /*
- * Reserved room is idle room: a share of the fleet may be reserved so, at least that of a few
- * gangs, of more when some have waited long.
+ * Limits growing reservations, since reserved capacity idles. The candidate gets one if few gangs
+ * have one, or if its CPUs and theirs are a small share of the fleet. The limits are wider for a
+ * candidate that has waited long.
  */
 static bool is_within_limits(struct core *core, const struct job *candidate, double waited_s)
 {
@@ -100,8 +101,9 @@
 }
 
 /*
- * Seconds of waiting before room is reserved as it falls free. Reserved room idles, and a large
- * gang's would serve several small ones: one whose next objective is far can wait for it.
+ * Returns the seconds that a gang has to wait before it gets a growing reservation. Reserved
+ * capacity idles, and the capacity of a large gang is enough for several small ones, so a gang
+ * whose next wait objective is far away waits longer.
  */
 static double reserve_after_s(const struct core *core, const struct job *job)
 {
@@ -117,9 +119,10 @@
 	return waited_s >= reserve_after_s(core, job) && is_within_limits(core, job, waited_s);
 }
 
-/* --- room that falls free --- */
+/* --- reserving capacity that falls free --- */
 
-/* Whether the job, which the pools are marked for, may reserve the room; an empty zone: any. */
+/* Whether the job may reserve capacity in the room. An empty zone allows all. The pools must be
+ * evaluated for the job with cycle_mark_allowed. */
 static bool may_reserve_room(const struct scheduling_cycle *cycle, const struct machine_room *room,
 			     const struct job *job, const char *zone)
 {
@@ -129,7 +132,8 @@
 	       !machine_is_reserved_for_other(room->machine, job);
 }
 
-/* Slots of the zone that are free, and some of those in use: they fall free in time. */
+/* Returns the number of slots for the job in the zone that are free, plus a share of all its slots,
+ * since some of those in use are expected to fall free soon enough. */
 static double expected_slots(const struct scheduling_cycle *cycle, const struct job *job,
 			     const char *zone)
 {
@@ -148,7 +152,8 @@
 	return slots;
 }
 
-/* The zone with most room for the job, free or in use: there it falls free soonest. */
+/* Returns the zone with the most expected slots for the job, which probably are free soonest; NULL:
+ * there is none. */
 static const char *roomiest_zone(const struct scheduling_cycle *cycle, const struct job *job)
 {
 	const char *best = NULL;
--- a/src/core/scheduling/reservation.h
+++ b/src/core/scheduling/reservation.h
@@ -1,35 +1,39 @@
 /*
- * Reservations: room on machines that is kept for one job until there is enough of it. Others may
- * use only what is not reserved (backfill), so that what was stopped for a job does not serve
- * others, and a large gang is not passed by small ones for ever.
+ * Reservations: capacity on machines that is kept for one job until the job fits. Other jobs may
+ * use only what is not reserved (backfill). This keeps them from using capacity for which
+ * preemption stopped tasks, and it keeps smaller gangs from overtaking a large gang for ever.
  *
- * A reservation is made at once, where lower work was stopped, or it grows cycle by cycle with the
- * room that falls free. Few gangs have one that grows, so that little room idles.
+ * A reservation is made at once where preemption stops tasks, or it grows in each cycle by the
+ * capacity that falls free. Few gangs have a growing reservation at a time, because reserved
+ * capacity idles.
  */
 #ifndef PLOVERLOFT_RESERVATION_H
 #define PLOVERLOFT_RESERVATION_H
 
 #include "core/scheduling/cycle.h"
 
-/* --- on one machine --- */
+/* --- the reservation on one machine --- */
 
+/* Whether capacity on the machine is reserved for a job other than this one. */
 bool machine_is_reserved_for_other(const struct machine *machine, const struct job *job);
-/* Reserves room for so many tasks there; 0: the machine is free for all. */
+/* Sets the machine's reservation to so many tasks of the job; 0 tasks: removes the reservation. */
 void reservation_set(struct machine *machine, struct job *job, uint32_t tasks);
-/* Room for one task more, on a machine that is not reserved for another job. */
+/* Reserves capacity for one more task, on a machine that is not reserved for another job. */
 void reservation_add_task(struct machine *machine, struct job *job);
-/* A task of the job was placed there: room for one less is needed. */
+/* Reduces the job's reservation on the machine, if there is one, by a task placed there. */
 void reservation_use_task(struct machine *machine, const struct job *job);
 
-/* --- of a job --- */
+/* --- all reservations of a job --- */
 
-/* Ends the job's reservation, if it has one, on all machines. */
+/* Removes the job's reservations, if it has any, on all machines. */
 void reservation_release(struct core *core, struct job *job);
-/* Whether the gang has waited long enough for a reservation that grows, and few others have one. */
+/* Whether the gang may get a growing reservation: it has waited long enough, and few other gangs
+ * have one. */
 bool reservation_may_begin(struct core *core, const struct job *job);
-/* Begins a reservation that grows, if there is a zone for it. */
+/* Begins a growing reservation for the gang, if some zone has capacity for it. */
 void reservation_begin(struct scheduling_cycle *cycle, struct job *job);
-/* Reserves what is free now, anew in each cycle: what was lost or is not needed goes back. */
+/* Reserves the capacity that is free now, up to the gang's demand. It is called in each cycle, so
+ * that capacity that is not free or not needed any more does not stay reserved. */
 void reservation_renew(struct scheduling_cycle *cycle, struct job *job);
 
 #endif
--- a/src/core/scheduling/service_placement.c
+++ b/src/core/scheduling/service_placement.c
@@ -1,4 +1,4 @@
-/* Placement of replicas, and their move off machines that are about to go. */
+/* Places replicas, and moves them off machines that they have to leave. */
 #include "core/scheduling/service_placement.h"
 
 #include "core/scheduling/placement.h"
@@ -25,8 +25,8 @@
 }
 
 /*
- * A replica on a machine that is about to go is stopped once there is room for it elsewhere, which
- * is reserved: it can't run in both places.
+ * Stops a replica so that it can start on another machine, and reserves the capacity there: it
+ * can't run on both at the same time. If it fits on no other machine, it goes on running.
  */
 static void move_replica(struct scheduling_cycle *cycle, struct binding *binding)
 {
--- a/src/core/scheduling/service_placement.h
+++ b/src/core/scheduling/service_placement.h
@@ -1,12 +1,12 @@
-/* Placement of services: replicas are independent, and each that runs serves. */
+/* Placement of services: each running replica is of use, so replicas are placed one by one. */
 #ifndef PLOVERLOFT_SERVICE_PLACEMENT_H
 #define PLOVERLOFT_SERVICE_PLACEMENT_H
 
 #include "core/scheduling/cycle.h"
 
-/* Places replicas one by one; false if some still wait. */
+/* Places the waiting replicas of the service as far as they fit; false if some still wait. */
 bool place_service(struct scheduling_cycle *cycle, struct job *job);
-/* Moves replicas off the machines that are about to go, as far as there is room elsewhere. */
+/* Moves replicas off the machines that they have to leave, as far as they fit on others. */
 void move_replicas(struct scheduling_cycle *cycle);
 
 #endif
--- a/src/core/scheduling/share_switching.c
+++ b/src/core/scheduling/share_switching.c
@@ -1,8 +1,9 @@
 /*
- * One controller's part of a quantum of share switching. It writes the slots per job of its part to
- * the state service, reads and sums those of all controllers, draws a job for each slot with
- * probability proportional to the job's count, and answers with the switches. A switched slot
- * finishes its task, is not drawn for meanwhile, and then serves its new job.
+ * Decides which slots of a controller's part are switched in a quantum of share switching. The
+ * controller writes the number of slots of each job in its part to the state service, and reads and
+ * sums the counts of all controllers. For each slot it draws a job with probability proportional to
+ * the job's count, and it answers with the slots that are switched. A switched slot serves its new
+ * job when its task has ended; until then it is in no part.
  */
 #include <math.h>
 #include <stdio.h>
@@ -15,21 +16,24 @@
 #include "peer.pb-c.h"
 #include "util/xalloc.h"
 
-/* Prefix of the keys of the values that hold the controllers' counts. */
+/* Prefix of the keys of the controllers' counts: p/NAME for a controller's first value, p/NAME/1,
+ * p/NAME/2 and so on for further ones. */
 #define COUNTS_PREFIX "p/"
 #define COUNTS_KEY_BYTES (CONF_NAME_MAX + 16)
-#define COUNTS_FRAME_BYTES 64 /* of a value beside its entries: names, token, quantum */
-#define COUNT_FRAME_BYTES 16  /* of an entry beside the job's id */
+/* Bytes of a value without its entries: names of fields, token, quantum. */
+#define COUNTS_FRAME_BYTES 64
+/* Bytes of an entry without the job's id. */
+#define COUNT_FRAME_BYTES 16
 
-/* A part of the slots that this controller decides on: counts are written, then read. */
+/* A decision under way about one Part message: the counts are written, then read. */
 struct part_work {
-	uint64_t connection; /* the leader's request; 0: the leader's own part */
+	uint64_t connection; /* of the leader's request; 0: this controller is the leader */
 	Peer__Part *part;
-	struct job_count *own_counts; /* of the part, as far as they are still to be written */
-	int values_written;	      /* that hold own counts */
-	uint64_t own_quantum;	      /* that the own counts are of */
-	struct job_count *counts;     /* of all controllers */
-	json_int_t quantum_read;      /* newest quantum of the controller whose values are read */
+	struct job_count *own_counts; /* of the part: those that are still to be written */
+	int values_written;	      /* values with own counts that were written so far */
+	uint64_t own_quantum;	      /* the quantum of the own counts */
+	struct job_count *counts;     /* of all controllers, and the jobs that accept slots */
+	json_int_t quantum_read; /* newest quantum of the controller whose values are being read */
 };
 
 static void part_work_free(void *arg)
@@ -45,11 +49,12 @@
 static void part_work_fail(struct core *core, struct part_work *work)
 {
 	if (work->connection)
+		/* "state": the state service refused the request or did not answer. */
 		core_reply_error(core, work->connection, STATUS_UNAVAILABLE, 0, "state");
 	part_work_free(work);
 }
 
-/* --- decisions --- */
+/* --- deciding on switches --- */
 
 double share_switch_probability(double m_a, double m_b)
 {
@@ -58,7 +63,7 @@
 	return fmin(1, (m_b * m_b - m_a * m_a) / (2 * m_a * m_b));
 }
 
-/* A job drawn with probability proportional to its count; NULL if there is none. */
+/* Draws a job with probability proportional to its slots; NULL if there are no slots. */
 static struct job_count *draw_job(struct core *core, struct job_count *counts, double total)
 {
 	double position = core_random(core) * total;
@@ -72,7 +77,8 @@
 	return NULL;
 }
 
-/* The job that a slot of the job `id` is switched to; NULL if it stays where it is. */
+/* Draws whether a slot of the job `id` is switched. Returns the job that gets it; NULL if it is not
+ * switched. */
 static struct job_count *draw_switch(struct core *core, struct part_work *work, const char *id,
 				     double total)
 {
@@ -130,8 +136,9 @@
 /* --- reading the counts of all controllers --- */
 
 /*
- * A controller that had more counts some quanta ago left further values behind. Its first value,
- * which comes before them, names its newest quantum.
+ * Whether the value is of an earlier quantum: a controller that wrote more values then does not
+ * delete the additional ones. The quantum of its first value, which is read before the others, is
+ * its newest.
  */
 static bool counts_are_left_over(struct part_work *work, const struct kv_item *item)
 {
@@ -153,7 +160,7 @@
 	const char *id;
 	json_t *slots;
 
-	/* Counts of an earlier leader's quantum don't belong to this one. */
+	/* Counts of another leader's quantum do not count in this one. */
 	if ((uint64_t)token != work->part->token)
 		return;
 	if (counts_are_left_over(work, item))
@@ -181,9 +188,9 @@
 	part_work_free(work);
 }
 
-/* --- writing the own counts --- */
+/* --- writing this controller's counts --- */
 
-/* Adds one value to the transaction; takes over `counts`. */
+/* Adds the write of one value to the transaction, and takes ownership of `counts`. */
 static void put_counts(const struct core *core, struct txn *txn, struct part_work *work,
 		       json_t *counts)
 {
@@ -201,7 +208,8 @@
 	work->values_written++;
 }
 
-/* Adds one value of as many own counts as fit, and takes them off those still to be written. */
+/* Adds the write of a value with as many own counts as fit in it, and removes these from the counts
+ * that are still to be written. */
 static void add_counts_value(const struct core *core, struct txn *txn, struct part_work *work)
 {
 	size_t bytes_max = limits_job_record_bytes(core);
@@ -240,7 +248,8 @@
 	read->free_arg = part_work_free;
 }
 
-/* Writes the own counts, in as many values and transactions as they need. */
+/* Writes the own counts that are still to be written, as many as fit in one transaction;
+ * on_counts_written continues with the others. */
 static void write_counts(struct core *core, struct part_work *work)
 {
 	struct txn txn;
@@ -254,7 +263,7 @@
 	commit->free_arg = part_work_free;
 }
 
-/* --- a part arrives --- */
+/* --- receiving a part --- */
 
 void share_switching_decide(struct core *core, uint64_t connection, const uint8_t *message,
 			    size_t len)
@@ -263,6 +272,7 @@
 	struct part_work *work;
 
 	if (!part) {
+		/* "part": the request's body is not a Part message. */
 		core_reply_error(core, connection, STATUS_BAD_REQUEST, 0, "part");
 		return;
 	}
--- a/src/core/scheduling/share_switching_leader.c
+++ b/src/core/scheduling/share_switching_leader.c
@@ -1,6 +1,8 @@
 /*
- * The leader's part of share switching: each quantum it hands every live controller the slots whose
- * machines hash to it, and it applies the switches that come back.
+ * What the leader does in share switching: each quantum it sends every controller a part with the
+ * slots of the machines that hash to that controller, and it applies the switches that are
+ * answered. A controller that did not answer its last part with success is sent one without slots:
+ * its answer shows that it is live again.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -14,7 +16,7 @@
 #include "util/log.h"
 #include "util/xalloc.h"
 
-/* --- switches that come back --- */
+/* --- applying switches --- */
 
 static bool binding_holds_slot(const struct binding *binding, const Peer__Slot *slot)
 {
@@ -58,7 +60,7 @@
 	peer__switches__free_unpacked(switches, NULL);
 }
 
-/* --- parts that are handed out --- */
+/* --- sending parts --- */
 
 static XXH64_hash_t rendezvous_weight(const char *machine, const char *controller)
 {
@@ -68,8 +70,8 @@
 }
 
 /*
- * Rendezvous hashing: of the live controllers, the one whose hash with the machine is highest. The
- * number of peers stands for this controller.
+ * Chooses the controller for a machine by rendezvous hashing: the live controller whose hash with
+ * the machine is highest. Returns its index; the number of peers stands for this controller.
  */
 static size_t controller_of_machine(const struct core *core, const char *machine)
 {
@@ -87,7 +89,8 @@
 	return best;
 }
 
-/* The entries of a Part message: the lists point into the arrays, whose texts are borrowed. */
+/* The entries of a Part message. The lists point to the items of the arrays, whose strings belong
+ * to jobs and machines. */
 struct part_entries {
 	Peer__Slot *slots, **slot_list;
 	Peer__OpenJob *open_jobs, **open_list;
@@ -143,7 +146,7 @@
 	JOBS_FOR_EACH (core, job, next) {
 		Peer__OpenJob *open = &entries->open_jobs[entries->open_count];
 
-		/* A job whose team is at its limit, or with nothing waiting, is not drawn. */
+		/* A job without waiting tasks, or at its team's quota, can't use another slot. */
 		if (job->spec.kind != JOB_ARRAY || !job_waiting_count(job) ||
 		    !team_has_room(core, &job->spec, 1))
 			continue;
@@ -153,7 +156,7 @@
 	}
 }
 
-/* The packed Part message of the controller, which the caller owns. */
+/* Returns the packed Part message for the controller, which the caller frees. */
 static uint8_t *pack_part(struct core *core, size_t controller, size_t *len)
 {
 	struct part_entries entries = {0};
@@ -196,7 +199,7 @@
 	free(message);
 }
 
-/* Nothing is switched after a failover until agents have had the time to report. */
+/* After a failover no slots are switched until the agents have had time to report their tasks. */
 void share_switching_tick(struct core *core)
 {
 	if (core->now < core->share_switching.next_at ||
--- a/src/core/scheduling/waiting_shapes.c
+++ b/src/core/scheduling/waiting_shapes.c
@@ -1,7 +1,9 @@
-/* The shapes of jobs that wait in a cycle. Room only shrinks while it lasts, so they stay true. */
+/* Records the shapes of jobs that do not fit. Free capacity only shrinks during a cycle, so a
+ * record stays valid until its end. */
 #include "core/scheduling/waiting_shapes.h"
 
-/* A job with reserved room, or with tasks somewhere, sees other room than its shape alone. */
+/* Whether the job's shape alone decides which capacity it can use. It does not if the job has
+ * reserved capacity, which other jobs can't use, or bindings, which restrict its zones. */
 static bool shape_decides_room(const struct job *job)
 {
 	return !job->scheduling.reserved_until && !job->bindings;
--- a/src/core/scheduling/waiting_shapes.h
+++ b/src/core/scheduling/waiting_shapes.h
@@ -1,20 +1,21 @@
 /*
- * What a cycle remembers of the shapes of jobs that wait in it: for which of them no room was
- * found, so that it is not searched for again, and which are gangs, whose room is left to them.
+ * Shapes of jobs that a cycle could not place. No capacity is searched for again for the same shape
+ * in the cycle, and the capacity that gangs of such a shape could use is left to them.
  */
 #ifndef PLOVERLOFT_WAITING_SHAPES_H
 #define PLOVERLOFT_WAITING_SHAPES_H
 
 #include "core/scheduling/cycle.h"
 
-/* So many tasks of the job found no room. */
+/* Records that no capacity was found for so many tasks of the job. */
 void cycle_note_no_room(struct scheduling_cycle *cycle, const struct job *job, uint32_t tasks);
-/* Whether as many tasks of the same shape, or fewer, found no room before in this cycle. */
+/* Whether the cycle has recorded that so many tasks of the job's shape, or fewer, do not fit. */
 bool cycle_found_no_room(const struct scheduling_cycle *cycle, const struct job *job,
 			 uint32_t tasks);
-/* The gang waits. Called right after the pools that it may use were marked. */
+/* Records that a gang of this shape waits. The pools must be evaluated for the gang, by the latest
+ * call of cycle_mark_allowed. */
 void cycle_note_waiting_gang(struct scheduling_cycle *cycle, const struct job *job);
-/* Whether a task in this room would take what a waiting gang of higher priority could use. */
+/* Whether a task in this room would use capacity that suits a waiting gang of higher priority. */
 bool cycle_gang_needs_room(const struct scheduling_cycle *cycle, const struct machine_room *room,
 			   const struct job_spec *spec);
 
--- a/src/core/scheduling/zones.c
+++ b/src/core/scheduling/zones.c
@@ -1,4 +1,4 @@
-/* The rules of jobs about zones, over the tasks that they have anywhere. */
+/* Evaluates the rules of jobs on zones against the zones of their bindings. */
 #include "core/scheduling/zones.h"
 
 #include "core/state.h"
--- a/src/core/scheduling/zones.h
+++ b/src/core/scheduling/zones.h
@@ -1,4 +1,5 @@
-/* The rules of jobs about zones: all tasks in one zone, or spread over several. */
+/* The rules of jobs on zones: `one_zone` jobs run in a single zone, `spread` jobs have at most half
+ * of their tasks in any zone. */
 #ifndef PLOVERLOFT_ZONES_H
 #define PLOVERLOFT_ZONES_H
 
@@ -8,20 +9,21 @@
 
 struct job;
 
-/* Whether a zone will do where `required` is; NULL: any will. */
+/* Whether the zone is the required one; NULL: no zone is required. */
 static inline bool zone_matches(const char *required, const char *zone)
 {
 	return !required || !strcmp(required, zone);
 }
 
 /*
- * The zone that a job of one zone is bound to by the tasks it still has anywhere; NULL: none yet,
- * or the job has no such rule. The text belongs to a machine.
+ * Returns the zone of the bindings of a `one_zone` job, where its other tasks have to run too.
+ * NULL: the job has no bindings, or does not need to run in one zone. The machine owns the string.
  */
 const char *job_bound_zone(const struct job *job);
-/* How many more tasks of the job the zone may have: of a spread job, half of all at most. */
+/* How many more tasks of the job may run in the zone. A spread job may have at most half of all its
+ * tasks there, rounded up. */
 uint32_t job_zone_capacity_left(const struct job *job, const char *zone);
-/* Whether the job's other tasks leave the zone open to one more. */
+/* Whether the job's rules on zones allow one more task in the zone. */
 bool job_may_use_zone(const struct job *job, const char *zone);
 
 #endif
