--- a/src/core/scheduling/array_placement.c
+++ b/src/core/scheduling/array_placement.c
@@ -33,7 +33,7 @@
 
 static int compare_needs(const void *a, const void *b)
 {
-	const struct array_need *left = a, *right = b;
+	const struct deadline_demand *left = a, *right = b;
 	int order = compare_numbers(left->deadline_factor, right->deadline_factor);
 
 	if (!order)
@@ -49,11 +49,11 @@
  */
 static void place_for_deadlines(struct scheduling_cycle *cycle, const struct job_list *arrays)
 {
-	struct array_need *needs = xcalloc(arrays->count, sizeof(*needs));
+	struct deadline_demand *needs = xcalloc(arrays->count, sizeof(*needs));
 	size_t need_count = 0;
 
 	for (size_t i = 0; i < arrays->count; i++) {
-		needs[need_count] = array_need(cycle->core, arrays->jobs[i]);
+		needs[need_count] = deadline_demand(cycle->core, arrays->jobs[i]);
 		need_count += needs[need_count].slots > 0;
 	}
 	qsort(needs, need_count, sizeof(*needs), compare_needs);
@@ -83,7 +83,7 @@
 
 	if (job_failed_on(job, machine))
 		return false;
-	cycle_mark_allowed(cycle, &job->spec);
+	cycle_evaluate_pools(cycle, &job->spec);
 	return cycle->pools[room->pool].allowed && machine_room_slots(room, job) &&
 	       job_may_use_zone(job, machine->zone) &&
 	       !cycle_gang_needs_room(cycle, room, &job->spec);
--- a/src/core/scheduling/candidates.c
+++ b/src/core/scheduling/candidates.c
@@ -32,7 +32,8 @@
 	      compare_cost_per_slot);
 }
 
-uint32_t candidates_slots(const struct scheduling_cycle *cycle, const char *zone, uint32_t enough)
+uint32_t candidates_count_slots(const struct scheduling_cycle *cycle, const char *zone,
+				uint32_t enough)
 {
 	uint32_t slots = 0;
 
@@ -56,7 +57,7 @@
 		if (!zone_matches(zone, candidate->room->machine->zone))
 			continue;
 		slots += candidate->slots;
-		cost = rule == COST_OF_ALL ? cost + candidate->cost : fmax(cost, candidate->cost);
+		cost = rule == COST_RULE_SUM ? cost + candidate->cost : fmax(cost, candidate->cost);
 	}
 	return slots >= tasks ? cost : INFINITY;
 }
--- a/src/core/scheduling/candidates.h
+++ b/src/core/scheduling/candidates.h
@@ -6,8 +6,8 @@
 
 /* How the costs of several candidates are combined. */
 enum cost_rule {
-	COST_OF_DEAREST, /* the maximum: all tasks begin when the last one can */
-	COST_OF_ALL	 /* the sum */
+	COST_RULE_MAX, /* the maximum: all tasks begin when the last one can */
+	COST_RULE_SUM  /* the sum */
 };
 
 struct zone_choice {
@@ -21,11 +21,12 @@
 void candidates_sort_by_cost_per_slot(struct scheduling_cycle *cycle);
 /* Counts the candidates' slots in the zone, or in all zones if it is NULL. Counting ends when
  * `enough` slots are found, so that the result may be below the total. */
-uint32_t candidates_slots(const struct scheduling_cycle *cycle, const char *zone, uint32_t enough);
+uint32_t candidates_count_slots(const struct scheduling_cycle *cycle, const char *zone,
+				uint32_t enough);
 /*
  * Returns the cheapest zone in which so many tasks of the job fit. A job that need not run in one
  * zone, or a single task, may use machines of all zones. The candidates must be sorted by cost, and
- * the pools must be evaluated for the job with cycle_mark_allowed.
+ * the pools must be evaluated for the job with cycle_evaluate_pools.
  */
 struct zone_choice candidates_choose_zone(const struct scheduling_cycle *cycle,
 					  const struct job_spec *spec, uint32_t tasks,
--- a/src/core/scheduling/cycle.c
+++ b/src/core/scheduling/cycle.c
@@ -118,12 +118,12 @@
 	free(cycle->pools);
 }
 
-void cycle_take_room(struct scheduling_cycle *cycle, const struct machine *machine,
-		     const struct job_spec *spec)
+void cycle_subtract_demand(struct scheduling_cycle *cycle, const struct machine *machine,
+			   const struct job_spec *spec)
 {
 	struct machine_room *room = &cycle->rooms[machine->scheduling.room_index];
 
-	free_room_take(&room->free, spec, 1);
+	free_room_subtract(&room->free, spec, 1);
 	if (!room_is_open(cycle, room))
 		close_room(cycle, machine->scheduling.room_index);
 }
@@ -147,7 +147,7 @@
 	return cost;
 }
 
-void cycle_mark_allowed(struct scheduling_cycle *cycle, const struct job_spec *spec)
+void cycle_evaluate_pools(struct scheduling_cycle *cycle, const struct job_spec *spec)
 {
 	for (size_t i = 0; i < cycle->pool_count; i++) {
 		struct pool *pool = &cycle->pools[i];
--- a/src/core/scheduling/cycle.h
+++ b/src/core/scheduling/cycle.h
@@ -1,8 +1,8 @@
 /*
  * The working state of one scheduling cycle: above all a compact copy of the free capacity of all
  * usable machines, so that a search for capacity does not access each machine's own memory. The
- * copy is made when the cycle begins, and cycle_take_room keeps it up to date. Nothing else creates
- * or ends bindings during a cycle, so the free capacity only shrinks.
+ * copy is made when the cycle begins, and cycle_subtract_demand keeps it up to date. Nothing else
+ * creates or ends bindings during a cycle, so the free capacity only shrinks.
  */
 #ifndef PLOVERLOFT_CYCLE_H
 #define PLOVERLOFT_CYCLE_H
@@ -21,7 +21,7 @@
 	const struct machine_type *type;
 	const char *zone;
 	bool spot;
-	bool allowed;	      /* for the job that cycle_mark_allowed was last called for */
+	bool allowed;	      /* for the job that cycle_evaluate_pools was last called for */
 	uint32_t gang_shapes; /* bit i: gangs of the cycle's `gang_shapes[i]` may use it */
 	double cost_s;	      /* part of the placement cost that is the same for all its machines */
 };
@@ -76,9 +76,9 @@
 /* Frees what the cycle owns, but not the cycle itself. */
 void cycle_end(struct scheduling_cycle *cycle);
 /* Subtracts the demand of a task, bound to the machine or soon to be, from its free capacity. */
-void cycle_take_room(struct scheduling_cycle *cycle, const struct machine *machine,
-		     const struct job_spec *spec);
+void cycle_subtract_demand(struct scheduling_cycle *cycle, const struct machine *machine,
+			   const struct job_spec *spec);
 /* Sets the fields `allowed` and `cost_s` of all pools for the job. */
-void cycle_mark_allowed(struct scheduling_cycle *cycle, const struct job_spec *spec);
+void cycle_evaluate_pools(struct scheduling_cycle *cycle, const struct job_spec *spec);
 
 #endif
--- a/src/core/scheduling/cycle_trigger.h
+++ b/src/core/scheduling/cycle_trigger.h
@@ -11,7 +11,7 @@
 struct core;
 
 /* When the next scheduling cycle runs; times are steady seconds. */
-struct scheduling_cycles {
+struct cycle_trigger {
 	bool requested;		  /* a cycle is to run at next_at */
 	double next_at;		  /* when the requested cycle runs */
 	double next_periodic_at;  /* when a cycle is requested without an event */
--- a/src/core/scheduling/free_room.c
+++ b/src/core/scheduling/free_room.c
@@ -29,7 +29,7 @@
 	return (struct free_room){machine->free_cpus, machine->free_gpus, machine->free_mem_gb};
 }
 
-void free_room_take(struct free_room *room, const struct job_spec *spec, double tasks)
+void free_room_subtract(struct free_room *room, const struct job_spec *spec, double tasks)
 {
 	room->cpus -= tasks * spec->cpus;
 	room->gpus -= tasks * spec->gpus;
--- a/src/core/scheduling/free_room.h
+++ b/src/core/scheduling/free_room.h
@@ -29,7 +29,7 @@
 	       room->mem_gb + ROOM_SLACK >= spec->mem_gb;
 }
 /* Subtracts the demand of so many tasks; the result may be negative. */
-void free_room_take(struct free_room *room, const struct job_spec *spec, double tasks);
+void free_room_subtract(struct free_room *room, const struct job_spec *spec, double tasks);
 /* Adds the demand of one task, which it frees when it ends. */
 void free_room_add(struct free_room *room, const struct job_spec *spec);
 
--- a/src/core/scheduling/gang_placement.c
+++ b/src/core/scheduling/gang_placement.c
@@ -17,7 +17,7 @@
 /* Sets the candidates to the machines on which a task of the job fits, without their costs. */
 static void find_candidates(struct scheduling_cycle *cycle, const struct job *job)
 {
-	cycle_mark_allowed(cycle, &job->spec);
+	cycle_evaluate_pools(cycle, &job->spec);
 	cycle->candidate_count = 0;
 	for (size_t i = 0; i < cycle->open_count; i++) {
 		struct machine_room *room = &cycle->rooms[cycle->open_rooms[i]];
@@ -65,7 +65,7 @@
 
 		if (zone_came_before(cycle, i))
 			continue;
-		zone_slots = candidates_slots(cycle, zone, task_count);
+		zone_slots = candidates_count_slots(cycle, zone, task_count);
 		zone_most = job_zone_capacity_left(job, zone);
 		slots += zone_slots < zone_most ? zone_slots : zone_most;
 	}
@@ -107,10 +107,11 @@
 	uint32_t task_count = job->spec.task_count;
 	struct zone_choice choice;
 
-	if (candidates_slots(cycle, NULL, task_count) < task_count || !spread_fits(cycle, job))
+	if (candidates_count_slots(cycle, NULL, task_count) < task_count ||
+	    !spread_fits(cycle, job))
 		return false;
 	cost_candidates(cycle, job);
-	choice = candidates_choose_zone(cycle, &job->spec, task_count, COST_OF_DEAREST);
+	choice = candidates_choose_zone(cycle, &job->spec, task_count, COST_RULE_MAX);
 	if (!isfinite(choice.cost))
 		return false;
 	bind_gang(cycle, job, choice.zone);
@@ -129,7 +130,7 @@
 	find_candidates(cycle, job);
 	if (bind_where_cheapest(cycle, job))
 		return true;
-	cycle_note_no_room(cycle, job, task_count);
-	cycle_note_waiting_gang(cycle, job);
+	cycle_record_no_room(cycle, job, task_count);
+	cycle_record_waiting_gang(cycle, job);
 	return false;
 }
--- a/src/core/scheduling/objectives.c
+++ b/src/core/scheduling/objectives.c
@@ -56,9 +56,9 @@
 	       !strcmp(objective->class_name, job->spec.class_name);
 }
 
-struct array_need array_need(const struct core *core, struct job *job)
+struct deadline_demand deadline_demand(const struct core *core, struct job *job)
 {
-	struct array_need need = {.job = job, .deadline_factor = 1};
+	struct deadline_demand need = {.job = job, .deadline_factor = 1};
 
 	if (job->spec.deadline_s < 0)
 		return need;
--- a/src/core/scheduling/objectives.h
+++ b/src/core/scheduling/objectives.h
@@ -17,7 +17,7 @@
 double tightest_wait_objective_s(const struct core *core, const struct job *job);
 
 /* The slots that an array needs to be done by its deadline. */
-struct array_need {
+struct deadline_demand {
 	struct job *job;
 	double deadline_factor; /* the deadline that counts, as a multiple of the job's own */
 	uint32_t slots;		/* at the same time from now on, by the job's estimate; 0: none */
@@ -28,6 +28,6 @@
  * or a multiple of it that a deadline objective of its class names. No slots: it has no deadline,
  * or can meet none.
  */
-struct array_need array_need(const struct core *core, struct job *job);
+struct deadline_demand deadline_demand(const struct core *core, struct job *job);
 
 #endif
--- a/src/core/scheduling/placement.c
+++ b/src/core/scheduling/placement.c
@@ -20,8 +20,8 @@
 	if (!free_room_fits(&room->free, &job->spec))
 		return 0;
 	if (machine_is_reserved_for_other(machine, job))
-		free_room_take(&unreserved, &machine->scheduling.reserved_for->spec,
-			       machine->scheduling.reserved_tasks);
+		free_room_subtract(&unreserved, &machine->scheduling.reserved_for->spec,
+				   machine->scheduling.reserved_tasks);
 	return free_room_slots(&unreserved, &job->spec);
 }
 
@@ -32,7 +32,7 @@
 	struct machine *best = NULL;
 	double best_cost = INFINITY;
 
-	cycle_mark_allowed(cycle, &job->spec);
+	cycle_evaluate_pools(cycle, &job->spec);
 	cycle->visit_budget -= (double)cycle->open_count;
 	for (size_t i = 0; i < cycle->open_count; i++) {
 		const struct machine_room *room = &cycle->rooms[cycle->open_rooms[i]];
@@ -73,7 +73,7 @@
 static void use_reservation(struct core *core, struct job *job, struct machine *machine)
 {
 	if (job->spec.kind == JOB_SERVICE)
-		reservation_use_task(machine, job);
+		reservation_remove_task(machine, job);
 	else
 		reservation_release(core, job);
 }
@@ -85,7 +85,7 @@
 
 	use_reservation(core, job, machine);
 	binding_add(core, machine, job, task, attempt);
-	cycle_take_room(cycle, machine, &job->spec);
+	cycle_subtract_demand(cycle, machine, &job->spec);
 	log_info("binding_created", "job=%s task=%u attempt=%llu machine=%s waited=%.2f",
 		 job->spec.id, task, (unsigned long long)attempt, machine->id,
 		 core->wall - job->submitted_at);
@@ -128,7 +128,7 @@
 	machine = find_machine(cycle, job, scope);
 	if (!machine) {
 		if (scope == ROOM_ANY)
-			cycle_note_no_room(cycle, job, 1);
+			cycle_record_no_room(cycle, job, 1);
 		return false;
 	}
 	bind_task(cycle, job, machine, task, cycle_attempt(cycle));
--- a/src/core/scheduling/preemption.c
+++ b/src/core/scheduling/preemption.c
@@ -29,7 +29,7 @@
 	double cost = 0;
 
 	DL_FOREACH2 (machine->bindings, binding, machine_next) {
-		if (!preemption_frees(demand, binding))
+		if (!preemption_may_reclaim(demand, binding))
 			continue;
 		free_room_add(&room, &binding->job->spec);
 		if (!binding->stopping)
@@ -45,7 +45,7 @@
 {
 	const struct job *job = demand->job;
 
-	cycle_mark_allowed(cycle, &job->spec);
+	cycle_evaluate_pools(cycle, &job->spec);
 	cycle->candidate_count = 0;
 	for (size_t i = 0; i < cycle->room_count; i++) {
 		struct machine_room *room = &cycle->rooms[i];
@@ -74,7 +74,8 @@
 	DL_FOREACH2 (machine->bindings, binding, machine_next) {
 		double cost = stop_cost_s(demand->core, binding);
 
-		if (binding->stopping || cost >= best_cost || !preemption_frees(demand, binding))
+		if (binding->stopping || cost >= best_cost ||
+		    !preemption_may_reclaim(demand, binding))
 			continue;
 		best = binding;
 		best_cost = cost;
@@ -145,7 +146,7 @@
 	struct zone_choice choice;
 
 	find_candidates(cycle, demand);
-	choice = candidates_choose_zone(cycle, &job->spec, demand->tasks, COST_OF_ALL);
+	choice = candidates_choose_zone(cycle, &job->spec, demand->tasks, COST_RULE_SUM);
 	if (!isfinite(choice.cost))
 		return false;
 	preempt_on_candidates(cycle, demand, choice.zone);
--- a/src/core/scheduling/preemption_victims.c
+++ b/src/core/scheduling/preemption_victims.c
@@ -75,7 +75,7 @@
 /* Whether the array needs all slots that it has now to be done by its deadline. */
 static bool needs_all_slots(const struct core *core, struct job *array)
 {
-	return array->bound_count <= array_need(core, array).slots;
+	return array->bound_count <= deadline_demand(core, array).slots;
 }
 
 /* Whether tasks of the victim may be stopped because it has a lower priority than the job. */
@@ -98,7 +98,7 @@
 	return may_stop_lower(core, job, victim) || is_borrowed_from(core, binding, job);
 }
 
-bool preemption_frees(const struct preemption_demand *demand, const struct binding *binding)
+bool preemption_may_reclaim(const struct preemption_demand *demand, const struct binding *binding)
 {
 	if (binding->stopping)
 		return true;
--- a/src/core/scheduling/preemption_victims.h
+++ b/src/core/scheduling/preemption_victims.h
@@ -30,7 +30,7 @@
 uint32_t preemption_task_count(const struct job *job);
 /* Whether the binding's capacity can become free for the job: its task is stopping already, or may
  * be stopped. */
-bool preemption_frees(const struct preemption_demand *demand, const struct binding *binding);
+bool preemption_may_reclaim(const struct preemption_demand *demand, const struct binding *binding);
 /* Returns the seconds of work that are lost or delayed if the task is stopped. */
 double stop_cost_s(const struct core *core, const struct binding *binding);
 /* Returns the seconds that the task gets to save its work when it is stopped. */
--- a/src/core/scheduling/reservation.c
+++ b/src/core/scheduling/reservation.c
@@ -34,7 +34,7 @@
 	reservation_set(machine, job, present ? machine->scheduling.reserved_tasks + 1 : 1);
 }
 
-void reservation_use_task(struct machine *machine, const struct job *job)
+void reservation_remove_task(struct machine *machine, const struct job *job)
 {
 	struct machine_scheduling *scheduling = &machine->scheduling;
 
@@ -122,7 +122,7 @@
 /* --- reserving capacity that falls free --- */
 
 /* Whether the job may reserve capacity in the room. An empty zone allows all. The pools must be
- * evaluated for the job with cycle_mark_allowed. */
+ * evaluated for the job with cycle_evaluate_pools. */
 static bool may_reserve_room(const struct scheduling_cycle *cycle, const struct machine_room *room,
 			     const struct job *job, const char *zone)
 {
@@ -174,7 +174,7 @@
 {
 	uint32_t tasks_left = job->spec.task_count;
 
-	cycle_mark_allowed(cycle, &job->spec);
+	cycle_evaluate_pools(cycle, &job->spec);
 	for (size_t i = 0; i < cycle->room_count; i++) {
 		const struct machine_room *room = &cycle->rooms[i];
 		uint32_t tasks;
@@ -195,7 +195,7 @@
 	struct job_scheduling *scheduling = &job->scheduling;
 	const char *zone;
 
-	cycle_mark_allowed(cycle, &job->spec);
+	cycle_evaluate_pools(cycle, &job->spec);
 	zone = roomiest_zone(cycle, job);
 	if (!zone)
 		return;
--- a/src/core/scheduling/reservation.h
+++ b/src/core/scheduling/reservation.h
@@ -21,7 +21,7 @@
 /* Reserves capacity for one more task, on a machine that is not reserved for another job. */
 void reservation_add_task(struct machine *machine, struct job *job);
 /* Reduces the job's reservation on the machine, if there is one, by a task placed there. */
-void reservation_use_task(struct machine *machine, const struct job *job);
+void reservation_remove_task(struct machine *machine, const struct job *job);
 
 /* --- all reservations of a job --- */
 
--- a/src/core/scheduling/service_placement.c
+++ b/src/core/scheduling/service_placement.c
@@ -40,7 +40,7 @@
 		return;
 	reservation_add_task(target, job);
 	job->scheduling.reserved_until = cycle->core->now + PREEMPT_RESERVE_S;
-	cycle_take_room(cycle, target, &job->spec);
+	cycle_subtract_demand(cycle, target, &job->spec);
 	log_info("replica_moving", "job=%s task=%u machine=%s to=%s", job->spec.id, binding->task,
 		 binding->machine->id, target->id);
 	binding_stop(cycle->core, binding, 0);
--- a/src/core/scheduling/waiting_shapes.c
+++ b/src/core/scheduling/waiting_shapes.c
@@ -9,7 +9,7 @@
 	return !job->scheduling.reserved_until && !job->bindings;
 }
 
-void cycle_note_no_room(struct scheduling_cycle *cycle, const struct job *job, uint32_t tasks)
+void cycle_record_no_room(struct scheduling_cycle *cycle, const struct job *job, uint32_t tasks)
 {
 	struct shape_without_room *shape;
 
@@ -40,7 +40,7 @@
 	return false;
 }
 
-void cycle_note_waiting_gang(struct scheduling_cycle *cycle, const struct job *job)
+void cycle_record_waiting_gang(struct scheduling_cycle *cycle, const struct job *job)
 {
 	if (gang_shape_is_noted(cycle, &job->spec) ||
 	    cycle->gang_shape_count == CYCLE_GANG_SHAPES_MAX)
@@ -59,7 +59,7 @@
 	uint32_t shapes_allowed = cycle->pools[room->pool].gang_shapes;
 	struct free_room rest = room->free;
 
-	free_room_take(&rest, spec, 1);
+	free_room_subtract(&rest, spec, 1);
 	for (size_t i = 0; i < cycle->gang_shape_count; i++) {
 		const struct job_spec *gang = cycle->gang_shapes[i];
 
--- a/src/core/scheduling/waiting_shapes.h
+++ b/src/core/scheduling/waiting_shapes.h
@@ -8,13 +8,13 @@
 #include "core/scheduling/cycle.h"
 
 /* Records that no capacity was found for so many tasks of the job. */
-void cycle_note_no_room(struct scheduling_cycle *cycle, const struct job *job, uint32_t tasks);
+void cycle_record_no_room(struct scheduling_cycle *cycle, const struct job *job, uint32_t tasks);
 /* Whether the cycle has recorded that so many tasks of the job's shape, or fewer, do not fit. */
 bool cycle_found_no_room(const struct scheduling_cycle *cycle, const struct job *job,
 			 uint32_t tasks);
 /* Records that a gang of this shape waits. The pools must be evaluated for the gang, by the latest
- * call of cycle_mark_allowed. */
-void cycle_note_waiting_gang(struct scheduling_cycle *cycle, const struct job *job);
+ * call of cycle_evaluate_pools. */
+void cycle_record_waiting_gang(struct scheduling_cycle *cycle, const struct job *job);
 /* Whether a task in this room would use capacity that suits a waiting gang of higher priority. */
 bool cycle_gang_needs_room(const struct scheduling_cycle *cycle, const struct machine_room *room,
 			   const struct job_spec *spec);
--- a/src/core/state.h
+++ b/src/core/state.h
@@ -72,7 +72,7 @@
 	struct agents agents;
 	struct replica_supervision replica_supervision;
 	struct write_queue write_queue;
-	struct scheduling_cycles cycles;
+	struct cycle_trigger cycles;
 	struct share_switching share_switching;
 	struct autoscale autoscale;
 };
