--- a/src/core/scheduling/array_placement.c
+++ b/src/core/scheduling/array_placement.c
@@ -31,7 +31,7 @@
 
 /* --- slots that deadlines need --- */
 
-static int compare_needs(const void *a, const void *b)
+static int compare_deadline_demands(const void *a, const void *b)
 {
 	const struct deadline_demand *left = a, *right = b;
 	int order = compare_numbers(left->deadline_factor, right->deadline_factor);
@@ -49,21 +49,21 @@
  */
 static void place_for_deadlines(struct scheduling_cycle *cycle, const struct job_list *arrays)
 {
-	struct deadline_demand *needs = xcalloc(arrays->count, sizeof(*needs));
-	size_t need_count = 0;
+	struct deadline_demand *demands = xcalloc(arrays->count, sizeof(*demands));
+	size_t demand_count = 0;
 
 	for (size_t i = 0; i < arrays->count; i++) {
-		needs[need_count] = deadline_demand(cycle->core, arrays->jobs[i]);
-		need_count += needs[need_count].slots > 0;
+		demands[demand_count] = deadline_demand(cycle->core, arrays->jobs[i]);
+		demand_count += demands[demand_count].slots > 0;
 	}
-	qsort(needs, need_count, sizeof(*needs), compare_needs);
-	for (size_t i = 0; i < need_count; i++) {
-		struct job *job = needs[i].job;
+	qsort(demands, demand_count, sizeof(*demands), compare_deadline_demands);
+	for (size_t i = 0; i < demand_count; i++) {
+		struct job *job = demands[i].job;
 
-		while (job->bound_count < needs[i].slots && place_next_task(cycle, job, ROOM_ANY))
+		while (job->bound_count < demands[i].slots && place_next_task(cycle, job, ROOM_ANY))
 			;
 	}
-	free(needs);
+	free(demands);
 }
 
 /* --- freed slots that are kept for an array --- */
@@ -94,7 +94,7 @@
  * one whose task ended there, or the one that the slot was switched to. NULL: it can't use the slot
  * now.
  */
-static struct job *take_freed_slot(struct scheduling_cycle *cycle, struct machine *machine)
+static struct job *claim_freed_slot(struct scheduling_cycle *cycle, struct machine *machine)
 {
 	struct core *core = cycle->core;
 	struct job *job = job_find(core, machine->scheduling.freed_slot_job);
@@ -114,7 +114,7 @@
 
 		if (!*machine->scheduling.freed_slot_job)
 			continue;
-		job = take_freed_slot(cycle, machine);
+		job = claim_freed_slot(cycle, machine);
 		if (!job)
 			continue;
 		task = next_placeable_task(cycle->core, job);
@@ -129,18 +129,19 @@
  * Places one more task of each array that has at most `level` slots. Arrays for which none can be
  * placed are removed from the list. Returns the number of arrays that remain.
  */
-static size_t fill_level(struct scheduling_cycle *cycle, struct job_list *arrays, uint32_t level)
+static size_t place_fair_share_round(struct scheduling_cycle *cycle, struct job_list *arrays,
+				     uint32_t level)
 {
-	size_t left = 0;
+	size_t remaining = 0;
 
 	for (size_t i = 0; i < arrays->count; i++) {
 		struct job *job = arrays->jobs[i];
 
 		if (job->bound_count > level || place_next_task(cycle, job, ROOM_SPARE))
-			arrays->jobs[left++] = job;
+			arrays->jobs[remaining++] = job;
 	}
-	arrays->count = left;
-	return left;
+	arrays->count = remaining;
+	return remaining;
 }
 
 void place_arrays(struct scheduling_cycle *cycle, struct job_list *arrays)
@@ -152,6 +153,6 @@
 	place_first_tasks(cycle, arrays);
 	place_for_deadlines(cycle, arrays);
 	place_in_freed_slots(cycle);
-	while (fill_level(cycle, arrays, level))
+	while (place_fair_share_round(cycle, arrays, level))
 		level++;
 }
--- a/src/core/scheduling/candidates.c
+++ b/src/core/scheduling/candidates.c
@@ -33,11 +33,11 @@
 }
 
 uint32_t candidates_count_slots(const struct scheduling_cycle *cycle, const char *zone,
-				uint32_t enough)
+				uint32_t needed)
 {
 	uint32_t slots = 0;
 
-	for (size_t i = 0; i < cycle->candidate_count && slots < enough; i++)
+	for (size_t i = 0; i < cycle->candidate_count && slots < needed; i++)
 		if (zone_matches(zone, cycle->candidates[i].room->machine->zone))
 			slots += cycle->candidates[i].slots;
 	return slots;
--- a/src/core/scheduling/candidates.h
+++ b/src/core/scheduling/candidates.h
@@ -10,6 +10,7 @@
 	COST_RULE_SUM  /* the sum */
 };
 
+/* The zone that is chosen for a job, and what placing the job there costs. */
 struct zone_choice {
 	const char *zone; /* owned by a machine; NULL: machines of all zones may be used */
 	double cost;	  /* seconds; INFINITY: there is not enough capacity */
@@ -20,9 +21,9 @@
 /* Sorts the candidates by their cost for each slot, the cheapest first. */
 void candidates_sort_by_cost_per_slot(struct scheduling_cycle *cycle);
 /* Counts the candidates' slots in the zone, or in all zones if it is NULL. Counting ends when
- * `enough` slots are found, so that the result may be below the total. */
+ * `needed` slots are found, so that the result may be below the total. */
 uint32_t candidates_count_slots(const struct scheduling_cycle *cycle, const char *zone,
-				uint32_t enough);
+				uint32_t needed);
 /*
  * Returns the cheapest zone in which so many tasks of the job fit. A job that need not run in one
  * zone, or a single task, may use machines of all zones. The candidates must be sorted by cost, and
--- a/src/core/scheduling/cycle_trigger.c
+++ b/src/core/scheduling/cycle_trigger.c
@@ -21,7 +21,7 @@
 	    core->now + CYCLE_MIN_INTERVAL_S + CYCLE_INTERVAL_PER_JOB_S * job_count(core);
 }
 
-static bool place_whole_job(struct scheduling_cycle *cycle, struct job *job)
+static bool place_gang_or_service(struct scheduling_cycle *cycle, struct job *job)
 {
 	return job->spec.kind == JOB_GANG ? place_gang(cycle, job) : place_service(cycle, job);
 }
@@ -36,7 +36,7 @@
 
 		if (job->spec.kind == JOB_ARRAY)
 			arrays.jobs[arrays.count++] = job;
-		else if (!place_whole_job(cycle, job))
+		else if (!place_gang_or_service(cycle, job))
 			preemption_make_room(cycle, job);
 	}
 	place_arrays(cycle, &arrays);
--- a/src/core/scheduling/gang_placement.c
+++ b/src/core/scheduling/gang_placement.c
@@ -31,7 +31,8 @@
 	}
 }
 
-static void cost_candidates(struct scheduling_cycle *cycle, const struct job *job)
+/* Sets the costs of the candidates and sorts them, the cheapest first. */
+static void sort_candidates_by_placement_cost(struct scheduling_cycle *cycle, const struct job *job)
 {
 	for (size_t i = 0; i < cycle->candidate_count; i++) {
 		struct candidate *candidate = &cycle->candidates[i];
@@ -44,7 +45,7 @@
 }
 
 /* Whether a pool with a lower index is in the same zone. */
-static bool zone_came_before(const struct scheduling_cycle *cycle, size_t pool)
+static bool zone_is_in_earlier_pool(const struct scheduling_cycle *cycle, size_t pool)
 {
 	for (size_t i = 0; i < pool; i++)
 		if (!strcmp(cycle->pools[i].zone, cycle->pools[pool].zone))
@@ -61,13 +62,13 @@
 
 	for (size_t i = 0; i < cycle->pool_count; i++) {
 		const char *zone = cycle->pools[i].zone;
-		uint32_t zone_slots, zone_most;
+		uint32_t zone_slots, zone_max;
 
-		if (zone_came_before(cycle, i))
+		if (zone_is_in_earlier_pool(cycle, i))
 			continue;
 		zone_slots = candidates_count_slots(cycle, zone, task_count);
-		zone_most = job_zone_capacity_left(job, zone);
-		slots += zone_slots < zone_most ? zone_slots : zone_most;
+		zone_max = job_zone_capacity_left(job, zone);
+		slots += zone_slots < zone_max ? zone_slots : zone_max;
 	}
 	return slots >= task_count;
 }
@@ -110,7 +111,7 @@
 	if (candidates_count_slots(cycle, NULL, task_count) < task_count ||
 	    !spread_fits(cycle, job))
 		return false;
-	cost_candidates(cycle, job);
+	sort_candidates_by_placement_cost(cycle, job);
 	choice = candidates_choose_zone(cycle, &job->spec, task_count, COST_RULE_MAX);
 	if (!isfinite(choice.cost))
 		return false;
--- a/src/core/scheduling/objectives.c
+++ b/src/core/scheduling/objectives.c
@@ -6,16 +6,17 @@
 
 #include "core/state.h"
 
-/* Returns the tightest wait objective of the job's class that is longer than `beyond_s`; 0: there
+/* Returns the tightest wait objective of the job's class that is longer than `wait_s`; 0: there
  * is none. */
-static double wait_objective_beyond(const struct core *core, const struct job *job, double beyond_s)
+static double wait_objective_longer_than(const struct core *core, const struct job *job,
+					 double wait_s)
 {
 	double tightest = 0;
 
 	for (size_t i = 0; i < core->conf->objective_count; i++) {
 		const struct conf_objective *objective = &core->conf->objectives[i];
 
-		if (objective->kind != OBJECTIVE_WAIT || objective->within_s <= beyond_s ||
+		if (objective->kind != OBJECTIVE_WAIT || objective->within_s <= wait_s ||
 		    strcmp(objective->class_name, job->spec.class_name))
 			continue;
 		if (tightest <= 0 || objective->within_s < tightest)
@@ -26,12 +27,12 @@
 
 double wait_objective_s(const struct core *core, const struct job *job)
 {
-	return wait_objective_beyond(core, job, core->wall - job->submitted_at);
+	return wait_objective_longer_than(core, job, core->wall - job->submitted_at);
 }
 
 double tightest_wait_objective_s(const struct core *core, const struct job *job)
 {
-	return wait_objective_beyond(core, job, -INFINITY);
+	return wait_objective_longer_than(core, job, -INFINITY);
 }
 
 /*
@@ -58,23 +59,23 @@
 
 struct deadline_demand deadline_demand(const struct core *core, struct job *job)
 {
-	struct deadline_demand need = {.job = job, .deadline_factor = 1};
+	struct deadline_demand demand = {.job = job, .deadline_factor = 1};
 
 	if (job->spec.deadline_s < 0)
-		return need;
-	need.slots = slots_needed(core, job, 1);
+		return demand;
+	demand.slots = slots_needed(core, job, 1);
 	for (size_t i = 0; i < core->conf->objective_count; i++) {
 		const struct conf_objective *objective = &core->conf->objectives[i];
 		uint32_t slots;
 
 		if (!is_later_deadline(objective, job) ||
-		    (need.slots && objective->times >= need.deadline_factor))
+		    (demand.slots && objective->times >= demand.deadline_factor))
 			continue;
 		slots = slots_needed(core, job, objective->times);
 		if (!slots)
 			continue;
-		need.slots = slots;
-		need.deadline_factor = objective->times;
+		demand.slots = slots;
+		demand.deadline_factor = objective->times;
 	}
-	return need;
+	return demand;
 }
--- a/src/core/scheduling/placement.c
+++ b/src/core/scheduling/placement.c
@@ -70,7 +70,7 @@
 
 /* Updates the job's reservation when a task is bound. A bound replica reduces the reservation on
  * its machine by one; for a gang or an array the whole reservation ends. */
-static void use_reservation(struct core *core, struct job *job, struct machine *machine)
+static void update_reservation(struct core *core, struct job *job, struct machine *machine)
 {
 	if (job->spec.kind == JOB_SERVICE)
 		reservation_remove_task(machine, job);
@@ -83,7 +83,7 @@
 {
 	struct core *core = cycle->core;
 
-	use_reservation(core, job, machine);
+	update_reservation(core, job, machine);
 	binding_add(core, machine, job, task, attempt);
 	cycle_subtract_demand(cycle, machine, &job->spec);
 	log_info("binding_created", "job=%s task=%u attempt=%llu machine=%s waited=%.2f",
--- a/src/core/scheduling/placement_cost.c
+++ b/src/core/scheduling/placement_cost.c
@@ -34,7 +34,7 @@
 
 /* The cost of other replicas of the service on the machine or in its zone: they would be lost
  * together with this one. */
-static double shared_loss_cost(const struct job *job, const struct machine *machine)
+static double colocation_cost(const struct job *job, const struct machine *machine)
 {
 	const struct binding *binding;
 	double cost = 0;
@@ -56,15 +56,15 @@
  */
 double replica_cost(const struct core *core, const struct job *job, const struct machine *machine)
 {
-	double silence = core->now - machine->agent.last_message_at;
+	double silence_s = core->now - machine->agent.last_message_at;
 	double cost;
 
 	if (job->spec.kind != JOB_SERVICE)
 		return 0;
-	cost = shared_loss_cost(job, machine);
+	cost = colocation_cost(job, machine);
 	cost += REPLICA_COLOCATED_COST_S * machine->replica_count;
 	/* The machine may have failed without being detected as failed yet. */
-	if (silence > REPLICA_OVERDUE_REPORTS * core->conf->report_s)
+	if (silence_s > REPLICA_OVERDUE_REPORTS * core->conf->report_s)
 		cost += REPLICA_OVERDUE_COST_S;
 	return cost + (machine->spot ? REPLICA_SPOT_COST_S : 0) +
 	       machine->scheduling.failed_job_count * REPLICA_SAME_MACHINE_COST_S;
--- a/src/core/scheduling/preemption.c
+++ b/src/core/scheduling/preemption.c
@@ -19,7 +19,7 @@
 
 /* Sets the slots that the machine would have for the job after preemption, and the cost of the
  * tasks that would be stopped. */
-static void weigh_candidate(const struct preemption_demand *demand, struct candidate *candidate)
+static void evaluate_candidate(const struct preemption_demand *demand, struct candidate *candidate)
 {
 	const struct machine *machine = candidate->room->machine;
 	const struct job_spec *spec = &demand->job->spec;
@@ -56,7 +56,7 @@
 		    !job_may_use_zone(job, room->machine->zone))
 			continue;
 		candidate->room = room;
-		weigh_candidate(demand, candidate);
+		evaluate_candidate(demand, candidate);
 		cycle->candidate_count += candidate->slots > 0;
 	}
 	candidates_sort_by_cost_per_slot(cycle);
@@ -174,7 +174,7 @@
  * attempt, which stay where they are, nor for a spread gang, since the choice of machines does not
  * distribute tasks over zones.
  */
-static bool may_be_made_room_for(const struct job *job)
+static bool preemption_is_supported(const struct job *job)
 {
 	return job->spec.kind == JOB_SERVICE || (!job->bindings && !job->spec.spread);
 }
@@ -187,12 +187,12 @@
 	/* Capacity may be free that the search has not visited. */
 	if (cycle->budget_exhausted && job->spec.kind != JOB_GANG)
 		return false;
-	return may_be_made_room_for(job) && !job->scheduling.reserved_until &&
+	return preemption_is_supported(job) && !job->scheduling.reserved_until &&
 	       waited_s >= preempt_after_s(core, job) &&
 	       core->now >= job->scheduling.next_preemption_at;
 }
 
-static struct preemption_demand demand_of(struct core *core, struct job *job)
+static struct preemption_demand preemption_demand_of(struct core *core, struct job *job)
 {
 	struct preemption_demand demand = {.core = core, .job = job};
 
@@ -216,7 +216,7 @@
 	if (!may_preempt_now(cycle, job))
 		return;
 	job->scheduling.next_preemption_at = core->now + PREEMPT_RETRY_S;
-	demand = demand_of(core, job);
+	demand = preemption_demand_of(core, job);
 	if (preempt(cycle, &demand))
 		return;
 	if (job->spec.kind == JOB_SERVICE) {
--- a/src/core/scheduling/preemption_victims.c
+++ b/src/core/scheduling/preemption_victims.c
@@ -21,7 +21,7 @@
 
 /* Whether the team would use all its guaranteed CPUs, or all its guaranteed GPUs, even without one
  * task of the job. */
-static bool is_beyond_guarantee(const struct team *team, const struct job_spec *spec)
+static bool keeps_guarantee_without_task(const struct team *team, const struct job_spec *spec)
 {
 	if (team->cpus - spec->cpus >= team->conf->cpus)
 		return true;
@@ -42,8 +42,8 @@
  * uses beyond its guarantee is borrowed. It is returned to a team that stays within its own
  * guarantee with all tasks of the job for which capacity is to be freed.
  */
-static bool is_borrowed_from(struct core *core, const struct binding *binding,
-			     const struct job *job)
+static bool is_borrowed_capacity(struct core *core, const struct binding *binding,
+				 const struct job *job)
 {
 	const struct team *borrower = team_find(core, binding->job->spec.team);
 	const struct team *lender = team_find(core, job->spec.team);
@@ -53,7 +53,7 @@
 	if (lender->conf->cpus <= 0 || borrower->conf->cpus <= 0)
 		return false;
 	return stays_within_guarantee(lender, &job->spec, preemption_task_count(job)) &&
-	       is_beyond_guarantee(borrower, &binding->job->spec);
+	       keeps_guarantee_without_task(borrower, &binding->job->spec);
 }
 
 /* --- deadlines and wait objectives --- */
@@ -63,7 +63,7 @@
  * started again. Stopping it would just replace one missed objective by another. After the deadline
  * the objective is missed anyway, so the task may be stopped.
  */
-static bool would_miss_deadline(const struct core *core, const struct binding *binding)
+static bool restart_would_miss_deadline(const struct core *core, const struct binding *binding)
 {
 	const struct job_spec *spec = &binding->job->spec;
 	double left_s = binding->job->submitted_at + spec->deadline_s - core->wall;
@@ -79,7 +79,8 @@
 }
 
 /* Whether tasks of the victim may be stopped because it has a lower priority than the job. */
-static bool may_stop_lower(const struct core *core, const struct job *job, struct job *victim)
+static bool may_stop_lower_priority(const struct core *core, const struct job *job,
+				    struct job *victim)
 {
 	if (victim->spec.priority <= job->spec.priority)
 		return false;
@@ -93,9 +94,11 @@
 {
 	struct job *victim = binding->job;
 
-	if (victim->spec.kind != JOB_ARRAY || victim->orphan || would_miss_deadline(core, binding))
+	if (victim->spec.kind != JOB_ARRAY || victim->orphan ||
+	    restart_would_miss_deadline(core, binding))
 		return false;
-	return may_stop_lower(core, job, victim) || is_borrowed_from(core, binding, job);
+	return may_stop_lower_priority(core, job, victim) ||
+	       is_borrowed_capacity(core, binding, job);
 }
 
 bool preemption_may_reclaim(const struct preemption_demand *demand, const struct binding *binding)
--- a/src/core/scheduling/reservation.c
+++ b/src/core/scheduling/reservation.c
@@ -84,9 +84,9 @@
  */
 static bool is_within_limits(struct core *core, const struct job *candidate, double waited_s)
 {
-	bool late = waited_s >= RESERVE_LONG_WAIT_S;
-	uint32_t gangs_max = late ? RESERVE_MAX_GANGS_LONG_WAIT : RESERVE_MAX_GANGS;
-	double share_max = late ? RESERVE_CPU_SHARE_LONG_WAIT : RESERVE_CPU_SHARE;
+	bool waited_long = waited_s >= RESERVE_LONG_WAIT_S;
+	uint32_t gangs_max = waited_long ? RESERVE_MAX_GANGS_LONG_WAIT : RESERVE_MAX_GANGS;
+	double share_max = waited_long ? RESERVE_CPU_SHARE_LONG_WAIT : RESERVE_CPU_SHARE;
 	uint32_t gangs = 0;
 	double cpus = total_cpus(candidate);
 	struct job *job, *next;
@@ -107,9 +107,9 @@
  */
 static double reserve_after_s(const struct core *core, const struct job *job)
 {
-	double lead_begins = wait_objective_s(core, job) - RESERVE_LEAD_S;
+	double lead_begins_s = wait_objective_s(core, job) - RESERVE_LEAD_S;
 
-	return fmin(ORDER_FIRST_AFTER_S, fmax(RESERVE_AFTER_S, lead_begins));
+	return fmin(ORDER_FIRST_AFTER_S, fmax(RESERVE_AFTER_S, lead_begins_s));
 }
 
 bool reservation_may_begin(struct core *core, const struct job *job)
@@ -154,16 +154,16 @@
 
 /* Returns the zone with the most expected slots for the job, which probably are free soonest; NULL:
  * there is none. */
-static const char *roomiest_zone(const struct scheduling_cycle *cycle, const struct job *job)
+static const char *zone_with_most_slots(const struct scheduling_cycle *cycle, const struct job *job)
 {
 	const char *best = NULL;
-	double most = 0;
+	double best_slots = 0;
 
 	for (size_t i = 0; i < cycle->pool_count; i++) {
 		double slots = expected_slots(cycle, job, cycle->pools[i].zone);
 
-		if (slots > most) {
-			most = slots;
+		if (slots > best_slots) {
+			best_slots = slots;
 			best = cycle->pools[i].zone;
 		}
 	}
@@ -196,7 +196,7 @@
 	const char *zone;
 
 	cycle_evaluate_pools(cycle, &job->spec);
-	zone = roomiest_zone(cycle, job);
+	zone = zone_with_most_slots(cycle, job);
 	if (!zone)
 		return;
 	if (job->spec.one_zone)
--- a/src/core/scheduling/share_switching.c
+++ b/src/core/scheduling/share_switching.c
@@ -21,37 +21,37 @@
 #define COUNTS_PREFIX "p/"
 #define COUNTS_KEY_BYTES (CONF_NAME_MAX + 16)
 /* Bytes of a value without its entries: names of fields, token, quantum. */
-#define COUNTS_FRAME_BYTES 64
+#define COUNTS_OVERHEAD_BYTES 64
 /* Bytes of an entry without the job's id. */
-#define COUNT_FRAME_BYTES 16
+#define COUNT_OVERHEAD_BYTES 16
 
 /* A decision under way about one Part message: the counts are written, then read. */
-struct part_work {
+struct part_decision {
 	uint64_t connection; /* of the leader's request; 0: this controller is the leader */
 	Peer__Part *part;
 	struct job_count *own_counts; /* of the part: those that are still to be written */
-	int values_written;	      /* values with own counts that were written so far */
+	int values_written;	      /* values of own counts written so far */
 	uint64_t own_quantum;	      /* the quantum of the own counts */
 	struct job_count *counts;     /* of all controllers, and the jobs that accept slots */
-	json_int_t quantum_read; /* newest quantum of the controller whose values are being read */
+	json_int_t newest_quantum;    /* of the controller whose values are being read */
 };
 
-static void part_work_free(void *arg)
+static void part_decision_free(void *arg)
 {
-	struct part_work *work = arg;
+	struct part_decision *decision = arg;
 
-	job_counts_free(&work->own_counts);
-	job_counts_free(&work->counts);
-	peer__part__free_unpacked(work->part, NULL);
-	free(work);
+	job_counts_free(&decision->own_counts);
+	job_counts_free(&decision->counts);
+	peer__part__free_unpacked(decision->part, NULL);
+	free(decision);
 }
 
-static void part_work_fail(struct core *core, struct part_work *work)
+static void part_decision_fail(struct core *core, struct part_decision *decision)
 {
-	if (work->connection)
+	if (decision->connection)
 		/* "state": the state service refused the request or did not answer. */
-		core_reply_error(core, work->connection, STATUS_UNAVAILABLE, 0, "state");
-	part_work_free(work);
+		core_reply_error(core, decision->connection, STATUS_UNAVAILABLE, 0, "state");
+	part_decision_free(decision);
 }
 
 /* --- deciding on switches --- */
@@ -79,44 +79,44 @@
 
 /* Draws whether a slot of the job `id` is switched. Returns the job that gets it; NULL if it is not
  * switched. */
-static struct job_count *draw_switch(struct core *core, struct part_work *work, const char *id,
-				     double total)
+static struct job_count *draw_switch_target(struct core *core, struct part_decision *decision,
+					    const char *id, double total)
 {
-	const struct job_count *present = job_counts_get(&work->counts, id);
-	struct job_count *drawn = draw_job(core, work->counts, total);
+	const struct job_count *current = job_counts_get(&decision->counts, id);
+	struct job_count *drawn = draw_job(core, decision->counts, total);
 	double probability;
 
-	if (!drawn || drawn == present || !drawn->accepts_slots)
+	if (!drawn || drawn == current || !drawn->accepts_slots)
 		return NULL;
-	probability = share_switch_probability(drawn->slots, present->slots);
+	probability = share_switch_probability(drawn->slots, current->slots);
 	return core_random(core) < probability ? drawn : NULL;
 }
 
-static void send_switches(struct core *core, const struct part_work *work,
+static void send_switches(struct core *core, const struct part_decision *decision,
 			  const Peer__Switches *switches)
 {
 	size_t len;
 	uint8_t *message = peers_pack(&switches->base, &len);
 
-	if (work->connection) {
-		core_reply_packed(core, work->connection, message, len);
+	if (decision->connection) {
+		core_reply_packed(core, decision->connection, message, len);
 		return;
 	}
 	share_switching_apply(core, core->conf->peer_count, message, len);
 	free(message);
 }
 
-static void decide_switches(struct core *core, struct part_work *work)
+static void decide_switches(struct core *core, struct part_decision *decision)
 {
-	size_t slot_count = work->part->n_slots;
+	size_t slot_count = decision->part->n_slots;
 	Peer__Switch *switches = xcalloc(slot_count, sizeof(*switches));
 	Peer__Switch **list = xcalloc(slot_count, sizeof(*list));
 	Peer__Switches message = PEER__SWITCHES__INIT;
-	double total = job_counts_total(work->counts);
+	double total = job_counts_total(decision->counts);
 
 	for (size_t i = 0; i < slot_count; i++) {
-		Peer__Slot *slot = work->part->slots[i];
-		struct job_count *target = draw_switch(core, work, slot->job, total);
+		Peer__Slot *slot = decision->part->slots[i];
+		struct job_count *target = draw_switch_target(core, decision, slot->job, total);
 
 		if (!target)
 			continue;
@@ -125,10 +125,10 @@
 		switches[i].to = target->id;
 		list[message.n_switches++] = &switches[i];
 	}
-	message.token = work->part->token;
+	message.token = decision->part->token;
 	message.incarnation = peers_incarnation(core);
 	message.switches = list;
-	send_switches(core, work, &message);
+	send_switches(core, decision, &message);
 	free(switches);
 	free(list);
 }
@@ -140,127 +140,128 @@
  * delete the additional ones. The quantum of its first value, which is read before the others, is
  * its newest.
  */
-static bool counts_are_left_over(struct part_work *work, const struct kv_item *item)
+static bool counts_are_outdated(struct part_decision *decision, const struct kv_item *item)
 {
 	json_int_t quantum = json_integer_value(json_object_get(item->value, "quantum"));
 	const char *name = item->key + strlen(COUNTS_PREFIX);
 	size_t name_len = strcspn(name, "/");
 
 	if (!name[name_len]) {
-		work->quantum_read = quantum;
+		decision->newest_quantum = quantum;
 		return false;
 	}
-	return quantum != work->quantum_read;
+	return quantum != decision->newest_quantum;
 }
 
-static void add_counts_read(void *ctx, const struct kv_item *item)
+static void sum_counts_value(void *ctx, const struct kv_item *item)
 {
-	struct part_work *work = ctx;
+	struct part_decision *decision = ctx;
 	json_int_t token = json_integer_value(json_object_get(item->value, "token"));
 	const char *id;
 	json_t *slots;
 
 	/* Counts of another leader's quantum do not count in this one. */
-	if ((uint64_t)token != work->part->token)
+	if ((uint64_t)token != decision->part->token)
 		return;
-	if (counts_are_left_over(work, item))
+	if (counts_are_outdated(decision, item))
 		return;
 	json_object_foreach (json_object_get(item->value, "counts"), id, slots) {
 		if (strlen(id) < ID_MAX)
-			job_counts_get(&work->counts, id)->slots += json_number_value(slots);
+			job_counts_get(&decision->counts, id)->slots += json_number_value(slots);
 	}
 }
 
 static void on_counts_read(struct core *core, struct call *call, const struct call_answer *answer)
 {
-	struct part_work *work = call->arg;
+	struct part_decision *decision = call->arg;
 	json_t *items;
 
 	store_note_answer(core, answer);
 	if (answer->status != STATUS_OK) {
-		part_work_fail(core, work);
+		part_decision_fail(core, decision);
 		return;
 	}
 	items = wire_parse(answer->body, answer->len);
-	wire_items(items, add_counts_read, work);
+	wire_items(items, sum_counts_value, decision);
 	json_decref(items);
-	decide_switches(core, work);
-	part_work_free(work);
+	decide_switches(core, decision);
+	part_decision_free(decision);
 }
 
 /* --- writing this controller's counts --- */
 
 /* Adds the write of one value to the transaction, and takes ownership of `counts`. */
-static void put_counts(const struct core *core, struct txn *txn, struct part_work *work,
-		       json_t *counts)
+static void add_counts_write(const struct core *core, struct txn *txn,
+			     struct part_decision *decision, json_t *counts)
 {
 	char key[COUNTS_KEY_BYTES];
 
-	if (work->values_written)
+	if (decision->values_written)
 		snprintf(key, sizeof(key), COUNTS_PREFIX "%s/%d", core->conf->name,
-			 work->values_written);
+			 decision->values_written);
 	else
 		snprintf(key, sizeof(key), COUNTS_PREFIX "%s", core->conf->name);
 	txn_put(txn, key,
-		json_pack("{s:I,s:I,s:o}", "token", (json_int_t)work->part->token, "quantum",
-			  (json_int_t)work->own_quantum, "counts", counts),
+		json_pack("{s:I,s:I,s:o}", "token", (json_int_t)decision->part->token, "quantum",
+			  (json_int_t)decision->own_quantum, "counts", counts),
 		0);
-	work->values_written++;
+	decision->values_written++;
 }
 
 /* Adds the write of a value with as many own counts as fit in it, and removes these from the counts
  * that are still to be written. */
-static void add_counts_value(const struct core *core, struct txn *txn, struct part_work *work)
+static void add_counts_value(const struct core *core, struct txn *txn,
+			     struct part_decision *decision)
 {
 	size_t bytes_max = limits_job_record_bytes(core);
-	size_t bytes = COUNTS_FRAME_BYTES;
+	size_t bytes = COUNTS_OVERHEAD_BYTES;
 	json_t *counts = json_object();
 	struct job_count *count, *next;
 
-	HASH_ITER (hh, work->own_counts, count, next) {
-		bytes += strlen(count->id) + COUNT_FRAME_BYTES;
+	HASH_ITER (hh, decision->own_counts, count, next) {
+		bytes += strlen(count->id) + COUNT_OVERHEAD_BYTES;
 		if (bytes > bytes_max)
 			break;
 		json_object_set_new(counts, count->id, json_integer((json_int_t)count->slots));
-		job_counts_remove(&work->own_counts, count);
+		job_counts_remove(&decision->own_counts, count);
 	}
-	put_counts(core, txn, work, counts);
+	add_counts_write(core, txn, decision, counts);
 }
 
-static void write_counts(struct core *core, struct part_work *work);
+static void write_counts(struct core *core, struct part_decision *decision);
 
 static void on_counts_written(struct core *core, struct call *call,
 			      const struct call_answer *answer)
 {
-	struct part_work *work = call->arg;
+	struct part_decision *decision = call->arg;
 	struct call *read;
 
 	store_note_answer(core, answer);
 	if (answer->status != STATUS_OK) {
-		part_work_fail(core, work);
+		part_decision_fail(core, decision);
 		return;
 	}
-	if (work->own_counts) {
-		write_counts(core, work);
+	if (decision->own_counts) {
+		write_counts(core, decision);
 		return;
 	}
-	read = store_range(core, COUNTS_PREFIX, "", on_counts_read, work);
-	read->free_arg = part_work_free;
+	read = store_range(core, COUNTS_PREFIX, "", on_counts_read, decision);
+	read->free_arg = part_decision_free;
 }
 
 /* Writes the own counts that are still to be written, as many as fit in one transaction;
  * on_counts_written continues with the others. */
-static void write_counts(struct core *core, struct part_work *work)
+static void write_counts(struct core *core, struct part_decision *decision)
 {
 	struct txn txn;
 	struct call *commit;
 
 	txn_begin(&txn);
 	do
-		add_counts_value(core, &txn, work);
-	while (work->own_counts && txn.op_count < limits_txn_ops(core));
-	commit = store_commit(core, txn_finish(&txn), on_counts_written, work);
-	commit->free_arg = part_work_free;
+		add_counts_value(core, &txn, decision);
+	while (decision->own_counts && txn.op_count < limits_txn_ops(core));
+	commit = store_commit(core, txn_finish(&txn), on_counts_written, decision);
+	commit->free_arg = part_decision_free;
 }
 
 /* --- receiving a part --- */
@@ -269,22 +270,22 @@
 			    size_t len)
 {
 	Peer__Part *part = peer__part__unpack(NULL, len, message);
-	struct part_work *work;
+	struct part_decision *decision;
 
 	if (!part) {
 		/* "part": the request's body is not a Part message. */
 		core_reply_error(core, connection, STATUS_BAD_REQUEST, 0, "part");
 		return;
 	}
-	work = xcalloc(1, sizeof(*work));
-	work->connection = connection;
-	work->part = part;
+	decision = xcalloc(1, sizeof(*decision));
+	decision->connection = connection;
+	decision->part = part;
 	for (size_t i = 0; i < part->n_open; i++)
-		job_counts_get(&work->counts, part->open[i]->job)->accepts_slots = true;
+		job_counts_get(&decision->counts, part->open[i]->job)->accepts_slots = true;
 	for (size_t i = 0; i < part->n_slots; i++)
-		job_counts_get(&work->own_counts, part->slots[i]->job)->slots++;
-	work->own_quantum = ++core->share_switching.quantum;
-	write_counts(core, work);
+		job_counts_get(&decision->own_counts, part->slots[i]->job)->slots++;
+	decision->own_quantum = ++core->share_switching.quantum;
+	write_counts(core, decision);
 }
 
 void share_switching_request(struct core *core, const struct core_request *request)
--- a/src/core/scheduling/share_switching_leader.c
+++ b/src/core/scheduling/share_switching_leader.c
@@ -18,7 +18,7 @@
 
 /* --- applying switches --- */
 
-static bool binding_holds_slot(const struct binding *binding, const Peer__Slot *slot)
+static bool binding_matches_slot(const struct binding *binding, const Peer__Slot *slot)
 {
 	return binding->task == slot->task && !strcmp(binding->job->spec.id, slot->job);
 }
@@ -41,7 +41,7 @@
 	if (!machine || !target || !job_waiting_count(target))
 		return;
 	DL_FOREACH2 (machine->bindings, binding, machine_next) {
-		if (binding_holds_slot(binding, slot) && !*binding->switched_to)
+		if (binding_matches_slot(binding, slot) && !*binding->switched_to)
 			switch_binding(core, binding, target);
 	}
 }
--- a/src/core/scheduling/waiting_shapes.c
+++ b/src/core/scheduling/waiting_shapes.c
@@ -4,7 +4,7 @@
 
 /* Whether the job's shape alone decides which capacity it can use. It does not if the job has
  * reserved capacity, which other jobs can't use, or bindings, which restrict its zones. */
-static bool shape_decides_room(const struct job *job)
+static bool capacity_depends_on_shape_only(const struct job *job)
 {
 	return !job->scheduling.reserved_until && !job->bindings;
 }
@@ -13,7 +13,8 @@
 {
 	struct shape_without_room *shape;
 
-	if (cycle->shape_without_room_count == CYCLE_NO_ROOM_SHAPES_MAX || !shape_decides_room(job))
+	if (cycle->shape_without_room_count == CYCLE_NO_ROOM_SHAPES_MAX ||
+	    !capacity_depends_on_shape_only(job))
 		return;
 	shape = &cycle->shapes_without_room[cycle->shape_without_room_count++];
 	shape->spec = &job->spec;
@@ -27,12 +28,13 @@
 		const struct shape_without_room *shape = &cycle->shapes_without_room[i];
 
 		if (tasks >= shape->tasks && same_shape(shape->spec, &job->spec))
-			return shape_decides_room(job);
+			return capacity_depends_on_shape_only(job);
 	}
 	return false;
 }
 
-static bool gang_shape_is_noted(const struct scheduling_cycle *cycle, const struct job_spec *spec)
+static bool gang_shape_is_recorded(const struct scheduling_cycle *cycle,
+				   const struct job_spec *spec)
 {
 	for (size_t i = 0; i < cycle->gang_shape_count; i++)
 		if (same_shape(cycle->gang_shapes[i], spec))
@@ -42,7 +44,7 @@
 
 void cycle_record_waiting_gang(struct scheduling_cycle *cycle, const struct job *job)
 {
-	if (gang_shape_is_noted(cycle, &job->spec) ||
+	if (gang_shape_is_recorded(cycle, &job->spec) ||
 	    cycle->gang_shape_count == CYCLE_GANG_SHAPES_MAX)
 		return;
 	for (size_t i = 0; i < cycle->pool_count; i++) {
@@ -57,15 +59,15 @@
 			   const struct job_spec *spec)
 {
 	uint32_t shapes_allowed = cycle->pools[room->pool].gang_shapes;
-	struct free_room rest = room->free;
+	struct free_room free_after = room->free;
 
-	free_room_subtract(&rest, spec, 1);
+	free_room_subtract(&free_after, spec, 1);
 	for (size_t i = 0; i < cycle->gang_shape_count; i++) {
 		const struct job_spec *gang = cycle->gang_shapes[i];
 
 		if (gang->priority >= spec->priority || !(shapes_allowed >> i & 1))
 			continue;
-		if (free_room_slots(&rest, gang) < free_room_slots(&room->free, gang))
+		if (free_room_slots(&free_after, gang) < free_room_slots(&room->free, gang))
 			return true;
 	}
 	return false;
--- a/src/core/scheduling/zones.c
+++ b/src/core/scheduling/zones.c
@@ -20,13 +20,13 @@
 
 uint32_t job_zone_capacity_left(const struct job *job, const char *zone)
 {
-	uint32_t most = (job->spec.task_count + 1) / 2;
-	uint32_t present;
+	uint32_t zone_max = (job->spec.task_count + 1) / 2;
+	uint32_t zone_tasks;
 
 	if (!job->spec.spread)
 		return job->spec.task_count;
-	present = tasks_in_zone(job, zone);
-	return present < most ? most - present : 0;
+	zone_tasks = tasks_in_zone(job, zone);
+	return zone_tasks < zone_max ? zone_max - zone_tasks : 0;
 }
 
 bool job_may_use_zone(const struct job *job, const char *zone)
