--- a/src/core/scheduling/cycle.h
+++ b/src/core/scheduling/cycle.h
@@ -36,11 +36,11 @@
 /* A machine on which tasks of a job may be placed. */
 struct candidate {
 	struct machine_room *room;
-	uint32_t slots; /* tasks of the job that fit, perhaps only after preemption */
+	uint32_t slots; /* tasks of the job that fit; in preemption, once tasks are stopped */
 	double cost;	/* seconds: the placement cost, or the cost of the tasks to be stopped */
 };
 
-/* A shape for which the cycle has found no capacity. */
+/* A shape (see same_shape) for which the cycle has found no capacity. */
 struct shape_without_room {
 	const struct job_spec *spec; /* of a job of this shape */
 	uint32_t tasks;		     /* so many tasks, or more, do not fit */
--- a/src/core/scheduling/free_room.h
+++ b/src/core/scheduling/free_room.h
@@ -33,8 +33,8 @@
 /* Adds the demand of one task, which it frees when it ends. */
 void free_room_add(struct free_room *room, const struct job_spec *spec);
 
-/* Whether the tasks of two jobs have the same demands and the same rules on machines, so that a
- * machine that suits one suits the other too. */
+/* Whether two jobs have the same shape, that is the same demands and rules on machines for each of
+ * their tasks: a machine that suits one suits the other too. */
 bool same_shape(const struct job_spec *a, const struct job_spec *b);
 
 #endif
--- a/src/core/scheduling/reservation.h
+++ b/src/core/scheduling/reservation.h
@@ -3,9 +3,9 @@
  * use only what is not reserved (backfill). This keeps them from using capacity for which
  * preemption stopped tasks, and it keeps smaller gangs from overtaking a large gang for ever.
  *
- * A reservation is made at once where preemption stops tasks, or it grows in each cycle by the
- * capacity that falls free. Few gangs have a growing reservation at a time, because reserved
- * capacity idles.
+ * A reservation is made at once where preemption stops tasks or a replica is to be moved, or it
+ * grows in each cycle by the capacity that falls free. Few gangs have a growing reservation at a
+ * time, because reserved capacity idles.
  */
 #ifndef PLOVERLOFT_RESERVATION_H
 #define PLOVERLOFT_RESERVATION_H
--- a/src/core/scheduling/share_switching.h
+++ b/src/core/scheduling/share_switching.h
@@ -17,6 +17,7 @@
 
 #include "core/core.h"
 
+/* Path of the requests in which the leader sends parts. */
 #define SHARE_SWITCHING_PATH "/pair"
 
 /* The state of share switching in this controller. */
--- a/src/core/scheduling/waiting_shapes.h
+++ b/src/core/scheduling/waiting_shapes.h
@@ -1,6 +1,6 @@
 /*
- * Shapes of jobs that a cycle could not place. No capacity is searched for again for the same shape
- * in the cycle, and the capacity that gangs of such a shape could use is left to them.
+ * Shapes (see same_shape) of jobs that a cycle could not place. In this cycle, no search is made
+ * for the same shape again, and capacity that a gang of such a shape could use is left to it.
  */
 #ifndef PLOVERLOFT_WAITING_SHAPES_H
 #define PLOVERLOFT_WAITING_SHAPES_H
