--- a/src/core/scheduling/array_placement.c
+++ b/src/core/scheduling/array_placement.c
@@ -1,7 +1,7 @@
 /*
- * Placement of job arrays, one task at a time. The steps go from what an array must have to what it
- * may have beyond that; the last one fills the arrays level by level, so that the one with fewest
- * slots is served first.
+ * Places job arrays, one task at a time. The steps go from the slots that an array must have to
+ * those that it may have in addition. The last step shares the other capacity equally: the next
+ * task is always of an array that has the fewest slots (max-min fairness).
  */
 #include "core/scheduling/array_placement.h"
 
@@ -18,7 +18,7 @@
 #include "core/state.h"
 #include "util/xalloc.h"
 
-/* One slot for each array that has none; for it, lower work may be stopped. */
+/* Places one task of each array that has no slot. Preemption is tried only for these tasks. */
 static void place_first_tasks(struct scheduling_cycle *cycle, const struct job_list *arrays)
 {
 	for (size_t i = 0; i < arrays->count; i++) {
@@ -29,11 +29,11 @@
 	}
 }
 
-/* --- deadlines --- */
+/* --- slots that deadlines need --- */
 
-static int compare_needs(const void *a, const void *b)
+static int compare_deadline_demands(const void *a, const void *b)
 {
-	const struct array_need *left = a, *right = b;
+	const struct deadline_demand *left = a, *right = b;
 	int order = compare_numbers(left->deadline_factor, right->deadline_factor);
 
 	if (!order)
@@ -42,29 +42,31 @@
 }
 
 /*
- * When not all can be done by their deadlines, equal shares would make all of them late. The array
- * that needs least is served first, up to what it needs; what is left is shared equally.
+ * Places as many tasks of each array as its deadline needs. If not all arrays can meet their
+ * deadlines, equal shares would make all of them late; so the arrays that can still meet their own
+ * deadline come first, and among them the array that needs the fewest slots. The capacity that is
+ * left is shared equally afterwards.
  */
 static void place_for_deadlines(struct scheduling_cycle *cycle, const struct job_list *arrays)
 {
-	struct array_need *needs = xcalloc(arrays->count, sizeof(*needs));
-	size_t need_count = 0;
+	struct deadline_demand *demands = xcalloc(arrays->count, sizeof(*demands));
+	size_t demand_count = 0;
 
 	for (size_t i = 0; i < arrays->count; i++) {
-		needs[need_count] = array_need(cycle->core, arrays->jobs[i]);
-		need_count += needs[need_count].slots > 0;
+		demands[demand_count] = deadline_demand(cycle->core, arrays->jobs[i]);
+		demand_count += demands[demand_count].slots > 0;
 	}
-	qsort(needs, need_count, sizeof(*needs), compare_needs);
-	for (size_t i = 0; i < need_count; i++) {
-		struct job *job = needs[i].job;
+	qsort(demands, demand_count, sizeof(*demands), compare_deadline_demands);
+	for (size_t i = 0; i < demand_count; i++) {
+		struct job *job = demands[i].job;
 
-		while (job->bound_count < needs[i].slots && place_next_task(cycle, job, ROOM_ANY))
+		while (job->bound_count < demands[i].slots && place_next_task(cycle, job, ROOM_ANY))
 			;
 	}
-	free(needs);
+	free(demands);
 }
 
-/* --- freed slots --- */
+/* --- freed slots that are kept for an array --- */
 
 static bool may_start_now(struct core *core, const struct job *job)
 {
@@ -72,7 +74,8 @@
 	       core->now >= job->scheduling.retry_at && team_quota_allows(core, &job->spec, 1);
 }
 
-/* Whether one more task of the job may take room on the machine, by all rules. */
+/* Whether one more task of the job may be placed on the machine: the job has not failed there, the
+ * machine suits it, and neither reservations, zones nor waiting gangs are against it. */
 static bool may_use_machine(struct scheduling_cycle *cycle, const struct job *job,
 			    const struct machine *machine)
 {
@@ -80,17 +83,18 @@
 
 	if (job_failed_on(job, machine))
 		return false;
-	cycle_mark_allowed(cycle, &job->spec);
+	cycle_evaluate_pools(cycle, &job->spec);
 	return cycle->pools[room->pool].allowed && machine_room_slots(room, job) &&
 	       job_may_use_zone(job, machine->zone) &&
 	       !cycle_gang_needs_room(cycle, room, &job->spec);
 }
 
 /*
- * Takes the note of a freed slot off the machine. Returns the array that the slot is kept for or
- * was switched to; NULL if it can't use it.
+ * Clears the machine's record of a freed slot. Returns the array for which the slot is kept: the
+ * one whose task ended there, or the one that the slot was switched to. NULL: it can't use the slot
+ * now.
  */
-static struct job *take_freed_slot(struct scheduling_cycle *cycle, struct machine *machine)
+static struct job *claim_freed_slot(struct scheduling_cycle *cycle, struct machine *machine)
 {
 	struct core *core = cycle->core;
 	struct job *job = job_find(core, machine->scheduling.freed_slot_job);
@@ -110,7 +114,7 @@
 
 		if (!*machine->scheduling.freed_slot_job)
 			continue;
-		job = take_freed_slot(cycle, machine);
+		job = claim_freed_slot(cycle, machine);
 		if (!job)
 			continue;
 		task = next_placeable_task(cycle->core, job);
@@ -119,24 +123,25 @@
 	}
 }
 
-/* --- equal shares --- */
+/* --- equal shares of the other capacity --- */
 
 /*
- * Gives one task more to each array that has no more than `level` slots. Returns the number of
- * arrays that may still get some; those that find no room are taken off the list.
+ * Places one more task of each array that has at most `level` slots. Arrays for which none can be
+ * placed are removed from the list. Returns the number of arrays that remain.
  */
-static size_t fill_level(struct scheduling_cycle *cycle, struct job_list *arrays, uint32_t level)
+static size_t place_fair_share_round(struct scheduling_cycle *cycle, struct job_list *arrays,
+				     uint32_t level)
 {
-	size_t left = 0;
+	size_t remaining = 0;
 
 	for (size_t i = 0; i < arrays->count; i++) {
 		struct job *job = arrays->jobs[i];
 
 		if (job->bound_count > level || place_next_task(cycle, job, ROOM_SPARE))
-			arrays->jobs[left++] = job;
+			arrays->jobs[remaining++] = job;
 	}
-	arrays->count = left;
-	return left;
+	arrays->count = remaining;
+	return remaining;
 }
 
 void place_arrays(struct scheduling_cycle *cycle, struct job_list *arrays)
@@ -148,6 +153,6 @@
 	place_first_tasks(cycle, arrays);
 	place_for_deadlines(cycle, arrays);
 	place_in_freed_slots(cycle);
-	while (fill_level(cycle, arrays, level))
+	while (place_fair_share_round(cycle, arrays, level))
 		level++;
 }
--- a/src/core/scheduling/candidates.c
+++ b/src/core/scheduling/candidates.c
@@ -1,4 +1,4 @@
-/* Sorts, sums and the choice of a zone over the candidates of a cycle. */
+/* Sorts the candidates of a cycle, counts their slots, and chooses a zone among them. */
 #include "core/scheduling/candidates.h"
 
 #include <math.h>
@@ -32,17 +32,19 @@
 	      compare_cost_per_slot);
 }
 
-uint32_t candidates_slots(const struct scheduling_cycle *cycle, const char *zone, uint32_t enough)
+uint32_t candidates_count_slots(const struct scheduling_cycle *cycle, const char *zone,
+				uint32_t needed)
 {
 	uint32_t slots = 0;
 
-	for (size_t i = 0; i < cycle->candidate_count && slots < enough; i++)
+	for (size_t i = 0; i < cycle->candidate_count && slots < needed; i++)
 		if (zone_matches(zone, cycle->candidates[i].room->machine->zone))
 			slots += cycle->candidates[i].slots;
 	return slots;
 }
 
-/* What room for so many tasks costs in the zone, or anywhere; INFINITY if there is not enough. */
+/* Returns the cost of placing so many tasks on the first candidates of the zone (NULL: of all
+ * zones); INFINITY if they do not fit. */
 static double zone_cost(const struct scheduling_cycle *cycle, const char *zone, uint32_t tasks,
 			enum cost_rule rule)
 {
@@ -55,7 +57,7 @@
 		if (!zone_matches(zone, candidate->room->machine->zone))
 			continue;
 		slots += candidate->slots;
-		cost = rule == COST_OF_ALL ? cost + candidate->cost : fmax(cost, candidate->cost);
+		cost = rule == COST_RULE_SUM ? cost + candidate->cost : fmax(cost, candidate->cost);
 	}
 	return slots >= tasks ? cost : INFINITY;
 }
--- a/src/core/scheduling/gang_placement.c
+++ b/src/core/scheduling/gang_placement.c
@@ -1,6 +1,6 @@
 /*
- * Placement of gangs: first fit in the order of the jobs, all tasks or none, on the machines where
- * they begin soonest.
+ * Places gangs. In the order of the jobs, each gang that fits is placed at once, with all its
+ * tasks, on the machines where they start soonest.
  */
 #include "core/scheduling/gang_placement.h"
 
@@ -14,10 +14,10 @@
 #include "core/scheduling/zones.h"
 #include "core/state.h"
 
-/* Lists the machines with room for a task of the job; their costs are not set yet. */
+/* Sets the candidates to the machines on which a task of the job fits, without their costs. */
 static void find_candidates(struct scheduling_cycle *cycle, const struct job *job)
 {
-	cycle_mark_allowed(cycle, &job->spec);
+	cycle_evaluate_pools(cycle, &job->spec);
 	cycle->candidate_count = 0;
 	for (size_t i = 0; i < cycle->open_count; i++) {
 		struct machine_room *room = &cycle->rooms[cycle->open_rooms[i]];
@@ -31,7 +31,8 @@
 	}
 }
 
-static void cost_candidates(struct scheduling_cycle *cycle, const struct job *job)
+/* Sets the costs of the candidates and sorts them, the cheapest first. */
+static void sort_candidates_by_placement_cost(struct scheduling_cycle *cycle, const struct job *job)
 {
 	for (size_t i = 0; i < cycle->candidate_count; i++) {
 		struct candidate *candidate = &cycle->candidates[i];
@@ -43,8 +44,8 @@
 	candidates_sort_by_cost(cycle);
 }
 
-/* Whether a pool before this one is of the same zone. */
-static bool zone_came_before(const struct scheduling_cycle *cycle, size_t pool)
+/* Whether a pool with a lower index is in the same zone. */
+static bool zone_is_in_earlier_pool(const struct scheduling_cycle *cycle, size_t pool)
 {
 	for (size_t i = 0; i < pool; i++)
 		if (!strcmp(cycle->pools[i].zone, cycle->pools[pool].zone))
@@ -52,7 +53,8 @@
 	return false;
 }
 
-/* Whether a spread gang finds room at all: half of it in any one zone at most. */
+/* Whether all tasks of the gang fit if each zone gets no more of them than the gang's rules allow:
+ * for a spread gang, half of them. */
 static bool spread_fits(const struct scheduling_cycle *cycle, const struct job *job)
 {
 	uint32_t task_count = job->spec.task_count;
@@ -60,18 +62,19 @@
 
 	for (size_t i = 0; i < cycle->pool_count; i++) {
 		const char *zone = cycle->pools[i].zone;
-		uint32_t zone_slots, zone_most;
+		uint32_t zone_slots, zone_max;
 
-		if (zone_came_before(cycle, i))
+		if (zone_is_in_earlier_pool(cycle, i))
 			continue;
-		zone_slots = candidates_slots(cycle, zone, task_count);
-		zone_most = job_zone_capacity_left(job, zone);
-		slots += zone_slots < zone_most ? zone_slots : zone_most;
+		zone_slots = candidates_count_slots(cycle, zone, task_count);
+		zone_max = job_zone_capacity_left(job, zone);
+		slots += zone_slots < zone_max ? zone_slots : zone_max;
 	}
 	return slots >= task_count;
 }
 
-/* Binds as many tasks as the candidate takes, from `task` on; returns the first one left. */
+/* Binds tasks from `task` on to the candidate's machine, as many as its slots and the rules on
+ * zones allow. Returns the first task that is not bound yet. */
 static uint32_t bind_to_candidate(struct scheduling_cycle *cycle, struct job *job,
 				  const struct candidate *candidate, uint32_t task,
 				  uint64_t attempt)
@@ -84,7 +87,7 @@
 	return task;
 }
 
-/* Binds all tasks, to the cheapest machines first; `zone` NULL: anywhere. */
+/* Binds all tasks to the cheapest machines of the zone; NULL: of any zone. */
 static void bind_gang(struct scheduling_cycle *cycle, struct job *job, const char *zone)
 {
 	uint64_t attempt = new_attempt(cycle->core);
@@ -99,16 +102,17 @@
 	job->gang_attempt = attempt;
 }
 
-/* Binds the gang where its tasks would begin soonest; false if there is no room. */
+/* Binds the gang to the machines where its tasks start soonest; false if they do not all fit. */
 static bool bind_where_cheapest(struct scheduling_cycle *cycle, struct job *job)
 {
 	uint32_t task_count = job->spec.task_count;
 	struct zone_choice choice;
 
-	if (candidates_slots(cycle, NULL, task_count) < task_count || !spread_fits(cycle, job))
+	if (candidates_count_slots(cycle, NULL, task_count) < task_count ||
+	    !spread_fits(cycle, job))
 		return false;
-	cost_candidates(cycle, job);
-	choice = candidates_choose_zone(cycle, &job->spec, task_count, COST_OF_DEAREST);
+	sort_candidates_by_placement_cost(cycle, job);
+	choice = candidates_choose_zone(cycle, &job->spec, task_count, COST_RULE_MAX);
 	if (!isfinite(choice.cost))
 		return false;
 	bind_gang(cycle, job, choice.zone);
@@ -119,7 +123,7 @@
 {
 	uint32_t task_count = job->spec.task_count;
 
-	/* Tasks of an old attempt keep their places and zones until they exit. */
+	/* Tasks of an earlier attempt use capacity and restrict the zones until they have ended. */
 	if (job->bindings || !team_quota_allows(cycle->core, &job->spec, task_count))
 		return false;
 	if (cycle_found_no_room(cycle, job, task_count))
@@ -127,7 +131,7 @@
 	find_candidates(cycle, job);
 	if (bind_where_cheapest(cycle, job))
 		return true;
-	cycle_note_no_room(cycle, job, task_count);
-	cycle_note_waiting_gang(cycle, job);
+	cycle_record_no_room(cycle, job, task_count);
+	cycle_record_waiting_gang(cycle, job);
 	return false;
 }
--- a/src/core/scheduling/placement.c
+++ b/src/core/scheduling/placement.c
@@ -1,4 +1,4 @@
-/* The search for the cheapest machine for one task, and the binding to it. */
+/* Searches for the cheapest machine for one task and binds the task to it. */
 #include "core/scheduling/placement.h"
 
 #include <math.h>
@@ -10,7 +10,7 @@
 #include "core/state.h"
 #include "util/log.h"
 
-/* --- the search for a machine --- */
+/* --- searching for a machine --- */
 
 uint32_t machine_room_slots(const struct machine_room *room, const struct job *job)
 {
@@ -20,8 +20,8 @@
 	if (!free_room_fits(&room->free, &job->spec))
 		return 0;
 	if (machine_is_reserved_for_other(machine, job))
-		free_room_take(&unreserved, &machine->scheduling.reserved_for->spec,
-			       machine->scheduling.reserved_tasks);
+		free_room_subtract(&unreserved, &machine->scheduling.reserved_for->spec,
+				   machine->scheduling.reserved_tasks);
 	return free_room_slots(&unreserved, &job->spec);
 }
 
@@ -32,7 +32,7 @@
 	struct machine *best = NULL;
 	double best_cost = INFINITY;
 
-	cycle_mark_allowed(cycle, &job->spec);
+	cycle_evaluate_pools(cycle, &job->spec);
 	cycle->visit_budget -= (double)cycle->open_count;
 	for (size_t i = 0; i < cycle->open_count; i++) {
 		const struct machine_room *room = &cycle->rooms[cycle->open_rooms[i]];
@@ -54,7 +54,7 @@
 	return best;
 }
 
-/* --- the binding --- */
+/* --- binding a task --- */
 
 uint64_t new_attempt(struct core *core)
 {
@@ -68,11 +68,12 @@
 	return cycle->attempt;
 }
 
-/* The job has what the room was reserved for: of a service, one replica more. */
-static void use_reservation(struct core *core, struct job *job, struct machine *machine)
+/* Updates the job's reservation when a task is bound. A bound replica reduces the reservation on
+ * its machine by one; for a gang or an array the whole reservation ends. */
+static void update_reservation(struct core *core, struct job *job, struct machine *machine)
 {
 	if (job->spec.kind == JOB_SERVICE)
-		reservation_use_task(machine, job);
+		reservation_remove_task(machine, job);
 	else
 		reservation_release(core, job);
 }
@@ -82,16 +83,16 @@
 {
 	struct core *core = cycle->core;
 
-	use_reservation(core, job, machine);
+	update_reservation(core, job, machine);
 	binding_add(core, machine, job, task, attempt);
-	cycle_take_room(cycle, machine, &job->spec);
+	cycle_subtract_demand(cycle, machine, &job->spec);
 	log_info("binding_created", "job=%s task=%u attempt=%llu machine=%s waited=%.2f",
 		 job->spec.id, task, (unsigned long long)attempt, machine->id,
 		 core->wall - job->submitted_at);
 	write_queue_add_chunk(core, job, task, 0);
 }
 
-/* --- task by task --- */
+/* --- placing one task --- */
 
 uint32_t next_placeable_task(const struct core *core, struct job *job)
 {
@@ -120,14 +121,14 @@
 	task = next_placeable_task(cycle->core, job);
 	if (task >= job->spec.task_count)
 		return false;
-	/* A cycle must not last so long that renewals are late. */
+	/* A longer cycle would delay renewals of the leader's lease. */
 	cycle->budget_exhausted |= cycle->visit_budget <= 0;
 	if (cycle->budget_exhausted)
 		return false;
 	machine = find_machine(cycle, job, scope);
 	if (!machine) {
 		if (scope == ROOM_ANY)
-			cycle_note_no_room(cycle, job, 1);
+			cycle_record_no_room(cycle, job, 1);
 		return false;
 	}
 	bind_task(cycle, job, machine, task, cycle_attempt(cycle));
--- a/src/core/scheduling/reservation.c
+++ b/src/core/scheduling/reservation.c
@@ -1,6 +1,6 @@
 /*
- * Reservations on single machines, and those of gangs that grow cycle by cycle with the room that
- * falls free.
+ * Sets and removes reservations on machines, and decides when a gang's growing reservation begins,
+ * in which zone, and which free capacity it takes in each cycle.
  */
 #include "core/scheduling/reservation.h"
 
@@ -12,7 +12,7 @@
 #include "core/state.h"
 #include "util/log.h"
 
-/* --- on one machine --- */
+/* --- the reservation on one machine --- */
 
 bool machine_is_reserved_for_other(const struct machine *machine, const struct job *job)
 {
@@ -34,7 +34,7 @@
 	reservation_set(machine, job, present ? machine->scheduling.reserved_tasks + 1 : 1);
 }
 
-void reservation_use_task(struct machine *machine, const struct job *job)
+void reservation_remove_task(struct machine *machine, const struct job *job)
 {
 	struct machine_scheduling *scheduling = &machine->scheduling;
 
@@ -59,7 +59,7 @@
 			reservation_set(machine, NULL, 0);
 }
 
-/* --- when a reservation may begin to grow --- */
+/* --- deciding when a growing reservation begins --- */
 
 static double total_cpus(const struct job *job)
 {
@@ -78,14 +78,15 @@
 }
 
 /*
- * Reserved room is idle room: a share of the fleet may be reserved so, at least that of a few
- * gangs, of more when some have waited long.
+ * Limits growing reservations, since reserved capacity idles. The candidate gets one if few gangs
+ * have one, or if its CPUs and theirs are a small share of the fleet. The limits are wider for a
+ * candidate that has waited long.
  */
 static bool is_within_limits(struct core *core, const struct job *candidate, double waited_s)
 {
-	bool late = waited_s >= RESERVE_LONG_WAIT_S;
-	uint32_t gangs_max = late ? RESERVE_MAX_GANGS_LONG_WAIT : RESERVE_MAX_GANGS;
-	double share_max = late ? RESERVE_CPU_SHARE_LONG_WAIT : RESERVE_CPU_SHARE;
+	bool waited_long = waited_s >= RESERVE_LONG_WAIT_S;
+	uint32_t gangs_max = waited_long ? RESERVE_MAX_GANGS_LONG_WAIT : RESERVE_MAX_GANGS;
+	double share_max = waited_long ? RESERVE_CPU_SHARE_LONG_WAIT : RESERVE_CPU_SHARE;
 	uint32_t gangs = 0;
 	double cpus = total_cpus(candidate);
 	struct job *job, *next;
@@ -100,14 +101,15 @@
 }
 
 /*
- * Seconds of waiting before room is reserved as it falls free. Reserved room idles, and a large
- * gang's would serve several small ones: one whose next objective is far can wait for it.
+ * Returns the seconds that a gang has to wait before it gets a growing reservation. Reserved
+ * capacity idles, and the capacity of a large gang is enough for several small ones, so a gang
+ * whose next wait objective is far away waits longer.
  */
 static double reserve_after_s(const struct core *core, const struct job *job)
 {
-	double lead_begins = wait_objective_s(core, job) - RESERVE_LEAD_S;
+	double lead_begins_s = wait_objective_s(core, job) - RESERVE_LEAD_S;
 
-	return fmin(ORDER_FIRST_AFTER_S, fmax(RESERVE_AFTER_S, lead_begins));
+	return fmin(ORDER_FIRST_AFTER_S, fmax(RESERVE_AFTER_S, lead_begins_s));
 }
 
 bool reservation_may_begin(struct core *core, const struct job *job)
@@ -117,9 +119,10 @@
 	return waited_s >= reserve_after_s(core, job) && is_within_limits(core, job, waited_s);
 }
 
-/* --- room that falls free --- */
+/* --- reserving capacity that falls free --- */
 
-/* Whether the job, which the pools are marked for, may reserve the room; an empty zone: any. */
+/* Whether the job may reserve capacity in the room. An empty zone allows all. The pools must be
+ * evaluated for the job with cycle_evaluate_pools. */
 static bool may_reserve_room(const struct scheduling_cycle *cycle, const struct machine_room *room,
 			     const struct job *job, const char *zone)
 {
@@ -129,7 +132,8 @@
 	       !machine_is_reserved_for_other(room->machine, job);
 }
 
-/* Slots of the zone that are free, and some of those in use: they fall free in time. */
+/* Returns the number of slots for the job in the zone that are free, plus a share of all its slots,
+ * since some of those in use are expected to fall free soon enough. */
 static double expected_slots(const struct scheduling_cycle *cycle, const struct job *job,
 			     const char *zone)
 {
@@ -148,17 +152,18 @@
 	return slots;
 }
 
-/* The zone with most room for the job, free or in use: there it falls free soonest. */
-static const char *roomiest_zone(const struct scheduling_cycle *cycle, const struct job *job)
+/* Returns the zone with the most expected slots for the job, which probably are free soonest; NULL:
+ * there is none. */
+static const char *zone_with_most_slots(const struct scheduling_cycle *cycle, const struct job *job)
 {
 	const char *best = NULL;
-	double most = 0;
+	double best_slots = 0;
 
 	for (size_t i = 0; i < cycle->pool_count; i++) {
 		double slots = expected_slots(cycle, job, cycle->pools[i].zone);
 
-		if (slots > most) {
-			most = slots;
+		if (slots > best_slots) {
+			best_slots = slots;
 			best = cycle->pools[i].zone;
 		}
 	}
@@ -169,7 +174,7 @@
 {
 	uint32_t tasks_left = job->spec.task_count;
 
-	cycle_mark_allowed(cycle, &job->spec);
+	cycle_evaluate_pools(cycle, &job->spec);
 	for (size_t i = 0; i < cycle->room_count; i++) {
 		const struct machine_room *room = &cycle->rooms[i];
 		uint32_t tasks;
@@ -190,8 +195,8 @@
 	struct job_scheduling *scheduling = &job->scheduling;
 	const char *zone;
 
-	cycle_mark_allowed(cycle, &job->spec);
-	zone = roomiest_zone(cycle, job);
+	cycle_evaluate_pools(cycle, &job->spec);
+	zone = zone_with_most_slots(cycle, job);
 	if (!zone)
 		return;
 	if (job->spec.one_zone)
