--- a/src/core/autoscale/autoscale.c
+++ b/src/core/autoscale/autoscale.c
@@ -1,4 +1,4 @@
-/* The scan that scales the fleet, and its end with leadership. */
+/* The periodic scan, which calls scale-in and scale-out, and the end of autoscaling with a term. */
 #include "core/autoscale/autoscale.h"
 
 #include "core/autoscale/scale_in.h"
@@ -10,7 +10,10 @@
 	core->autoscale.next_scan_at = core->now;
 }
 
-/* The order is that in which the parts are served from the cloud's rate. */
+/*
+ * The order of the steps is their priority when the rate limit does not allow all requests: the
+ * inventory first, then deletes, repeated rental requests and new rental requests.
+ */
 void autoscale_tick(struct core *core)
 {
 	if (core->now < core->autoscale.next_scan_at)
@@ -22,7 +25,8 @@
 	inventory_tick(core);
 	scale_in_send_deletes(core);
 	rental_requests_retry(core);
-	/* Before all agents have reported, room that is there would be missing in a plan. */
+	/* Agents report to a new leader only after a while. Before that, the plan would lack the
+	 * free capacity of their machines, and too many machines would be rented. */
 	if (core->now - core->leading_since > AUTOSCALE_SETTLE_S)
 		scale_out_scan(core);
 }
--- a/src/core/autoscale/autoscale.h
+++ b/src/core/autoscale/autoscale.h
@@ -1,6 +1,7 @@
 /*
- * Autoscaling: machines are requested from the cloud for what waits (scale out), and deleted when
- * they are of no use (scale in). Leader only, the catalog of machine types aside.
+ * Autoscaling: rents machines from the cloud for waiting tasks and headroom (scale-out), and
+ * deletes machines that are not needed or not usable (scale-in). Only the leader does this. The
+ * catalog of machine types is read by followers too.
  */
 #ifndef PLOVERLOFT_AUTOSCALE_H
 #define PLOVERLOFT_AUTOSCALE_H
@@ -18,23 +19,30 @@
 
 struct core;
 
-/* Times are steady seconds. */
+/* The state of autoscaling. Times are seconds on the steady clock, as core->now. */
 struct autoscale {
 	struct catalog_reader catalog_reader;
 	struct inventory_reader inventory;
-	struct rental_request *rental_requests; /* owned */
-	uint32_t request_counter;		/* of the rental requests sent */
-	struct capacity_refusal *refusals;	/* owned; by pool */
-	struct rate_limiter request_limiter;	/* of all requests to the cloud but the catalog's */
-	double next_scan_at;
-	double retry_at; /* no request before: the last one failed */
+	struct rental_request *rental_requests; /* owned list of those without a final answer */
+	/* Rental requests made since this process started. It is part of their names. */
+	uint32_t request_counter;
+	struct capacity_refusal *refusals; /* owned hash table, by pool */
+	/* Limits the rate of all requests to the cloud, except reads of the catalog. */
+	struct rate_limiter request_limiter;
+	double next_scan_at; /* when autoscale_tick does its work next */
+	/* End of the backoff after an error of the cloud: no request but reads of the catalog
+	 * before. */
+	double retry_at;
 };
 
-/* Scans for idle and missing machines when it is due. Only the leader calls it. */
+/*
+ * Once in AUTOSCALE_INTERVAL_S, decides which machines to delete and which to rent, and sends
+ * these requests to the cloud. Only the leader calls it.
+ */
 void autoscale_tick(struct core *core);
-/* The next tick scans at once: machines are to be deleted. */
+/* Makes the next tick scan at once, because machines are to be deleted. */
 void autoscale_request_scan(struct core *core);
-/* Leadership ended: all but the catalog reader's state is dropped. */
+/* Drops the state of autoscaling, except the catalog reader's. Called when leadership has ended. */
 void autoscale_clear(struct core *core);
 
 #endif
--- a/src/core/autoscale/capacity_refusals.c
+++ b/src/core/autoscale/capacity_refusals.c
@@ -7,12 +7,13 @@
 #include "core/state.h"
 #include "util/xalloc.h"
 
+/* Formats the key of the pool's entry in the hash table. */
 static void format_key(char *key, size_t size, struct capacity_pool pool)
 {
 	snprintf(key, size, "%s %s %d", pool.type_name, pool.zone, pool.kind);
 }
 
-/* NULL if the cloud never refused machines of the pool in this term. */
+/* Returns the pool's entry; NULL if the cloud has refused no machines of it in this term. */
 static struct capacity_refusal *refusal_find(const struct core *core, struct capacity_pool pool)
 {
 	struct capacity_refusal *refusal;
@@ -23,6 +24,7 @@
 	return refusal;
 }
 
+/* Adds an entry without a backoff for the pool, which must not have one yet. */
 static struct capacity_refusal *refusal_add(struct core *core, struct capacity_pool pool)
 {
 	struct capacity_refusal *refusal = xcalloc(1, sizeof(*refusal));
--- a/src/core/autoscale/capacity_refusals.h
+++ b/src/core/autoscale/capacity_refusals.h
@@ -1,6 +1,6 @@
 /*
- * Capacity refusals: the capacity pools in which the cloud had too few machines of late. Nothing is
- * requested of such a pool until its backoff is over.
+ * Capacity refusals: the capacity pools in which the cloud recently had fewer machines than were
+ * requested. No more machines of such a pool are requested until its backoff has ended.
  */
 #ifndef PLOVERLOFT_CAPACITY_REFUSALS_H
 #define PLOVERLOFT_CAPACITY_REFUSALS_H
@@ -14,36 +14,43 @@
 
 struct core;
 
-/* How a machine is paid for; a spot machine is cheaper, and may be taken back after a notice. */
+/* How a machine is rented. A spot machine is cheaper, but the cloud may take it back, after a
+ * preemption notice. */
 enum purchase_kind { ON_DEMAND, SPOT };
 
+/* Returns how the machine was rented. */
 static inline enum purchase_kind purchase_kind_of(const struct machine *machine)
 {
 	return machine->spot ? SPOT : ON_DEMAND;
 }
 
-/* The machines that the cloud treats as one supply. The names are owned by others. */
+/* A capacity pool: the machines of one type, zone and purchase kind. The cloud may run out of each
+ * pool separately. The struct does not own its strings. */
 struct capacity_pool {
 	const char *type_name;
 	const char *zone;
 	enum purchase_kind kind;
 };
 
-/* The refusals of one pool. */
+/* The backoff of one pool after refusals. */
 struct capacity_refusal {
-	char key[3 * NAME_MAX_LEN]; /* the pool as text */
-	double retry_at;	    /* steady */
-	double backoff_s;	    /* the latest; 0: the next refusal counts as the first */
-	UT_hash_handle hh;
+	char key[3 * NAME_MAX_LEN]; /* the pool's type, zone and kind as one string */
+	double retry_at;	    /* steady seconds; when the backoff ends */
+	double backoff_s;	    /* length of the latest backoff; 0: none since the last reset */
+	UT_hash_handle hh;	    /* in autoscale.refusals, by key */
 };
 
-/* Whether the pool's backoff is still under way. */
+/* Returns true if the pool's backoff has not ended yet. */
 bool capacity_is_refused(const struct core *core, struct capacity_pool pool);
-/* The cloud granted fewer machines of the pool than were requested: its backoff doubles. */
+/*
+ * Records that the cloud granted fewer machines of the pool than were requested. The pool's backoff
+ * starts again from now: with SCALE_OUT_REFUSED_BACKOFF_S first, then twice the last one, up to
+ * SCALE_OUT_REFUSED_BACKOFF_MAX_S.
+ */
 void capacity_refusal_note(struct core *core, struct capacity_pool pool);
-/* The pool has machines again: they may be requested at once. */
+/* Records that the pool has machines again: ends its backoff, and resets the length of the next. */
 void capacity_refusal_lift(struct core *core, struct capacity_pool pool);
-/* Forgets all refusals. */
+/* Removes the refusals of all pools. Called when leadership has ended. */
 void capacity_refusals_clear(struct core *core);
 
 #endif
--- a/src/core/autoscale/catalog_reader.c
+++ b/src/core/autoscale/catalog_reader.c
@@ -7,9 +7,11 @@
 #include "util/log.h"
 #include "wire/names.h"
 
+/* Key of the copy in the state service. If the copy is too large for one value, it is instead the
+ * prefix of one key for each type. */
 #define CATALOG_KEY "k/catalog"
 
-/* Takes the types of a message as the catalog; false if it is malformed. */
+/* Makes the types of a message the catalog. Returns false if the message is malformed. */
 static bool take_catalog(struct core *core, json_t *message)
 {
 	struct machine_type *types;
@@ -22,12 +24,14 @@
 	return true;
 }
 
+/* Handles the end of a write of the copy. A write that failed is not repeated. */
 static void on_stored(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	(void)call;
 	store_update_availability(core, answer);
 }
 
+/* Writes a value unless the key exists: an earlier copy, of another controller, is kept. */
 static void store_catalog_value(struct core *core, const char *key, json_t *value)
 {
 	struct txn txn;
@@ -38,7 +42,10 @@
 	store_commit(core, txn_finish(&txn), on_stored, NULL);
 }
 
-/* One value, or where that would be too large one for each type of machine. */
+/*
+ * Writes the catalog to the state service: as one value, or as one value for each type if a single
+ * value would be too large.
+ */
 static void store_catalog(struct core *core)
 {
 	json_t *all = wire_types_encode(catalog_type(core, 0), catalog_type_count(core));
@@ -58,14 +65,14 @@
 	}
 }
 
-/* Adds the types of a stored value to the array `all_types`. */
+/* Adds the types of a stored value to the JSON array `all_types`. */
 static void add_stored_types(void *all_types, const struct kv_item *item)
 {
 	if (item->value)
 		json_array_extend(all_types, json_object_get(item->value, W_TYPES));
 }
 
-/* The types of all stored values, in the form of the cloud's answer; the caller owns it. */
+/* Returns the types of all stored values, in the form of the cloud's answer. The caller owns it. */
 static json_t *merge_stored_types(const struct call_answer *answer)
 {
 	json_t *range = wire_parse(answer->body, answer->len);
@@ -76,6 +83,7 @@
 	return json_pack("{s:o}", W_TYPES, types);
 }
 
+/* Handles the copy read from the state service, unless a catalog is known meanwhile. */
 static void on_stored_catalog(struct core *core, struct call *call,
 			      const struct call_answer *answer)
 {
@@ -92,6 +100,7 @@
 	json_decref(message);
 }
 
+/* Applies the catalog of the cloud's answer, and writes a copy if this has not been done yet. */
 static void take_cloud_catalog(struct core *core, const struct call_answer *answer)
 {
 	struct catalog_reader *reader = &core->autoscale.catalog_reader;
@@ -108,6 +117,8 @@
 	json_decref(message);
 }
 
+/* Handles the end of a read from the cloud. While no catalog is known, a failed read is followed by
+ * a read of the copy in the state service. */
 static void on_cloud_catalog(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	struct catalog_reader *reader = &core->autoscale.catalog_reader;
--- a/src/core/autoscale/catalog_reader.h
+++ b/src/core/autoscale/catalog_reader.h
@@ -1,6 +1,6 @@
 /*
- * Reads of the catalog of machine types, from the cloud. While the cloud has not answered once, the
- * copy that a controller left in the state service serves.
+ * Reads the catalog of machine types from the cloud. Until the cloud has answered once, the copy
+ * that a controller has written to the state service is used instead.
  */
 #ifndef PLOVERLOFT_CATALOG_READER_H
 #define PLOVERLOFT_CATALOG_READER_H
@@ -9,13 +9,19 @@
 
 struct core;
 
+/* The state of the reads of the catalog in this controller. */
 struct catalog_reader {
-	bool in_flight;
-	bool stored;	     /* a copy is on record */
-	double next_read_at; /* steady */
+	bool in_flight; /* a read from the cloud is not answered yet */
+	/* This controller has read a copy from the state service or has sent one to it, and does
+	 * not write it again. */
+	bool stored;
+	double next_read_at; /* steady seconds; no read from the cloud before */
 };
 
-/* Reads the catalog when it is due: a leader at intervals, a follower until it has one. */
+/*
+ * Reads the catalog if a read is due. The leader reads it once in CATALOG_INTERVAL_S, a follower
+ * only until it has a catalog.
+ */
 void catalog_tick(struct core *core);
 
 #endif
--- a/src/core/autoscale/cloud_link.h
+++ b/src/core/autoscale/cloud_link.h
@@ -1,4 +1,4 @@
-/* What all requests to the cloud share: its rate, and a pause after an error. */
+/* The rate limit of requests to the cloud, and the backoff after an error of the cloud. */
 #ifndef PLOVERLOFT_CLOUD_LINK_H
 #define PLOVERLOFT_CLOUD_LINK_H
 
@@ -7,9 +7,15 @@
 struct call_answer;
 struct core;
 
-/* Takes one request of the cloud's rate, which all requests share; false if none is left. */
+/*
+ * Returns true if the rate limit allows a request to the cloud now, and subtracts it: the caller
+ * must send one. All requests to the cloud share this limit, except reads of the catalog.
+ */
 bool cloud_request_allowed(struct core *core);
-/* An answer came: all requests wait for a while after an error. */
+/*
+ * Starts a backoff of CLOUD_BACKOFF_S for all of these requests if the answer is not a success or
+ * did not come at all. Has no effect after a success.
+ */
 void cloud_note_answer(struct core *core, const struct call_answer *answer);
 
 #endif
--- a/src/core/autoscale/cost_policy.c
+++ b/src/core/autoscale/cost_policy.c
@@ -3,8 +3,9 @@
 #include "core/state.h"
 
 /*
- * A guarantee is a standing promise of room, so room is kept standing for it. Without one, or
- * with an objective in money, machines are had for work and deleted after it.
+ * A guarantee promises capacity at any time, so capacity is kept ready for it. If there is no such
+ * objective, or if there also is one about money (price, useful), machines are rented only for
+ * work and deleted after it.
  */
 bool autoscale_minimises_cost(const struct core *core)
 {
--- a/src/core/autoscale/inventory.c
+++ b/src/core/autoscale/inventory.c
@@ -7,14 +7,15 @@
 #include "util/log.h"
 #include "wire/names.h"
 
-/* The machine of an entry, added if it is new; NULL if the entry is to be ignored. */
+/* Returns the machine that an entry names, and adds it if it is new; NULL: ignore the entry. */
 static struct machine *machine_of_entry(struct core *core, const struct listed_machine *entry)
 {
 	struct machine *machine = machine_find(core, entry->id);
 
 	if (machine)
 		return machine;
-	/* A lagging inventory still names what was deleted: it must not come back to life. */
+	/* The inventory lags behind and may still list a machine that was deleted, which must not
+	 * be added again. A machine that has failed is of no use. */
 	if (machine_has_tombstone(core, entry->id) || entry->state == CLOUD_FAILED)
 		return NULL;
 	machine = machine_find_or_add(core, entry->id);
@@ -24,6 +25,7 @@
 	return machine;
 }
 
+/* Applies what an entry says to its machine. */
 static void take_entry(struct core *core, const struct listed_machine *entry)
 {
 	struct machine *machine = machine_of_entry(core, entry);
@@ -41,7 +43,10 @@
 		probe_unseen_machine(core, machine);
 }
 
-/* All pages are read: counts the machines that were listed before and are not any more. */
+/*
+ * Ends an inventory whose pages have all been read: each machine that an earlier inventory listed
+ * and this one lacks has one more missed inventory.
+ */
 static void finish_inventory(struct core *core)
 {
 	struct inventory_reader *inventory = &core->autoscale.inventory;
@@ -74,7 +79,8 @@
 		take_entry(core, &entries[i]);
 	if (more && count) {
 		snprintf(inventory->cursor, sizeof(inventory->cursor), "%s", entries[count - 1].id);
-		/* A fleet's list has several pages: they are one list only if read together. */
+		/* A large fleet's list has several pages. They are read one right after another,
+		 * since pages of different times do not make up one consistent list. */
 		if (cloud_request_allowed(core))
 			read_page(core);
 	} else {
@@ -111,7 +117,7 @@
 		read_page(core);
 }
 
-/* The number is kept: it only rises. */
+/* The number is kept, so that no two inventories have the same one. */
 void inventory_clear(struct core *core)
 {
 	struct inventory_reader *inventory = &core->autoscale.inventory;
--- a/src/core/autoscale/inventory.h
+++ b/src/core/autoscale/inventory.h
@@ -1,4 +1,7 @@
-/* The inventory: the cloud's list of our machines, read page by page. It lags behind the cloud. */
+/*
+ * The inventory: the cloud's list of the machines that we rent, read page by page. It lags behind
+ * rentals and deletes, see conf->inventory_lag_s.
+ */
 #ifndef PLOVERLOFT_INVENTORY_H
 #define PLOVERLOFT_INVENTORY_H
 
@@ -9,16 +12,18 @@
 
 struct core;
 
+/* The state of the reads of the inventory. */
 struct inventory_reader {
-	bool in_flight;
-	uint64_t number;     /* of inventories begun, in the controller's life */
-	char cursor[ID_MAX]; /* id of the last machine read; empty: a new inventory begins */
-	double next_read_at; /* steady */
+	bool in_flight; /* the read of a page is not answered yet */
+	/* Number of the newest inventory: counts those begun since this process started. */
+	uint64_t number;
+	char cursor[ID_MAX]; /* id of the last machine read; empty: the next page is the first */
+	double next_read_at; /* steady seconds; no new inventory begins before */
 };
 
-/* Reads the inventory, or its next page, when it is due and the cloud's rate allows. */
+/* Begins an inventory or reads its next page, if that is due and the rate limit allows it. */
 void inventory_tick(struct core *core);
-/* The next inventory is read from its first page. Leadership has ended. */
+/* Makes the next read begin a new inventory at once. Called when leadership has ended. */
 void inventory_clear(struct core *core);
 
 #endif
--- a/src/core/autoscale/machine_offers.c
+++ b/src/core/autoscale/machine_offers.c
@@ -5,10 +5,13 @@
 
 #include "core/state.h"
 
-#define UNBOUNDED_TASKS 1e9 /* tasks per machine of a job that asks for nothing */
-#define DIVISION_SLACK 1e-9 /* tasks: quotients of decimal amounts */
+/* Tasks per machine of a job whose tasks demand no resources. */
+#define UNBOUNDED_TASKS 1e9
+/* Added to a quotient, in tasks, before it is rounded down: quotients of decimal amounts may come
+ * out slightly too low in binary floating point. */
+#define DIVISION_SLACK 1e-9
 
-/* Tasks of the job that an empty machine of the type takes. */
+/* Returns how many tasks of the job fit on an empty machine of the type. */
 static uint32_t tasks_per_machine(const struct machine_type *type, const struct job_spec *spec)
 {
 	double tasks = UNBOUNDED_TASKS;
@@ -22,6 +25,7 @@
 	return (uint32_t)floor(tasks + DIVISION_SLACK);
 }
 
+/* Returns the price per hour for each of `tasks` tasks that share the machine. */
 static double price_per_task(const struct machine_offer *offer, uint32_t tasks)
 {
 	double price = offer->kind == SPOT ? offer->type->spot_price : offer->type->price;
@@ -29,7 +33,10 @@
 	return price / tasks;
 }
 
-/* Seconds until a task can start, and what else the machine costs, as seconds. */
+/*
+ * Returns the cost in seconds of waiting: the time to boot the machine, and costs of the risk that
+ * a spot machine is taken back and of GPUs that the job does not use.
+ */
 static double time_cost(const struct machine_offer *offer, const struct job_spec *spec)
 {
 	double spot_risk_s = offer->kind == SPOT ? SCALE_OUT_SPOT_COST_S : 0;
@@ -39,7 +46,10 @@
 	return offer->type->boot_s + spot_risk_s + gpu_waste_s;
 }
 
-/* Lower is better: money per task where it counts, else time; infinite if no task fits. */
+/*
+ * Returns the cost of an offer: the price for each task where low cost is an aim, otherwise seconds
+ * of waiting. INFINITY if no task fits on the machine.
+ */
 static double offer_cost(const struct core *core, const struct machine_offer *offer,
 			 const struct machine_demand *demand)
 {
@@ -52,6 +62,7 @@
 	return time_cost(offer, demand->spec);
 }
 
+/* Whether the demand and the job allow the offer, and its pool has no backoff after a refusal. */
 static bool is_acceptable(const struct core *core, const struct machine_offer *offer,
 			  const struct machine_demand *demand)
 {
@@ -65,7 +76,7 @@
 	       !capacity_is_refused(core, pool);
 }
 
-/* The offer replaces the cheapest one so far if it is cheaper. */
+/* Replaces the cheapest offer so far if this one is acceptable and cheaper. Sets its cost. */
 static void consider_offer(struct core *core, const struct machine_demand *demand,
 			   struct machine_offer *offer, struct machine_offer *cheapest)
 {
--- a/src/core/autoscale/planned_rooms.c
+++ b/src/core/autoscale/planned_rooms.c
@@ -7,9 +7,10 @@
 #include "core/state.h"
 #include "util/xalloc.h"
 
+/* Elements that the list has when it is first allocated. */
 #define ROOMS_FIRST_CAPACITY 64
 
-/* An empty machine's room; valid until the next one is added. */
+/* Adds the capacity of an empty machine. The pointer is valid until the next machine is added. */
 static struct planned_room *add_room(struct planned_rooms *rooms, const struct machine_type *type,
 				     const char *zone, enum purchase_kind kind)
 {
@@ -31,18 +32,22 @@
 	return room;
 }
 
-/* Whether tasks may be placed on the machine, now or once it has booted. */
+/* Whether tasks can be placed on the machine, now or once it has booted. */
 static bool is_room(const struct machine *machine)
 {
 	if (!machine->type || machine->cloud.deleting || machine->cloud.draining ||
 	    machine->cloud.failed || machine->agent.notice_s >= 0)
 		return false;
-	/* Neither one of which only a late copy spoke nor one that does not hear us is room. */
+	/* Without a message of its agent in this term, a machine counts only if the cloud has
+	 * granted or listed it: one that only a record or a late copy of a report names may no
+	 * longer exist. A machine that our messages do not reach does not count either. */
 	if (machine->agent.last_message_at < 0)
 		return machine->cloud.expected;
 	return machine->agent.reachable;
 }
 
+/* Adds a known machine. One whose agent has sent no message in this term counts as an empty,
+ * pending machine. */
 static void add_machine(struct planned_rooms *rooms, const struct machine *machine)
 {
 	struct planned_room *room =
@@ -56,6 +61,7 @@
 	room->mem_gb = machine->free_mem_gb;
 }
 
+/* Adds the machines of a rental request. */
 static void add_requested(const struct core *core, struct planned_rooms *rooms,
 			  const struct rental_request *request)
 {
@@ -99,6 +105,7 @@
 	return machine_type_allowed(room->type, room->zone, room->kind == SPOT, spec);
 }
 
+/* Allocates capacity for one task on the machine; false if the task does not fit there. */
 static bool room_take(struct planned_room *room, const struct job_spec *spec)
 {
 	if (room->cpus + ROOM_SLACK < spec->cpus || room->gpus + ROOM_SLACK < spec->gpus ||
@@ -117,6 +124,7 @@
 	return !zone || !strcmp(zone, room->zone);
 }
 
+/* Whether two searches are limited to the same zone; NULL stands for all zones. */
 static bool is_same_zone(const char *a, const char *b)
 {
 	if (!a || !b)
@@ -124,7 +132,8 @@
 	return !strcmp(a, b);
 }
 
-/* The search for such a job, begun if there is none; NULL: there are too many to keep it. */
+/* Returns the search for jobs of this shape, and begins one if there is none. NULL: there are
+ * already SCALE_OUT_SEARCHES_MAX others, so its progress can't be kept. */
 static struct room_search *find_search(struct planned_rooms *rooms, const struct job_spec *spec,
 				       enum room_scope scope, const char *zone)
 {
--- a/src/core/autoscale/rental_requests.c
+++ b/src/core/autoscale/rental_requests.c
@@ -9,11 +9,12 @@
 #include "util/xalloc.h"
 #include "wire/names.h"
 
-#define NO_CAPACITY "capacity" /* in the text of the cloud's error */
+/* Part of the text of the cloud's error 503 if it has no machines of the pool. */
+#define NO_CAPACITY "capacity"
 
-/* Ids of the machines that the cloud granted. */
+/* The machines that the cloud has granted on a request. */
 struct granted_machines {
-	char **ids; /* owned, and so is each of them */
+	char **ids; /* owned, as is each id */
 	size_t count;
 };
 
@@ -22,7 +23,7 @@
 	return (struct capacity_pool){request->type, request->zone, request->kind};
 }
 
-/* NULL if the request is over. */
+/* Returns the request with this name; NULL if it has had its final answer. */
 static struct rental_request *find_request(const struct core *core, const char *name)
 {
 	struct rental_request *request;
@@ -39,6 +40,7 @@
 	free(request);
 }
 
+/* Decodes a grant; false if the answer is none. On success the caller calls free_granted. */
 static bool decode_granted(const struct call_answer *answer, struct granted_machines *granted)
 {
 	return answer->status == STATUS_OK &&
@@ -52,12 +54,13 @@
 	free(granted->ids);
 }
 
-/* The machine stands for room until it reports. */
+/* Adds a granted machine. It counts as planned capacity while it boots. */
 static void expect_machine(struct core *core, const struct rental_request *request, const char *id)
 {
 	struct machine *machine;
 
-	/* The answer to a repeated request may name a machine that was deleted meanwhile. */
+	/* If the first answer was lost, the answer to the repeated request may name a machine that
+	 * an inventory has listed and that was deleted since. It must not be added again. */
 	if (machine_has_tombstone(core, id))
 		return;
 	machine = machine_find_or_add(core, id);
@@ -66,6 +69,7 @@
 	machine->cloud.expected = true;
 }
 
+/* Adds the granted machines. If there are fewer than requested, the pool's backoff starts. */
 static void take_granted(struct core *core, const struct rental_request *request,
 			 const struct granted_machines *granted)
 {
@@ -79,13 +83,15 @@
 		capacity_refusal_lift(core, pool_of(request));
 }
 
+/* Whether the cloud refused the request because it has no machines of the pool. */
 static bool is_out_of_capacity(const struct call_answer *answer)
 {
 	return answer->status == STATUS_UNAVAILABLE && answer->body &&
 	       strstr(answer->body, NO_CAPACITY);
 }
 
-/* Whether it is unknown what became of the request, and it is young enough to be repeated. */
+/* Whether the request is to be repeated: its outcome is not known, since the status is not 400, and
+ * it was first sent less than SCALE_OUT_GIVE_UP_S ago. */
 static bool should_retry(const struct core *core, const struct rental_request *request,
 			 const struct call_answer *answer)
 {
@@ -93,6 +99,7 @@
 	       core->now - request->requested_at < SCALE_OUT_GIVE_UP_S;
 }
 
+/* Handles the end of a rental request: it is deleted unless it will be repeated. */
 static void on_rental_answer(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	struct granted_machines granted;
@@ -121,6 +128,7 @@
 	delete_request(core, request);
 }
 
+/* Sends the request, for the first time or again. */
 static void post_request(struct core *core, struct rental_request *request)
 {
 	struct call *call;
--- a/src/core/autoscale/rental_requests.h
+++ b/src/core/autoscale/rental_requests.h
@@ -1,7 +1,7 @@
 /*
- * Rental requests: machines requested from the cloud. A request that may have been lost is repeated
- * under the same name, for which the cloud rents once. The name holds the token under which the
- * request was made and a counter, so none ever recurs.
+ * Rental requests to the cloud. A request whose outcome is not known is repeated under the same
+ * name, and the cloud rents machines only once for a name. Names are never reused: each consists of
+ * the fencing token under which the request was made and a counter.
  */
 #ifndef PLOVERLOFT_RENTAL_REQUESTS_H
 #define PLOVERLOFT_RENTAL_REQUESTS_H
@@ -13,24 +13,24 @@
 
 struct core;
 
-/* A request without a final answer. All of its machines are of one pool. */
+/* A request without a final answer, for machines of one capacity pool. */
 struct rental_request {
 	char name[NAME_MAX_LEN];
-	char type[NAME_MAX_LEN];
+	char type[NAME_MAX_LEN]; /* name of the machine type */
 	char zone[NAME_MAX_LEN];
 	enum purchase_kind kind;
-	int count;
-	double requested_at; /* steady; when it was first sent */
-	bool in_flight;
-	double retry_at; /* steady; unless in flight */
-	struct rental_request *prev, *next;
+	int count;	     /* machines requested */
+	double requested_at; /* steady seconds; when it was first sent */
+	bool in_flight;	     /* the answer has not come yet */
+	double retry_at;     /* steady seconds; if not in flight, when to send it again */
+	struct rental_request *prev, *next; /* in autoscale.rental_requests */
 };
 
-/* Sends a new request for so many machines. The name's token is the present one. */
+/* Sends a new request for `count` machines of the pool, under the current fencing token. */
 void rental_request_send(struct core *core, struct capacity_pool pool, int count);
-/* Repeats the requests whose time has come, as far as the cloud's rate allows. */
+/* Sends the requests again whose retry is due, as far as the rate limit allows. */
 void rental_requests_retry(struct core *core);
-/* Frees all requests; answers to them are void. Leadership has ended. */
+/* Frees all requests. Answers that still come are ignored. Called when leadership has ended. */
 void rental_requests_clear(struct core *core);
 
 #endif
--- a/src/core/autoscale/scale_in.c
+++ b/src/core/autoscale/scale_in.c
@@ -8,7 +8,8 @@
 #include "util/xalloc.h"
 #include "wire/names.h"
 
-/* Seconds that the machine may be idle before it is deleted. */
+/* Returns the seconds that the machine may be idle before it is deleted: the operators' setting or,
+ * without one, a value that follows from the objectives. */
 static double idle_patience_s(const struct core *core, const struct machine *machine)
 {
 	if (core->conf->idle_patience_s >= 0)
@@ -18,7 +19,10 @@
 	return machine->type && machine->type->gpus > 0 ? IDLE_MAX_GPU_S : IDLE_MAX_S;
 }
 
-/* Stops each task with checkpoints at the last moment at which it can still save its work. */
+/*
+ * Stops each task that makes checkpoints at the last moment at which it can still save its work. A
+ * task that has too little time left for that is not stopped.
+ */
 static void stop_before_preemption(struct core *core, struct machine *machine)
 {
 	double since_notice_s = core->now - machine->agent.notice_received_at;
@@ -35,6 +39,7 @@
 	}
 }
 
+/* Whether a task of the job would fit on the machine if it were empty, and the job allows it. */
 static bool job_fits_machine(const struct job *job, const struct machine *machine)
 {
 	const struct machine_type *type = machine->type;
@@ -45,7 +50,8 @@
 	       machine_type_allowed(type, machine->zone, machine->spot, spec);
 }
 
-/* Whether any open job could use the machine's type; with none open, any might come. */
+/* Whether an open job could use the machine if it were empty. True if its type is not known, and
+ * without jobs, since a job that can use it may be submitted. */
 static bool is_type_useful(const struct core *core, const struct machine *machine)
 {
 	const struct job *job, *next;
@@ -58,21 +64,25 @@
 	return false;
 }
 
-/* Whether nothing runs on the machine, and no room there is reserved. */
+/* Whether the machine's agent has sent a message in this term, no task is bound to the machine and
+ * no capacity is reserved there. */
 static bool is_idle(const struct machine *machine)
 {
-	/* Room reserved for a gang is not idle: a delete would undo the reservation. */
+	/* Reserved capacity does not count as idle: to delete the machine would undo the
+	 * reservation. */
 	return !machine->bindings && machine->agent.last_message_at >= 0 &&
 	       !machine->scheduling.reserved_for;
 }
 
+/* Whether an idle machine is to be deleted now. */
 static bool should_delete(const struct core *core, const struct machine *machine)
 {
 	double idle_s = core->now - machine->cloud.idle_since;
 
 	if (machine->cloud.draining || idle_s > idle_patience_s(core, machine))
 		return true;
-	/* Its reports cost the leader as much as those of a machine that works. */
+	/* A machine that no job can use is deleted even if idle ones are kept longer: its reports
+	 * cost the leader as much as those of a machine with tasks. */
 	return idle_s > IDLE_MAX_UNUSABLE_S && !is_type_useful(core, machine);
 }
 
@@ -93,15 +103,16 @@
 	}
 }
 
-/* The machines of one request to delete. */
+/* The machines of one request to delete machines. */
 struct delete_batch {
 	char ids[DELETE_BATCH_MAX][ID_MAX];
 	size_t count;
 };
 
 /*
- * What was deleted can be had again at once. When many machines of a pool that was refused are
- * deleted together, waiting for the refusal's end would leave their work without room meanwhile.
+ * Handles a machine that the cloud has deleted. Its capacity can be rented again at once, so the
+ * backoff of its pool ends. Otherwise, if many machines of a pool in backoff are deleted together,
+ * their tasks would be without capacity until the end of the backoff.
  */
 static void note_deleted(struct core *core, struct machine *machine)
 {
@@ -112,6 +123,7 @@
 	machine_handle_deleted(core, machine);
 }
 
+/* After an answer other than a success, the deletes are due again. */
 static void take_delete_answer(struct core *core, const struct delete_batch *batch,
 			       const struct call_answer *answer)
 {
@@ -136,6 +148,7 @@
 	free(batch);
 }
 
+/* Whether a delete is to be sent for the machine. */
 static bool is_delete_due(const struct machine *machine)
 {
 	return machine->cloud.deleting && !machine->cloud.delete_in_flight &&
@@ -152,6 +165,7 @@
 	return false;
 }
 
+/* Sends one request to delete as many due machines as it can name. */
 static void send_delete_batch(struct core *core)
 {
 	struct delete_batch *batch = xcalloc(1, sizeof(*batch));
--- a/src/core/autoscale/scale_out.c
+++ b/src/core/autoscale/scale_out.c
@@ -1,4 +1,4 @@
-/* The scan for machines that are missing, and the requests for them. */
+/* The scan that plans the missing machines, and the rental requests for them. */
 #include "core/autoscale/scale_out.h"
 
 #include <string.h>
@@ -10,7 +10,8 @@
 	return a->type == b->type && a->kind == b->kind && !strcmp(a->zone, b->zone);
 }
 
-/* Requests planned machines of the first one's pool, as many as one request takes. */
+/* Sends one request for planned machines of the same pool as the first of them: for as many as one
+ * request may name. */
 static void request_first_pool(struct core *core, struct planned_rooms *rooms)
 {
 	const struct planned_room *first = NULL;
--- a/src/core/autoscale/scale_out.h
+++ b/src/core/autoscale/scale_out.h
@@ -1,6 +1,7 @@
 /*
- * Scale out: a plan of the machines that waiting tasks and the headroom lack, and the requests for
- * them. A plan is made anew at each scan, from what there is and what was requested already.
+ * Scale-out: plans which machines are missing for the waiting tasks and the headroom, and requests
+ * them. Each scan makes a new plan, which counts on the machines that exist or were requested
+ * already.
  */
 #ifndef PLOVERLOFT_SCALE_OUT_H
 #define PLOVERLOFT_SCALE_OUT_H
@@ -10,18 +11,20 @@
 
 struct core;
 
-/* Requests what is missing, as far as the cloud's rate allows. */
+/* Plans and requests the missing machines, as far as the rate limit allows. */
 void scale_out_scan(struct core *core);
 
 /*
- * Takes room for one task of the demand on a machine that is to be requested; false if no offer
- * meets the demand, or as many machines are planned as can be requested in a second.
+ * Adds the machine of the cheapest offer for the demand to the plan, and allocates capacity for one
+ * task on it. Returns false if no offer meets the demand, or if the plan already has as many
+ * machines as can be requested in a second.
  */
 bool scale_out_plan_machine(struct core *core, struct planned_rooms *rooms,
 			    const struct machine_demand *demand);
-/* Plans room for the tasks that wait. */
+/* Plans machines for the waiting tasks. */
 void scale_out_plan_jobs(struct core *core, struct planned_rooms *rooms);
-/* Plans the headroom: room kept free for tasks to come. */
+/* Plans machines for the headroom, which is capacity kept free for future tasks. Plans none if low
+ * cost is an aim, unless the operators have set `headroom`. */
 void scale_out_plan_headroom(struct core *core, struct planned_rooms *rooms);
 
 #endif
--- a/src/core/autoscale/scale_out_headroom.c
+++ b/src/core/autoscale/scale_out_headroom.c
@@ -1,4 +1,4 @@
-/* Plans the headroom: where money is no aim, room is kept free for tasks to come. */
+/* Plans the headroom: for each class of jobs, capacity that is kept free for future tasks. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -6,18 +6,20 @@
 #include "core/state.h"
 #include "util/xalloc.h"
 
-/* The use by a class of jobs. */
+/* The tasks of the open jobs of one class. */
 struct class_use {
-	const struct job_spec *spec; /* of one of its jobs: it stands for those to come */
-	uint32_t bound_tasks;
+	const struct job_spec *spec; /* of one of its jobs, as a sample of future jobs */
+	uint32_t bound_tasks;	     /* of all of its jobs */
 };
 
+/* All classes with open jobs. */
 struct class_uses {
 	struct class_use *list; /* owned */
 	size_t count;
 };
 
-/* The use of the job's class, added if there is none; valid until the next one is added. */
+/* Returns the entry of the job's class, and adds one if there is none. The pointer is valid until
+ * the next entry is added. */
 static struct class_use *class_use_of(struct class_uses *uses, const struct job_spec *spec)
 {
 	for (size_t i = 0; i < uses->count; i++)
@@ -44,6 +46,10 @@
 	*uses = (struct class_uses){0};
 }
 
+/*
+ * Plans free capacity for the class: for `share` of its bound tasks and HEADROOM_MIN_TASKS more.
+ * The free capacity of running machines counts too.
+ */
 static void plan_class(struct core *core, struct planned_rooms *rooms, const struct class_use *use,
 		       double share)
 {
--- a/src/core/autoscale/scale_out_jobs.c
+++ b/src/core/autoscale/scale_out_jobs.c
@@ -1,12 +1,14 @@
-/* Plans to scale out for tasks that wait. They fit on no running machine, or they would run. */
+/* Plans machines for waiting tasks. These tasks fit on no running machine: a scheduling cycle would
+ * have placed them there. */
 #include <string.h>
 
 #include "core/autoscale/scale_out.h"
 #include "core/state.h"
 
 /*
- * Where money counts, a job that can still meet its deadline waits for room that falls free, or for
- * a spot machine, before an on-demand one is requested for it.
+ * Whether only spot machines are to be requested for the job. Where low cost is an aim, a job that
+ * allows spot machines and has a deadline waits for a spot machine or for capacity that falls free.
+ * On-demand machines are requested for it only when it might miss its deadline otherwise.
  */
 static bool can_wait(const struct core *core, const struct job *job)
 {
@@ -17,7 +19,8 @@
 	       remaining_s > SCALE_OUT_ESTIMATE_FACTOR * spec->estimate_s + SCALE_OUT_LEAD_S;
 }
 
-/* Of the catalog's zones, the one with most room to come for the job; NULL: none has any. */
+/* Returns the zone whose pending machines have capacity for most tasks of the job; NULL: no zone
+ * has any. */
 static const char *zone_with_most_to_come(const struct core *core, struct planned_rooms *rooms,
 					  const struct job_spec *spec)
 {
@@ -43,14 +46,17 @@
 	return zone_with_most;
 }
 
+/* Whether all tasks of the job have to run in the same zone. This does not apply to arrays. */
 static bool needs_one_zone(const struct job_spec *spec)
 {
 	return spec->one_zone && spec->kind != JOB_ARRAY;
 }
 
 /*
- * The zone to plan a job in; NULL: any. A gang of one zone gains nothing from room spread over
- * several: it is planned where most of it is on its way already, else where it is cheapest.
+ * Returns the zone in which machines for the job are planned; NULL: any. Capacity that is spread
+ * over several zones is of no use to a job that needs one zone. Such a job is planned in the zone
+ * with most pending capacity for it; without any, the first machine is planned where it is
+ * cheapest.
  */
 static const char *initial_zone(const struct core *core, struct planned_rooms *rooms,
 				const struct job_spec *spec)
@@ -60,7 +66,7 @@
 	return zone_with_most_to_come(core, rooms, spec);
 }
 
-/* Plans a machine in the demand's zone, or elsewhere if that has no offer. */
+/* Plans a machine in the demand's zone, or in any zone if there is no offer in that one. */
 static bool plan_machine_near(struct core *core, struct planned_rooms *rooms,
 			      const struct machine_demand *demand)
 {
@@ -74,6 +80,7 @@
 	return scale_out_plan_machine(core, rooms, &anywhere);
 }
 
+/* Plans machines for the waiting tasks of the job, as far as its team's quota allows. */
 static void plan_job(struct core *core, struct planned_rooms *rooms, const struct job *job)
 {
 	const struct job_spec *spec = &job->spec;
@@ -90,13 +97,16 @@
 		demand.tasks = waiting - i;
 		if (!plan_machine_near(core, rooms, &demand))
 			break;
-		/* The others of a gang follow its first machine. */
+		/* The first machine decides on the zone of the job's other tasks. */
 		if (!demand.zone && needs_one_zone(spec))
 			demand.zone = rooms->list[rooms->count - 1].zone;
 	}
 }
 
-/* Whether the job has tasks that could run now if there were room. */
+/*
+ * Whether the job has tasks that wait only for capacity: it is not in backoff, no earlier attempt
+ * of a gang is still bound, and a scheduling cycle had SCALE_OUT_AFTER_S to place them.
+ */
 static bool lacks_room(const struct core *core, const struct job *job)
 {
 	bool gang_is_bound = job->bindings && job->spec.kind == JOB_GANG;
--- a/src/core/autoscale/scale_out_machine.c
+++ b/src/core/autoscale/scale_out_machine.c
@@ -1,4 +1,4 @@
-/* One machine more for a demand, in a plan for scaling out. */
+/* Adds a machine for a demand to the plan of the machines to request. */
 #include "core/autoscale/scale_out.h"
 
 #include "core/state.h"
@@ -8,7 +8,8 @@
 {
 	struct machine_offer offer;
 
-	/* A job may have a hundred thousand tasks: not all of them need to be planned for now. */
+	/* A job may have 100,000 tasks. To plan more machines now than can be requested in a second
+	 * would only take time. */
 	if ((double)rooms->to_request_count >= SCALE_OUT_BATCH_MAX * core->conf->cloud_rps)
 		return false;
 	if (!machine_offer_cheapest(core, demand, &offer))
