--- a/src/core/autoscale/capacity_refusals.c
+++ b/src/core/autoscale/capacity_refusals.c
@@ -34,14 +34,14 @@
 	return refusal;
 }
 
-bool capacity_is_refused(const struct core *core, struct capacity_pool pool)
+bool capacity_pool_is_in_backoff(const struct core *core, struct capacity_pool pool)
 {
 	const struct capacity_refusal *refusal = refusal_find(core, pool);
 
 	return refusal && core->now < refusal->retry_at;
 }
 
-void capacity_refusal_note(struct core *core, struct capacity_pool pool)
+void capacity_refusal_record(struct core *core, struct capacity_pool pool)
 {
 	struct capacity_refusal *refusal = refusal_find(core, pool);
 
@@ -53,7 +53,7 @@
 	refusal->retry_at = core->now + refusal->backoff_s;
 }
 
-void capacity_refusal_lift(struct core *core, struct capacity_pool pool)
+void capacity_refusal_reset(struct core *core, struct capacity_pool pool)
 {
 	struct capacity_refusal *refusal = refusal_find(core, pool);
 
--- a/src/core/autoscale/capacity_refusals.h
+++ b/src/core/autoscale/capacity_refusals.h
@@ -41,15 +41,15 @@
 };
 
 /* Returns true if the pool's backoff has not ended yet. */
-bool capacity_is_refused(const struct core *core, struct capacity_pool pool);
+bool capacity_pool_is_in_backoff(const struct core *core, struct capacity_pool pool);
 /*
  * Records that the cloud granted fewer machines of the pool than were requested. The pool's backoff
  * starts again from now: with SCALE_OUT_REFUSED_BACKOFF_S first, then twice the last one, up to
  * SCALE_OUT_REFUSED_BACKOFF_MAX_S.
  */
-void capacity_refusal_note(struct core *core, struct capacity_pool pool);
+void capacity_refusal_record(struct core *core, struct capacity_pool pool);
 /* Records that the pool has machines again: ends its backoff, and resets the length of the next. */
-void capacity_refusal_lift(struct core *core, struct capacity_pool pool);
+void capacity_refusal_reset(struct core *core, struct capacity_pool pool);
 /* Removes the refusals of all pools. Called when leadership has ended. */
 void capacity_refusals_clear(struct core *core);
 
--- a/src/core/autoscale/catalog_reader.c
+++ b/src/core/autoscale/catalog_reader.c
@@ -12,7 +12,7 @@
 #define CATALOG_KEY "k/catalog"
 
 /* Makes the types of a message the catalog. Returns false if the message is malformed. */
-static bool take_catalog(struct core *core, json_t *message)
+static bool apply_catalog(struct core *core, json_t *message)
 {
 	struct machine_type *types;
 	size_t count;
@@ -25,7 +25,8 @@
 }
 
 /* Handles the end of a write of the copy. A write that failed is not repeated. */
-static void on_stored(struct core *core, struct call *call, const struct call_answer *answer)
+static void on_catalog_stored(struct core *core, struct call *call,
+			      const struct call_answer *answer)
 {
 	(void)call;
 	store_update_availability(core, answer);
@@ -39,7 +40,7 @@
 	txn_begin(&txn);
 	txn_guard(&txn, key, 0);
 	txn_put(&txn, key, value, 0);
-	store_commit(core, txn_finish(&txn), on_stored, NULL);
+	store_commit(core, txn_finish(&txn), on_catalog_stored, NULL);
 }
 
 /*
@@ -84,8 +85,8 @@
 }
 
 /* Handles the copy read from the state service, unless a catalog is known meanwhile. */
-static void on_stored_catalog(struct core *core, struct call *call,
-			      const struct call_answer *answer)
+static void on_stored_catalog_read(struct core *core, struct call *call,
+				   const struct call_answer *answer)
 {
 	json_t *message;
 
@@ -93,7 +94,7 @@
 	if (answer->status != STATUS_OK || catalog_is_known(core))
 		return;
 	message = merge_stored_types(answer);
-	if (take_catalog(core, message)) {
+	if (apply_catalog(core, message)) {
 		core->autoscale.catalog_reader.stored = true;
 		log_info("catalog", "from=state types=%zu", catalog_type_count(core));
 	}
@@ -101,13 +102,13 @@
 }
 
 /* Applies the catalog of the cloud's answer, and writes a copy if this has not been done yet. */
-static void take_cloud_catalog(struct core *core, const struct call_answer *answer)
+static void apply_cloud_catalog(struct core *core, const struct call_answer *answer)
 {
 	struct catalog_reader *reader = &core->autoscale.catalog_reader;
 	bool is_first = !catalog_is_known(core);
 	json_t *message = wire_parse(answer->body, answer->len);
 
-	if (take_catalog(core, message)) {
+	if (apply_catalog(core, message)) {
 		reader->next_read_at = core->now + CATALOG_INTERVAL_S;
 		if (is_first)
 			log_info("catalog", "from=cloud types=%zu", catalog_type_count(core));
@@ -119,7 +120,8 @@
 
 /* Handles the end of a read from the cloud. While no catalog is known, a failed read is followed by
  * a read of the copy in the state service. */
-static void on_cloud_catalog(struct core *core, struct call *call, const struct call_answer *answer)
+static void on_cloud_catalog_read(struct core *core, struct call *call,
+				  const struct call_answer *answer)
 {
 	struct catalog_reader *reader = &core->autoscale.catalog_reader;
 
@@ -127,9 +129,9 @@
 	reader->in_flight = false;
 	reader->next_read_at = core->now + CLOUD_BACKOFF_S;
 	if (answer->status == STATUS_OK)
-		take_cloud_catalog(core, answer);
+		apply_cloud_catalog(core, answer);
 	else if (!catalog_is_known(core))
-		store_range(core, CATALOG_KEY, "", on_stored_catalog, NULL);
+		store_range(core, CATALOG_KEY, "", on_stored_catalog_read, NULL);
 }
 
 void catalog_tick(struct core *core)
@@ -141,5 +143,5 @@
 		return;
 	reader->in_flight = true;
 	core_call(core, core->conf->cloud_addr, "GET", format_path(W_PATH_TYPES), NULL,
-		  CALL_CLOUD_TIMEOUT_S, on_cloud_catalog, NULL);
+		  CALL_CLOUD_TIMEOUT_S, on_cloud_catalog_read, NULL);
 }
--- a/src/core/autoscale/cloud_link.c
+++ b/src/core/autoscale/cloud_link.c
@@ -2,7 +2,7 @@
 
 #include "core/state.h"
 
-bool cloud_request_allowed(struct core *core)
+bool cloud_rate_limit_acquire(struct core *core)
 {
 	struct rate_limiter *limiter = &core->autoscale.request_limiter;
 
@@ -13,7 +13,7 @@
 	return true;
 }
 
-void cloud_note_answer(struct core *core, const struct call_answer *answer)
+void cloud_update_backoff(struct core *core, const struct call_answer *answer)
 {
 	if (answer->status != STATUS_OK)
 		core->autoscale.retry_at = core->now + CLOUD_BACKOFF_S;
--- a/src/core/autoscale/cloud_link.h
+++ b/src/core/autoscale/cloud_link.h
@@ -11,11 +11,11 @@
  * Returns true if the rate limit allows a request to the cloud now, and subtracts it: the caller
  * must send one. All requests to the cloud share this limit, except reads of the catalog.
  */
-bool cloud_request_allowed(struct core *core);
+bool cloud_rate_limit_acquire(struct core *core);
 /*
  * Starts a backoff of CLOUD_BACKOFF_S for all of these requests if the answer is not a success or
  * did not come at all. Has no effect after a success.
  */
-void cloud_note_answer(struct core *core, const struct call_answer *answer);
+void cloud_update_backoff(struct core *core, const struct call_answer *answer);
 
 #endif
--- a/src/core/autoscale/inventory.c
+++ b/src/core/autoscale/inventory.c
@@ -8,14 +8,15 @@
 #include "wire/names.h"
 
 /* Returns the machine that an entry names, and adds it if it is new; NULL: ignore the entry. */
-static struct machine *machine_of_entry(struct core *core, const struct listed_machine *entry)
+static struct machine *find_or_add_listed_machine(struct core *core,
+						  const struct listed_machine *entry)
 {
 	struct machine *machine = machine_find(core, entry->id);
 
 	if (machine)
 		return machine;
 	/* The inventory lags behind and may still list a machine that was deleted, which must not
-	 * be added again. A machine that has failed is of no use. */
+	 * be added again. A machine that is listed first as failed is not added either. */
 	if (machine_has_tombstone(core, entry->id) || entry->state == CLOUD_FAILED)
 		return NULL;
 	machine = machine_find_or_add(core, entry->id);
@@ -26,9 +27,9 @@
 }
 
 /* Applies what an entry says to its machine. */
-static void take_entry(struct core *core, const struct listed_machine *entry)
+static void apply_entry(struct core *core, const struct listed_machine *entry)
 {
-	struct machine *machine = machine_of_entry(core, entry);
+	struct machine *machine = find_or_add_listed_machine(core, entry);
 
 	if (!machine)
 		return;
@@ -71,17 +72,17 @@
 	if (election_call_is_stale(core, call))
 		return;
 	inventory->in_flight = false;
-	cloud_note_answer(core, answer);
+	cloud_update_backoff(core, answer);
 	if (answer->status != STATUS_OK ||
 	    wire_list_decode(answer->body, answer->len, &entries, &count, &more))
 		return;
 	for (size_t i = 0; i < count; i++)
-		take_entry(core, &entries[i]);
+		apply_entry(core, &entries[i]);
 	if (more && count) {
 		snprintf(inventory->cursor, sizeof(inventory->cursor), "%s", entries[count - 1].id);
 		/* A large fleet's list has several pages. They are read one right after another,
 		 * since pages of different times do not make up one consistent list. */
-		if (cloud_request_allowed(core))
+		if (cloud_rate_limit_acquire(core))
 			read_page(core);
 	} else {
 		finish_inventory(core);
@@ -113,7 +114,7 @@
 	const struct inventory_reader *inventory = &core->autoscale.inventory;
 
 	if (!inventory->in_flight && core->now >= inventory->next_read_at &&
-	    cloud_request_allowed(core))
+	    cloud_rate_limit_acquire(core))
 		read_page(core);
 }
 
--- a/src/core/autoscale/machine_offers.c
+++ b/src/core/autoscale/machine_offers.c
@@ -37,7 +37,7 @@
  * Returns the cost in seconds of waiting: the time to boot the machine, and costs of the risk that
  * a spot machine is taken back and of GPUs that the job does not use.
  */
-static double time_cost(const struct machine_offer *offer, const struct job_spec *spec)
+static double waiting_cost_s(const struct machine_offer *offer, const struct job_spec *spec)
 {
 	double spot_risk_s = offer->kind == SPOT ? SCALE_OUT_SPOT_COST_S : 0;
 	double gpu_waste_s =
@@ -59,7 +59,7 @@
 		return INFINITY;
 	if (autoscale_minimises_cost(core))
 		return price_per_task(offer, demand->tasks < fitting ? demand->tasks : fitting);
-	return time_cost(offer, demand->spec);
+	return waiting_cost_s(offer, demand->spec);
 }
 
 /* Whether the demand and the job allow the offer, and its pool has no backoff after a refusal. */
@@ -73,12 +73,12 @@
 	if (demand->zone && strcmp(demand->zone, offer->zone))
 		return false;
 	return machine_type_allowed(offer->type, offer->zone, offer->kind == SPOT, demand->spec) &&
-	       !capacity_is_refused(core, pool);
+	       !capacity_pool_is_in_backoff(core, pool);
 }
 
 /* Replaces the cheapest offer so far if this one is acceptable and cheaper. Sets its cost. */
-static void consider_offer(struct core *core, const struct machine_demand *demand,
-			   struct machine_offer *offer, struct machine_offer *cheapest)
+static void update_cheapest_offer(struct core *core, const struct machine_demand *demand,
+				  struct machine_offer *offer, struct machine_offer *cheapest)
 {
 	if (!is_acceptable(core, offer, demand))
 		return;
@@ -87,8 +87,8 @@
 		*cheapest = *offer;
 }
 
-bool machine_offer_cheapest(struct core *core, const struct machine_demand *demand,
-			    struct machine_offer *cheapest)
+bool machine_offer_find_cheapest(struct core *core, const struct machine_demand *demand,
+				 struct machine_offer *cheapest)
 {
 	struct machine_offer offer;
 
@@ -98,9 +98,9 @@
 		for (int zone = 0; zone < offer.type->zones.count; zone++) {
 			offer.zone = offer.type->zones.names[zone];
 			offer.kind = ON_DEMAND;
-			consider_offer(core, demand, &offer, cheapest);
+			update_cheapest_offer(core, demand, &offer, cheapest);
 			offer.kind = SPOT;
-			consider_offer(core, demand, &offer, cheapest);
+			update_cheapest_offer(core, demand, &offer, cheapest);
 		}
 	}
 	return cheapest->type != NULL;
--- a/src/core/autoscale/machine_offers.h
+++ b/src/core/autoscale/machine_offers.h
@@ -39,7 +39,7 @@
  * Returns false if there is none. One of several offers with nearly equal costs is chosen at
  * random.
  */
-bool machine_offer_cheapest(struct core *core, const struct machine_demand *demand,
-			    struct machine_offer *cheapest);
+bool machine_offer_find_cheapest(struct core *core, const struct machine_demand *demand,
+				 struct machine_offer *cheapest);
 
 #endif
--- a/src/core/autoscale/planned_rooms.c
+++ b/src/core/autoscale/planned_rooms.c
@@ -7,21 +7,23 @@
 #include "core/state.h"
 #include "util/xalloc.h"
 
-/* Elements that the list has when it is first allocated. */
-#define ROOMS_FIRST_CAPACITY 64
+/* Elements allocated for the first machine. */
+#define PLAN_INITIAL_ALLOCATION 64
 
 /* Adds the capacity of an empty machine. The pointer is valid until the next machine is added. */
-static struct planned_room *add_room(struct planned_rooms *rooms, const struct machine_type *type,
-				     const char *zone, enum purchase_kind kind)
+static struct planned_machine *add_empty_machine(struct capacity_plan *plan,
+						 const struct machine_type *type, const char *zone,
+						 enum purchase_kind kind)
 {
-	struct planned_room *room;
+	struct planned_machine *planned;
 
-	if (rooms->count == rooms->capacity) {
-		rooms->capacity = rooms->capacity ? rooms->capacity * 2 : ROOMS_FIRST_CAPACITY;
-		rooms->list = xreallocarray(rooms->list, rooms->capacity, sizeof(*rooms->list));
+	if (plan->count == plan->allocated) {
+		plan->allocated = plan->allocated ? plan->allocated * 2 : PLAN_INITIAL_ALLOCATION;
+		plan->machines =
+		    xreallocarray(plan->machines, plan->allocated, sizeof(*plan->machines));
 	}
-	room = &rooms->list[rooms->count++];
-	*room = (struct planned_room){
+	planned = &plan->machines[plan->count++];
+	*planned = (struct planned_machine){
 	    .type = type,
 	    .zone = zone,
 	    .kind = kind,
@@ -29,11 +31,11 @@
 	    .gpus = type->gpus,
 	    .mem_gb = type->mem_gb,
 	};
-	return room;
+	return planned;
 }
 
 /* Whether tasks can be placed on the machine, now or once it has booted. */
-static bool is_room(const struct machine *machine)
+static bool counts_as_capacity(const struct machine *machine)
 {
 	if (!machine->type || machine->cloud.deleting || machine->cloud.draining ||
 	    machine->cloud.failed || machine->agent.notice_s >= 0)
@@ -48,22 +50,22 @@
 
 /* Adds a known machine. One whose agent has sent no message in this term counts as an empty,
  * pending machine. */
-static void add_machine(struct planned_rooms *rooms, const struct machine *machine)
+static void add_known_machine(struct capacity_plan *plan, const struct machine *machine)
 {
-	struct planned_room *room =
-	    add_room(rooms, machine->type, machine->zone, purchase_kind_of(machine));
+	struct planned_machine *planned =
+	    add_empty_machine(plan, machine->type, machine->zone, purchase_kind_of(machine));
 
 	if (machine->agent.last_message_at < 0)
 		return;
-	room->running = true;
-	room->cpus = machine->free_cpus;
-	room->gpus = machine->free_gpus;
-	room->mem_gb = machine->free_mem_gb;
+	planned->running = true;
+	planned->cpus = machine->free_cpus;
+	planned->gpus = machine->free_gpus;
+	planned->mem_gb = machine->free_mem_gb;
 }
 
 /* Adds the machines of a rental request. */
-static void add_requested(const struct core *core, struct planned_rooms *rooms,
-			  const struct rental_request *request)
+static void add_requested_machines(const struct core *core, struct capacity_plan *plan,
+				   const struct rental_request *request)
 {
 	for (size_t i = 0; i < catalog_type_count(core); i++) {
 		const struct machine_type *type = catalog_type(core, i);
@@ -71,57 +73,58 @@
 		if (strcmp(type->name, request->type))
 			continue;
 		for (int machine = 0; machine < request->count; machine++)
-			add_room(rooms, type, request->zone, request->kind);
+			add_empty_machine(plan, type, request->zone, request->kind);
 	}
 }
 
-void planned_rooms_init(const struct core *core, struct planned_rooms *rooms)
+void capacity_plan_init(const struct core *core, struct capacity_plan *plan)
 {
 	const struct rental_request *request;
 	struct machine *machine, *next;
 
-	memset(rooms, 0, sizeof(*rooms));
+	memset(plan, 0, sizeof(*plan));
 	MACHINES_FOR_EACH (core, machine, next)
-		if (is_room(machine))
-			add_machine(rooms, machine);
+		if (counts_as_capacity(machine))
+			add_known_machine(plan, machine);
 	DL_FOREACH (core->autoscale.rental_requests, request)
-		add_requested(core, rooms, request);
+		add_requested_machines(core, plan, request);
 }
 
-void planned_rooms_clear(struct planned_rooms *rooms)
+void capacity_plan_clear(struct capacity_plan *plan)
 {
-	free(rooms->list);
-	memset(rooms, 0, sizeof(*rooms));
+	free(plan->machines);
+	memset(plan, 0, sizeof(*plan));
 }
 
-void planned_rooms_request(struct planned_rooms *rooms, const struct machine_offer *offer)
+void capacity_plan_add_machine(struct capacity_plan *plan, const struct machine_offer *offer)
 {
-	add_room(rooms, offer->type, offer->zone, offer->kind)->to_request = true;
-	rooms->to_request_count++;
+	add_empty_machine(plan, offer->type, offer->zone, offer->kind)->to_request = true;
+	plan->to_request_count++;
 }
 
-static bool is_type_allowed(const struct planned_room *room, const struct job_spec *spec)
+static bool is_type_allowed(const struct planned_machine *planned, const struct job_spec *spec)
 {
-	return machine_type_allowed(room->type, room->zone, room->kind == SPOT, spec);
+	return machine_type_allowed(planned->type, planned->zone, planned->kind == SPOT, spec);
 }
 
 /* Allocates capacity for one task on the machine; false if the task does not fit there. */
-static bool room_take(struct planned_room *room, const struct job_spec *spec)
+static bool allocate_task(struct planned_machine *planned, const struct job_spec *spec)
 {
-	if (room->cpus + ROOM_SLACK < spec->cpus || room->gpus + ROOM_SLACK < spec->gpus ||
-	    room->mem_gb + ROOM_SLACK < spec->mem_gb || !is_type_allowed(room, spec))
+	if (planned->cpus + ROOM_SLACK < spec->cpus || planned->gpus + ROOM_SLACK < spec->gpus ||
+	    planned->mem_gb + ROOM_SLACK < spec->mem_gb || !is_type_allowed(planned, spec))
 		return false;
-	room->cpus -= spec->cpus;
-	room->gpus -= spec->gpus;
-	room->mem_gb -= spec->mem_gb;
+	planned->cpus -= spec->cpus;
+	planned->gpus -= spec->gpus;
+	planned->mem_gb -= spec->mem_gb;
 	return true;
 }
 
-static bool is_in_scope(const struct planned_room *room, enum room_scope scope, const char *zone)
+static bool is_in_scope(const struct planned_machine *planned, enum plan_scope scope,
+			const char *zone)
 {
-	if (scope == ROOMS_TO_COME && room->running)
+	if (scope == PLAN_PENDING_MACHINES && planned->running)
 		return false;
-	return !zone || !strcmp(zone, room->zone);
+	return !zone || !strcmp(zone, planned->zone);
 }
 
 /* Whether two searches are limited to the same zone; NULL stands for all zones. */
@@ -134,49 +137,50 @@
 
 /* Returns the search for jobs of this shape, and begins one if there is none. NULL: there are
  * already SCALE_OUT_SEARCHES_MAX others, so its progress can't be kept. */
-static struct room_search *find_search(struct planned_rooms *rooms, const struct job_spec *spec,
-				       enum room_scope scope, const char *zone)
+static struct plan_search *find_search(struct capacity_plan *plan, const struct job_spec *spec,
+				       enum plan_scope scope, const char *zone)
 {
-	struct room_search *search;
+	struct plan_search *search;
 
-	for (size_t i = 0; i < rooms->search_count; i++) {
-		search = &rooms->searches[i];
+	for (size_t i = 0; i < plan->search_count; i++) {
+		search = &plan->searches[i];
 		if (search->scope == scope && is_same_zone(search->zone, zone) &&
 		    same_shape(search->spec, spec))
 			return search;
 	}
-	if (rooms->search_count == SCALE_OUT_SEARCHES_MAX)
+	if (plan->search_count == SCALE_OUT_SEARCHES_MAX)
 		return NULL;
-	search = &rooms->searches[rooms->search_count++];
-	*search = (struct room_search){.spec = spec, .zone = zone, .scope = scope};
+	search = &plan->searches[plan->search_count++];
+	*search = (struct plan_search){.spec = spec, .zone = zone, .scope = scope};
 	return search;
 }
 
-bool planned_rooms_take(struct planned_rooms *rooms, const struct job_spec *spec,
-			enum room_scope scope, const char *zone)
+bool capacity_plan_allocate_task(struct capacity_plan *plan, const struct job_spec *spec,
+				 enum plan_scope scope, const char *zone)
 {
-	struct room_search *search = find_search(rooms, spec, scope, zone);
+	struct plan_search *search = find_search(plan, spec, scope, zone);
 	size_t index = search ? search->index : 0;
 
-	while (index < rooms->count && !(is_in_scope(&rooms->list[index], scope, zone) &&
-					 room_take(&rooms->list[index], spec)))
+	while (index < plan->count && !(is_in_scope(&plan->machines[index], scope, zone) &&
+					allocate_task(&plan->machines[index], spec)))
 		index++;
 	if (search)
 		search->index = index;
-	return index < rooms->count;
+	return index < plan->count;
 }
 
-uint32_t planned_rooms_slots_to_come(struct planned_rooms *rooms, const struct job_spec *spec,
-				     const char *zone, uint32_t most)
+uint32_t capacity_plan_count_pending_slots(struct capacity_plan *plan, const struct job_spec *spec,
+					   const char *zone, uint32_t max_slots)
 {
-	const struct room_search *search = find_search(rooms, spec, ROOMS_TO_COME, zone);
+	const struct plan_search *search = find_search(plan, spec, PLAN_PENDING_MACHINES, zone);
 	uint32_t slots = 0;
 
-	for (size_t i = search ? search->index : 0; i < rooms->count && slots < most; i++) {
-		const struct planned_room *room = &rooms->list[i];
+	for (size_t i = search ? search->index : 0; i < plan->count && slots < max_slots; i++) {
+		const struct planned_machine *planned = &plan->machines[i];
 
-		if (is_in_scope(room, ROOMS_TO_COME, zone) && is_type_allowed(room, spec))
-			slots += room_slots(room->cpus, room->gpus, room->mem_gb, spec);
+		if (is_in_scope(planned, PLAN_PENDING_MACHINES, zone) &&
+		    is_type_allowed(planned, spec))
+			slots += room_slots(planned->cpus, planned->gpus, planned->mem_gb, spec);
 	}
-	return slots < most ? slots : most;
+	return slots < max_slots ? slots : max_slots;
 }
--- a/src/core/autoscale/rental_requests.c
+++ b/src/core/autoscale/rental_requests.c
@@ -10,7 +10,7 @@
 #include "wire/names.h"
 
 /* Part of the text of the cloud's error 503 if it has no machines of the pool. */
-#define NO_CAPACITY "capacity"
+#define NO_CAPACITY_TEXT "capacity"
 
 /* The machines that the cloud has granted on a request. */
 struct granted_machines {
@@ -55,7 +55,8 @@
 }
 
 /* Adds a granted machine. It counts as planned capacity while it boots. */
-static void expect_machine(struct core *core, const struct rental_request *request, const char *id)
+static void add_granted_machine(struct core *core, const struct rental_request *request,
+				const char *id)
 {
 	struct machine *machine;
 
@@ -70,24 +71,24 @@
 }
 
 /* Adds the granted machines. If there are fewer than requested, the pool's backoff starts. */
-static void take_granted(struct core *core, const struct rental_request *request,
-			 const struct granted_machines *granted)
+static void apply_grant(struct core *core, const struct rental_request *request,
+			const struct granted_machines *granted)
 {
 	log_info("scale_out", "request=%s type=%s zone=%s spot=%d asked=%d got=%zu", request->name,
 		 request->type, request->zone, request->kind, request->count, granted->count);
 	for (size_t i = 0; i < granted->count; i++)
-		expect_machine(core, request, granted->ids[i]);
+		add_granted_machine(core, request, granted->ids[i]);
 	if ((int)granted->count < request->count)
-		capacity_refusal_note(core, pool_of(request));
+		capacity_refusal_record(core, pool_of(request));
 	else
-		capacity_refusal_lift(core, pool_of(request));
+		capacity_refusal_reset(core, pool_of(request));
 }
 
 /* Whether the cloud refused the request because it has no machines of the pool. */
 static bool is_out_of_capacity(const struct call_answer *answer)
 {
 	return answer->status == STATUS_UNAVAILABLE && answer->body &&
-	       strstr(answer->body, NO_CAPACITY);
+	       strstr(answer->body, NO_CAPACITY_TEXT);
 }
 
 /* Whether the request is to be repeated: its outcome is not known, since the status is not 400, and
@@ -112,14 +113,14 @@
 		return;
 	request->in_flight = false;
 	if (decode_granted(answer, &granted)) {
-		take_granted(core, request, &granted);
+		apply_grant(core, request, &granted);
 		free_granted(&granted);
 	} else if (is_out_of_capacity(answer)) {
 		log_info("scale_out_refused", "type=%s zone=%s spot=%d", request->type,
 			 request->zone, request->kind);
-		capacity_refusal_note(core, pool_of(request));
+		capacity_refusal_record(core, pool_of(request));
 	} else {
-		cloud_note_answer(core, answer);
+		cloud_update_backoff(core, answer);
 		if (should_retry(core, request, answer)) {
 			request->retry_at = core->now + CLOUD_BACKOFF_S;
 			return;
@@ -162,7 +163,7 @@
 
 	DL_FOREACH (core->autoscale.rental_requests, request)
 		if (!request->in_flight && core->now >= request->retry_at &&
-		    cloud_request_allowed(core))
+		    cloud_rate_limit_acquire(core))
 			post_request(core, request);
 }
 
--- a/src/core/autoscale/scale_in.c
+++ b/src/core/autoscale/scale_in.c
@@ -50,8 +50,8 @@
 	       machine_type_allowed(type, machine->zone, machine->spot, spec);
 }
 
-/* Whether an open job could use the machine if it were empty. True if its type is not known, and
- * without jobs, since a job that can use it may be submitted. */
+/* Whether an open job could use the machine if it were empty. Also true if its type is not known,
+ * or if there are no jobs, since a job that can use it may be submitted. */
 static bool is_type_useful(const struct core *core, const struct machine *machine)
 {
 	const struct job *job, *next;
@@ -111,23 +111,23 @@
 
 /*
  * Handles a machine that the cloud has deleted. Its capacity can be rented again at once, so the
- * backoff of its pool ends. Otherwise, if many machines of a pool in backoff are deleted together,
- * their tasks would be without capacity until the end of the backoff.
+ * backoff of its pool ends. Otherwise, when many machines of a pool in backoff are deleted
+ * together, the tasks that ran on them would have no capacity until the backoff ends.
  */
-static void note_deleted(struct core *core, struct machine *machine)
+static void on_machine_deleted(struct core *core, struct machine *machine)
 {
 	struct capacity_pool pool = {machine->type_name, machine->zone, purchase_kind_of(machine)};
 
 	tombstone_add(core, machine->id);
-	capacity_refusal_lift(core, pool);
+	capacity_refusal_reset(core, pool);
 	machine_handle_deleted(core, machine);
 }
 
 /* After an answer other than a success, the deletes are due again. */
-static void take_delete_answer(struct core *core, const struct delete_batch *batch,
-			       const struct call_answer *answer)
+static void apply_delete_answer(struct core *core, const struct delete_batch *batch,
+				const struct call_answer *answer)
 {
-	cloud_note_answer(core, answer);
+	cloud_update_backoff(core, answer);
 	for (size_t i = 0; i < batch->count; i++) {
 		struct machine *machine = machine_find(core, batch->ids[i]);
 
@@ -135,7 +135,7 @@
 			continue;
 		machine->cloud.delete_in_flight = false;
 		if (answer->status == STATUS_OK)
-			note_deleted(core, machine);
+			on_machine_deleted(core, machine);
 	}
 }
 
@@ -144,7 +144,7 @@
 	struct delete_batch *batch = call->arg;
 
 	if (!election_call_is_stale(core, call))
-		take_delete_answer(core, batch, answer);
+		apply_delete_answer(core, batch, answer);
 	free(batch);
 }
 
@@ -191,6 +191,6 @@
 
 void scale_in_send_deletes(struct core *core)
 {
-	while (deletes_are_due(core) && cloud_request_allowed(core))
+	while (deletes_are_due(core) && cloud_rate_limit_acquire(core))
 		send_delete_batch(core);
 }
--- a/src/core/autoscale/scale_out.c
+++ b/src/core/autoscale/scale_out.c
@@ -5,30 +5,30 @@
 
 #include "core/state.h"
 
-static bool is_same_pool(const struct planned_room *a, const struct planned_room *b)
+static bool is_same_pool(const struct planned_machine *a, const struct planned_machine *b)
 {
 	return a->type == b->type && a->kind == b->kind && !strcmp(a->zone, b->zone);
 }
 
 /* Sends one request for planned machines of the same pool as the first of them: for as many as one
  * request may name. */
-static void request_first_pool(struct core *core, struct planned_rooms *rooms)
+static void request_first_pool(struct core *core, struct capacity_plan *plan)
 {
-	const struct planned_room *first = NULL;
+	const struct planned_machine *first = NULL;
 	struct capacity_pool pool;
 	int count = 0;
 
-	for (size_t i = 0; i < rooms->count && count < SCALE_OUT_BATCH_MAX; i++) {
-		struct planned_room *room = &rooms->list[i];
+	for (size_t i = 0; i < plan->count && count < SCALE_OUT_BATCH_MAX; i++) {
+		struct planned_machine *planned = &plan->machines[i];
 
-		if (!room->to_request)
+		if (!planned->to_request)
 			continue;
 		if (!first)
-			first = room;
-		if (!is_same_pool(room, first))
+			first = planned;
+		if (!is_same_pool(planned, first))
 			continue;
-		room->to_request = false;
-		rooms->to_request_count--;
+		planned->to_request = false;
+		plan->to_request_count--;
 		count++;
 	}
 	if (!first)
@@ -39,12 +39,12 @@
 
 void scale_out_scan(struct core *core)
 {
-	struct planned_rooms rooms;
-
-	planned_rooms_init(core, &rooms);
-	scale_out_plan_jobs(core, &rooms);
-	scale_out_plan_headroom(core, &rooms);
-	while (rooms.to_request_count && cloud_request_allowed(core))
-		request_first_pool(core, &rooms);
-	planned_rooms_clear(&rooms);
+	struct capacity_plan plan;
+
+	capacity_plan_init(core, &plan);
+	scale_out_plan_jobs(core, &plan);
+	scale_out_plan_headroom(core, &plan);
+	while (plan.to_request_count && cloud_rate_limit_acquire(core))
+		request_first_pool(core, &plan);
+	capacity_plan_clear(&plan);
 }
--- a/src/core/autoscale/scale_out.h
+++ b/src/core/autoscale/scale_out.h
@@ -19,12 +19,12 @@
  * task on it. Returns false if no offer meets the demand, or if the plan already has as many
  * machines as can be requested in a second.
  */
-bool scale_out_plan_machine(struct core *core, struct planned_rooms *rooms,
+bool scale_out_plan_machine(struct core *core, struct capacity_plan *plan,
 			    const struct machine_demand *demand);
 /* Plans machines for the waiting tasks. */
-void scale_out_plan_jobs(struct core *core, struct planned_rooms *rooms);
+void scale_out_plan_jobs(struct core *core, struct capacity_plan *plan);
 /* Plans machines for the headroom, which is capacity kept free for future tasks. Plans none if low
  * cost is an aim, unless the operators have set `headroom`. */
-void scale_out_plan_headroom(struct core *core, struct planned_rooms *rooms);
+void scale_out_plan_headroom(struct core *core, struct capacity_plan *plan);
 
 #endif
--- a/src/core/autoscale/scale_out_headroom.c
+++ b/src/core/autoscale/scale_out_headroom.c
@@ -50,22 +50,22 @@
  * Plans free capacity for the class: for `share` of its bound tasks and HEADROOM_MIN_TASKS more.
  * The free capacity of running machines counts too.
  */
-static void plan_class(struct core *core, struct planned_rooms *rooms, const struct class_use *use,
-		       double share)
+static void plan_class_headroom(struct core *core, struct capacity_plan *plan,
+				const struct class_use *use, double share)
 {
 	uint32_t wanted = (uint32_t)(share * use->bound_tasks) + HEADROOM_MIN_TASKS;
 	struct machine_demand demand = {.spec = use->spec};
 
 	for (uint32_t i = 0; i < wanted; i++) {
-		if (planned_rooms_take(rooms, use->spec, ALL_ROOMS, NULL))
+		if (capacity_plan_allocate_task(plan, use->spec, PLAN_ALL_MACHINES, NULL))
 			continue;
 		demand.tasks = wanted - i;
-		if (!scale_out_plan_machine(core, rooms, &demand))
+		if (!scale_out_plan_machine(core, plan, &demand))
 			break;
 	}
 }
 
-void scale_out_plan_headroom(struct core *core, struct planned_rooms *rooms)
+void scale_out_plan_headroom(struct core *core, struct capacity_plan *plan)
 {
 	bool is_set = core->conf->headroom >= 0;
 	double share = is_set ? core->conf->headroom : HEADROOM_GUARANTEE_SHARE;
@@ -75,6 +75,6 @@
 		return;
 	class_uses_init(core, &uses);
 	for (size_t i = 0; i < uses.count; i++)
-		plan_class(core, rooms, &uses.list[i], share);
+		plan_class_headroom(core, plan, &uses.list[i], share);
 	class_uses_clear(&uses);
 }
--- a/src/core/autoscale/scale_out_jobs.c
+++ b/src/core/autoscale/scale_out_jobs.c
@@ -19,10 +19,11 @@
 	       remaining_s > SCALE_OUT_ESTIMATE_FACTOR * spec->estimate_s + SCALE_OUT_LEAD_S;
 }
 
-/* Returns the zone whose pending machines have capacity for most tasks of the job; NULL: no zone
- * has any. */
-static const char *zone_with_most_to_come(const struct core *core, struct planned_rooms *rooms,
-					  const struct job_spec *spec)
+/* Returns the zone whose pending machines have capacity for the most tasks of the job; NULL: no
+ * zone has any. */
+static const char *zone_with_most_pending_capacity(const struct core *core,
+						   struct capacity_plan *plan,
+						   const struct job_spec *spec)
 {
 	const char *zone_with_most = NULL;
 	uint32_t most = 0;
@@ -36,7 +37,8 @@
 
 			if (zone_with_most && !strcmp(zone_with_most, zone))
 				continue;
-			slots = planned_rooms_slots_to_come(rooms, spec, zone, spec->task_count);
+			slots =
+			    capacity_plan_count_pending_slots(plan, spec, zone, spec->task_count);
 			if (slots > most) {
 				most = slots;
 				zone_with_most = zone;
@@ -55,59 +57,59 @@
 /*
  * Returns the zone in which machines for the job are planned; NULL: any. Capacity that is spread
  * over several zones is of no use to a job that needs one zone. Such a job is planned in the zone
- * with most pending capacity for it; without any, the first machine is planned where it is
- * cheapest.
+ * with the most pending capacity for it. If there is none, the first machine is planned where it is
+ * cheapest. A job with a single task may use any zone.
  */
-static const char *initial_zone(const struct core *core, struct planned_rooms *rooms,
+static const char *initial_zone(const struct core *core, struct capacity_plan *plan,
 				const struct job_spec *spec)
 {
 	if (!needs_one_zone(spec) || spec->task_count == 1)
 		return NULL;
-	return zone_with_most_to_come(core, rooms, spec);
+	return zone_with_most_pending_capacity(core, plan, spec);
 }
 
 /* Plans a machine in the demand's zone, or in any zone if there is no offer in that one. */
-static bool plan_machine_near(struct core *core, struct planned_rooms *rooms,
-			      const struct machine_demand *demand)
+static bool plan_machine_preferring_zone(struct core *core, struct capacity_plan *plan,
+					 const struct machine_demand *demand)
 {
 	struct machine_demand anywhere = *demand;
 
-	if (scale_out_plan_machine(core, rooms, demand))
+	if (scale_out_plan_machine(core, plan, demand))
 		return true;
 	if (!demand->zone)
 		return false;
 	anywhere.zone = NULL;
-	return scale_out_plan_machine(core, rooms, &anywhere);
+	return scale_out_plan_machine(core, plan, &anywhere);
 }
 
 /* Plans machines for the waiting tasks of the job, as far as its team's quota allows. */
-static void plan_job(struct core *core, struct planned_rooms *rooms, const struct job *job)
+static void plan_job(struct core *core, struct capacity_plan *plan, const struct job *job)
 {
 	const struct job_spec *spec = &job->spec;
 	uint32_t waiting = job_waiting_count(job);
 	struct machine_demand demand = {
 	    .spec = spec,
-	    .zone = initial_zone(core, rooms, spec),
+	    .zone = initial_zone(core, plan, spec),
 	    .choice = can_wait(core, job) ? SPOT_ONLY : ANY_KIND,
 	};
 
 	for (uint32_t i = 0; i < waiting && team_quota_allows(core, spec, i + 1); i++) {
-		if (planned_rooms_take(rooms, spec, ROOMS_TO_COME, demand.zone))
+		if (capacity_plan_allocate_task(plan, spec, PLAN_PENDING_MACHINES, demand.zone))
 			continue;
 		demand.tasks = waiting - i;
-		if (!plan_machine_near(core, rooms, &demand))
+		if (!plan_machine_preferring_zone(core, plan, &demand))
 			break;
-		/* The first machine decides on the zone of the job's other tasks. */
+		/* The first machine determines the zone of the job's other tasks. */
 		if (!demand.zone && needs_one_zone(spec))
-			demand.zone = rooms->list[rooms->count - 1].zone;
+			demand.zone = plan->machines[plan->count - 1].zone;
 	}
 }
 
 /*
- * Whether the job has tasks that wait only for capacity: it is not in backoff, no earlier attempt
- * of a gang is still bound, and a scheduling cycle had SCALE_OUT_AFTER_S to place them.
+ * Whether the job has tasks that wait only for capacity: the job is not in backoff, no attempt of a
+ * gang is still bound, and scheduling cycles have had SCALE_OUT_AFTER_S to place the tasks.
  */
-static bool lacks_room(const struct core *core, const struct job *job)
+static bool lacks_capacity(const struct core *core, const struct job *job)
 {
 	bool gang_is_bound = job->bindings && job->spec.kind == JOB_GANG;
 
@@ -115,11 +117,11 @@
 	       core->wall - job->submitted_at >= SCALE_OUT_AFTER_S;
 }
 
-void scale_out_plan_jobs(struct core *core, struct planned_rooms *rooms)
+void scale_out_plan_jobs(struct core *core, struct capacity_plan *plan)
 {
 	struct job *job, *next;
 
 	JOBS_FOR_EACH (core, job, next)
-		if (lacks_room(core, job))
-			plan_job(core, rooms, job);
+		if (lacks_capacity(core, job))
+			plan_job(core, plan, job);
 }
