--- a/src/core/autoscale/catalog_reader.c
+++ b/src/core/autoscale/catalog_reader.c
@@ -7,10 +7,12 @@
 #include "util/log.h"
 #include "wire/names.h"
 
+/* Key of the copy in the state service. If the copy is too large for one value, it is instead the
+ * prefix of one key for each type. */
 #define CATALOG_KEY "k/catalog"
 
-/* Takes the types of a message as the catalog; false if it is malformed. */
-static bool take_catalog(struct core *core, json_t *message)
+/* Makes the types of a message the catalog. Returns false if the message is malformed. */
+static bool apply_catalog(struct core *core, json_t *message)
 {
 	struct machine_type *types;
 	size_t count;
@@ -22,12 +24,15 @@
 	return true;
 }
 
-static void on_stored(struct core *core, struct call *call, const struct call_answer *answer)
+/* Handles the end of a write of the copy. A write that failed is not repeated. */
+static void on_catalog_stored(struct core *core, struct call *call,
+			      const struct call_answer *answer)
 {
 	(void)call;
 	store_update_availability(core, answer);
 }
 
+/* Writes a value unless the key exists: an earlier copy, of another controller, is kept. */
 static void store_catalog_value(struct core *core, const char *key, json_t *value)
 {
 	struct txn txn;
@@ -35,10 +40,13 @@
 	txn_begin(&txn);
 	txn_guard(&txn, key, 0);
 	txn_put(&txn, key, value, 0);
-	store_commit(core, txn_finish(&txn), on_stored, NULL);
+	store_commit(core, txn_finish(&txn), on_catalog_stored, NULL);
 }
 
-/* One value, or where that would be too large one for each type of machine. */
+/*
+ * Writes the catalog to the state service: as one value, or as one value for each type if a single
+ * value would be too large.
+ */
 static void store_catalog(struct core *core)
 {
 	json_t *all = wire_types_encode(catalog_type(core, 0), catalog_type_count(core));
@@ -58,14 +66,14 @@
 	}
 }
 
-/* Adds the types of a stored value to the array `all_types`. */
+/* Adds the types of a stored value to the JSON array `all_types`. */
 static void add_stored_types(void *all_types, const struct kv_item *item)
 {
 	if (item->value)
 		json_array_extend(all_types, json_object_get(item->value, W_TYPES));
 }
 
-/* The types of all stored values, in the form of the cloud's answer; the caller owns it. */
+/* Returns the types of all stored values, in the form of the cloud's answer. The caller owns it. */
 static json_t *merge_stored_types(const struct call_answer *answer)
 {
 	json_t *range = wire_parse(answer->body, answer->len);
@@ -76,8 +84,9 @@
 	return json_pack("{s:o}", W_TYPES, types);
 }
 
-static void on_stored_catalog(struct core *core, struct call *call,
-			      const struct call_answer *answer)
+/* Handles the copy read from the state service, unless a catalog is known meanwhile. */
+static void on_stored_catalog_read(struct core *core, struct call *call,
+				   const struct call_answer *answer)
 {
 	json_t *message;
 
@@ -85,20 +94,21 @@
 	if (answer->status != STATUS_OK || catalog_is_known(core))
 		return;
 	message = merge_stored_types(answer);
-	if (take_catalog(core, message)) {
+	if (apply_catalog(core, message)) {
 		core->autoscale.catalog_reader.stored = true;
 		log_info("catalog", "from=state types=%zu", catalog_type_count(core));
 	}
 	json_decref(message);
 }
 
-static void take_cloud_catalog(struct core *core, const struct call_answer *answer)
+/* Applies the catalog of the cloud's answer, and writes a copy if this has not been done yet. */
+static void apply_cloud_catalog(struct core *core, const struct call_answer *answer)
 {
 	struct catalog_reader *reader = &core->autoscale.catalog_reader;
 	bool is_first = !catalog_is_known(core);
 	json_t *message = wire_parse(answer->body, answer->len);
 
-	if (take_catalog(core, message)) {
+	if (apply_catalog(core, message)) {
 		reader->next_read_at = core->now + CATALOG_INTERVAL_S;
 		if (is_first)
 			log_info("catalog", "from=cloud types=%zu", catalog_type_count(core));
@@ -108,7 +118,10 @@
 	json_decref(message);
 }
 
-static void on_cloud_catalog(struct core *core, struct call *call, const struct call_answer *answer)
+/* Handles the end of a read from the cloud. While no catalog is known, a failed read is followed by
+ * a read of the copy in the state service. */
+static void on_cloud_catalog_read(struct core *core, struct call *call,
+				  const struct call_answer *answer)
 {
 	struct catalog_reader *reader = &core->autoscale.catalog_reader;
 
@@ -116,9 +129,9 @@
 	reader->in_flight = false;
 	reader->next_read_at = core->now + CLOUD_BACKOFF_S;
 	if (answer->status == STATUS_OK)
-		take_cloud_catalog(core, answer);
+		apply_cloud_catalog(core, answer);
 	else if (!catalog_is_known(core))
-		store_range(core, CATALOG_KEY, "", on_stored_catalog, NULL);
+		store_range(core, CATALOG_KEY, "", on_stored_catalog_read, NULL);
 }
 
 void catalog_tick(struct core *core)
@@ -130,5 +143,5 @@
 		return;
 	reader->in_flight = true;
 	core_call(core, core->conf->cloud_addr, "GET", format_path(W_PATH_TYPES), NULL,
-		  CALL_CLOUD_TIMEOUT_S, on_cloud_catalog, NULL);
+		  CALL_CLOUD_TIMEOUT_S, on_cloud_catalog_read, NULL);
 }
--- a/src/core/autoscale/inventory.c
+++ b/src/core/autoscale/inventory.c
@@ -7,14 +7,16 @@
 #include "util/log.h"
 #include "wire/names.h"
 
-/* The machine of an entry, added if it is new; NULL if the entry is to be ignored. */
-static struct machine *machine_of_entry(struct core *core, const struct listed_machine *entry)
+/* Returns the machine that an entry names, and adds it if it is new; NULL: ignore the entry. */
+static struct machine *find_or_add_listed_machine(struct core *core,
+						  const struct listed_machine *entry)
 {
 	struct machine *machine = machine_find(core, entry->id);
 
 	if (machine)
 		return machine;
-	/* A lagging inventory still names what was deleted: it must not come back to life. */
+	/* The inventory lags behind and may still list a machine that was deleted, which must not
+	 * be added again. A machine that is listed first as failed is not added either. */
 	if (machine_has_tombstone(core, entry->id) || entry->state == CLOUD_FAILED)
 		return NULL;
 	machine = machine_find_or_add(core, entry->id);
@@ -24,9 +26,10 @@
 	return machine;
 }
 
-static void take_entry(struct core *core, const struct listed_machine *entry)
+/* Applies what an entry says to its machine. */
+static void apply_entry(struct core *core, const struct listed_machine *entry)
 {
-	struct machine *machine = machine_of_entry(core, entry);
+	struct machine *machine = find_or_add_listed_machine(core, entry);
 
 	if (!machine)
 		return;
@@ -41,7 +44,10 @@
 		probe_unseen_machine(core, machine);
 }
 
-/* All pages are read: counts the machines that were listed before and are not any more. */
+/*
+ * Ends an inventory whose pages have all been read: each machine that an earlier inventory listed
+ * and this one lacks has one more missed inventory.
+ */
 static void finish_inventory(struct core *core)
 {
 	struct inventory_reader *inventory = &core->autoscale.inventory;
@@ -66,16 +72,17 @@
 	if (election_call_is_stale(core, call))
 		return;
 	inventory->in_flight = false;
-	cloud_note_answer(core, answer);
+	cloud_update_backoff(core, answer);
 	if (answer->status != STATUS_OK ||
 	    wire_list_decode(answer->body, answer->len, &entries, &count, &more))
 		return;
 	for (size_t i = 0; i < count; i++)
-		take_entry(core, &entries[i]);
+		apply_entry(core, &entries[i]);
 	if (more && count) {
 		snprintf(inventory->cursor, sizeof(inventory->cursor), "%s", entries[count - 1].id);
-		/* A fleet's list has several pages: they are one list only if read together. */
-		if (cloud_request_allowed(core))
+		/* A large fleet's list has several pages. They are read one right after another,
+		 * since pages of different times do not make up one consistent list. */
+		if (cloud_rate_limit_acquire(core))
 			read_page(core);
 	} else {
 		finish_inventory(core);
@@ -107,11 +114,11 @@
 	const struct inventory_reader *inventory = &core->autoscale.inventory;
 
 	if (!inventory->in_flight && core->now >= inventory->next_read_at &&
-	    cloud_request_allowed(core))
+	    cloud_rate_limit_acquire(core))
 		read_page(core);
 }
 
-/* The number is kept: it only rises. */
+/* The number is kept, so that no two inventories have the same one. */
 void inventory_clear(struct core *core)
 {
 	struct inventory_reader *inventory = &core->autoscale.inventory;
