--- a/src/wire/cloud_codec.c
+++ b/src/wire/cloud_codec.c
@@ -1,4 +1,4 @@
-/* What the cloud offers and lists, and the requests to rent and delete machines. */
+/* Decodes the cloud's catalog and list of machines, and encodes requests to it. */
 #include "wire/cloud_codec.h"
 
 #include <stdlib.h>
@@ -15,6 +15,7 @@
 
 static const struct name_table listed_states = NAME_TABLE(listed_state_names);
 
+/* Returns -1 if there is no zone, or one with an invalid name. */
 static int decode_zones(const json_t *object, struct machine_type *type)
 {
 	if (!names_decode(json_object_get(object, W_ZONES), &type->zones) && type->zones.count)
@@ -107,8 +108,8 @@
 }
 
 /*
- * Parses an answer with a list of machines. The list belongs to *answer, which the caller releases;
- * NULL, with nothing to release, if there is none.
+ * Parses an answer of the cloud and returns its list of machines, or NULL if it has none. The list
+ * belongs to `*answer`, which the caller releases with json_decref unless NULL is returned.
  */
 static const json_t *parse_machine_list(const char *body, size_t len, json_t **answer)
 {
--- a/src/wire/job_codec.c
+++ b/src/wire/job_codec.c
@@ -1,4 +1,4 @@
-/* Job descriptions, as users send them and as they are stored, and the answers on a job's state. */
+/* Decodes and encodes job descriptions, and encodes answers about a job's state. */
 #include "wire/job_codec.h"
 
 #include <string.h>
@@ -32,7 +32,7 @@
 	return strspn(id + prefix, "0123456789") == length - prefix;
 }
 
-/* The id and the names that every description has. */
+/* Decodes the id and the required names. */
 static int decode_names(const json_t *object, struct job_spec *spec, const char **why)
 {
 	const struct {
@@ -112,6 +112,7 @@
 	return 0;
 }
 
+/* Decodes the allowed machine types. The list may be absent, but not empty. */
 static int decode_types(const json_t *object, struct job_spec *spec)
 {
 	const json_t *types = json_object_get(object, W_TYPES);
@@ -121,7 +122,7 @@
 	return names_decode(types, &spec->types);
 }
 
-/* The fields that a description may leave out. */
+/* Decodes the optional fields. */
 static int decode_optional(const json_t *object, struct job_spec *spec, const char **why)
 {
 	*why = W_ZONE;
--- a/src/wire/json_fields.c
+++ b/src/wire/json_fields.c
@@ -1,4 +1,4 @@
-/* Typed reading and writing of the fields of JSON objects. */
+/* Reads and checks the fields of JSON objects. */
 #include "wire/json_fields.h"
 
 #include <math.h>
--- a/src/wire/json_text.c
+++ b/src/wire/json_text.c
@@ -1,4 +1,4 @@
-/* JSON values from and to text. */
+/* Parses JSON text and serializes JSON values. */
 #include "wire/json_text.h"
 
 #include "util/xalloc.h"
--- a/src/wire/json_text.h
+++ b/src/wire/json_text.h
@@ -1,4 +1,4 @@
-/* JSON values from and to text. */
+/* Parses JSON text and serializes JSON values. */
 #ifndef PLOVERLOFT_JSON_TEXT_H
 #define PLOVERLOFT_JSON_TEXT_H
 
@@ -7,15 +7,16 @@
 #include <jansson.h>
 
 /*
- * The value of `len` bytes of text, which the caller releases with json_decref; NULL if they are
- * not one JSON object or array, or if an object has a key twice.
+ * Parses `len` bytes of text. Returns NULL if they are not exactly one JSON object or array, or if
+ * an object has a key twice. The caller releases the value with json_decref.
  */
 json_t *wire_parse(const char *body, size_t len);
 
-/* The text of an object or array as it is sent, which the caller frees. Takes over the value. */
+/* Returns the compact text of an object or array, which the caller frees, and releases the value.
+ */
 char *wire_serialize(json_t *value);
 
-/* The bytes of a value's text as it would be sent. */
+/* Returns the length in bytes of the compact text of an object or array. */
 size_t wire_value_bytes(const json_t *value);
 
 #endif
--- a/src/wire/name_list.c
+++ b/src/wire/name_list.c
@@ -1,4 +1,4 @@
-/* Lists of names. */
+/* Lists of the platform's names. */
 #include "wire/name_list.h"
 
 #include <stdlib.h>
--- a/src/wire/name_list.h
+++ b/src/wire/name_list.h
@@ -1,23 +1,24 @@
-/* Names as the platform spells them, their sizes, and lists of them. */
+/* Lists of the platform's names, such as zones and machine types, and the maximum sizes of names.
+ */
 #ifndef PLOVERLOFT_NAME_LIST_H
 #define PLOVERLOFT_NAME_LIST_H
 
 #include <stdbool.h>
 
-#define ID_MAX 48	/* bytes of a job's or a machine's id, its terminating zero included */
-#define NAME_MAX_LEN 64 /* bytes of any other name or address, its terminating zero included */
+#define ID_MAX 48	/* bytes of a job's or a machine's id, with its NUL */
+#define NAME_MAX_LEN 64 /* bytes of any other name or address, with its NUL */
 
-/* Names without a bound on their number. All zero is the empty list. */
+/* A list of names. A zeroed struct is the empty list. */
 struct name_list {
-	char (*names)[NAME_MAX_LEN];
+	char (*names)[NAME_MAX_LEN]; /* owned */
 	int count;
 };
 
-/* Appends a copy of the name. 0, or -1 if it is NULL, empty or too long. */
+/* Appends a copy of the name. Returns 0, or -1 if the name is NULL, empty or too long. */
 int name_list_add(struct name_list *list, const char *name);
-/* True if the list holds the name. */
+/* Whether the name is in the list. */
 bool name_list_has(const struct name_list *list, const char *name);
-/* Frees the names; the list is empty afterwards. */
+/* Frees the names and makes the list empty. */
 void name_list_free(struct name_list *list);
 
 #endif
--- a/src/wire/names.h
+++ b/src/wire/names.h
@@ -1,87 +1,90 @@
 /*
- * The one table of names on the wire: left the field's term as the code uses it, right what the
- * platform's protocol calls it. No other file writes these names out. A field that several messages
- * have stands with the first of them. Fields without a word on what they hold are texts or lists.
+ * The names of the platform's protocol. On the left is the term that the code uses, on the right
+ * the name on the wire. No other file writes these names out. A field that several messages have is
+ * listed with the first of them. A field is a text or a list unless its comment says otherwise.
  */
 #ifndef PLOVERLOFT_NAMES_H
 #define PLOVERLOFT_NAMES_H
 
-/* Paths of requests: of users (the first three), of agents, of the cloud, of the state service. */
-#define W_PATH_JOBS "/api/jobs"
-#define W_PATH_CANCEL "/abort"
-#define W_PATH_READY "/ready"
-#define W_PATH_HEARTBEAT "/agent/beat"
-#define W_PATH_COMMANDS "/do"
-#define W_PATH_PROBE "/show"
-#define W_PATH_TYPES "/catalog"
-#define W_PATH_MACHINES "/rentals"
-#define W_PATH_DELETE "/rentals/delete"
-#define W_PATH_KEYS "/keys"
-#define W_PATH_TXN "/commit"
-#define W_PATH_LEASES "/grants"
-#define W_PATH_RENEW "/touch"
-#define W_PATH_WATCH "/changes"
+/* Paths of users' requests. */
+#define W_PATH_JOBS "/api/jobs" /* submission; with "/ID" the job's state */
+#define W_PATH_CANCEL "/abort"	/* after a job's path: cancels the job */
+#define W_PATH_READY "/ready"	/* whether the controller serves */
+/* Paths of agents: the first is served by controllers, the others by agents. */
+#define W_PATH_HEARTBEAT "/agent/beat" /* a report, answered with commands */
+#define W_PATH_COMMANDS "/do"	       /* commands that are sent directly */
+#define W_PATH_PROBE "/show"	       /* a request for a report */
+/* Paths of the cloud. */
+#define W_PATH_TYPES "/catalog"		/* the machine types */
+#define W_PATH_MACHINES "/rentals"	/* the list of rented machines, and rental requests */
+#define W_PATH_DELETE "/rentals/delete" /* deletes machines */
+/* Paths of the state service. */
+#define W_PATH_KEYS "/keys"	/* one item, or a range of items */
+#define W_PATH_TXN "/commit"	/* commits a transaction */
+#define W_PATH_LEASES "/grants" /* grants a lease; with "/LEASE" the lease itself */
+#define W_PATH_RENEW "/touch"	/* after a lease's path: renews the lease */
+#define W_PATH_WATCH "/changes" /* waits for changes of keys */
 
-/* What each job's id begins with. */
+/* Prefix of a job's id; digits follow. */
 #define W_JOB_PREFIX "job-"
 
 /* Job descriptions and states. */
-#define W_ID "uid"	/* of a job or a machine */
-#define W_CLASS "naipe" /* the job's class, which has its aims in the settings */
+#define W_ID "uid"	/* id of a job or a machine */
+#define W_CLASS "naipe" /* class of the job, for which the settings may state objectives */
 #define W_TEAM "grupo"
-#define W_KIND "feitio" /* one of the next three */
+#define W_KIND "feitio" /* kind of the job: W_KIND_... */
 #define W_KIND_ARRAY "array"
 #define W_KIND_GANG "group"
 #define W_KIND_SERVICE "standing"
-#define W_PRIORITY "vez" /* one of the next four */
+#define W_PRIORITY "vez" /* W_PRIO_... */
 #define W_PRIO_PRODUCTION "production"
 #define W_PRIO_HIGH "urgent"
 #define W_PRIO_NORMAL "normal"
 #define W_PRIO_LOW "best_effort"
-#define W_TASKS "partes" /* in a job their number, in a report their list */
-#define W_TASK "parte"	 /* one task's name */
-#define W_CPUS "cores"	 /* number */
-#define W_GPUS "gpus"	 /* number */
-#define W_MEMORY "memGb" /* GB */
+#define W_TASKS "partes" /* in a job the number of tasks, in a report the list of attempts */
+#define W_TASK "parte"	 /* a task's name, "JOB/INDEX" */
+#define W_CPUS "cores"	 /* number of CPUs, of a task or a machine type */
+#define W_GPUS "gpus"	 /* number of GPUs, of a task or a machine type */
+#define W_MEMORY "memGb" /* memory in GB, of a task or a machine type */
 #define W_IMAGE "molde"
-#define W_IMAGE_GB "pullGb"	 /* GB */
-#define W_TYPES "feitiosMaquina" /* allowed types of a job, or the types of a catalog */
-#define W_TYPE "feitioMaquina"
-#define W_ZONE "praca"
-#define W_ZONES "pracas"
-#define W_ONE_ZONE "together"  /* true or false */
-#define W_SPREAD "scatter"     /* true or false */
-#define W_SPOT "avulsas"       /* true or false */
-#define W_ESTIMATE "previstoS" /* seconds */
-#define W_CHECKPOINT "marcoS"  /* seconds */
-#define W_SAVE "gravarS"       /* seconds */
-#define W_DEADLINE "prazoS"    /* seconds */
-#define W_STATE "estado"       /* of a job, a task or a machine */
+#define W_IMAGE_GB "pullGb"	 /* size of the image in GB */
+#define W_TYPES "feitiosMaquina" /* machine types: names in a job, objects in a catalog */
+#define W_TYPE "feitioMaquina"	 /* name of a machine's type */
+#define W_ZONE "praca"		 /* in a job the only zone allowed, or the zone of a machine */
+#define W_ZONES "pracas"	 /* zones that offer a machine type */
+#define W_ONE_ZONE "together"	 /* boolean: all tasks must run in the same zone */
+#define W_SPREAD "scatter"	 /* boolean: at most half of the tasks may run in one zone */
+#define W_SPOT "avulsas"	 /* boolean: a job may use spot machines, or a machine is one */
+#define W_ESTIMATE "previstoS"	 /* estimated run time of a task in seconds */
+#define W_CHECKPOINT "marcoS"	 /* seconds between checkpoints */
+#define W_SAVE "gravarS"	 /* seconds that a stopped task takes to save its state */
+#define W_DEADLINE "prazoS"	 /* seconds from submission to the end of the job */
+#define W_STATE "estado"	 /* of a job, an attempt or a machine */
 #define W_JOB_QUEUED "pending"
 #define W_JOB_RUNNING "running"
 #define W_JOB_DONE "done"
 #define W_JOB_CANCELLED "withdrawn"
-#define W_DONE "done"	    /* number of tasks */
-#define W_RUNNING "running" /* number of tasks */
+#define W_DONE "done"	    /* number of tasks that are done */
+#define W_RUNNING "running" /* number of tasks that are running */
 
 /* Reports of agents and commands to them. */
-#define W_MACHINE "poleiro"
-#define W_MACHINES_LIST "poleiros"
-#define W_ADDR "endpoint"
-#define W_INCARNATION "turno"	     /* number */
-#define W_SEQUENCE "compasso"	     /* number */
+#define W_MACHINE "poleiro"	     /* id of a machine */
+#define W_MACHINES_LIST "poleiros"   /* list of machines: ids, or objects in the cloud's list */
+#define W_ADDR "endpoint"	     /* address of an agent */
+#define W_INCARNATION "turno"	     /* number of the agent's incarnation */
+#define W_SEQUENCE "compasso"	     /* number of the report within the incarnation */
 #define W_TOKEN "batuta"	     /* fencing token, a number */
-#define W_PREEMPTION_NOTICE "avisoS" /* seconds */
-#define W_ATTEMPT "entrada"	     /* number */
-#define W_END_REASON "motivo"	     /* why a task exited or was refused */
-#define W_SAVED "kept"		     /* true or false */
+#define W_PREEMPTION_NOTICE "avisoS" /* seconds until the cloud takes the machine back */
+#define W_ATTEMPT "entrada"	     /* number of a task's attempt */
+#define W_END_REASON "motivo"	     /* why a task exited or was refused: W_END_... */
+#define W_SAVED "kept"		     /* boolean: the task's state was saved */
 #define W_COMMANDS "ordens"
-#define W_OP "gesto" /* one of the next three */
+#define W_OP "gesto" /* what a command does: W_OP_... */
 #define W_OP_START "start"
 #define W_OP_STOP "stop"
 #define W_OP_FORGET "forget"
-#define W_GRACE "folgaS"      /* seconds */
-#define W_REPORT_TO "regente" /* the leader's address */
+#define W_GRACE "folgaS"      /* seconds that a stopped task is given to save its state */
+#define W_REPORT_TO "regente" /* address of the leader, to which the agent should report */
 #define W_TASK_FETCHING "pulling"
 #define W_TASK_WAITING "waiting"
 #define W_TASK_RUNNING "running"
@@ -89,45 +92,45 @@
 #define W_TASK_EXITED "ended"
 #define W_END_DONE "done"
 #define W_END_STOPPED "stopped"
-#define W_END_PEERS_LOST "peers"
-#define W_END_ALONE "alone"
+#define W_END_PEERS_LOST "peers" /* another task of its gang stopped running */
+#define W_END_ALONE "alone"	 /* the other tasks of its gang did not start in time */
 #define W_END_ERROR "error"
-#define W_END_NO_ROOM "full"
-#define W_END_BUSY "busy"
-#define W_END_UNKNOWN_JOB "unknown"
+#define W_END_NO_ROOM "full"	    /* too little free capacity */
+#define W_END_BUSY "busy"	    /* the machine runs another attempt of the task */
+#define W_END_UNKNOWN_JOB "unknown" /* the agent does not know the job's description */
 
-/* The cloud: types of machines, lists, rentals. */
-#define W_NAME "label"
-#define W_CACHE "localGb"	   /* GB */
-#define W_FETCH "fetchGbPerS"	   /* GB a second */
-#define W_PRICE "hourly"	   /* for an hour */
-#define W_SPOT_PRICE "marketPrice" /* for an hour */
-#define W_BOOT "readyS"		   /* seconds */
-#define W_REQUEST "pedido"	   /* a rental's name */
-#define W_COUNT "howMany"	   /* number of machines */
-#define W_AFTER "from"		   /* where a page or a watch begins */
-#define W_LIMIT "limit"		   /* number of entries in a page */
-#define W_AGE "ageS"		   /* seconds */
-#define W_MORE "truncated"	   /* true if another page follows */
+/* The cloud: machine types, the list of machines, rental requests. */
+#define W_NAME "label"		   /* name of a machine type */
+#define W_CACHE "localGb"	   /* size of the machine's cache for images in GB */
+#define W_FETCH "fetchGbPerS"	   /* speed at which images are fetched, in GB/s */
+#define W_PRICE "hourly"	   /* price of an hour */
+#define W_SPOT_PRICE "marketPrice" /* price of an hour of a spot machine */
+#define W_BOOT "readyS"		   /* seconds from the rental to the first report */
+#define W_REQUEST "pedido" /* name of a rental request; its repetitions have the same name */
+#define W_COUNT "howMany"  /* number of machines to rent */
+#define W_AFTER "from"	   /* last entry before the page, or last revision before the watch */
+#define W_LIMIT "limit"	   /* maximum number of entries in a page */
+#define W_AGE "ageS"	   /* seconds since the machine was rented */
+#define W_MORE "truncated" /* boolean: another page follows */
 #define W_CLOUD_BOOTING "starting"
 #define W_CLOUD_RUNNING "running"
 #define W_CLOUD_FAILED "failed"
 
 /* The state service: items, transactions, leases, watches. */
-#define W_KEY "k"
-#define W_VALUE "data"
-#define W_PREFIX "starts" /* of the keys of a range or a watch */
-#define W_ITEMS "entries"
-#define W_IF "guards"	    /* versions that keys must have */
-#define W_THEN "apply"	    /* changes of keys */
-#define W_PUT "write"	    /* key of a value to write */
-#define W_DROP "drop"	    /* key to drop */
-#define W_REVISION "edicao" /* the store's, a number */
-#define W_VERSION "retoque" /* a key's, a number */
-#define W_LEASE "alvara"    /* number */
-#define W_TTL "lifeMs"	    /* milliseconds */
-#define W_WAIT "blockMs"    /* milliseconds */
-#define W_EVENTS "events"
-#define W_FAILED "failed" /* keys whose guards failed */
+#define W_KEY "k"	    /* key of an item or a guard */
+#define W_VALUE "data"	    /* value of an item: an object or a list */
+#define W_PREFIX "starts"   /* prefix of the keys of a range or a watch */
+#define W_ITEMS "entries"   /* items of a page */
+#define W_IF "guards"	    /* guards of a transaction: versions that keys must have */
+#define W_THEN "apply"	    /* changes that a transaction makes */
+#define W_PUT "write"	    /* key that a change writes */
+#define W_DROP "drop"	    /* key that a change deletes */
+#define W_REVISION "edicao" /* revision of the whole store, a number */
+#define W_VERSION "retoque" /* version of a key, a number; 0 in a guard: the key must not exist */
+#define W_LEASE "alvara"    /* number of a lease */
+#define W_TTL "lifeMs"	    /* time after which a lease ends unless renewed, in milliseconds */
+#define W_WAIT "blockMs"    /* time for which a watch waits for changes, in milliseconds */
+#define W_EVENTS "events"   /* changes that a watch returns */
+#define W_FAILED "failed"   /* keys whose guards failed */
 
 #endif
--- a/src/wire/report_codec.c
+++ b/src/wire/report_codec.c
@@ -1,4 +1,4 @@
-/* The reports of agents, and the commands that answer them or are sent directly. */
+/* Decodes reports of agents, and encodes the answers to them and direct commands. */
 #include "wire/report_codec.h"
 
 #include <stdio.h>
@@ -11,7 +11,7 @@
 #include "wire/json_text.h"
 #include "wire/names.h"
 
-/* A task is named by its job's id and its index: "job-000412/3". */
+/* A task's name on the wire is its job's id and its index: "job-000412/3". */
 #define TASK_SEPARATOR '/'
 #define TASK_FORMAT "%s/%u"
 
@@ -35,7 +35,8 @@
 static const struct name_table task_states = NAME_TABLE(task_state_names);
 static const struct name_table task_whys = NAME_TABLE(task_why_names);
 
-/* `job` has room for ID_MAX bytes. 0, or -1 if the name is NULL or no task's. */
+/* Splits a task's name. `job` has a size of ID_MAX bytes. Returns -1 if the name is NULL or not
+ * valid. */
 static int decode_task_name(const char *name, char *job, uint32_t *task)
 {
 	const char *separator = name ? strrchr(name, TASK_SEPARATOR) : NULL;
@@ -72,7 +73,7 @@
 	return 0;
 }
 
-/* What the report says of the machine itself. */
+/* Decodes the fields about the machine itself. */
 static int decode_machine(const json_t *object, struct report *report)
 {
 	const json_t *notice = json_object_get(object, W_PREEMPTION_NOTICE);
@@ -90,7 +91,10 @@
 	return 0;
 }
 
-/* A report half understood would make absence of proof look like proof: one bad task refuses it. */
+/*
+ * One invalid task makes the whole report invalid. If the task were left out instead, the report
+ * would seem to prove that the machine does not run it.
+ */
 static int decode_report(const json_t *object, struct report *report)
 {
 	const json_t *tasks = json_object_get(object, W_TASKS);
@@ -145,7 +149,8 @@
 	return array;
 }
 
-/* What most reports are answered with: nothing in it needs quoting. */
+/* Encodes the answer to most reports, one without commands. It is printed directly, since no text
+ * in it needs quoting. */
 static char *heartbeat_answer_empty(uint64_t token)
 {
 	char *text;
--- a/src/wire/report_codec.h
+++ b/src/wire/report_codec.h
@@ -1,4 +1,4 @@
-/* The reports of agents, and the commands that answer them or are sent directly. */
+/* Reports of agents, and commands to agents: in the answers to reports or sent directly. */
 #ifndef PLOVERLOFT_REPORT_CODEC_H
 #define PLOVERLOFT_REPORT_CODEC_H
 
@@ -8,24 +8,24 @@
 
 #include "wire/name_list.h"
 
-/* The states of an attempt, in the order in which it passes through them. */
+/* The states of an attempt, in the order in which an attempt passes through them. */
 enum task_state {
-	TASK_FETCHING, /* the machine fetches the image */
-	TASK_WAITING,  /* for the other tasks of its gang */
+	TASK_FETCHING, /* its machine fetches the image */
+	TASK_WAITING,  /* waits until the other tasks of its gang can start */
 	TASK_RUNNING,
-	TASK_SAVING, /* saves its state before it stops */
+	TASK_SAVING, /* stopped; it saves its state */
 	TASK_EXITED
 };
 
 /* Why a task exited or was refused. */
 enum task_end_reason {
-	END_NONE, /* it has not exited, or the reason is one that we don't know */
+	END_NONE, /* it has not exited, or the reason is not one of those below */
 	END_DONE,
-	END_STOPPED,	/* on a command */
-	END_PEERS_LOST, /* another task of its gang was lost */
-	END_ALONE,	/* the other tasks of its gang did not come up in time */
+	END_STOPPED,	/* stopped by a command */
+	END_PEERS_LOST, /* another task of its gang stopped running */
+	END_ALONE,	/* the other tasks of its gang did not start in time */
 	END_ERROR,
-	END_NO_ROOM,	/* refused: the machine's CPUs, GPUs or memory do not suffice */
+	END_NO_ROOM,	/* refused: too few CPUs or GPUs, or too little memory, are free */
 	END_BUSY,	/* refused: the machine runs another attempt of the task */
 	END_UNKNOWN_JOB /* refused: the agent does not know the job's description yet */
 };
@@ -40,55 +40,59 @@
 	bool saved; /* true if its state was saved when it was stopped */
 };
 
-/* One message of an agent: its machine and all attempts that it knows of. */
+/* A report of an agent: its machine and all attempts that the agent knows of. */
 struct report {
 	char machine[ID_MAX];
-	char addr[NAME_MAX_LEN]; /* where the agent takes direct commands */
+	char addr[NAME_MAX_LEN]; /* address at which the agent takes commands and probes */
 	char type[NAME_MAX_LEN];
 	char zone[NAME_MAX_LEN];
 	bool spot;	      /* true if the cloud may take the machine back */
-	uint64_t incarnation; /* rises each time the agent's lease has run out */
-	uint64_t sequence;    /* rises with each report of an incarnation */
+	uint64_t incarnation; /* increases each time the agent's lease ends */
+	uint64_t sequence;    /* increases with each report of an incarnation */
 	uint64_t token;	      /* newest fencing token that the agent has seen */
 	double notice_s;      /* seconds until the cloud takes the machine back; < 0: no notice */
-	struct report_task *tasks;
+	struct report_task *tasks; /* owned */
 	size_t task_count;
 };
 
+/* What a command does. */
 enum command_op {
 	OP_START,
 	OP_STOP,
-	OP_FORGET /* an exited attempt, which the agent need not report any longer */
+	OP_FORGET /* the agent stops reporting an attempt that has exited */
 };
 
-/* What an agent is to do with one attempt of a task. */
+/* A command to an agent about one attempt of a task. */
 struct command {
 	enum command_op op;
 	char job[ID_MAX];
 	uint32_t task; /* its index in the job */
 	uint64_t attempt;
-	double grace_s; /* of a stop: seconds that the task has to save its state */
+	double grace_s; /* OP_STOP only: seconds that the task is given to save its state */
 };
 
 /*
- * 0, or -1 if the report or any of its tasks is invalid. On success the caller frees the tasks with
- * wire_report_free; on failure there are none.
+ * Decodes a report. Returns 0, or -1 if the report or any of its tasks is invalid. On success the
+ * caller frees the tasks with wire_report_free; on failure there is nothing to free.
  */
 int wire_report_decode(const char *body, size_t len, struct report *report);
 
 /* Frees the tasks of a report, not the report itself. */
 void wire_report_free(struct report *report);
 
-/* The answer to a report: fencing token and commands. The caller frees the text. */
+/* Encodes the answer to a report: the fencing token and commands. The caller frees the text. */
 char *wire_heartbeat_answer(uint64_t token, const struct command *commands, size_t count);
 
-/* Commands that only the given incarnation of the agent carries out. The caller frees the text. */
+/*
+ * Encodes commands to send directly. Only the given incarnation of the agent carries them out. The
+ * caller frees the text.
+ */
 char *wire_direct_commands(uint64_t token, uint64_t incarnation, const struct command *commands,
 			   size_t count);
 
 /*
- * The answer to a report that came to a controller that does not lead: the leader's address, if
- * `leader` is neither NULL nor empty. The caller frees the text.
+ * Encodes the answer to a report that reached a controller that is not the leader. It contains the
+ * leader's address unless `leader` is NULL or empty. The caller frees the text.
  */
 char *wire_redirect(const char *leader);
 
--- a/src/wire/store_codec.c
+++ b/src/wire/store_codec.c
@@ -1,4 +1,4 @@
-/* The state service's items, revisions and leases. */
+/* Decodes answers of the state service, and encodes requests for leases. */
 #include "wire/store_codec.h"
 
 #include <string.h>
@@ -25,7 +25,7 @@
 	return wire_serialize(object);
 }
 
-/* An item names its key, an event the key that was written or dropped. */
+/* An item has its key in W_KEY; an event has it in W_PUT or W_DROP. */
 int wire_kv(json_t *object, struct kv_item *item)
 {
 	item->key = field_string(object, W_KEY);
--- a/src/wire/transaction.c
+++ b/src/wire/transaction.c
@@ -1,4 +1,4 @@
-/* Transactions of the state service as text, so that the sizes that it limits are known exactly. */
+/* Builds the text of transactions. */
 #include "wire/transaction.h"
 
 #include <stdlib.h>
@@ -8,14 +8,15 @@
 #include "wire/json_text.h"
 #include "wire/names.h"
 
-#define TXN_FRAME_BYTES 32 /* bytes around the lists of guards and changes */
+/* Upper bound of the bytes outside the two lists: the braces, brackets and names of the lists. */
+#define TXN_FRAME_BYTES 32
 
 void txn_begin(struct txn *txn)
 {
 	memset(txn, 0, sizeof(*txn));
 }
 
-/* Text in quotes; keys come from names in the settings, which may need escapes. */
+/* Adds a text in quotes. Some keys contain names from the settings, which may need escapes. */
 static void add_quoted(struct buf *out, const char *text)
 {
 	json_t *string = json_string(text);
@@ -26,13 +27,15 @@
 	json_decref(string);
 }
 
+/* Adds the comma before an element, except before the first. */
 static void add_comma(struct buf *list)
 {
 	if (list->len)
 		buf_add(list, ",", 1);
 }
 
-/* Begins an element of a list of guards or changes with its key; `field` says what it is. */
+/* Begins a guard or a change with its first field: `field` is W_KEY for a guard, W_PUT or W_DROP
+ * for a change. */
 static void begin_element(struct buf *list, const char *field, const char *key)
 {
 	add_comma(list);
--- a/src/wire/transaction.h
+++ b/src/wire/transaction.h
@@ -1,4 +1,7 @@
-/* Transactions of the state service as text, so that the sizes that it limits are known exactly. */
+/*
+ * Builds transactions of the state service. They are built as text, so that the sizes that the
+ * state service limits are known exactly.
+ */
 #ifndef PLOVERLOFT_TRANSACTION_H
 #define PLOVERLOFT_TRANSACTION_H
 
@@ -9,47 +12,48 @@
 
 #include "util/buf.h"
 
-/* A transaction in the making: its text, and what the state service limits. */
+/* A transaction that is being built: its text, and the amounts that the state service limits. */
 struct txn {
 	struct buf guards, ops; /* the elements of both lists, without the brackets */
-	int op_count;
-	size_t largest_value; /* bytes of its largest value, as sent */
+	int op_count;		/* changes of keys */
+	size_t largest_value;	/* bytes of the largest value, as sent */
 };
 
-/* A moment of a transaction in the making, to which it can be taken back. */
+/* A savepoint: the state of a transaction to which txn_rollback can return. */
 struct txn_mark {
 	size_t guards_len, ops_len, largest_value;
 	int op_count;
 };
 
-/* Makes an empty transaction. It is ended by txn_finish or txn_abandon. */
+/* Begins an empty transaction. It must be ended by txn_finish or txn_abandon. */
 void txn_begin(struct txn *txn);
 
-/* Lets the transaction succeed only if the key has this version; 0: if there is no such key. */
+/* Adds a guard: the transaction fails unless the key has this version; 0: unless the key does not
+ * exist. */
 void txn_guard(struct txn *txn, const char *key, uint64_t version);
 
 /*
- * Writes a key, which is dropped when `lease` ends; 0: no lease. Takes over the value, an object or
- * an array; returns the bytes of its text.
+ * Adds the write of a key. The key is deleted when `lease` ends; 0: no lease. Takes ownership of
+ * the value, which must be an object or an array, and returns the length of its text in bytes.
  */
 size_t txn_put(struct txn *txn, const char *key, json_t *value, uint64_t lease);
 
-/* Drops a key. */
+/* Adds the deletion of a key. */
 void txn_drop(struct txn *txn, const char *key);
 
-/* The bytes of the whole transaction, at most. */
+/* Returns an upper bound of the bytes of the whole transaction. */
 size_t txn_bytes(const struct txn *txn);
 
-/* The present moment of the transaction. */
+/* Returns a savepoint of the transaction. */
 struct txn_mark txn_mark(const struct txn *txn);
 
-/* Takes back what was added since the mark. */
+/* Removes everything that was added since the savepoint. */
 void txn_rollback(struct txn *txn, const struct txn_mark *mark);
 
-/* The text, which the caller frees; the transaction is empty afterwards. */
+/* Returns the text, which the caller frees. The transaction is empty afterwards. */
 char *txn_finish(struct txn *txn);
 
-/* Frees what the transaction holds; it is empty afterwards. */
+/* Discards what was added and frees it. The transaction is empty afterwards. */
 void txn_abandon(struct txn *txn);
 
 #endif
--- a/src/wire/wire.h
+++ b/src/wire/wire.h
@@ -1,4 +1,4 @@
-/* JSON on the wire to and from the core's structs: all messages. */
+/* Includes all codecs: between JSON messages and the structs that the core uses. */
 #ifndef PLOVERLOFT_WIRE_H
 #define PLOVERLOFT_WIRE_H
 
