--- a/daemon/arguments.c
+++ b/daemon/arguments.c
@@ -1,4 +1,4 @@
-/* The arguments of the program, read by argp. See arguments.h. */
+/* Parses the program's arguments with argp. */
 #include "arguments.h"
 
 #include <argp.h>
@@ -11,10 +11,10 @@
 enum option_key { OPTION_CONFIG = 'c', OPTION_OPERATOR_CONFIG = 'o', OPTION_CHECK = 'k' };
 
 static const struct argp_option options[] = {
-    {"config", OPTION_CONFIG, "FILE", 0, "settings that the platform hands over (TOML)", 0},
+    {"config", OPTION_CONFIG, "FILE", 0, "the platform's settings (TOML)", 0},
     {"operator-config", OPTION_OPERATOR_CONFIG, "FILE", 0,
-     "the operators' own settings (HCL-like, read by libconfuse)", 0},
-    {"check", OPTION_CHECK, NULL, 0, "check the settings and end", 0},
+     "the operators' own settings (resembles HCL, read by libconfuse)", 0},
+    {"check", OPTION_CHECK, NULL, 0, "check the settings and exit", 0},
     {0},
 };
 
--- a/daemon/controller.c
+++ b/daemon/controller.c
@@ -1,6 +1,8 @@
-/* The loop between the network and the core. See controller.h. */
+/* Runs a controller: the event loop passes events of the network to the core, and carries out the
+ * core's actions. */
 #include "controller.h"
 
+#include <errno.h>
 #include <math.h>
 #include <signal.h>
 #include <string.h>
@@ -40,7 +42,7 @@
 	core_request(controller->core, current_time(), &request);
 }
 
-/* The core knows the values of enum net_call_failure as a status. */
+/* The status may be a value of enum net_call_failure: the core takes these values as they are. */
 static void handle_reply(void *context, uint64_t call_id, int status, const char *body,
 			 size_t body_len)
 {
@@ -51,6 +53,7 @@
 	core_answer(controller->core, current_time(), &answer);
 }
 
+/* Carries out one action of the core. */
 static void perform(struct controller *controller, const struct core_action *action)
 {
 	struct net_call call;
@@ -72,7 +75,8 @@
 	net_send(controller->net, &call);
 }
 
-/* A call that fails at once makes the core add to the list that is taken from here. */
+/* Carries out actions until the core has none left. A call that fails at once is passed to the core
+ * within this loop, and may make it add actions. */
 static void perform_actions(struct controller *controller)
 {
 	struct core_action *action;
@@ -83,7 +87,7 @@
 	}
 }
 
-/* Another number for each controller and each of its starts. */
+/* Returns a seed that differs between controllers and between starts of one controller. */
 static uint64_t make_seed(const struct conf *conf)
 {
 	double times[2] = {net_now(), net_wall()};
@@ -105,18 +109,28 @@
 	}
 }
 
+/* Opens the network and both listeners. Returns NULL if a listener cannot be opened, which is
+ * logged. */
 static struct net *open_network(const struct conf *conf, struct controller *controller)
 {
 	static const struct net_ops ops = {.request = handle_request, .reply = handle_reply};
-	/* With fewer than the settings allow, idle connections are closed sooner. */
+	/* If the process may open fewer files than the settings allow, the limit on connections is
+	 * lower and idle connections are closed sooner. */
 	int connections_max = open_files_raise(conf->max_connections) - NET_FILES_RESERVED;
-	/* An agent silent for its lease has lost its tasks; our own idle ones close first. */
+	/*
+	 * A caller's connection is kept for longer than the agents' lease, because an agent that is
+	 * silent for that long has lost its tasks. It is also kept for longer than controllers keep
+	 * their idle connections, so that the calling controller closes them first.
+	 */
 	double idle_max_s = fmax(conf->lease_s, NET_CLIENT_IDLE_MAX_S) + NET_MESSAGE_TIMEOUT_S;
 	struct net *net = net_new(&ops, controller, connections_max, idle_max_s);
 
+	/* An address that is not a numeric IPv4 address and a port leaves errno at 0. */
+	errno = 0;
 	if (net_listen(net, NET_FRONT, conf->front_addr) ||
 	    net_listen(net, NET_BACK, conf->back_addr)) {
-		log_error("listen", "front=%s back=%s", conf->front_addr, conf->back_addr);
+		log_error("listen", "front=%s back=%s reason=%s", conf->front_addr, conf->back_addr,
+			  errno ? strerror(errno) : "invalid address");
 		net_free(net);
 		return NULL;
 	}
--- a/daemon/controller.h
+++ b/daemon/controller.h
@@ -1,10 +1,11 @@
-/* A running controller: the loop between the network and the core. */
+/* Runs a controller: the event loop that connects the network with the core. */
 #ifndef PLOVERLOFT_CONTROLLER_H
 #define PLOVERLOFT_CONTROLLER_H
 
 #include "conf/conf.h"
 
-/* Listens and serves for ever; it returns only if it cannot listen, which is logged. */
+/* Listens on the controller's addresses and serves forever. It returns only if it cannot listen,
+ * which is logged. */
 void controller_run(const struct conf *conf);
 
 #endif
--- a/daemon/main.c
+++ b/daemon/main.c
@@ -1,4 +1,4 @@
-/* The program: reads arguments and settings, and runs a controller with them. */
+/* The program: reads the arguments and the settings, and runs a controller. */
 #include <stdio.h>
 #include <stdlib.h>
 
@@ -7,10 +7,11 @@
 #include "controller.h"
 #include "util/log.h"
 
+/* The exit statuses of the program. */
 enum exit_status {
 	EXIT_VALID = 0,	       /* --check: the settings are valid */
-	EXIT_CANNOT_SERVE = 1, /* the addresses cannot be listened on */
-	EXIT_WRONG_INPUT = 2   /* arguments or settings */
+	EXIT_CANNOT_SERVE = 1, /* the controller cannot listen on its addresses */
+	EXIT_WRONG_INPUT = 2   /* wrong arguments or settings */
 };
 
 static int load_settings(struct conf *conf, const struct arguments *arguments,
--- a/daemon/open_files.c
+++ b/daemon/open_files.c
@@ -1,4 +1,4 @@
-/* The process's limit of open files. See open_files.h. */
+/* Raises the process's limit on open files. */
 #include "open_files.h"
 
 #include <sys/resource.h>
@@ -10,7 +10,8 @@
 	const rlim_t target = (rlim_t)wanted;
 	struct rlimit limit;
 
-	/* If the limit cannot be read or set, opening too many will fail by itself. */
+	/* If the limit cannot be read or set, `wanted` is returned: opening more files than the
+	 * limit allows fails by itself. */
 	if (getrlimit(RLIMIT_NOFILE, &limit))
 		return wanted;
 	if (limit.rlim_cur < target) {
--- a/daemon/open_files.h
+++ b/daemon/open_files.h
@@ -1,10 +1,10 @@
-/* The process's limit of open files. */
+/* The process's limit on open files. */
 #ifndef PLOVERLOFT_OPEN_FILES_H
 #define PLOVERLOFT_OPEN_FILES_H
 
 /*
- * Raises the limit of open files to `wanted`, as far as this process may, and returns how many of
- * them it can have open. Fewer than `wanted` are logged.
+ * Raises the limit on open files to `wanted`, or to the hard limit if that is lower. Returns the
+ * number of files, up to `wanted`, that the process may have open. Fewer than `wanted` is logged.
  */
 int open_files_raise(int wanted);
 
--- a/src/conf/conf.c
+++ b/src/conf/conf.c
@@ -1,4 +1,4 @@
-/* Questions about settings that were read. See conf.h. */
+/* Queries on settings, and their release. */
 #include "conf/conf.h"
 
 #include <stdlib.h>
--- a/src/conf/conf.h
+++ b/src/conf/conf.h
@@ -1,6 +1,7 @@
 /*
- * Settings: the platform's TOML file (toml.cc) and the operators' own file, much like HCL (hcl.c).
- * Fields named `..._s` are seconds, `..._ms` milliseconds; those with `rps` are requests a second.
+ * Settings: the platform's TOML file (toml.cc) and the operators' own file, which resembles HCL
+ * (hcl.c). Fields named `..._s` are in seconds, `..._ms` in milliseconds, and `...rps` in requests
+ * per second.
  */
 #ifndef PLOVERLOFT_CONF_H
 #define PLOVERLOFT_CONF_H
@@ -15,7 +16,7 @@
 #define CONF_NAME_MAX 64 /* bytes of a name or an address, with its NUL */
 #define CONF_ERR_MAX 256 /* bytes of a message, with its NUL */
 
-/* What an objective is about, as the field `kind` of `facts.objectives` names it. */
+/* The kinds of service-level objectives, from the field `kind` of `facts.objectives`. */
 enum objective_kind {
 	OBJECTIVE_WAIT,
 	OBJECTIVE_FINISHED,
@@ -24,8 +25,8 @@
 	OBJECTIVE_USEFUL,
 	OBJECTIVE_MAKESPAN,
 	OBJECTIVE_PRICE,
-	OBJECTIVE_REPLICA_TIME, /* share of replica time served */
-	OBJECTIVE_OTHER
+	OBJECTIVE_REPLICA_TIME, /* `up`: share of the time in which a service's replicas run */
+	OBJECTIVE_OTHER		/* any other name */
 };
 
 /* Another controller. */
@@ -35,43 +36,45 @@
 	char addr[CONF_NAME_MAX];
 };
 
-/* A team's guaranteed and greatest use; 0: none set. */
+/* A team's guarantee (`cpus`, `gpus`) and its quota (`cpus_max`, `gpus_max`); 0: not set. */
 struct conf_team {
 	char name[CONF_NAME_MAX];
 	double cpus, cpus_max;
 	double gpus, gpus_max;
 };
 
-/* What the platform aims at for a class of jobs. Not stated: 0, and 1 for `times`. */
+/* A service-level objective for a class of jobs. Fields that are not stated are 0, `times` is 1. */
 struct conf_objective {
 	enum objective_kind kind;
 	char class_name[CONF_NAME_MAX]; /* empty: not stated */
-	double within_s;
+	double within_s;		/* OBJECTIVE_WAIT: the longest wait */
 	double share;
-	double times;
+	double times; /* OBJECTIVE_DEADLINE: factor by which the job's deadline is multiplied */
 	double most;
 };
 
 /* Limits of the state service; 0: not stated. */
 struct conf_limits {
-	double rps;	  /* requests a second */
-	double write_rps; /* changes a second */
-	double value_kb;  /* KiB of one value */
+	double rps;	  /* requests per second */
+	double write_rps; /* changes per second */
+	double value_kb;  /* size of one value in KiB */
 	int txn_ops;	  /* changes in one transaction */
 };
 
+/* All settings of a controller. */
 struct conf {
-	/* This controller, and where it listens: users and agents in front, controllers behind. */
+	/* This controller, and the addresses on which it listens: for users and agents (front), and
+	 * for other controllers (back). */
 	char name[CONF_NAME_MAX];
 	char zone[CONF_NAME_MAX];
 	char front_addr[CONF_NAME_MAX];
 	char back_addr[CONF_NAME_MAX];
 
-	/* Addresses that it calls. */
+	/* Addresses of the cloud and of the state service. */
 	char cloud_addr[CONF_NAME_MAX];
 	char store_addr[CONF_NAME_MAX];
 
-	/* Owned arrays. */
+	/* The other controllers, teams and objectives. The arrays are owned. */
 	struct conf_peer *peers;
 	size_t peer_count;
 	struct conf_team *teams;
@@ -79,46 +82,48 @@
 	struct conf_objective *objectives;
 	size_t objective_count;
 
-	double skew_ms; /* by how much clocks of different machines may differ */
+	double skew_ms; /* maximum difference between the clocks of two machines */
 
 	/* Agents. */
-	double report_s;    /* between an agent's reports */
-	double lease_s;	    /* for which an agent keeps its tasks without an answer */
-	double gang_wait_s; /* for which a started part of a gang waits for the others */
-	double gang_peer_s; /* until a part of a gang notices that another has stopped */
-	double cancel_s;    /* within which a job whose cancellation was confirmed has ended */
+	double report_s;    /* interval between an agent's reports */
+	double lease_s;	    /* time for which an agent keeps its tasks without an answer */
+	double gang_wait_s; /* time for which a started task of a gang waits for the others */
+	double gang_peer_s; /* time until a task of a gang notices that another has stopped */
+	double cancel_s;    /* time within which a job ends after its cancellation is confirmed */
 
-	/* The state service, now, and as announced for a time that is not known. */
+	/* Limits of the state service: those of today, and those announced for an unknown date. */
 	struct conf_limits limits;
 	struct conf_limits upcoming_limits;
 
 	/* The cloud. */
 	double cloud_rps;
-	double inventory_lag_s; /* by which its list of machines may be out of date */
+	double inventory_lag_s; /* time by which its list of machines may be out of date */
 
-	/* What this process may use. */
+	/* Resources that this process may use. */
 	double cores;
 	double mem_mb; /* MiB */
 	int max_connections;
 
-	/* The operators' own. */
-	double idle_patience_s; /* for which an idle machine is kept; < 0: from the objectives */
-	double headroom;	/* share of room kept free where money is no aim; < 0: default */
-	int hold_format;	/* the records stay readable by the version before */
+	/* The operators' own settings. */
+	double idle_patience_s; /* time for which an idle machine is kept; < 0: by objectives */
+	double headroom;	/* free capacity, as a share of the use, that is kept unless
+				 * cost is minimised; < 0: the default */
+	int hold_format;	/* keep the records readable by the previous version */
 };
 
 /*
- * Read settings: conf_load() sets all of `conf`, conf_load_operator() then adds the operators' own.
- * 0, or -1 with file, field and reason in `error`. Either way, conf_free() is due in the end.
+ * Reads the platform's settings and sets all of `conf`. Returns 0, or -1 with the file, the field
+ * and the reason in `error`. In both cases the caller frees the settings with conf_free().
  */
 int conf_load(struct conf *conf, const char *path, char error[CONF_ERR_MAX]);
-/* The same for the operators' own settings. */
+/* Reads the operators' own settings into `conf`, which conf_load() has set. Returns like
+ * conf_load(). */
 int conf_load_operator(struct conf *conf, const char *path, char error[CONF_ERR_MAX]);
 
-/* Whether there is an objective of this kind, for any class. */
+/* Whether there is an objective of this kind for any class of jobs. */
 bool conf_has(const struct conf *conf, enum objective_kind kind);
 
-/* Frees what `conf` owns, not `conf` itself. */
+/* Frees the arrays that `conf` owns, not `conf` itself. */
 void conf_free(struct conf *conf);
 
 #ifdef __cplusplus
--- a/src/conf/hcl.c
+++ b/src/conf/hcl.c
@@ -1,17 +1,21 @@
 /*
- * The operators' own settings. HCL was wished for, which no C library reads; libucl, the nearest
- * kin, is not packaged by Debian (its libucl is a compressor). libconfuse is packaged and reads
- * what these settings need of HCL: blocks, `key = value`, comments. See docs/operating.md.
+ * Reads the operators' own settings. Their format was to be HCL, but no C library reads HCL. libucl
+ * reads a similar format, but Debian does not package it (Debian's libucl is a compression
+ * library). libconfuse is packaged and reads the part of HCL that is needed here: blocks,
+ * `key = value` and comments. See docs/operating.md.
  */
+#include <errno.h>
 #include <stdarg.h>
 #include <stdio.h>
+#include <string.h>
 
 #include <confuse.h>
 
 #include "conf/conf.h"
 #include "constants.h"
 
-/* libconfuse reports through a callback without a context; one file is read at a time. */
+/* The last error of the parser. It is static because libconfuse passes no context to its error
+ * callback; only one file is read at a time. */
 static char parse_error[CONF_ERR_MAX];
 
 static void store_parse_error(cfg_t *cfg, const char *format, va_list arguments)
@@ -23,7 +27,7 @@
 		vsnprintf(parse_error + len, sizeof(parse_error) - (size_t)len, format, arguments);
 }
 
-/* A number of `rentals` from 0 to `max`; without one, `out` keeps what it holds. */
+/* Reads a number of `rentals` from 0 to `max`. If the key is absent, `*out` is unchanged. */
 static int read_number(cfg_t *rentals, const char *key, double max, double *out, const char *path,
 		       char error[CONF_ERR_MAX])
 {
@@ -32,8 +36,8 @@
 	*out = cfg_getfloat(rentals, key);
 	if (*out >= 0 && *out <= max)
 		return 0;
-	snprintf(error, CONF_ERR_MAX, "%s: field rentals.%s: must be a number from 0 to %g", path,
-		 key, max);
+	snprintf(error, CONF_ERR_MAX, "%s: field rentals.%s: must be a number from 0 to %g, is %g",
+		 path, key, max, *out);
 	return -1;
 }
 
@@ -62,7 +66,7 @@
 	case CFG_SUCCESS:
 		return read_settings(conf, cfg, path, error);
 	case CFG_FILE_ERROR:
-		snprintf(error, CONF_ERR_MAX, "%s: cannot be read", path);
+		snprintf(error, CONF_ERR_MAX, "%s: cannot be read: %s", path, strerror(errno));
 		return -1;
 	default:
 		snprintf(error, CONF_ERR_MAX, "%s", parse_error);
--- a/src/conf/toml.cc
+++ b/src/conf/toml.cc
@@ -1,7 +1,8 @@
 /*
- * The platform's settings. The one part in C++: no C library for TOML is packaged, so toml++ is
- * kept behind the C functions of conf.h.
+ * Reads the platform's settings. This is the only C++ source: no C library for TOML is packaged, so
+ * toml++ is used behind the C functions of conf.h.
  */
+#include <cerrno>
 #include <cstdio>
 #include <cstring>
 #include <string>
@@ -13,7 +14,7 @@
 namespace
 {
 
-constexpr double above_zero = 1e-9;
+/* Minimum values of fields. */
 constexpr double mem_mb_min = 8;
 constexpr double max_connections_min = 64;
 constexpr double limit_rps_min = 1;
@@ -65,6 +66,7 @@
 	table.optional("most", &objective.most);
 }
 
+/* Reads limits of the state service. Optional ones that are absent stay as they are. */
 void read_limits(table_reader table, conf_limits *limits, presence needed)
 {
 	double txn_ops = limits->txn_ops;
@@ -107,7 +109,7 @@
 	read_resources(facts["resources"], conf);
 }
 
-/* The first wrong field in this order is the one that is reported. */
+/* Reads all fields. Of several wrong ones, the first in this order is reported. */
 void read_settings(table_reader settings, conf *conf)
 {
 	table_reader facts = settings["facts"];
@@ -133,13 +135,20 @@
 	std::memset(conf, 0, sizeof(*conf));
 	conf->idle_patience_s = -1;
 	conf->headroom = -1;
+	errno = 0;
 	try {
 		toml::table file = toml::parse_file(path);
 
 		read_settings(table_reader(fields, node_view(file), ""), conf);
 	} catch (const toml::parse_error &problem) {
-		std::snprintf(error, CONF_ERR_MAX, "%s:%u: %s", path, problem.source().begin.line,
-			      std::string(problem.description()).c_str());
+		/* toml++ reports a file that cannot be read as an error in line 0. */
+		if (!problem.source().begin.line && errno)
+			std::snprintf(error, CONF_ERR_MAX, "%s: cannot be read: %s", path,
+				      std::strerror(errno));
+		else
+			std::snprintf(error, CONF_ERR_MAX, "%s:%u: %s", path,
+				      problem.source().begin.line,
+				      std::string(problem.description()).c_str());
 		return -1;
 	} catch (const std::exception &problem) {
 		std::snprintf(error, CONF_ERR_MAX, "%s: %s", path, problem.what());
