--- a/daemon/controller.c
+++ b/daemon/controller.c
@@ -54,7 +54,7 @@
 }
 
 /* Carries out one action of the core. */
-static void perform(struct controller *controller, const struct core_action *action)
+static void perform_action(struct controller *controller, const struct core_action *action)
 {
 	struct net_call call;
 
@@ -82,7 +82,7 @@
 	struct core_action *action;
 
 	while ((action = core_pop_action(controller->core))) {
-		perform(controller, action);
+		perform_action(controller, action);
 		core_action_free(action);
 	}
 }
--- a/src/conf/toml_reader.h
+++ b/src/conf/toml_reader.h
@@ -60,7 +60,7 @@
 		if (!node)
 			return fail(field, "missing");
 		if (!value)
-			return fail(field, "must be a string, is " + shown(node));
+			return fail(field, "must be a string, is " + value_text(node));
 		if (value->empty() || value->size() >= sizeof(out))
 			return fail(field, "must have 1 to " + std::to_string(sizeof(out) - 1) +
 					       " bytes, has " + std::to_string(value->size()));
@@ -73,7 +73,7 @@
 	{
 		text(node, field, out);
 		if (!failed() && !std::strrchr(out, ':'))
-			fail(field, "must be HOST:PORT, is " + shown(node));
+			fail(field, "must be HOST:PORT, is " + value_text(node));
 	}
 
 	/* Reads a number from `min` to number_max. If an optional one is absent, `*out` is
@@ -89,14 +89,14 @@
 			return;
 		}
 		if (!node.is_number() || !value)
-			return fail(field, "must be a number, is " + shown(node));
+			return fail(field, "must be a number, is " + value_text(node));
 		if (!(*value >= min) || *value > number_max)
 			return fail(field, range_error(*value, min));
 		*out = *value;
 	}
 
 	/* The value for a message; of a table or an array only the type. */
-	static std::string shown(const node_view &node)
+	static std::string value_text(const node_view &node)
 	{
 		std::ostringstream out;
 
@@ -195,15 +195,15 @@
 			return;
 		if (!elements)
 			return fields_.fail(path(key), "must be an array of tables, is " +
-							   field_reader::shown(node));
+							   field_reader::value_text(node));
 		*out = static_cast<T *>(xcalloc(elements->size(), sizeof(T)));
 		for (auto &element : *elements) {
 			std::string name = path(key) + "[" + std::to_string(*count) + "]";
 
 			if (!element.is_table())
-				return fields_.fail(name,
-						    "must be a table, is " +
-							field_reader::shown(node_view(element)));
+				return fields_.fail(
+				    name, "must be a table, is " +
+					      field_reader::value_text(node_view(element)));
 			table_reader table(fields_, node_view(element), name);
 			read_element(table, (*out)[*count]);
 			(*count)++;
@@ -215,7 +215,8 @@
 	void require_table_if_present()
 	{
 		if (table_ && !table_.is_table())
-			fields_.fail(name_, "must be a table, is " + field_reader::shown(table_));
+			fields_.fail(name_,
+				     "must be a table, is " + field_reader::value_text(table_));
 	}
 
       private:
--- a/src/wire/cloud_codec.h
+++ b/src/wire/cloud_codec.h
@@ -13,7 +13,7 @@
 struct machine_type {
 	char name[NAME_MAX_LEN];
 	double cpus, gpus, mem_gb;
-	double cache_gb;	/* size of the disk cache for images */
+	double cache_gb;	/* size of the local cache for images */
 	double fetch_gb_per_s;	/* speed at which it fetches images */
 	double price;		/* of an hour */
 	double spot_price;	/* of an hour of a spot machine */
@@ -57,8 +57,8 @@
 		     bool *more);
 
 /*
- * Encodes a request for `count` machines. `request` is the request's name: when a request is sent
- * again under the same name, the cloud rents no further machines. The caller frees the text.
+ * Encodes a request for `count` machines. `request` is the request's name: when it is sent again
+ * under the same name, the cloud rents no further machines. The caller frees the text.
  */
 char *wire_rental(const char *request, const char *type, const char *zone, bool spot, int count);
 
--- a/src/wire/report_codec.c
+++ b/src/wire/report_codec.c
@@ -20,20 +20,20 @@
 					       [TASK_RUNNING] = W_TASK_RUNNING,
 					       [TASK_SAVING] = W_TASK_SAVING,
 					       [TASK_EXITED] = W_TASK_EXITED};
-static const char *const task_why_names[] = {[END_NONE] = "",
-					     [END_DONE] = W_END_DONE,
-					     [END_STOPPED] = W_END_STOPPED,
-					     [END_PEERS_LOST] = W_END_PEERS_LOST,
-					     [END_ALONE] = W_END_ALONE,
-					     [END_ERROR] = W_END_ERROR,
-					     [END_NO_ROOM] = W_END_NO_ROOM,
-					     [END_BUSY] = W_END_BUSY,
-					     [END_UNKNOWN_JOB] = W_END_UNKNOWN_JOB};
+static const char *const end_reason_names[] = {[END_NONE] = "",
+					       [END_DONE] = W_END_DONE,
+					       [END_STOPPED] = W_END_STOPPED,
+					       [END_PEERS_LOST] = W_END_PEERS_LOST,
+					       [END_ALONE] = W_END_ALONE,
+					       [END_ERROR] = W_END_ERROR,
+					       [END_NO_ROOM] = W_END_NO_ROOM,
+					       [END_BUSY] = W_END_BUSY,
+					       [END_UNKNOWN_JOB] = W_END_UNKNOWN_JOB};
 static const char *const op_names[] = {
     [OP_START] = W_OP_START, [OP_STOP] = W_OP_STOP, [OP_FORGET] = W_OP_FORGET};
 
 static const struct name_table task_states = NAME_TABLE(task_state_names);
-static const struct name_table task_whys = NAME_TABLE(task_why_names);
+static const struct name_table end_reasons = NAME_TABLE(end_reason_names);
 
 /* Splits a task's name. `job` has a size of ID_MAX bytes. Returns -1 if the name is NULL or not
  * valid. */
@@ -62,13 +62,13 @@
 {
 	struct report_task *task = out;
 	int state = field_enum(object, W_STATE, &task_states);
-	int why = field_enum(object, W_END_REASON, &task_whys);
+	int reason = field_enum(object, W_END_REASON, &end_reasons);
 
 	if (decode_task_name(field_string(object, W_TASK), task->job, &task->task) ||
 	    field_count(object, W_ATTEMPT, &task->attempt) || state < 0)
 		return -1;
 	task->state = (enum task_state)state;
-	task->end_reason = why < 0 ? END_NONE : (enum task_end_reason)why;
+	task->end_reason = reason < 0 ? END_NONE : (enum task_end_reason)reason;
 	task->saved = field_is_true(object, W_SAVED);
 	return 0;
 }
--- a/src/wire/transaction.c
+++ b/src/wire/transaction.c
@@ -81,22 +81,22 @@
 
 struct txn_mark txn_mark(const struct txn *txn)
 {
-	struct txn_mark mark = {
+	struct txn_mark savepoint = {
 	    .guards_len = txn->guards.len,
 	    .ops_len = txn->ops.len,
 	    .largest_value = txn->largest_value,
 	    .op_count = txn->op_count,
 	};
 
-	return mark;
+	return savepoint;
 }
 
-void txn_rollback(struct txn *txn, const struct txn_mark *mark)
+void txn_rollback(struct txn *txn, const struct txn_mark *savepoint)
 {
-	txn->guards.len = mark->guards_len;
-	txn->ops.len = mark->ops_len;
-	txn->largest_value = mark->largest_value;
-	txn->op_count = mark->op_count;
+	txn->guards.len = savepoint->guards_len;
+	txn->ops.len = savepoint->ops_len;
+	txn->largest_value = savepoint->largest_value;
+	txn->op_count = savepoint->op_count;
 }
 
 static void add_list(struct buf *out, const struct buf *list)
--- a/src/wire/transaction.h
+++ b/src/wire/transaction.h
@@ -48,7 +48,7 @@
 struct txn_mark txn_mark(const struct txn *txn);
 
 /* Removes everything that was added since the savepoint. */
-void txn_rollback(struct txn *txn, const struct txn_mark *mark);
+void txn_rollback(struct txn *txn, const struct txn_mark *savepoint);
 
 /* Returns the text, which the caller frees. The transaction is empty afterwards. */
 char *txn_finish(struct txn *txn);
