--- a/src/conf/conf.c
+++ b/src/conf/conf.c
@@ -3,7 +3,7 @@
 
 #include <stdlib.h>
 
-bool conf_has(const struct conf *conf, enum objective_kind kind)
+bool conf_has_objective(const struct conf *conf, enum objective_kind kind)
 {
 	for (size_t i = 0; i < conf->objective_count; i++)
 		if (conf->objectives[i].kind == kind)
--- a/src/conf/conf.h
+++ b/src/conf/conf.h
@@ -121,7 +121,7 @@
 int conf_load_operator(struct conf *conf, const char *path, char error[CONF_ERR_MAX]);
 
 /* Whether there is an objective of this kind for any class of jobs. */
-bool conf_has(const struct conf *conf, enum objective_kind kind);
+bool conf_has_objective(const struct conf *conf, enum objective_kind kind);
 
 /* Frees the arrays that `conf` owns, not `conf` itself. */
 void conf_free(struct conf *conf);
--- a/src/core/agents/heartbeats.c
+++ b/src/core/agents/heartbeats.c
@@ -15,7 +15,7 @@
 
 	if (!strcmp(leader, core->conf->name))
 		leader = "";
-	core_reply(core, connection, STATUS_MISDIRECTED, 0, wire_redirect(leader));
+	core_reply(core, connection, STATUS_MISDIRECTED, 0, wire_redirect_answer(leader));
 }
 
 /*
--- a/src/core/api/api.c
+++ b/src/core/api/api.c
@@ -42,7 +42,7 @@
 {
 	if (!check_method(core, request, kind == USER_CANCEL ? "POST" : "GET"))
 		return;
-	if (wire_job_id_ok(id))
+	if (wire_job_id_is_valid(id))
 		user_request_lookup(core, user_request_new(core, request->connection, kind, id));
 	else
 		core_reply_error(core, request->connection, STATUS_NOT_FOUND, 0, "no such job");
--- a/src/core/api/job_index_reads.c
+++ b/src/core/api/job_index_reads.c
@@ -19,7 +19,7 @@
 	struct job_index *index = &core->api.index;
 	json_t *document = wire_parse(answer->body, answer->len);
 
-	wire_items(document, apply_item, core);
+	wire_items_for_each(document, apply_item, core);
 	index->read_at = index->sent_at;
 	if (wire_revision(document) > index->revision)
 		index->revision = wire_revision(document);
@@ -83,9 +83,9 @@
 		index->revision = wire_revision(document);
 		index->read_at = call->sent_at;
 	}
-	wire_items(document, apply_item, core);
+	wire_items_for_each(document, apply_item, core);
 	snprintf(index->cursor, sizeof(index->cursor), "%s", last_key(document));
-	if (!wire_more(document)) {
+	if (!wire_has_next_page(document)) {
 		index->valid = true;
 		index->cursor[0] = 0;
 	}
--- a/src/core/api/lookups.c
+++ b/src/core/api/lookups.c
@@ -31,7 +31,7 @@
 	if (answer->status != STATUS_OK)
 		return NULL;
 	document = wire_parse(answer->body, answer->len);
-	if (document && !wire_kv(document, item))
+	if (document && !wire_item_decode(document, item))
 		return document;
 	json_decref(document);
 	return NULL;
--- a/src/core/api/submissions.c
+++ b/src/core/api/submissions.c
@@ -48,7 +48,7 @@
 
 	job_record_key(open_key, RECORD_OPEN, id);
 	job_record_key(final_key, RECORD_FINAL, id);
-	return wire_failed_has(conflict, open_key) || wire_failed_has(conflict, final_key);
+	return wire_guard_failed(conflict, open_key) || wire_guard_failed(conflict, final_key);
 }
 
 static void on_batch_conflict(struct core *core, struct user_request *batch,
@@ -154,7 +154,7 @@
 {
 	struct submission_queue *queue = &core->api.submissions;
 	struct user_request *request, *next;
-	struct txn_mark mark;
+	struct txn_savepoint mark;
 
 	DL_FOREACH_SAFE (queue->waiting, request, next) {
 		if (txn->op_count >= limits_txn_ops(core))
@@ -162,7 +162,7 @@
 		/* The same job twice in one transaction would fail by its own guards. */
 		if (is_in_flight(core, request))
 			continue;
-		mark = txn_mark(txn);
+		mark = txn_savepoint(txn);
 		add_to_transaction(txn, request);
 		if (mark.op_count && txn_bytes(txn) > SUBMIT_BATCH_MAX_BYTES) {
 			txn_rollback(txn, &mark);
@@ -249,7 +249,7 @@
 	const char *id = json_string_value(json_object_get(document, W_ID));
 
 	/* Without a valid id it can't be a job that was accepted. */
-	if (!id || !wire_job_id_ok(id)) {
+	if (!id || !wire_job_id_is_valid(id)) {
 		core_reply_error(core, received->connection, STATUS_BAD_REQUEST, 0,
 				 document ? W_ID : "not JSON");
 	} else {
--- a/src/core/autoscale/catalog_reader.c
+++ b/src/core/autoscale/catalog_reader.c
@@ -15,7 +15,7 @@
 	struct machine_type *types;
 	size_t count;
 
-	if (wire_types_decode(message, &types, &count))
+	if (wire_machine_types_decode(message, &types, &count))
 		return false;
 	catalog_set(core, types, count);
 	machines_apply_catalog(core);
@@ -41,7 +41,7 @@
 /* One value, or where that would be too large one for each type of machine. */
 static void store_catalog(struct core *core)
 {
-	json_t *all = wire_types_encode(catalog_type(core, 0), catalog_type_count(core));
+	json_t *all = wire_machine_types_encode(catalog_type(core, 0), catalog_type_count(core));
 
 	core->autoscale.catalog_reader.stored = true;
 	if (wire_value_bytes(all) <= limits_job_record_bytes(core)) {
@@ -54,7 +54,7 @@
 		char key[KEY_MAX];
 
 		snprintf(key, sizeof(key), CATALOG_KEY "/%s", type->name);
-		store_catalog_value(core, key, wire_types_encode(type, 1));
+		store_catalog_value(core, key, wire_machine_types_encode(type, 1));
 	}
 }
 
@@ -62,7 +62,7 @@
 static void add_stored_types(void *all_types, const struct kv_item *item)
 {
 	if (item->value)
-		json_array_extend(all_types, json_object_get(item->value, W_TYPES));
+		json_array_extend(all_types, json_object_get(item->value, W_MACHINE_TYPES));
 }
 
 /* The types of all stored values, in the form of the cloud's answer; the caller owns it. */
@@ -71,9 +71,9 @@
 	json_t *range = wire_parse(answer->body, answer->len);
 	json_t *types = json_array();
 
-	wire_items(range, add_stored_types, types);
+	wire_items_for_each(range, add_stored_types, types);
 	json_decref(range);
-	return json_pack("{s:o}", W_TYPES, types);
+	return json_pack("{s:o}", W_MACHINE_TYPES, types);
 }
 
 static void on_stored_catalog(struct core *core, struct call *call,
@@ -129,6 +129,6 @@
 	    (catalog_is_known(core) && !election_is_leader(core)))
 		return;
 	reader->in_flight = true;
-	core_call(core, core->conf->cloud_addr, "GET", format_path(W_PATH_TYPES), NULL,
+	core_call(core, core->conf->cloud_addr, "GET", format_path(W_PATH_CATALOG), NULL,
 		  CALL_CLOUD_TIMEOUT_S, on_cloud_catalog, NULL);
 }
--- a/src/core/autoscale/cost_policy.c
+++ b/src/core/autoscale/cost_policy.c
@@ -8,6 +8,7 @@
  */
 bool autoscale_minimises_cost(const struct core *core)
 {
-	return !conf_has(core->conf, OBJECTIVE_GUARANTEE) ||
-	       conf_has(core->conf, OBJECTIVE_PRICE) || conf_has(core->conf, OBJECTIVE_USEFUL);
+	return !conf_has_objective(core->conf, OBJECTIVE_GUARANTEE) ||
+	       conf_has_objective(core->conf, OBJECTIVE_PRICE) ||
+	       conf_has_objective(core->conf, OBJECTIVE_USEFUL);
 }
--- a/src/core/autoscale/inventory.c
+++ b/src/core/autoscale/inventory.c
@@ -68,7 +68,7 @@
 	inventory->in_flight = false;
 	cloud_note_answer(core, answer);
 	if (answer->status != STATUS_OK ||
-	    wire_list_decode(answer->body, answer->len, &entries, &count, &more))
+	    wire_machine_page_decode(answer->body, answer->len, &entries, &count, &more))
 		return;
 	for (size_t i = 0; i < count; i++)
 		take_entry(core, &entries[i]);
--- a/src/core/autoscale/rental_requests.c
+++ b/src/core/autoscale/rental_requests.c
@@ -42,7 +42,8 @@
 static bool decode_granted(const struct call_answer *answer, struct granted_machines *granted)
 {
 	return answer->status == STATUS_OK &&
-	       !wire_rented(answer->body, answer->len, &granted->ids, &granted->count);
+	       !wire_rental_answer_decode(answer->body, answer->len, &granted->ids,
+					  &granted->count);
 }
 
 static void free_granted(struct granted_machines *granted)
@@ -124,8 +125,8 @@
 static void post_request(struct core *core, struct rental_request *request)
 {
 	struct call *call;
-	char *body = wire_rental(request->name, request->type, request->zone, request->kind == SPOT,
-				 request->count);
+	char *body = wire_rental_request(request->name, request->type, request->zone,
+					 request->kind == SPOT, request->count);
 
 	request->in_flight = true;
 	call = core_call(core, core->conf->cloud_addr, "POST", format_path(W_PATH_MACHINES), body,
--- a/src/core/autoscale/scale_in.c
+++ b/src/core/autoscale/scale_in.c
@@ -170,8 +170,8 @@
 		batch->count++;
 	}
 	call = core_call(core, core->conf->cloud_addr, "POST", format_path(W_PATH_DELETE),
-			 wire_delete(ids, batch->count), CALL_CLOUD_TIMEOUT_S, on_delete_answer,
-			 batch);
+			 wire_delete_request(ids, batch->count), CALL_CLOUD_TIMEOUT_S,
+			 on_delete_answer, batch);
 	call->free_arg = free;
 }
 
--- a/src/core/election/format_gate.c
+++ b/src/core/election/format_gate.c
@@ -85,7 +85,7 @@
 	if (answer->status != STATUS_OK)
 		return;
 	answer_json = wire_parse(answer->body, answer->len);
-	wire_items(answer_json, count_version, &scan);
+	wire_items_for_each(answer_json, count_version, &scan);
 	json_decref(answer_json);
 	core->format.all_read_newest = scan.newest_count == controller_count;
 }
--- a/src/core/election/leader_key.c
+++ b/src/core/election/leader_key.c
@@ -114,8 +114,8 @@
 /* Applies the format first, since it determines which key is the leader's. */
 static void scan_keys(struct key_scan *scan, json_t *answer_json)
 {
-	wire_items(answer_json, scan_format_key, scan);
-	wire_items(answer_json, scan_leader_key, scan);
+	wire_items_for_each(answer_json, scan_format_key, scan);
+	wire_items_for_each(answer_json, scan_leader_key, scan);
 }
 
 /* --- reading the keys --- */
--- a/src/core/election/leader_lease.c
+++ b/src/core/election/leader_lease.c
@@ -128,7 +128,7 @@
 		return;
 	core->election.claim_in_flight = true;
 	core_call(core, core->conf->store_addr, "POST", format_path(W_PATH_LEASES),
-		  wire_lease_body(LEADER_TTL_MS), CALL_STORE_TIMEOUT_S, on_lease_answer, NULL);
+		  wire_lease_request(LEADER_TTL_MS), CALL_STORE_TIMEOUT_S, on_lease_answer, NULL);
 }
 
 /* --- renewing the lease --- */
--- a/src/core/model/binding.c
+++ b/src/core/model/binding.c
@@ -150,7 +150,7 @@
 	case END_NONE:
 	case END_STOPPED:
 	case END_PEERS_LOST:
-	case END_ALONE:
+	case END_GANG_TIMEOUT:
 		break;
 	}
 }
--- a/src/core/model/catalog.c
+++ b/src/core/model/catalog.c
@@ -36,5 +36,5 @@
 
 void catalog_free(struct core *core)
 {
-	wire_types_free(core->catalog.types, core->catalog.type_count);
+	wire_machine_types_free(core->catalog.types, core->catalog.type_count);
 }
--- a/src/core/records/job_record.c
+++ b/src/core/records/job_record.c
@@ -36,7 +36,7 @@
 
 void job_record_remove_machine_types(json_t *value)
 {
-	json_object_del(json_object_get(value, FIELD_SPEC), W_TYPES);
+	json_object_del(json_object_get(value, FIELD_SPEC), W_MACHINE_TYPES);
 }
 
 size_t job_record_max_bytes(const struct job_spec *spec, double submitted_at)
@@ -62,8 +62,8 @@
 
 json_t *job_record_final_value(const struct job_outcome *outcome)
 {
-	return json_pack("{s:s,s:i}", FIELD_STATE, wire_job_state(outcome->state), FIELD_TASK_COUNT,
-			 (int)outcome->task_count);
+	return json_pack("{s:s,s:i}", FIELD_STATE, wire_job_state_name(outcome->state),
+			 FIELD_TASK_COUNT, (int)outcome->task_count);
 }
 
 bool job_record_is_cancelled(const json_t *value)
--- a/src/core/records/jobs_watch.c
+++ b/src/core/records/jobs_watch.c
@@ -82,7 +82,7 @@
 		return;
 	}
 	answer_json = wire_parse(answer->body, answer->len);
-	wire_items(answer_json, load_change, core);
+	wire_items_for_each(answer_json, load_change, core);
 	if (wire_revision(answer_json) > watch->revision)
 		watch->revision = wire_revision(answer_json);
 	election_record_jobs_read(core, call->sent_at);
--- a/src/core/records/recovery.c
+++ b/src/core/records/recovery.c
@@ -124,8 +124,8 @@
 	if (recovery->first_page)
 		jobs_watch_start(core, wire_revision(answer_json), call->sent_at);
 	recovery->first_page = false;
-	wire_items(answer_json, load_record, &page);
-	if (!wire_more(answer_json)) {
+	wire_items_for_each(answer_json, load_record, &page);
+	if (!wire_has_next_page(answer_json)) {
 		recovery->prefix_index++;
 		recovery->cursor[0] = 0;
 	}
--- a/src/core/records/transaction_build.c
+++ b/src/core/records/transaction_build.c
@@ -76,7 +76,7 @@
 static enum batch_result batch_add(struct core *core, struct txn *txn, struct pending_write *write)
 {
 	const int max_ops = limits_txn_ops(core);
-	const struct txn_mark mark = txn_mark(txn);
+	const struct txn_savepoint mark = txn_savepoint(txn);
 	size_t value_bytes;
 
 	if (core->now < write->blocked_until)
--- a/src/core/records/transaction_commit.c
+++ b/src/core/records/transaction_commit.c
@@ -68,7 +68,7 @@
 {
 	enum job_state state = final_record_state(job);
 
-	log_info("job_final", "job=%s state=%s", job->spec.id, wire_job_state(state));
+	log_info("job_final", "job=%s state=%s", job->spec.id, wire_job_state_name(state));
 	core->events->final_record_committed(core, job->spec.id, state, job->spec.task_count);
 	job->final_committed = true;
 	job->orphan = true;
--- a/src/core/records/transaction_conflict.c
+++ b/src/core/records/transaction_conflict.c
@@ -25,7 +25,7 @@
 
 	if (answer->status == STATUS_OK)
 		answer_json = wire_parse(answer->body, answer->len);
-	wire_kv(answer_json, entry);
+	wire_item_decode(answer_json, entry);
 	return answer_json;
 }
 
@@ -168,7 +168,7 @@
 {
 	if (core->write_queue.transaction.renews_token)
 		read_leader_key(core);
-	else if (wire_failed_has(answer, election_leader_key(election_format(core))))
+	else if (wire_guard_failed(answer, election_leader_key(election_format(core))))
 		election_step_down(core, STEP_DOWN_GUARD_FAILED);
 	else
 		read_keys_of_writes(core);
--- a/src/core/scheduling/share_switching.c
+++ b/src/core/scheduling/share_switching.c
@@ -182,7 +182,7 @@
 		return;
 	}
 	items = wire_parse(answer->body, answer->len);
-	wire_items(items, sum_counts_value, decision);
+	wire_items_for_each(items, sum_counts_value, decision);
 	json_decref(items);
 	decide_switches(core, decision);
 	part_decision_free(decision);
--- a/src/core/store/store_client.c
+++ b/src/core/store/store_client.c
@@ -65,8 +65,9 @@
 struct call *store_watch(struct core *core, const char *prefix, uint64_t after_revision,
 			 int wait_ms, answer_fn on_answer, void *arg)
 {
-	char *path = format_path(W_PATH_WATCH "?" W_PREFIX "=%s&" W_AFTER "=%llu&" W_WAIT "=%d",
-				 prefix, (unsigned long long)after_revision, wait_ms);
+	char *path =
+	    format_path(W_PATH_WATCH "?" W_PREFIX "=%s&" W_AFTER "=%llu&" W_WATCH_WAIT "=%d",
+			prefix, (unsigned long long)after_revision, wait_ms);
 	double timeout_s = wait_ms / 1000.0 + STORE_WATCH_MARGIN_S;
 
 	return core_call(core, core->conf->store_addr, "GET", path, NULL, timeout_s, on_answer,
--- a/src/wire/cloud_codec.c
+++ b/src/wire/cloud_codec.c
@@ -28,22 +28,22 @@
 {
 	struct machine_type *type = out;
 
-	if (field_text(object, W_NAME, type->name, sizeof(type->name)) ||
+	if (field_text(object, W_TYPE_NAME, type->name, sizeof(type->name)) ||
 	    field_number(object, W_CPUS, &type->cpus) ||
 	    field_number(object, W_MEMORY, &type->mem_gb) ||
 	    field_number(object, W_PRICE, &type->price))
 		return -1;
 	type->gpus = field_number_or(object, W_GPUS, 0);
 	type->cache_gb = field_number_or(object, W_CACHE, 0);
-	type->fetch_gb_per_s = field_number_or(object, W_FETCH, 0);
+	type->fetch_gb_per_s = field_number_or(object, W_FETCH_RATE, 0);
 	type->spot_price = field_number_or(object, W_SPOT_PRICE, type->price);
-	type->boot_s = field_number_or(object, W_BOOT, 0);
+	type->boot_s = field_number_or(object, W_BOOT_TIME, 0);
 	return decode_zones(object, type);
 }
 
-int wire_types_decode(json_t *object, struct machine_type **types, size_t *count)
+int wire_machine_types_decode(json_t *object, struct machine_type **types, size_t *count)
 {
-	const json_t *array = json_object_get(object, W_TYPES);
+	const json_t *array = json_object_get(object, W_MACHINE_TYPES);
 
 	*count = 0;
 	if (!json_is_array(array) || !json_array_size(array))
@@ -55,7 +55,7 @@
 	return -1;
 }
 
-void wire_types_free(struct machine_type *types, size_t count)
+void wire_machine_types_free(struct machine_type *types, size_t count)
 {
 	for (size_t i = 0; i < count; i++)
 		name_list_free(&types[i].zones);
@@ -66,27 +66,27 @@
 {
 	json_t *object = json_object();
 
-	json_object_set_new(object, W_NAME, json_string(type->name));
+	json_object_set_new(object, W_TYPE_NAME, json_string(type->name));
 	json_object_set_new(object, W_CPUS, json_real(type->cpus));
 	json_object_set_new(object, W_GPUS, json_real(type->gpus));
 	json_object_set_new(object, W_MEMORY, json_real(type->mem_gb));
 	json_object_set_new(object, W_CACHE, json_real(type->cache_gb));
-	json_object_set_new(object, W_FETCH, json_real(type->fetch_gb_per_s));
+	json_object_set_new(object, W_FETCH_RATE, json_real(type->fetch_gb_per_s));
 	json_object_set_new(object, W_PRICE, json_real(type->price));
 	json_object_set_new(object, W_SPOT_PRICE, json_real(type->spot_price));
-	json_object_set_new(object, W_BOOT, json_real(type->boot_s));
+	json_object_set_new(object, W_BOOT_TIME, json_real(type->boot_s));
 	json_object_set_new(object, W_ZONES, names_encode(&type->zones));
 	return object;
 }
 
-json_t *wire_types_encode(const struct machine_type *types, size_t count)
+json_t *wire_machine_types_encode(const struct machine_type *types, size_t count)
 {
 	json_t *object = json_object();
 	json_t *array = json_array();
 
 	for (size_t i = 0; i < count; i++)
 		json_array_append_new(array, encode_type(&types[i]));
-	json_object_set_new(object, W_TYPES, array);
+	json_object_set_new(object, W_MACHINE_TYPES, array);
 	return object;
 }
 
@@ -96,7 +96,7 @@
 	int state = field_enum(object, W_STATE, &listed_states);
 
 	if (field_nonempty_text(object, W_ID, machine->id, sizeof(machine->id)) || state < 0 ||
-	    field_text(object, W_TYPE, machine->type, sizeof(machine->type)) ||
+	    field_text(object, W_MACHINE_TYPE, machine->type, sizeof(machine->type)) ||
 	    field_text(object, W_ZONE, machine->zone, sizeof(machine->zone)) ||
 	    field_bool(object, W_SPOT, &machine->spot))
 		return -1;
@@ -123,8 +123,8 @@
 	return NULL;
 }
 
-int wire_list_decode(const char *body, size_t len, struct listed_machine **machines, size_t *count,
-		     bool *more)
+int wire_machine_page_decode(const char *body, size_t len, struct listed_machine **machines,
+			     size_t *count, bool *more)
 {
 	json_t *answer;
 	const json_t *list = parse_machine_list(body, len, &answer);
@@ -138,19 +138,20 @@
 	return 0;
 }
 
-char *wire_rental(const char *request, const char *type, const char *zone, bool spot, int count)
+char *wire_rental_request(const char *request, const char *type, const char *zone, bool spot,
+			  int count)
 {
 	json_t *object = json_object();
 
-	json_object_set_new(object, W_REQUEST, json_string(request));
-	json_object_set_new(object, W_TYPE, json_string(type));
+	json_object_set_new(object, W_REQUEST_NAME, json_string(request));
+	json_object_set_new(object, W_MACHINE_TYPE, json_string(type));
 	json_object_set_new(object, W_ZONE, json_string(zone));
 	json_object_set_new(object, W_SPOT, json_boolean(spot));
-	json_object_set_new(object, W_COUNT, json_integer(count));
+	json_object_set_new(object, W_MACHINE_COUNT, json_integer(count));
 	return wire_serialize(object);
 }
 
-char *wire_delete(const char *const *ids, size_t count)
+char *wire_delete_request(const char *const *ids, size_t count)
 {
 	json_t *object = json_object();
 	json_t *array = json_array();
@@ -161,7 +162,7 @@
 	return wire_serialize(object);
 }
 
-int wire_rented(const char *body, size_t len, char ***ids, size_t *count)
+int wire_rental_answer_decode(const char *body, size_t len, char ***ids, size_t *count)
 {
 	json_t *answer;
 	const json_t *list = parse_machine_list(body, len, &answer);
--- a/src/wire/cloud_codec.h
+++ b/src/wire/cloud_codec.h
@@ -37,39 +37,40 @@
 
 /*
  * Decodes the machine types of a catalog, without the invalid ones. Returns 0, or -1 if there is no
- * valid one. On success the caller frees the types with wire_types_free; on failure there is
- * nothing to free.
+ * valid one. On success the caller frees the types with wire_machine_types_free; on failure there
+ * is nothing to free.
  */
-int wire_types_decode(json_t *object, struct machine_type **types, size_t *count);
+int wire_machine_types_decode(json_t *object, struct machine_type **types, size_t *count);
 
 /* Frees the array of types and what each of them owns. */
-void wire_types_free(struct machine_type *types, size_t count);
+void wire_machine_types_free(struct machine_type *types, size_t count);
 
 /* Encodes a catalog as it is stored. The caller releases it with json_decref. */
-json_t *wire_types_encode(const struct machine_type *types, size_t count);
+json_t *wire_machine_types_encode(const struct machine_type *types, size_t count);
 
 /*
  * Decodes one page of the list of rented machines, without the invalid entries. Returns 0, or -1 if
  * the body is not such a page. `*more` tells whether another page follows. On success the caller
  * frees the array.
  */
-int wire_list_decode(const char *body, size_t len, struct listed_machine **machines, size_t *count,
-		     bool *more);
+int wire_machine_page_decode(const char *body, size_t len, struct listed_machine **machines,
+			     size_t *count, bool *more);
 
 /*
  * Encodes a request for `count` machines. `request` is the request's name: when it is sent again
  * under the same name, the cloud rents no further machines. The caller frees the text.
  */
-char *wire_rental(const char *request, const char *type, const char *zone, bool spot, int count);
+char *wire_rental_request(const char *request, const char *type, const char *zone, bool spot,
+			  int count);
 
 /* Encodes a request to delete machines. The caller frees the text. */
-char *wire_delete(const char *const *ids, size_t count);
+char *wire_delete_request(const char *const *ids, size_t count);
 
 /*
  * Decodes the answer to a rental request: the ids of the rented machines, of which there may be
  * none. Returns 0, or -1 if the answer has no list of ids. On success the caller frees the array
  * and each id.
  */
-int wire_rented(const char *body, size_t len, char ***ids, size_t *count);
+int wire_rental_answer_decode(const char *body, size_t len, char ***ids, size_t *count);
 
 #endif
--- a/src/wire/job_codec.c
+++ b/src/wire/job_codec.c
@@ -22,7 +22,7 @@
 static const struct name_table kinds = NAME_TABLE(kind_names);
 static const struct name_table priorities = NAME_TABLE(priority_names);
 
-bool wire_job_id_ok(const char *id)
+bool wire_job_id_is_valid(const char *id)
 {
 	size_t prefix = strlen(W_JOB_PREFIX);
 	size_t length = strlen(id);
@@ -41,7 +41,7 @@
 	} names[] = {{W_CLASS, spec->class_name}, {W_TEAM, spec->team}, {W_IMAGE, spec->image}};
 
 	*why = W_ID;
-	if (field_text(object, W_ID, spec->id, sizeof(spec->id)) || !wire_job_id_ok(spec->id))
+	if (field_text(object, W_ID, spec->id, sizeof(spec->id)) || !wire_job_id_is_valid(spec->id))
 		return -1;
 	for (size_t i = 0; i < ARRAY_LENGTH(names); i++) {
 		*why = names[i].key;
@@ -115,7 +115,7 @@
 /* Decodes the allowed machine types. The list may be absent, but not empty. */
 static int decode_types(const json_t *object, struct job_spec *spec)
 {
-	const json_t *types = json_object_get(object, W_TYPES);
+	const json_t *types = json_object_get(object, W_MACHINE_TYPES);
 
 	if (!json_is_array(types) || !json_array_size(types))
 		return -1;
@@ -134,8 +134,8 @@
 	if (!field_is_absent(object, W_DEADLINE) &&
 	    field_number(object, W_DEADLINE, &spec->deadline_s))
 		return -1;
-	*why = W_TYPES;
-	return field_is_absent(object, W_TYPES) ? 0 : decode_types(object, spec);
+	*why = W_MACHINE_TYPES;
+	return field_is_absent(object, W_MACHINE_TYPES) ? 0 : decode_types(object, spec);
 }
 
 int wire_job_decode(json_t *object, struct job_spec *spec, const char **why)
@@ -172,7 +172,7 @@
 	json_object_set_new(object, W_IMAGE, json_string(spec->image));
 	json_object_set_new(object, W_IMAGE_GB, json_real(spec->image_gb));
 	if (spec->types.count)
-		json_object_set_new(object, W_TYPES, names_encode(&spec->types));
+		json_object_set_new(object, W_MACHINE_TYPES, names_encode(&spec->types));
 	if (*spec->zone)
 		json_object_set_new(object, W_ZONE, json_string(spec->zone));
 	json_object_set_new(object, W_ONE_ZONE, json_boolean(spec->one_zone));
@@ -186,7 +186,7 @@
 	return object;
 }
 
-const char *wire_job_state(enum job_state state)
+const char *wire_job_state_name(enum job_state state)
 {
 	return state_names[state];
 }
@@ -196,7 +196,7 @@
 	json_t *object = json_object();
 
 	json_object_set_new(object, W_ID, json_string(id));
-	json_object_set_new(object, W_STATE, json_string(wire_job_state(state)));
+	json_object_set_new(object, W_STATE, json_string(wire_job_state_name(state)));
 	json_object_set_new(object, W_DONE, json_integer(done));
 	json_object_set_new(object, W_RUNNING, json_integer(running));
 	return wire_serialize(object);
--- a/src/wire/job_codec.h
+++ b/src/wire/job_codec.h
@@ -44,7 +44,7 @@
 };
 
 /* Whether the id has the form that the protocol demands: W_JOB_PREFIX and decimal digits. */
-bool wire_job_id_ok(const char *id);
+bool wire_job_id_is_valid(const char *id);
 
 /*
  * Decodes a description, from a user or from wire_job_encode. Returns 0, or -1 with a static text
@@ -60,7 +60,7 @@
 json_t *wire_job_encode(const struct job_spec *spec);
 
 /* Returns the state's name on the wire, a static text. */
-const char *wire_job_state(enum job_state state);
+const char *wire_job_state_name(enum job_state state);
 
 /* Encodes a job's state for users: `done` and `running` are numbers of tasks. The caller frees the
  * text. */
--- a/src/wire/names.h
+++ b/src/wire/names.h
@@ -15,7 +15,7 @@
 #define W_PATH_COMMANDS "/do"	       /* commands that are sent directly */
 #define W_PATH_PROBE "/show"	       /* a request for a report */
 /* Paths of the cloud. */
-#define W_PATH_TYPES "/catalog"		/* the machine types */
+#define W_PATH_CATALOG "/catalog"	/* the machine types */
 #define W_PATH_MACHINES "/rentals"	/* the list of rented machines, and rental requests */
 #define W_PATH_DELETE "/rentals/delete" /* deletes machines */
 /* Paths of the state service. */
@@ -47,19 +47,19 @@
 #define W_GPUS "gpus"	 /* number of GPUs, of a task or a machine type */
 #define W_MEMORY "memGb" /* memory in GB, of a task or a machine type */
 #define W_IMAGE "molde"
-#define W_IMAGE_GB "pullGb"	 /* size of the image in GB */
-#define W_TYPES "feitiosMaquina" /* machine types: names in a job, objects in a catalog */
-#define W_TYPE "feitioMaquina"	 /* name of a machine's type */
-#define W_ZONE "praca"		 /* in a job the only zone allowed, or the zone of a machine */
-#define W_ZONES "pracas"	 /* zones that offer a machine type */
-#define W_ONE_ZONE "together"	 /* boolean: all tasks must run in the same zone */
-#define W_SPREAD "scatter"	 /* boolean: at most half of the tasks may run in one zone */
-#define W_SPOT "avulsas"	 /* boolean: a job may use spot machines, or a machine is one */
-#define W_ESTIMATE "previstoS"	 /* estimated run time of a task in seconds */
-#define W_CHECKPOINT "marcoS"	 /* seconds between checkpoints */
-#define W_SAVE "gravarS"	 /* seconds that a stopped task takes to save its state */
-#define W_DEADLINE "prazoS"	 /* seconds from submission to the end of the job */
-#define W_STATE "estado"	 /* of a job, an attempt or a machine */
+#define W_IMAGE_GB "pullGb"		 /* size of the image in GB */
+#define W_MACHINE_TYPES "feitiosMaquina" /* machine types: names in a job, objects in a catalog */
+#define W_MACHINE_TYPE "feitioMaquina"	 /* name of a machine's type */
+#define W_ZONE "praca"	       /* in a job the only zone allowed, or the zone of a machine */
+#define W_ZONES "pracas"       /* zones that offer a machine type */
+#define W_ONE_ZONE "together"  /* boolean: all tasks must run in the same zone */
+#define W_SPREAD "scatter"     /* boolean: at most half of the tasks may run in one zone */
+#define W_SPOT "avulsas"       /* boolean: a job may use spot machines, or a machine is one */
+#define W_ESTIMATE "previstoS" /* estimated run time of a task in seconds */
+#define W_CHECKPOINT "marcoS"  /* seconds between checkpoints */
+#define W_SAVE "gravarS"       /* seconds that a stopped task takes to save its state */
+#define W_DEADLINE "prazoS"    /* seconds from submission to the end of the job */
+#define W_STATE "estado"       /* of a job, an attempt or a machine */
 #define W_JOB_QUEUED "pending"
 #define W_JOB_RUNNING "running"
 #define W_JOB_DONE "done"
@@ -92,22 +92,22 @@
 #define W_TASK_EXITED "ended"
 #define W_END_DONE "done"
 #define W_END_STOPPED "stopped"
-#define W_END_PEERS_LOST "peers" /* another task of its gang stopped running */
-#define W_END_ALONE "alone"	 /* the other tasks of its gang did not start in time */
+#define W_END_PEERS_LOST "peers"   /* another task of its gang stopped running */
+#define W_END_GANG_TIMEOUT "alone" /* the other tasks of its gang did not start in time */
 #define W_END_ERROR "error"
 #define W_END_NO_ROOM "full"	    /* too little free capacity */
 #define W_END_BUSY "busy"	    /* the machine runs another attempt of the task */
 #define W_END_UNKNOWN_JOB "unknown" /* the agent does not know the job's description */
 
 /* The cloud: machine types, the list of machines, rental requests. */
-#define W_NAME "label"		   /* name of a machine type */
+#define W_TYPE_NAME "label"	   /* name of a machine type */
 #define W_CACHE "localGb"	   /* size of the machine's cache for images in GB */
-#define W_FETCH "fetchGbPerS"	   /* speed at which images are fetched, in GB/s */
+#define W_FETCH_RATE "fetchGbPerS" /* speed at which images are fetched, in GB/s */
 #define W_PRICE "hourly"	   /* price of an hour */
 #define W_SPOT_PRICE "marketPrice" /* price of an hour of a spot machine */
-#define W_BOOT "readyS"		   /* seconds from the rental to the first report */
-#define W_REQUEST "pedido" /* name of a rental request; its repetitions have the same name */
-#define W_COUNT "howMany"  /* number of machines to rent */
+#define W_BOOT_TIME "readyS"	   /* seconds from the rental to the first report */
+#define W_REQUEST_NAME "pedido"	  /* name of a rental request; its repetitions have the same name */
+#define W_MACHINE_COUNT "howMany" /* number of machines to rent */
 #define W_AFTER "from"	   /* last entry before the page, or last revision before the watch */
 #define W_LIMIT "limit"	   /* maximum number of entries in a page */
 #define W_AGE "ageS"	   /* seconds since the machine was rented */
@@ -121,16 +121,16 @@
 #define W_VALUE "data"	    /* value of an item: an object or a list */
 #define W_PREFIX "starts"   /* prefix of the keys of a range or a watch */
 #define W_ITEMS "entries"   /* items of a page */
-#define W_IF "guards"	    /* guards of a transaction: versions that keys must have */
-#define W_THEN "apply"	    /* changes that a transaction makes */
+#define W_GUARDS "guards"   /* guards of a transaction: versions that keys must have */
+#define W_CHANGES "apply"   /* changes that a transaction makes */
 #define W_PUT "write"	    /* key that a change writes */
 #define W_DROP "drop"	    /* key that a change deletes */
 #define W_REVISION "edicao" /* revision of the whole store, a number */
 #define W_VERSION "retoque" /* version of a key, a number; 0 in a guard: the key must not exist */
 #define W_LEASE "alvara"    /* number of a lease */
 #define W_TTL "lifeMs"	    /* time after which a lease ends unless renewed, in milliseconds */
-#define W_WAIT "blockMs"    /* time for which a watch waits for changes, in milliseconds */
-#define W_EVENTS "events"   /* changes that a watch returns */
-#define W_FAILED "failed"   /* keys whose guards failed */
+#define W_WATCH_WAIT "blockMs" /* time for which a watch waits for changes, in milliseconds */
+#define W_EVENTS "events"      /* changes that a watch returns */
+#define W_FAILED "failed"      /* keys whose guards failed */
 
 #endif
--- a/src/wire/report_codec.c
+++ b/src/wire/report_codec.c
@@ -24,7 +24,7 @@
 					       [END_DONE] = W_END_DONE,
 					       [END_STOPPED] = W_END_STOPPED,
 					       [END_PEERS_LOST] = W_END_PEERS_LOST,
-					       [END_ALONE] = W_END_ALONE,
+					       [END_GANG_TIMEOUT] = W_END_GANG_TIMEOUT,
 					       [END_ERROR] = W_END_ERROR,
 					       [END_NO_ROOM] = W_END_NO_ROOM,
 					       [END_BUSY] = W_END_BUSY,
@@ -80,7 +80,7 @@
 
 	if (field_nonempty_text(object, W_MACHINE, report->machine, sizeof(report->machine)) ||
 	    field_text(object, W_ADDR, report->addr, sizeof(report->addr)) ||
-	    field_text(object, W_TYPE, report->type, sizeof(report->type)) ||
+	    field_text(object, W_MACHINE_TYPE, report->type, sizeof(report->type)) ||
 	    field_text(object, W_ZONE, report->zone, sizeof(report->zone)) ||
 	    field_bool(object, W_SPOT, &report->spot) ||
 	    field_count(object, W_INCARNATION, &report->incarnation) ||
@@ -184,7 +184,7 @@
 	return wire_serialize(object);
 }
 
-char *wire_redirect(const char *leader)
+char *wire_redirect_answer(const char *leader)
 {
 	json_t *object = json_object();
 
--- a/src/wire/report_codec.h
+++ b/src/wire/report_codec.h
@@ -21,9 +21,9 @@
 enum task_end_reason {
 	END_NONE, /* it has not exited, or the reason is not one of those below */
 	END_DONE,
-	END_STOPPED,	/* stopped by a command */
-	END_PEERS_LOST, /* another task of its gang stopped running */
-	END_ALONE,	/* the other tasks of its gang did not start in time */
+	END_STOPPED,	  /* stopped by a command */
+	END_PEERS_LOST,	  /* another task of its gang stopped running */
+	END_GANG_TIMEOUT, /* the other tasks of its gang did not start in time */
 	END_ERROR,
 	END_NO_ROOM,	/* refused: too few CPUs or GPUs, or too little memory, are free */
 	END_BUSY,	/* refused: the machine runs another attempt of the task */
@@ -94,6 +94,6 @@
  * Encodes the answer to a report that reached a controller that is not the leader. It contains the
  * leader's address unless `leader` is NULL or empty. The caller frees the text.
  */
-char *wire_redirect(const char *leader);
+char *wire_redirect_answer(const char *leader);
 
 #endif
--- a/src/wire/store_codec.c
+++ b/src/wire/store_codec.c
@@ -17,7 +17,7 @@
 	return field_count_or_zero(object, W_LEASE);
 }
 
-char *wire_lease_body(int ttl_ms)
+char *wire_lease_request(int ttl_ms)
 {
 	json_t *object = json_object();
 
@@ -26,7 +26,7 @@
 }
 
 /* An item has its key in W_KEY; an event has it in W_PUT or W_DROP. */
-int wire_kv(json_t *object, struct kv_item *item)
+int wire_item_decode(json_t *object, struct kv_item *item)
 {
 	item->key = field_string(object, W_KEY);
 	item->value = json_object_get(object, W_VALUE);
@@ -40,7 +40,8 @@
 	return item->key ? 0 : -1;
 }
 
-void wire_items(json_t *object, void (*each)(void *ctx, const struct kv_item *item), void *ctx)
+void wire_items_for_each(json_t *object, void (*each)(void *ctx, const struct kv_item *item),
+			 void *ctx)
 {
 	const json_t *list = json_object_get(object, W_ITEMS);
 	struct kv_item item;
@@ -50,17 +51,17 @@
 	if (!list)
 		list = json_object_get(object, W_EVENTS);
 	json_array_foreach (list, i, element) {
-		if (!wire_kv(element, &item))
+		if (!wire_item_decode(element, &item))
 			each(ctx, &item);
 	}
 }
 
-bool wire_more(json_t *object)
+bool wire_has_next_page(json_t *object)
 {
 	return field_is_true(object, W_MORE);
 }
 
-bool wire_failed_has(json_t *object, const char *key)
+bool wire_guard_failed(json_t *object, const char *key)
 {
 	const json_t *failed = json_object_get(object, W_FAILED);
 	const json_t *name;
--- a/src/wire/store_codec.h
+++ b/src/wire/store_codec.h
@@ -22,19 +22,20 @@
 uint64_t wire_lease(json_t *object);
 
 /* Encodes a request for a lease of `ttl_ms` milliseconds. The caller frees the text. */
-char *wire_lease_body(int ttl_ms);
+char *wire_lease_request(int ttl_ms);
 
 /* Decodes an item of a range or an event of a watch. Returns 0, or -1 if it has no key; `item->key`
  * is NULL then. */
-int wire_kv(json_t *object, struct kv_item *item);
+int wire_item_decode(json_t *object, struct kv_item *item);
 
 /* Calls `each` for every item of a range or event of a watch, except those without a key. */
-void wire_items(json_t *object, void (*each)(void *ctx, const struct kv_item *item), void *ctx);
+void wire_items_for_each(json_t *object, void (*each)(void *ctx, const struct kv_item *item),
+			 void *ctx);
 
 /* Whether an answer is a page that another page follows. */
-bool wire_more(json_t *object);
+bool wire_has_next_page(json_t *object);
 
 /* Whether the answer to a transaction lists the guard of this key as failed. */
-bool wire_failed_has(json_t *object, const char *key);
+bool wire_guard_failed(json_t *object, const char *key);
 
 #endif
--- a/src/wire/transaction.c
+++ b/src/wire/transaction.c
@@ -79,9 +79,9 @@
 	return txn->guards.len + txn->ops.len + TXN_FRAME_BYTES;
 }
 
-struct txn_mark txn_mark(const struct txn *txn)
+struct txn_savepoint txn_savepoint(const struct txn *txn)
 {
-	struct txn_mark savepoint = {
+	struct txn_savepoint savepoint = {
 	    .guards_len = txn->guards.len,
 	    .ops_len = txn->ops.len,
 	    .largest_value = txn->largest_value,
@@ -91,7 +91,7 @@
 	return savepoint;
 }
 
-void txn_rollback(struct txn *txn, const struct txn_mark *savepoint)
+void txn_rollback(struct txn *txn, const struct txn_savepoint *savepoint)
 {
 	txn->guards.len = savepoint->guards_len;
 	txn->ops.len = savepoint->ops_len;
@@ -110,9 +110,9 @@
 	struct buf out = {0};
 	char *text;
 
-	buf_addf(&out, "{\"" W_IF "\":[");
+	buf_addf(&out, "{\"" W_GUARDS "\":[");
 	add_list(&out, &txn->guards);
-	buf_addf(&out, "],\"" W_THEN "\":[");
+	buf_addf(&out, "],\"" W_CHANGES "\":[");
 	add_list(&out, &txn->ops);
 	buf_add(&out, "]}", 2);
 	text = xalloc_checked(strndup(buf_at(&out), out.len));
--- a/src/wire/transaction.h
+++ b/src/wire/transaction.h
@@ -20,7 +20,7 @@
 };
 
 /* A savepoint: the state of a transaction to which txn_rollback can return. */
-struct txn_mark {
+struct txn_savepoint {
 	size_t guards_len, ops_len, largest_value;
 	int op_count;
 };
@@ -45,10 +45,10 @@
 size_t txn_bytes(const struct txn *txn);
 
 /* Returns a savepoint of the transaction. */
-struct txn_mark txn_mark(const struct txn *txn);
+struct txn_savepoint txn_savepoint(const struct txn *txn);
 
 /* Removes everything that was added since the savepoint. */
-void txn_rollback(struct txn *txn, const struct txn_mark *savepoint);
+void txn_rollback(struct txn *txn, const struct txn_savepoint *savepoint);
 
 /* Returns the text, which the caller frees. The transaction is empty afterwards. */
 char *txn_finish(struct txn *txn);
--- a/tests/bench/requests.c
+++ b/tests/bench/requests.c
@@ -58,10 +58,11 @@
 	char body[REPORT_MAX];
 
 	snprintf(body, sizeof(body),
-		 "{\"" W_MACHINE "\":\"vm-%06d\",\"" W_ADDR "\":\"10.1.%d.%d:9000\",\"" W_TYPE
-		 "\":\"g\",\"" W_ZONE "\":\"a\",\"" W_SPOT "\":false,\"" W_INCARNATION
-		 "\":1,\"" W_SEQUENCE "\":%d,\"" W_TOKEN "\":%llu,\"" W_PREEMPTION_NOTICE
-		 "\":null,\"" W_TASKS "\":[%s]}",
+		 "{\"" W_MACHINE "\":\"vm-%06d\",\"" W_ADDR
+		 "\":\"10.1.%d.%d:9000\",\"" W_MACHINE_TYPE "\":\"g\",\"" W_ZONE
+		 "\":\"a\",\"" W_SPOT "\":false,\"" W_INCARNATION "\":1,\"" W_SEQUENCE
+		 "\":%d,\"" W_TOKEN "\":%llu,\"" W_PREEMPTION_NOTICE "\":null,\"" W_TASKS
+		 "\":[%s]}",
 		 machine, machine / 250, machine % 250 + 1, sequence, bench->token, tasks);
 	bench_request(bench, "POST", W_PATH_HEARTBEAT, body);
 }
--- a/tests/bench/services.c
+++ b/tests/bench/services.c
@@ -15,9 +15,9 @@
 #define ANSWER_MAX 512	 /* bytes of a short answer, with its NUL */
 
 static const char catalog[] =
-    "{\"" W_TYPES "\":[{\"" W_NAME "\":\"g\",\"" W_CPUS "\":16,\"" W_GPUS "\":0,\"" W_MEMORY
-    "\":64,\"" W_CACHE "\":50,\"" W_FETCH "\":1,\"" W_PRICE "\":1,\"" W_SPOT_PRICE
-    "\":0.3,\"" W_BOOT "\":30,\"" W_ZONES "\":[\"a\"]}]}";
+    "{\"" W_MACHINE_TYPES "\":[{\"" W_TYPE_NAME "\":\"g\",\"" W_CPUS "\":16,\"" W_GPUS
+    "\":0,\"" W_MEMORY "\":64,\"" W_CACHE "\":50,\"" W_FETCH_RATE "\":1,\"" W_PRICE
+    "\":1,\"" W_SPOT_PRICE "\":0.3,\"" W_BOOT_TIME "\":30,\"" W_ZONES "\":[\"a\"]}]}";
 
 static bool begins_with(const char *text, const char *prefix)
 {
@@ -38,9 +38,10 @@
 static int print_machine(char *text, size_t size, int number)
 {
 	return snprintf(text, size,
-			"{\"" W_ID "\":\"vm-%06d\",\"" W_ADDR "\":\"10.1.%d.%d:9000\",\"" W_TYPE
-			"\":\"g\",\"" W_ZONE "\":\"a\",\"" W_SPOT "\":false,\"" W_STATE
-			"\":\"" W_CLOUD_RUNNING "\",\"" W_AGE "\":60}",
+			"{\"" W_ID "\":\"vm-%06d\",\"" W_ADDR
+			"\":\"10.1.%d.%d:9000\",\"" W_MACHINE_TYPE "\":\"g\",\"" W_ZONE
+			"\":\"a\",\"" W_SPOT "\":false,\"" W_STATE "\":\"" W_CLOUD_RUNNING
+			"\",\"" W_AGE "\":60}",
 			number, number / 250, number % 250 + 1);
 }
 
@@ -86,7 +87,7 @@
 static const char *answer_to(struct bench *bench, const struct core_action *action, char *text,
 			     size_t size)
 {
-	if (!strcmp(action->path, W_PATH_TYPES))
+	if (!strcmp(action->path, W_PATH_CATALOG))
 		return catalog;
 	if (begins_with(action->path, W_PATH_WATCH))
 		return NULL;
@@ -124,7 +125,7 @@
 	json_t *change;
 	size_t i;
 
-	json_array_foreach (json_object_get(transaction, W_THEN), i, change) {
+	json_array_foreach (json_object_get(transaction, W_CHANGES), i, change) {
 		const char *key = json_string_value(json_object_get(change, W_PUT));
 
 		if (!key || !begins_with(key, KEY_OPEN_JOBS))
--- a/tests/connections.c
+++ b/tests/connections.c
@@ -63,12 +63,12 @@
 static int send_report(int fd, int agent, int sequence)
 {
 	char body[512], text[1024];
-	int length =
-	    snprintf(body, sizeof(body),
-		     "{\"" W_MACHINE "\":\"vm-%06d\",\"" W_ADDR "\":\"127.0.0.1:9\",\"" W_TYPE
-		     "\":\"g\",\"" W_ZONE "\":\"a\",\"" W_SPOT "\":false,\"" W_INCARNATION
-		     "\":1,\"" W_SEQUENCE "\":%d,\"" W_TOKEN "\":0,\"" W_TASKS "\":[]}",
-		     FIRST_MACHINE + agent, sequence);
+	int length = snprintf(body, sizeof(body),
+			      "{\"" W_MACHINE "\":\"vm-%06d\",\"" W_ADDR
+			      "\":\"127.0.0.1:9\",\"" W_MACHINE_TYPE "\":\"g\",\"" W_ZONE
+			      "\":\"a\",\"" W_SPOT "\":false,\"" W_INCARNATION "\":1,\"" W_SEQUENCE
+			      "\":%d,\"" W_TOKEN "\":0,\"" W_TASKS "\":[]}",
+			      FIRST_MACHINE + agent, sequence);
 
 	length = snprintf(text, sizeof(text),
 			  "POST " W_PATH_HEARTBEAT " HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s",
--- a/tests/standins/agent_messages.c
+++ b/tests/standins/agent_messages.c
@@ -23,7 +23,7 @@
     [END_DONE] = W_END_DONE,
     [END_STOPPED] = W_END_STOPPED,
     [END_PEERS_LOST] = W_END_PEERS_LOST,
-    [END_ALONE] = W_END_ALONE,
+    [END_GANG_TIMEOUT] = W_END_GANG_TIMEOUT,
     [END_ERROR] = W_END_ERROR,
     [END_NO_ROOM] = W_END_NO_ROOM,
     [END_BUSY] = W_END_BUSY,
@@ -76,8 +76,8 @@
 	machine->sequence++;
 	message =
 	    json_pack("{s:s,s:s,s:s,s:s,s:b,s:I,s:I,s:I,s:o}", W_MACHINE, machine->id, W_ADDR,
-		      machine->addr, W_TYPE, machine->type->name, W_ZONE, machine->zone, W_SPOT,
-		      (int)machine->spot, W_INCARNATION, (json_int_t)machine->incarnation,
+		      machine->addr, W_MACHINE_TYPE, machine->type->name, W_ZONE, machine->zone,
+		      W_SPOT, (int)machine->spot, W_INCARNATION, (json_int_t)machine->incarnation,
 		      W_SEQUENCE, (json_int_t)machine->sequence, W_TOKEN,
 		      (json_int_t)machine->token, W_TASKS, encode_tasks(machine));
 	json_object_set_new(message, W_PREEMPTION_NOTICE, encode_notice(standin, machine));
--- a/tests/standins/agent_tasks.c
+++ b/tests/standins/agent_tasks.c
@@ -52,7 +52,7 @@
 		task->state = TASK_RUNNING;
 		task->machine->changed = true;
 	} else if (standin->now - task->since > standin->conf->gang_wait_s) {
-		task_exit(task, END_ALONE);
+		task_exit(task, END_GANG_TIMEOUT);
 	}
 }
 
--- a/tests/standins/cloud.c
+++ b/tests/standins/cloud.c
@@ -21,7 +21,7 @@
 	for (size_t i = 0; i < cloud->rental_count; i++)
 		free(cloud->rentals[i].answer);
 	free(cloud->rentals);
-	wire_types_free(cloud->types, cloud->type_count);
+	wire_machine_types_free(cloud->types, cloud->type_count);
 }
 
 void standin_type_add(struct standin *standin, const struct machine_type *type, int capacity,
@@ -60,7 +60,7 @@
 /* Rents one machine; returns its name. */
 static json_t *rent_machine(struct standin *standin, const json_t *request)
 {
-	const char *type = json_string_value(json_object_get(request, W_TYPE));
+	const char *type = json_string_value(json_object_get(request, W_MACHINE_TYPE));
 	const char *zone = json_string_value(json_object_get(request, W_ZONE));
 	bool spot = json_is_true(json_object_get(request, W_SPOT));
 	struct standin_machine *machine = standin_machine_add(standin, type, zone, spot);
@@ -75,8 +75,8 @@
 /* As many machines as were asked for, or as there are; the list of their names. */
 static json_t *rent_machines(struct standin *standin, const json_t *request)
 {
-	const char *type = json_string_value(json_object_get(request, W_TYPE));
-	int wanted = (int)json_integer_value(json_object_get(request, W_COUNT));
+	const char *type = json_string_value(json_object_get(request, W_MACHINE_TYPE));
+	int wanted = (int)json_integer_value(json_object_get(request, W_MACHINE_COUNT));
 	struct standin_cloud *cloud = &standin->cloud;
 	json_t *names = json_array();
 	int rented = 0;
@@ -94,7 +94,7 @@
 
 static void answer_new_rental(struct standin *standin, uint64_t handle, const json_t *request)
 {
-	const char *name = json_string_value(json_object_get(request, W_REQUEST));
+	const char *name = json_string_value(json_object_get(request, W_REQUEST_NAME));
 	json_t *names = rent_machines(standin, request);
 	json_t *body;
 
@@ -111,7 +111,7 @@
 static void answer_rental(struct standin *standin, uint64_t handle, const char *body)
 {
 	json_t *request = wire_parse(body, strlen(body));
-	const char *name = json_string_value(json_object_get(request, W_REQUEST));
+	const char *name = json_string_value(json_object_get(request, W_REQUEST_NAME));
 	const struct standin_rental *rental = find_rental(&standin->cloud, name);
 
 	if (rental)
@@ -178,7 +178,7 @@
 static json_t *encode_machine(const struct standin *standin, const struct standin_machine *machine)
 {
 	return json_pack("{s:s,s:s,s:s,s:s,s:b,s:s,s:f}", W_ID, machine->id, W_ADDR, machine->addr,
-			 W_TYPE, machine->type->name, W_ZONE, machine->zone, W_SPOT,
+			 W_MACHINE_TYPE, machine->type->name, W_ZONE, machine->zone, W_SPOT,
 			 (int)machine->spot, W_STATE, listed_state(standin, machine), W_AGE,
 			 standin->now - machine->rented_at);
 }
@@ -204,9 +204,9 @@
 
 	if (cloud->down)
 		standin_answer_error(standin, handle, STATUS_UNAVAILABLE, "trouble");
-	else if (!strcmp(path, W_PATH_TYPES))
+	else if (!strcmp(path, W_PATH_CATALOG))
 		standin_answer(standin, handle, STATUS_OK,
-			       wire_types_encode(cloud->types, cloud->type_count));
+			       wire_machine_types_encode(cloud->types, cloud->type_count));
 	else if (!strcmp(path, W_PATH_DELETE))
 		answer_deletion(standin, handle, body);
 	else if (!strcmp(method, "POST"))
--- a/tests/standins/state_service.c
+++ b/tests/standins/state_service.c
@@ -95,7 +95,7 @@
 	if (strcmp(path, W_PATH_TXN))
 		return 0;
 	transaction = wire_parse(body, strlen(body));
-	puts = (double)json_array_size(json_object_get(transaction, W_THEN));
+	puts = (double)json_array_size(json_object_get(transaction, W_CHANGES));
 	json_decref(transaction);
 	return puts;
 }
--- a/tests/standins/state_transactions.c
+++ b/tests/standins/state_transactions.c
@@ -153,8 +153,8 @@
 {
 	struct standin_state_service *state_service = &standin->state_service;
 	json_t *transaction = wire_parse(body, strlen(body));
-	const json_t *guards = json_object_get(transaction, W_IF);
-	const json_t *changes = json_object_get(transaction, W_THEN);
+	const json_t *guards = json_object_get(transaction, W_GUARDS);
+	const json_t *changes = json_object_get(transaction, W_CHANGES);
 	const char *error = transaction_error(state_service, guards, changes);
 
 	if (error) {
--- a/tests/standins/state_watches.c
+++ b/tests/standins/state_watches.c
@@ -125,7 +125,7 @@
 		standin_answer_error(standin, handle, STATUS_GONE, "too old");
 		return;
 	}
-	query_parameter(path, W_WAIT, number, sizeof(number));
+	query_parameter(path, W_WATCH_WAIT, number, sizeof(number));
 	watch->expires_at = standin->now + atof(number) / MS_PER_S;
 	watch->next = state_service->watches;
 	state_service->watches = watch;
--- a/tests/unit/test_job_json.c
+++ b/tests/unit/test_job_json.c
@@ -153,7 +153,7 @@
 	const char *why;
 
 	(void)state;
-	json_object_set_new(job, W_TYPES, numbered_names(MANY_TYPES));
+	json_object_set_new(job, W_MACHINE_TYPES, numbered_names(MANY_TYPES));
 	assert_int_equal(wire_job_decode(job, &spec, &why), 0);
 	assert_int_equal(spec.types.count, MANY_TYPES);
 	assert_true(name_list_has(&spec.types, "name-99"));
--- a/tests/unit/test_machine_types_json.c
+++ b/tests/unit/test_machine_types_json.c
@@ -9,16 +9,17 @@
 /* The zones of a machine type have no bound on their number. */
 static void test_many_zones(void **state)
 {
-	json_t *catalog = json_pack("{s:[{s:s,s:i,s:i,s:i,s:o}]}", W_TYPES, W_NAME, "g", W_CPUS, 8,
-				    W_MEMORY, 16, W_PRICE, 1, W_ZONES, numbered_names(MANY_ZONES));
+	json_t *catalog =
+	    json_pack("{s:[{s:s,s:i,s:i,s:i,s:o}]}", W_MACHINE_TYPES, W_TYPE_NAME, "g", W_CPUS, 8,
+		      W_MEMORY, 16, W_PRICE, 1, W_ZONES, numbered_names(MANY_ZONES));
 	struct machine_type *types;
 	size_t count = 0;
 
 	(void)state;
-	assert_int_equal(wire_types_decode(catalog, &types, &count), 0);
+	assert_int_equal(wire_machine_types_decode(catalog, &types, &count), 0);
 	assert_int_equal(count, 1);
 	assert_int_equal(types[0].zones.count, MANY_ZONES);
-	wire_types_free(types, count);
+	wire_machine_types_free(types, count);
 	json_decref(catalog);
 }
 
--- a/tests/unit/test_report_cache.c
+++ b/tests/unit/test_report_cache.c
@@ -9,7 +9,7 @@
 #include "wire/names.h"
 
 #define REPORT_HEAD                                                                                \
-	"{\"" W_MACHINE "\":\"vm-000001\",\"" W_ADDR "\":\"10.1.0.1:9000\",\"" W_TYPE              \
+	"{\"" W_MACHINE "\":\"vm-000001\",\"" W_ADDR "\":\"10.1.0.1:9000\",\"" W_MACHINE_TYPE      \
 	"\":\"g\",\"" W_ZONE "\":\"a\",\"" W_SPOT "\":false,\"" W_INCARNATION "\":1,\"" W_SEQUENCE \
 	"\":"
 #define REPORT_TAIL ",\"" W_TOKEN "\":41,\"" W_TASKS "\":[]}"
