--- a/src/conf/conf.c
+++ b/src/conf/conf.c
@@ -1,9 +1,9 @@
-/* Questions about settings that were read. See conf.h. */
+/* Queries on settings, and their release. */
 #include "conf/conf.h"
 
 #include <stdlib.h>
 
-bool conf_has(const struct conf *conf, enum objective_kind kind)
+bool conf_has_objective(const struct conf *conf, enum objective_kind kind)
 {
 	for (size_t i = 0; i < conf->objective_count; i++)
 		if (conf->objectives[i].kind == kind)
--- a/src/core/autoscale/catalog_reader.c
+++ b/src/core/autoscale/catalog_reader.c
@@ -17,7 +17,7 @@
 	struct machine_type *types;
 	size_t count;
 
-	if (wire_types_decode(message, &types, &count))
+	if (wire_machine_types_decode(message, &types, &count))
 		return false;
 	catalog_set(core, types, count);
 	machines_apply_catalog(core);
@@ -49,7 +49,7 @@
  */
 static void store_catalog(struct core *core)
 {
-	json_t *all = wire_types_encode(catalog_type(core, 0), catalog_type_count(core));
+	json_t *all = wire_machine_types_encode(catalog_type(core, 0), catalog_type_count(core));
 
 	core->autoscale.catalog_reader.stored = true;
 	if (wire_value_bytes(all) <= limits_job_record_bytes(core)) {
@@ -62,7 +62,7 @@
 		char key[KEY_MAX];
 
 		snprintf(key, sizeof(key), CATALOG_KEY "/%s", type->name);
-		store_catalog_value(core, key, wire_types_encode(type, 1));
+		store_catalog_value(core, key, wire_machine_types_encode(type, 1));
 	}
 }
 
@@ -70,7 +70,7 @@
 static void add_stored_types(void *all_types, const struct kv_item *item)
 {
 	if (item->value)
-		json_array_extend(all_types, json_object_get(item->value, W_TYPES));
+		json_array_extend(all_types, json_object_get(item->value, W_MACHINE_TYPES));
 }
 
 /* Returns the types of all stored values, in the form of the cloud's answer. The caller owns it. */
@@ -79,9 +79,9 @@
 	json_t *range = wire_parse(answer->body, answer->len);
 	json_t *types = json_array();
 
-	wire_items(range, add_stored_types, types);
+	wire_items_for_each(range, add_stored_types, types);
 	json_decref(range);
-	return json_pack("{s:o}", W_TYPES, types);
+	return json_pack("{s:o}", W_MACHINE_TYPES, types);
 }
 
 /* Handles the copy read from the state service, unless a catalog is known meanwhile. */
@@ -142,6 +142,6 @@
 	    (catalog_is_known(core) && !election_is_leader(core)))
 		return;
 	reader->in_flight = true;
-	core_call(core, core->conf->cloud_addr, "GET", format_path(W_PATH_TYPES), NULL,
+	core_call(core, core->conf->cloud_addr, "GET", format_path(W_PATH_CATALOG), NULL,
 		  CALL_CLOUD_TIMEOUT_S, on_cloud_catalog_read, NULL);
 }
--- a/src/core/autoscale/inventory.c
+++ b/src/core/autoscale/inventory.c
@@ -74,7 +74,7 @@
 	inventory->in_flight = false;
 	cloud_update_backoff(core, answer);
 	if (answer->status != STATUS_OK ||
-	    wire_list_decode(answer->body, answer->len, &entries, &count, &more))
+	    wire_machine_page_decode(answer->body, answer->len, &entries, &count, &more))
 		return;
 	for (size_t i = 0; i < count; i++)
 		apply_entry(core, &entries[i]);
--- a/src/wire/report_codec.c
+++ b/src/wire/report_codec.c
@@ -1,4 +1,4 @@
-/* The reports of agents, and the commands that answer them or are sent directly. */
+/* Decodes reports of agents, and encodes the answers to them and direct commands. */
 #include "wire/report_codec.h"
 
 #include <stdio.h>
@@ -11,7 +11,7 @@
 #include "wire/json_text.h"
 #include "wire/names.h"
 
-/* A task is named by its job's id and its index: "job-000412/3". */
+/* A task's name on the wire is its job's id and its index: "job-000412/3". */
 #define TASK_SEPARATOR '/'
 #define TASK_FORMAT "%s/%u"
 
@@ -20,22 +20,23 @@
 					       [TASK_RUNNING] = W_TASK_RUNNING,
 					       [TASK_SAVING] = W_TASK_SAVING,
 					       [TASK_EXITED] = W_TASK_EXITED};
-static const char *const task_why_names[] = {[END_NONE] = "",
-					     [END_DONE] = W_END_DONE,
-					     [END_STOPPED] = W_END_STOPPED,
-					     [END_PEERS_LOST] = W_END_PEERS_LOST,
-					     [END_ALONE] = W_END_ALONE,
-					     [END_ERROR] = W_END_ERROR,
-					     [END_NO_ROOM] = W_END_NO_ROOM,
-					     [END_BUSY] = W_END_BUSY,
-					     [END_UNKNOWN_JOB] = W_END_UNKNOWN_JOB};
+static const char *const end_reason_names[] = {[END_NONE] = "",
+					       [END_DONE] = W_END_DONE,
+					       [END_STOPPED] = W_END_STOPPED,
+					       [END_PEERS_LOST] = W_END_PEERS_LOST,
+					       [END_GANG_TIMEOUT] = W_END_GANG_TIMEOUT,
+					       [END_ERROR] = W_END_ERROR,
+					       [END_NO_ROOM] = W_END_NO_ROOM,
+					       [END_BUSY] = W_END_BUSY,
+					       [END_UNKNOWN_JOB] = W_END_UNKNOWN_JOB};
 static const char *const op_names[] = {
     [OP_START] = W_OP_START, [OP_STOP] = W_OP_STOP, [OP_FORGET] = W_OP_FORGET};
 
 static const struct name_table task_states = NAME_TABLE(task_state_names);
-static const struct name_table task_whys = NAME_TABLE(task_why_names);
+static const struct name_table end_reasons = NAME_TABLE(end_reason_names);
 
-/* `job` has room for ID_MAX bytes. 0, or -1 if the name is NULL or no task's. */
+/* Splits a task's name. `job` has a size of ID_MAX bytes. Returns -1 if the name is NULL or not
+ * valid. */
 static int decode_task_name(const char *name, char *job, uint32_t *task)
 {
 	const char *separator = name ? strrchr(name, TASK_SEPARATOR) : NULL;
@@ -61,25 +62,25 @@
 {
 	struct report_task *task = out;
 	int state = field_enum(object, W_STATE, &task_states);
-	int why = field_enum(object, W_END_REASON, &task_whys);
+	int reason = field_enum(object, W_END_REASON, &end_reasons);
 
 	if (decode_task_name(field_string(object, W_TASK), task->job, &task->task) ||
 	    field_count(object, W_ATTEMPT, &task->attempt) || state < 0)
 		return -1;
 	task->state = (enum task_state)state;
-	task->end_reason = why < 0 ? END_NONE : (enum task_end_reason)why;
+	task->end_reason = reason < 0 ? END_NONE : (enum task_end_reason)reason;
 	task->saved = field_is_true(object, W_SAVED);
 	return 0;
 }
 
-/* What the report says of the machine itself. */
+/* Decodes the fields about the machine itself. */
 static int decode_machine(const json_t *object, struct report *report)
 {
 	const json_t *notice = json_object_get(object, W_PREEMPTION_NOTICE);
 
 	if (field_nonempty_text(object, W_MACHINE, report->machine, sizeof(report->machine)) ||
 	    field_text(object, W_ADDR, report->addr, sizeof(report->addr)) ||
-	    field_text(object, W_TYPE, report->type, sizeof(report->type)) ||
+	    field_text(object, W_MACHINE_TYPE, report->type, sizeof(report->type)) ||
 	    field_text(object, W_ZONE, report->zone, sizeof(report->zone)) ||
 	    field_bool(object, W_SPOT, &report->spot) ||
 	    field_count(object, W_INCARNATION, &report->incarnation) ||
@@ -90,7 +91,10 @@
 	return 0;
 }
 
-/* A report half understood would make absence of proof look like proof: one bad task refuses it. */
+/*
+ * One invalid task makes the whole report invalid. If the task were left out instead, the report
+ * would seem to prove that the machine does not run it.
+ */
 static int decode_report(const json_t *object, struct report *report)
 {
 	const json_t *tasks = json_object_get(object, W_TASKS);
@@ -145,7 +149,8 @@
 	return array;
 }
 
-/* What most reports are answered with: nothing in it needs quoting. */
+/* Encodes the answer to most reports, one without commands. It is printed directly, since no text
+ * in it needs quoting. */
 static char *heartbeat_answer_empty(uint64_t token)
 {
 	char *text;
@@ -179,7 +184,7 @@
 	return wire_serialize(object);
 }
 
-char *wire_redirect(const char *leader)
+char *wire_redirect_answer(const char *leader)
 {
 	json_t *object = json_object();
 
--- a/src/wire/transaction.c
+++ b/src/wire/transaction.c
@@ -1,4 +1,4 @@
-/* Transactions of the state service as text, so that the sizes that it limits are known exactly. */
+/* Builds the text of transactions. */
 #include "wire/transaction.h"
 
 #include <stdlib.h>
@@ -8,14 +8,15 @@
 #include "wire/json_text.h"
 #include "wire/names.h"
 
-#define TXN_FRAME_BYTES 32 /* bytes around the lists of guards and changes */
+/* Upper bound of the bytes outside the two lists: the braces, brackets and names of the lists. */
+#define TXN_FRAME_BYTES 32
 
 void txn_begin(struct txn *txn)
 {
 	memset(txn, 0, sizeof(*txn));
 }
 
-/* Text in quotes; keys come from names in the settings, which may need escapes. */
+/* Adds a text in quotes. Some keys contain names from the settings, which may need escapes. */
 static void add_quoted(struct buf *out, const char *text)
 {
 	json_t *string = json_string(text);
@@ -26,13 +27,15 @@
 	json_decref(string);
 }
 
+/* Adds the comma before an element, except before the first. */
 static void add_comma(struct buf *list)
 {
 	if (list->len)
 		buf_add(list, ",", 1);
 }
 
-/* Begins an element of a list of guards or changes with its key; `field` says what it is. */
+/* Begins a guard or a change with its first field: `field` is W_KEY for a guard, W_PUT or W_DROP
+ * for a change. */
 static void begin_element(struct buf *list, const char *field, const char *key)
 {
 	add_comma(list);
@@ -76,24 +79,24 @@
 	return txn->guards.len + txn->ops.len + TXN_FRAME_BYTES;
 }
 
-struct txn_mark txn_mark(const struct txn *txn)
+struct txn_savepoint txn_savepoint(const struct txn *txn)
 {
-	struct txn_mark mark = {
+	struct txn_savepoint savepoint = {
 	    .guards_len = txn->guards.len,
 	    .ops_len = txn->ops.len,
 	    .largest_value = txn->largest_value,
 	    .op_count = txn->op_count,
 	};
 
-	return mark;
+	return savepoint;
 }
 
-void txn_rollback(struct txn *txn, const struct txn_mark *mark)
+void txn_rollback(struct txn *txn, const struct txn_savepoint *savepoint)
 {
-	txn->guards.len = mark->guards_len;
-	txn->ops.len = mark->ops_len;
-	txn->largest_value = mark->largest_value;
-	txn->op_count = mark->op_count;
+	txn->guards.len = savepoint->guards_len;
+	txn->ops.len = savepoint->ops_len;
+	txn->largest_value = savepoint->largest_value;
+	txn->op_count = savepoint->op_count;
 }
 
 static void add_list(struct buf *out, const struct buf *list)
@@ -107,9 +110,9 @@
 	struct buf out = {0};
 	char *text;
 
-	buf_addf(&out, "{\"" W_IF "\":[");
+	buf_addf(&out, "{\"" W_GUARDS "\":[");
 	add_list(&out, &txn->guards);
-	buf_addf(&out, "],\"" W_THEN "\":[");
+	buf_addf(&out, "],\"" W_CHANGES "\":[");
 	add_list(&out, &txn->ops);
 	buf_add(&out, "]}", 2);
 	text = xalloc_checked(strndup(buf_at(&out), out.len));
