--- a/src/core/api/admission.c
+++ b/src/core/api/admission.c
@@ -1,3 +1,6 @@
+/*
+ * Checks the descriptions of submitted jobs, and defines the answers to refused submissions.
+ */
 #include "core/api/admission.h"
 
 #include <string.h>
@@ -5,7 +8,21 @@
 #include "core/records/job_record.h"
 #include "core/state.h"
 
-/* The text of a malformed description is the decoder's. */
+/*
+ * The answers to refused submissions. A submission that is refused with Retry-After may succeed
+ * later; the others would be refused again until the settings or the catalog change.
+ * - A malformed description is answered with the decoder's reason.
+ * - "beyond the team's limit": the job exceeds its team's quota even while nothing else runs.
+ * - "machine types not known yet": no catalog was read, so it can't be checked whether the job fits
+ *   a machine type.
+ * - "fits no allowed machine": no machine type that the job allows, in a zone that it allows, is
+ *   large enough for one task.
+ * - "scattered, and no two zones allowed": the tasks of a spread job have to run in at least two
+ *   zones, but fewer than two allowed zones offer a machine type that fits.
+ * - "description too long to be kept": the job's record would exceed the size that the state
+ *   service allows for a value.
+ * - "busy": the queue of submissions is full.
+ */
 static const struct error_reply admission_errors[] = {
     [ADMISSION_MALFORMED] = {STATUS_BAD_REQUEST, 0, NULL},
     [ADMISSION_UNKNOWN_TEAM] = {STATUS_UNPROCESSABLE, 0, "unknown team"},
@@ -26,6 +43,7 @@
 	return reply;
 }
 
+/* True if the type is offered in a zone that the job allows. */
 static bool zone_fits(const struct machine_type *type, const struct job_spec *spec)
 {
 	for (int i = 0; i < type->zones.count; i++)
@@ -34,6 +52,11 @@
 	return false;
 }
 
+/*
+ * True if the job allows the type in one of its zones, and a machine of the type is large enough
+ * for one task. machine_type_allowed is given the job's own zone, so it checks only the list of
+ * allowed types; zone_fits checks the zones.
+ */
 static bool type_fits(const struct machine_type *type, const struct job_spec *spec)
 {
 	return zone_fits(type, spec) && machine_type_allowed(type, spec->zone, false, spec) &&
@@ -48,7 +71,8 @@
 	return false;
 }
 
-/* The types that fit lie in two zones at least. */
+/* True if machine types that fit are offered in at least two zones. Called only for a job that does
+ * not name a zone. */
 static bool fits_two_zones(const struct core *core, const struct job_spec *spec)
 {
 	const char *first = NULL;
@@ -67,7 +91,10 @@
 	return false;
 }
 
-/* At most half of a job that is to be spread runs in one zone, so there must be two for it. */
+/*
+ * At most half of the tasks of a spread job may run in one zone, so it needs at least two zones.
+ * This concerns only gangs and services with more than one task.
+ */
 static bool zones_suffice(const struct core *core, const struct job_spec *spec)
 {
 	if (!spec->spread || spec->kind == JOB_ARRAY || spec->task_count < 2)
--- a/src/core/api/admission.h
+++ b/src/core/api/admission.h
@@ -1,5 +1,7 @@
-/* Admission: whether a submitted job could ever run, and how a submission that is refused is
- * answered. */
+/*
+ * Admission: checks a submitted job's description for whether the job could ever run, and maps each
+ * refusal to the answer for the user.
+ */
 #ifndef PLOVERLOFT_ADMISSION_H
 #define PLOVERLOFT_ADMISSION_H
 
@@ -11,32 +13,34 @@
 enum admission_outcome {
 	ADMISSION_ACCEPTED,
 	ADMISSION_MALFORMED,	    /* the description can't be decoded */
-	ADMISSION_UNKNOWN_TEAM,	    /* of no team in the settings */
-	ADMISSION_OVER_QUOTA,	    /* more than its team may ever hold */
+	ADMISSION_UNKNOWN_TEAM,	    /* the settings don't have the job's team */
+	ADMISSION_OVER_QUOTA,	    /* exceeds its team's quota even while nothing else runs */
 	ADMISSION_NOT_READY,	    /* the catalog of machine types is not known yet */
-	ADMISSION_UNSATISFIABLE,    /* no allowed type of machine holds one of its tasks */
-	ADMISSION_TOO_FEW_ZONES,    /* to be spread, but only one zone is allowed */
-	ADMISSION_RECORD_TOO_LARGE, /* beyond what the state service keeps as one value */
-	ADMISSION_OVERLOADED	    /* too many submissions wait already */
+	ADMISSION_UNSATISFIABLE,    /* no allowed machine type is large enough for a task */
+	ADMISSION_TOO_FEW_ZONES,    /* a spread job, but its tasks can run in one zone only */
+	ADMISSION_RECORD_TOO_LARGE, /* the state service doesn't store so large a value */
+	ADMISSION_OVERLOADED	    /* the queue of submissions is full */
 };
 
+/* The result of the checks. */
 struct admission {
 	enum admission_outcome outcome;
-	const char
-	    *malformed_field; /* static; the decoder's reason, if malformed; NULL otherwise */
+	/* ADMISSION_MALFORMED: what the decoder names as wrong, see wire_job_decode; NULL
+	 * otherwise. A static string. */
+	const char *malformed_field;
 };
 
-/* An error as a user is answered. */
+/* An answer that refuses a request, with the body {"error": text}. */
 struct error_reply {
 	enum http_status status;
-	int retry_after_s; /* 0: none */
-	const char *text;  /* static */
+	int retry_after_s; /* value of the Retry-After header; 0: no such header */
+	const char *text;  /* static string */
 };
 
-/* Decides on a decoded description. `submitted_at` is wall time. */
+/* Checks a decoded description. `submitted_at` is wall time. */
 struct admission admission_check(struct core *core, const struct job_spec *spec,
 				 double submitted_at);
-/* The answer to a submission that was not accepted. */
+/* Returns the answer to a submission that was not accepted. */
 struct error_reply admission_error(const struct admission *admission);
 
 #endif
--- a/src/core/api/api.c
+++ b/src/core/api/api.c
@@ -1,4 +1,6 @@
-/* The routes of the users' interface. */
+/*
+ * Routes users' requests by path and method.
+ */
 #include "core/api/api.h"
 
 #include <string.h>
@@ -8,7 +10,8 @@
 #include "util/xalloc.h"
 #include "wire/names.h"
 
-/* False, with an answer sent, if the request has another method. */
+/* Returns true if the request has the method. Otherwise answers "method", which means that the path
+ * does not allow the request's method. */
 static bool check_method(struct core *core, const struct core_request *request, const char *method)
 {
 	if (!strcmp(request->method, method))
@@ -22,6 +25,7 @@
 	core_reply_error(core, request->connection, STATUS_NOT_FOUND, 0, "no such path");
 }
 
+/* Answers 200 if users' requests should be sent to this controller, else 503; see peers_ready. */
 static void handle_ready(struct core *core, const struct core_request *request)
 {
 	enum http_status status = peers_ready(core) ? STATUS_OK : STATUS_UNAVAILABLE;
@@ -36,7 +40,8 @@
 		submissions_receive(core, request);
 }
 
-/* A poll, or a cancellation. */
+/* Handles a poll or a cancellation. An id that does not have the form of job ids is answered as
+ * that of an unknown job. */
 static void handle_job(struct core *core, const struct core_request *request, enum user_kind kind,
 		       const char *id)
 {
@@ -48,7 +53,8 @@
 		core_reply_error(core, request->connection, STATUS_NOT_FOUND, 0, "no such job");
 }
 
-/* `rest` is what follows the path of all jobs: an id, and for a cancellation its path. */
+/* Routes a request about one job. `rest` is the part of the path after that of all jobs: the job's
+ * id, followed by W_PATH_CANCEL in a cancellation. */
 static void route_job(struct core *core, const struct core_request *request, const char *rest)
 {
 	char id[ID_MAX + 1];
@@ -56,7 +62,7 @@
 	size_t len = slash ? (size_t)(slash - rest) : strlen(rest);
 
 	if (len >= sizeof(id))
-		len = sizeof(id) - 1; /* longer than any id: not valid, whatever follows */
+		len = sizeof(id) - 1; /* cut, but still too long to be valid */
 	memcpy(id, rest, len);
 	id[len] = 0;
 	if (!slash)
--- a/src/core/api/api.h
+++ b/src/core/api/api.h
@@ -1,6 +1,7 @@
 /*
- * The users' interface: submissions, polls and cancellations. Every controller answers them: by
- * the records in the state service, and counts of tasks by what the leader knows or sent of late.
+ * The users' API: submissions, polls and cancellations. Every controller answers them from the
+ * jobs' records in the state service. Task counts are not in those records: the leader shows its
+ * own, and the other controllers show those that the leader sent them within the last seconds.
  */
 #ifndef PLOVERLOFT_API_H
 #define PLOVERLOFT_API_H
@@ -15,22 +16,26 @@
 struct core_request;
 struct forwarded_request;
 
+/* The state of the users' API. */
 struct job_api {
 	struct submission_queue submissions;
 	struct lookup_queue lookups;
 	struct job_index index;
 	struct task_counts counts;
 	struct cancellations cancellations;
-	struct forwarded_request *forwarded; /* by connection; owned */
+	/* Hash table by connection: the requests that were forwarded to this controller and are not
+	 * answered yet; owned. */
+	struct forwarded_request *forwarded;
 };
 
-/* Sets up the state of a new core. */
+/* Initialises the API of a new core. */
 void api_init(struct core *core);
-/* Answers a user's request, at once or when the state service has answered. */
+/* Routes a user's request. It is answered at once, or after calls to the state service. */
 void api_request(struct core *core, const struct core_request *request);
-/* Sends what has gathered: submissions, and reads for waiting lookups. */
+/* Commits waiting submissions, and reads the records that waiting lookups need. */
 void api_tick(struct core *core);
-/* Frees all requests, unanswered, and the index. The core is about to be freed. */
+/* Frees all submissions and lookups without answering them, and the index of jobs. Called when the
+ * core is about to be freed. */
 void api_clear(struct core *core);
 
 #endif
--- a/src/core/api/cancel_requests.c
+++ b/src/core/api/cancel_requests.c
@@ -1,3 +1,6 @@
+/*
+ * Commits cancellations to the open records of jobs.
+ */
 #include "core/api/cancel_requests.h"
 
 #include "core/api/cancellations.h"
@@ -8,7 +11,10 @@
 #include "util/log.h"
 #include "wire/names.h"
 
-/* The job's tasks are stopped by whoever leads, who may not read of it for a while. */
+/*
+ * The leader has to stop the job's tasks. It may be unable to read the change in the state service
+ * for a while, so the cancellation is also announced to all other controllers.
+ */
 static void on_committed(struct core *core, const char *id, uint64_t version)
 {
 	log_info("cancel_committed", "job=%s", id);
@@ -17,6 +23,8 @@
 	cancellations_note_confirmed(core, id, version);
 }
 
+/* Returns the revision of the committed transaction, which is the new version of the record that it
+ * wrote. */
 static uint64_t revision_of(const struct call_answer *answer)
 {
 	json_t *document = wire_parse(answer->body, answer->len);
@@ -26,6 +34,12 @@
 	return revision;
 }
 
+/*
+ * After a conflict, another transaction has changed or ended the job, so its records are read again
+ * and the cancellation is tried again. Without an answer, the transaction may have been committed,
+ * or may yet be: the records are read again to see if the job is cancelled. After any other failure
+ * it was not committed, so the request may be forwarded.
+ */
 static void on_commit_answer(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	struct user_request *request = call->arg;
@@ -44,12 +58,14 @@
 	}
 }
 
+/* Sends the transaction that marks the open record `item` as cancelled. */
 static void commit(struct core *core, struct user_request *request, const struct kv_item *item)
 {
 	json_t *value = job_record_cancelled_value(item->value);
 	struct txn txn;
 
-	/* A record made before a limit was lowered: where its job might run matters no more. */
+	/* A record that was written before a limit was lowered may now be too large. The list of
+	 * machine types can be removed: no more tasks of a cancelled job are placed. */
 	if (wire_value_bytes(value) > limits_value_bytes(core))
 		job_record_remove_machine_types(value);
 	txn_begin(&txn);
@@ -59,6 +75,11 @@
 	    user_request_free;
 }
 
+/*
+ * Cancels a job that is still open. The request is answered "unknown outcome" instead if an earlier
+ * transaction had no answer and may yet be committed, or if it is so old that the user will have
+ * given up before the answer arrives.
+ */
 static void cancel_open_job(struct core *core, struct user_request *request,
 			    const struct kv_item *item)
 {
--- a/src/core/api/cancel_requests.h
+++ b/src/core/api/cancel_requests.h
@@ -1,11 +1,14 @@
-/* Users' cancellations: each is noted in the open job's record, which is read for it first. */
+/*
+ * Users' requests to cancel a job. The job's open record is read and written again, marked as
+ * cancelled. The user is answered once that is committed.
+ */
 #ifndef PLOVERLOFT_CANCEL_REQUESTS_H
 #define PLOVERLOFT_CANCEL_REQUESTS_H
 
 struct core;
 struct user_request;
 
-/* Cancels the request's job, and answers the request in the end. Takes over the request. */
+/* Begins to cancel the request's job. Takes ownership of the request and answers it at the end. */
 void cancel_request_start(struct core *core, struct user_request *request);
 
 #endif
--- a/src/core/api/cancellations.c
+++ b/src/core/api/cancellations.c
@@ -1,3 +1,7 @@
+/*
+ * Announces cancellations, lists those that this controller has confirmed, and collects those that
+ * the other controllers have confirmed.
+ */
 #include "core/api/cancellations.h"
 
 #include <math.h>
@@ -29,8 +33,9 @@
 }
 
 /*
- * The leader may be refused by the state service alone, or be cut off from it and deposed without
- * knowing, while agents still report to it: a cancellation goes to all, whoever leads.
+ * All controllers are told, whichever of them leads: the state service may refuse the leader alone,
+ * or a controller that is cut off from the state service may not know that it was deposed, while
+ * agents still report to it.
  */
 void cancellations_announce(struct core *core, const char *id, uint64_t version)
 {
@@ -38,6 +43,7 @@
 		announce_to(core, i, id, version);
 }
 
+/* The answer "cancelled" means that the message can't be decoded. */
 void cancellations_receive(struct core *core, const struct core_request *request)
 {
 	Peer__Cancellation *message =
@@ -52,7 +58,7 @@
 	core_reply(core, request->connection, STATUS_OK, 0, xstrdup("{}"));
 }
 
-/* --- the cancellations confirmed here --- */
+/* --- cancellations that this controller has confirmed --- */
 
 static void remove_confirmed(struct core *core, struct confirmed_cancel *confirmed)
 {
@@ -60,7 +66,10 @@
 	free(confirmed);
 }
 
-/* Removes those that no leader needs any more, and the oldest if there are too many. */
+/*
+ * Removes the cancellations that are older than any leader needs, and further ones, the oldest
+ * first, until there is space for one more.
+ */
 static void trim_confirmed(struct core *core)
 {
 	double keep_s = CONFIRMED_CANCELS_KEEP_FACTOR * core->conf->cancel_s;
@@ -71,8 +80,11 @@
 
 		if (!expired &&
 		    HASH_COUNT(core->api.cancellations.confirmed) < CONFIRMED_CANCELS_MAX)
-			break; /* oldest first */
-		/* What is removed before its time must not pass for never confirmed. */
+			break; /* all others are newer */
+		/*
+		 * A leader must not conclude from the shorter list that this cancellation was never
+		 * confirmed. The new incarnation tells it that the list may lack earlier ones.
+		 */
 		if (!expired)
 			peers_renew_incarnation(core);
 		remove_confirmed(core, confirmed);
@@ -133,9 +145,10 @@
 		remove_confirmed(core, confirmed);
 }
 
-/* --- the cancellations confirmed by the others --- */
+/* --- cancellations that other controllers have confirmed --- */
 
-/* Steady time up to which all cancellations confirmed by the others are known here; < 0: none. */
+/* The steady time up to which all cancellations that the other controllers confirmed are known
+ * here; < 0: there is none. */
 static double confirmed_until(const struct core *core)
 {
 	double oldest = core->now;
@@ -146,9 +159,11 @@
 }
 
 /*
- * All that the peer confirmed before the request was sent is in its answer, or was confirmed by a
- * process before this one, that is before the first answer under this incarnation. If the jobs'
- * changes were read after that, those are known too; if not, the answer proves nothing.
+ * Applies the cancellations that the peer lists. Each one that the peer confirmed before the
+ * request was sent is either in the list or was confirmed under an earlier incarnation, that is
+ * before the peer's first answer with the present one. If this leader has read the changes of jobs
+ * since that first answer, it knows the earlier ones too. If not, the list does not prove that it
+ * knows all.
  */
 static void apply_confirmed(struct core *core, size_t index, double sent_at,
 			    const Peer__ConfirmedCancellations *message)
@@ -182,7 +197,8 @@
 	peer__confirmed_cancellations__free_unpacked(message, NULL);
 }
 
-/* An answer also shows that the peer is alive. */
+/* Followers send these requests too: an answer also shows that the peer is running, on which
+ * peers_ready depends. */
 void cancellations_tick(struct core *core)
 {
 	if (!store_is_unavailable(core) || core->now < core->api.cancellations.next_request_at)
--- a/src/core/api/cancellations.h
+++ b/src/core/api/cancellations.h
@@ -1,8 +1,8 @@
 /*
- * Cancellations between controllers. Whoever leads has to learn of each in time, also while it
- * can't read the records: a committed one is announced to all controllers at once, and while the
- * state service is silent, each requests from the others the cancellations that they have confirmed
- * to users.
+ * Messages between controllers about cancellations. A leader must learn of each cancellation in
+ * time, even while it can't read the records. So a committed cancellation is announced to all
+ * controllers at once. In addition, while the state service is unavailable to a controller, it
+ * requests from all others the cancellations that they have confirmed to users.
  */
 #ifndef PLOVERLOFT_CANCELLATIONS_H
 #define PLOVERLOFT_CANCELLATIONS_H
@@ -13,7 +13,10 @@
 
 #include <uthash.h>
 
+/* Path of the announcement of a committed cancellation, a Cancellation message. */
 #define CANCELLED_PATH "/cancelled"
+/* Path of the request for the confirmed cancellations, answered by a ConfirmedCancellations
+ * message. */
 #define CONFIRMED_PATH "/heard"
 
 struct core;
@@ -21,28 +24,31 @@
 
 /* A cancellation that this controller has confirmed to a user. */
 struct confirmed_cancel {
-	char id[ID_MAX];     /* of the job */
-	uint64_t version;    /* of the job's record; 0: not known */
-	double confirmed_at; /* steady; when first */
+	char id[ID_MAX];     /* id of the job */
+	uint64_t version;    /* version of the job's open record; 0: not known */
+	double confirmed_at; /* steady time of the first confirmation */
 	UT_hash_handle hh;
 };
 
+/* The state of the exchange of cancellations. */
 struct cancellations {
-	struct confirmed_cancel *confirmed; /* by job, oldest first; owned */
-	double next_request_at;		    /* steady; no request to the others before */
+	struct confirmed_cancel *confirmed; /* hash table by job id, oldest first; owned */
+	double next_request_at; /* steady; earliest time of the next requests to the others */
 };
 
-/* Announces a committed cancellation to all others; `version` is that of the job's record. */
+/* Announces a committed cancellation to all other controllers. `version` is that of the job's open
+ * record. */
 void cancellations_announce(struct core *core, const char *id, uint64_t version);
-/* A user is answered that the job is cancelled. `version` 0: not known. */
+/* Records that the user is answered that the job is cancelled. `version` 0: not known. */
 void cancellations_note_confirmed(struct core *core, const char *id, uint64_t version);
-/* Another controller announces a cancellation. */
+/* Handles another controller's announcement of a cancellation. */
 void cancellations_receive(struct core *core, const struct core_request *request);
-/* Answers another controller with all cancellations confirmed here. */
+/* Answers another controller with the cancellations that this controller has confirmed. */
 void cancellations_reply_confirmed(struct core *core, uint64_t connection);
-/* Requests the others' confirmed cancellations, while the state service is silent. */
+/* Requests the other controllers' confirmed cancellations, every PEER_PING_INTERVAL_S while the
+ * state service is unavailable. */
 void cancellations_tick(struct core *core);
-/* Frees the list of confirmed cancellations. */
+/* Frees the confirmed cancellations. */
 void cancellations_clear(struct core *core);
 
 #endif
--- a/src/core/api/forwarding.c
+++ b/src/core/api/forwarding.c
@@ -1,3 +1,6 @@
+/*
+ * Forwards users' requests to other controllers, and handles those that others forward.
+ */
 #include "core/api/forwarding.h"
 
 #include <stdio.h>
@@ -10,7 +13,7 @@
 #include "util/xalloc.h"
 #include "wire/names.h"
 
-/* The bytes of a message's field as a string, which the caller owns. */
+/* Returns the bytes of a message's field as a NUL-terminated string, which the caller owns. */
 static char *text_of(const ProtobufCBinaryData *field)
 {
 	return field->len ? xstrndup((const char *)field->data, field->len) : xstrdup("");
@@ -30,14 +33,16 @@
 	free(forwarded);
 }
 
-/* --- from here to another controller --- */
+/* --- requests that this controller forwards --- */
 
-/* Which request a call forwards. */
+/* The request that a call forwards. */
 struct forward_context {
-	uint64_t connection; /* of the user */
-	size_t peer;
+	uint64_t connection; /* id of the user's connection */
+	size_t peer;	     /* index of the controller that the request was forwarded to */
 };
 
+/* Without a valid answer, the user gets 503 "state": the state service does not serve this
+ * controller, and forwarding failed. */
 static void on_forward_answer(struct core *core, struct call *call,
 			      const struct call_answer *answer)
 {
@@ -49,7 +54,8 @@
 		message = peer__forwarded_answer__unpack(NULL, answer->len,
 							 (const uint8_t *)answer->body);
 	peer_record_answer(core, context->peer, answer);
-	/* It is not served either, or does not answer: the outage concerns all for now. */
+	/* The peer does not answer, or the state service does not serve it either. Requests aren't
+	 * forwarded to it for a while, since the outage probably concerns it as well. */
 	if (!message || message->status == STATUS_UNAVAILABLE)
 		peer->no_forward_before = core->now + PEER_FORWARD_BACKOFF_S;
 	if (message) {
@@ -63,7 +69,7 @@
 	free(context);
 }
 
-/* The path by which the user's request came. */
+/* Writes the path on which the user's request arrived. */
 static void request_path(char path[HTTP_PATH_MAX], const struct user_request *request)
 {
 	if (request->kind == USER_SUBMIT)
@@ -101,8 +107,8 @@
 	call->free_arg = free;
 }
 
-/* The peer that answered last of those not backed off from; the number of peers if there is none.
- */
+/* Returns the peer with the newest answer of those to which requests may be forwarded now; the
+ * number of peers if there is none. */
 static size_t choose_peer(const struct core *core)
 {
 	size_t best = core->conf->peer_count;
@@ -132,7 +138,7 @@
 	return true;
 }
 
-/* --- from another controller to here --- */
+/* --- requests that other controllers forward to this one --- */
 
 static void note_forwarded(struct core *core, uint64_t connection)
 {
@@ -159,6 +165,7 @@
 	free(body);
 }
 
+/* The answer "forward" means that the message can't be decoded. */
 void forwarding_receive(struct core *core, const struct core_request *request)
 {
 	Peer__ForwardedRequest *message =
--- a/src/core/api/forwarding.h
+++ b/src/core/api/forwarding.h
@@ -1,6 +1,7 @@
 /*
- * Forwarding of users' requests: a controller that the state service does not serve forwards them
- * to one that it may serve, and passes the answer on. A request is forwarded once at most.
+ * Forwarding of users' requests. A controller that the state service does not serve forwards a
+ * user's request to another controller, which may be served, and passes the answer on to the user.
+ * A request that was forwarded once is not forwarded again.
  */
 #ifndef PLOVERLOFT_FORWARDING_H
 #define PLOVERLOFT_FORWARDING_H
@@ -15,25 +16,29 @@
 struct core_request;
 struct user_request;
 
+/* Path on which a user's request is forwarded to another controller, as a ForwardedRequest message.
+ * The answer is a ForwardedAnswer message. */
 #define FORWARD_PATH "/forward"
 
-/* A request that another controller forwarded: its answer goes back in a message to it. */
+/* Marks a connection whose request another controller forwarded: the answer goes back to that
+ * controller in a message. */
 struct forwarded_request {
-	uint64_t connection; /* of the controller that forwarded it */
+	uint64_t connection; /* to the controller that forwarded the request */
 	UT_hash_handle hh;
 };
 
 /*
- * Forwards the request to a controller that the state service may serve; false if there is none.
- * The request stays owned by the caller, who frees it without an answer if it was forwarded.
+ * Forwards the request to another controller. Returns false if the request was itself forwarded to
+ * this controller, or if no other controller may be able to serve it. The caller keeps ownership
+ * and, after true, frees the request without answering it.
  */
 bool forward_user_request(struct core *core, const struct user_request *request);
-/* Another controller forwards a request: it is handled as a user's own. */
+/* Handles a request that another controller forwards in the same way as a user's own. */
 void forwarding_receive(struct core *core, const struct core_request *request);
-/* See wrap_forwarded_answer in struct core_events. */
+/* Implements wrap_forwarded_answer of struct core_events. */
 bool forwarding_wrap_answer(struct core *core, uint64_t connection, int *status, int retry_after,
 			    char **body, size_t *len);
-/* Forgets whose requests were forwarded here. */
+/* Frees the marks of all forwarded requests that are not answered yet. */
 void forwarding_clear(struct core *core);
 
 #endif
--- a/src/core/api/job_index.c
+++ b/src/core/api/job_index.c
@@ -1,3 +1,6 @@
+/*
+ * The entries of the index of jobs.
+ */
 #include "core/api/job_index.h"
 
 #include <stdio.h>
@@ -16,7 +19,8 @@
 	return entry;
 }
 
-/* NULL if the id is too long for a job's. */
+/* Returns the job's entry, which is added if there is none. Returns NULL for an id that is longer
+ * than any job's. */
 static struct indexed_job *find_or_add(struct core *core, const char *id)
 {
 	struct indexed_job *entry = job_index_find(core, id);
@@ -41,7 +45,7 @@
 	free(entry);
 }
 
-/* The oldest final states go first; their records can be read again. */
+/* Removes the oldest final states beyond FINAL_CACHE_MAX. Their records can be read again. */
 static void trim_finals(struct core *core)
 {
 	while (core->api.index.final_count > FINAL_CACHE_MAX)
@@ -65,6 +69,7 @@
 	trim_finals(core);
 }
 
+/* Applies an open record. It may be older than the final state, which doesn't change any more. */
 static void note_open(struct core *core, const char *id, json_t *value)
 {
 	struct indexed_job *entry = find_or_add(core, id);
@@ -76,8 +81,8 @@
 }
 
 /*
- * The open record is deleted: the final record comes with the same transaction. Without one,
- * nothing is known of the job.
+ * Applies the deletion of an open record. The transaction that deletes it also writes the final
+ * record, which is applied as a change of its own. Until then, nothing is known of the job.
  */
 static void note_open_deleted(struct core *core, const char *id)
 {
@@ -87,7 +92,7 @@
 		remove_entry(core, entry);
 }
 
-/* What follows the prefix in the key; NULL if it has another prefix. */
+/* Returns the part of the key after the prefix; NULL if the key does not begin with the prefix. */
 static const char *after_prefix(const char *key, const char *prefix)
 {
 	size_t len = strlen(prefix);
@@ -111,7 +116,7 @@
 	}
 }
 
-/* An open job may be over by now, so none is known to be open. */
+/* The open entries are removed, since those jobs may have ended in the meantime. */
 void job_index_invalidate(struct core *core)
 {
 	struct indexed_job *entry, *next;
--- a/src/core/api/job_index.h
+++ b/src/core/api/job_index.h
@@ -1,6 +1,6 @@
 /*
- * The index of jobs: all that are open, and the latest final states. It is kept current by reads of
- * the changes of jobs' records, one of which answers all the requests that wait for it.
+ * The index of jobs: the states of all open jobs, and the latest final states. Reads of the changes
+ * of jobs' records keep it current. One read serves all lookups that wait for it.
  */
 #ifndef PLOVERLOFT_JOB_INDEX_H
 #define PLOVERLOFT_JOB_INDEX_H
@@ -12,46 +12,59 @@
 #include "core/runtime/call.h"
 #include "wire/wire.h"
 
-/* What a user is answered about a job. */
+/* What an answer to a user tells of a job. */
 struct job_status {
 	enum job_state state;
-	uint32_t done_count, running_count; /* tasks */
+	uint32_t done_count, running_count; /* numbers of tasks */
 };
 
+/* The entry of a job. */
 struct indexed_job {
 	char id[ID_MAX];
-	struct job_status status; /* of an open job, the state is queued or cancelled */
-	bool final;
-	struct indexed_job *prev, *next; /* among the final ones, oldest first */
+	/* In an open job's entry the state is JOB_STATE_QUEUED or JOB_STATE_CANCELLED, and the
+	 * counts are those that the leader sent last, see task_counts.h. */
+	struct job_status status;
+	bool final;			 /* the job's final record is committed */
+	struct indexed_job *prev, *next; /* list of the final entries, oldest first */
 	UT_hash_handle hh;
 };
 
+/* The index, and the state of the reads that keep it current. Times are steady. */
 struct job_index {
-	struct indexed_job *entries; /* by id; owned */
-	struct indexed_job *finals;  /* of the entries */
+	struct indexed_job *entries; /* hash table by id; owned */
+	struct indexed_job *finals;  /* list of those entries that are final */
 	size_t final_count;
-	bool valid; /* all open jobs are in it; otherwise their records are read page by page */
+	/* All open jobs are in the index, and reads of changes keep it current. Otherwise all open
+	 * records are read first, page by page. */
+	bool valid;
 	bool read_in_flight;
-	uint64_t revision;    /* the changes up to it are in the index */
-	char cursor[KEY_MAX]; /* the last key of the pages read so far; empty: none */
-	double retry_at;      /* steady; no read before */
-	double sent_at;	      /* steady; when the newest read of changes was sent */
-	double read_at;	      /* steady; when the newest read that was answered was sent */
+	uint64_t revision;    /* if valid: all changes up to this one are applied */
+	char cursor[KEY_MAX]; /* last key of the pages read so far; empty: none was read */
+	double retry_at;      /* no read is sent before this time */
+	double sent_at;	      /* when the newest read of changes was sent */
+	/* When the newest read of changes that succeeded, or the read of the first page, was sent.
+	 * Later changes may be missing in the index. */
+	double read_at;
 };
 
-/* The job's entry, owned by the index; NULL if it has none. */
+/* Returns the job's entry, which the index owns; NULL if it has none. */
 struct indexed_job *job_index_find(const struct core *core, const char *id);
-/* The job's final record is committed. */
+/* Records the final state of a job whose final record is committed. */
 void job_index_note_final(struct core *core, const char *id, enum job_state state,
 			  uint32_t task_count);
-/* Takes a record, or its change, into the index. */
+/* Applies a record of a job that was read, or a change of one, to the index. */
 void job_index_apply(struct core *core, const struct kv_item *item);
-/* The open jobs are to be read again, page by page: too much has changed since the last read. */
+/*
+ * Removes the open jobs from the index, so that all open records are read again page by page.
+ * Called when the changes since the last read are too many for one answer, or are no longer kept by
+ * the state service.
+ */
 void job_index_invalidate(struct core *core);
 /* Frees all entries. */
 void job_index_clear(struct core *core);
 
-/* job_index_reads.c: reads pages or changes, when requests wait for them or it is due. */
+/* Reads changes, or a page of the open records, if lookups wait for that or an idle read is due.
+ * Defined in job_index_reads.c. */
 void job_index_tick(struct core *core);
 
 #endif
--- a/src/core/api/job_index_reads.c
+++ b/src/core/api/job_index_reads.c
@@ -1,4 +1,6 @@
-/* Reads of the jobs' records that keep the index current. */
+/*
+ * Reads the records of jobs and their changes, which keep the index current.
+ */
 #include "core/api/job_index.h"
 
 #include <stdio.h>
@@ -12,7 +14,7 @@
 	job_index_apply(core, item);
 }
 
-/* --- changes --- */
+/* --- reads of changes --- */
 
 static void apply_changes(struct core *core, const struct call_answer *answer)
 {
@@ -26,13 +28,17 @@
 	json_decref(document);
 }
 
-/* The same requests wait for another read. */
+/* The batch of the read that was refused waits for another read. */
 static void retry_read(struct core *core)
 {
 	lookups_requeue_batch(core);
 	core->api.index.retry_at = core->now + INDEX_RETRY_S;
 }
 
+/*
+ * 410: the state service no longer keeps all changes since the last read, so the open records are
+ * read again. 429: another read may succeed while the batch can wait.
+ */
 static void on_changes(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	(void)call;
@@ -61,9 +67,9 @@
 	store_watch(core, KEY_JOBS, index->revision, 0, on_changes, NULL);
 }
 
-/* --- pages of open jobs --- */
+/* --- reads of pages of open records --- */
 
-/* The page's last key; empty if it has no items. */
+/* Returns the last key of the page; an empty string if the page is empty. */
 static const char *last_key(json_t *document)
 {
 	json_t *items = json_object_get(document, W_ITEMS);
@@ -74,7 +80,10 @@
 	return key ? json_string_value(key) : "";
 }
 
-/* Changes from the first page's revision on are read after the last page. */
+/*
+ * Applies a page. The pages are read at different revisions. So after the last page, the changes
+ * since the revision of the first page are read.
+ */
 static void apply_page(struct core *core, const struct call *call, json_t *document)
 {
 	struct job_index *index = &core->api.index;
@@ -91,6 +100,7 @@
 	}
 }
 
+/* If the read fails, the pages read so far stay valid: the next read continues after them. */
 static void on_page(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	struct job_index *index = &core->api.index;
@@ -109,9 +119,10 @@
 	json_decref(document);
 }
 
-/* --- when to read --- */
+/* --- choice and timing of the next read --- */
 
-/* No request has come for a while: the changes are read before they are too many. */
+/* True if there was no lookup for so long that the changes should be read before they are too many
+ * for one answer. */
 static bool idle_read_due(const struct core *core)
 {
 	const struct job_index *index = &core->api.index;
@@ -120,7 +131,8 @@
 	       core->now - index->sent_at > INDEX_IDLE_READ_S;
 }
 
-/* One answer with all that may have changed since would be too large: the pages are read again. */
+/* True if so many records may have changed since the last read, at the allowed rate of writes, that
+ * one answer with all changes would be too large. The pages are then read again. */
 static bool is_far_behind(const struct core *core)
 {
 	double age_s = core->now - core->api.index.read_at;
--- a/src/core/api/lookups.c
+++ b/src/core/api/lookups.c
@@ -1,10 +1,13 @@
+/*
+ * Answers requests from the records of their jobs: from the index, or from a read of one record.
+ */
 #include "core/api/lookups.h"
 
 #include "core/api/cancel_requests.h"
 #include "core/api/task_counts.h"
 #include "core/state.h"
 
-/* --- one record --- */
+/* --- reads of one record --- */
 
 void lookup_read_record(struct core *core, struct user_request *request, enum job_record_kind kind,
 			answer_fn on_answer)
@@ -37,7 +40,12 @@
 	return NULL;
 }
 
-/* The job has no record, and had none when the request came. */
+/*
+ * Answers a request whose job has neither record, and had none when the request came: a final
+ * record is never deleted, and an open one only together with the write of the final one. A
+ * submission comes here either refused by admission, or accepted while its transaction has no
+ * answer. That transaction may yet be committed, so the outcome is unknown.
+ */
 static void answer_no_record(struct core *core, struct user_request *request)
 {
 	if (request->kind != USER_SUBMIT)
@@ -76,9 +84,10 @@
 	lookup_read_record(core, request, RECORD_FINAL, on_final_record);
 }
 
-/* --- many requests, one read of changes --- */
+/* --- lookups that share a read of changes --- */
 
-/* A cancellation needs the record itself, which it is to replace. */
+/* A cancellation is not answered from the index: it needs the open record itself, which it replaces
+ * by a cancelled one. */
 void user_request_lookup(struct core *core, struct user_request *request)
 {
 	struct lookup_queue *queue = &core->api.lookups;
@@ -95,7 +104,10 @@
 	}
 }
 
-/* Only the leader knows how a job's tasks stand; others, what the leader has sent of late. */
+/*
+ * The status of an open job that is not cancelled. `job` has the leader's own task counts; NULL in
+ * other controllers, which use the counts that the leader has sent if they are fresh.
+ */
 static struct job_status open_status(const struct core *core, const struct indexed_job *entry,
 				     const struct job *job)
 {
@@ -122,6 +134,8 @@
 	user_request_answer(core, request, STATUS_OK, open_status(core, entry, job));
 }
 
+/* Without an entry, the job has no open record, but may have a final one that the index does not
+ * keep. */
 static void answer_from_index(struct core *core, struct user_request *request)
 {
 	const struct indexed_job *entry = job_index_find(core, request->id);
@@ -178,6 +192,7 @@
 	queue->batch = NULL;
 }
 
+/* Ends all requests of the list, because a call to the state service failed with `answer`. */
 static void fail_all(struct core *core, struct user_request **list,
 		     const struct call_answer *answer)
 {
--- a/src/core/api/lookups.h
+++ b/src/core/api/lookups.h
@@ -1,6 +1,7 @@
 /*
- * Lookups: requests that wait for the state of their job's records as it is now, or newer. They
- * gather until the next read of changes leaves, which answers all of them at once.
+ * Lookups: requests that are answered from the records of their job. The records are read after the
+ * request came, so that the answer is not older than the request. Lookups wait for the next read of
+ * changes into the index of jobs, and that one read answers all of them.
  */
 #ifndef PLOVERLOFT_LOOKUPS_H
 #define PLOVERLOFT_LOOKUPS_H
@@ -11,45 +12,54 @@
 #include "core/api/user_requests.h"
 
 struct lookup_queue {
-	struct user_request *waiting; /* for the next read of changes; owned */
-	struct user_request *batch;   /* for the read of changes under way; owned */
-	int count;		      /* of all under way, also of those that read a record */
+	struct user_request *waiting; /* list: wait for the next read of changes; owned */
+	struct user_request *batch;   /* list: wait for the read that is in flight; owned */
+	int count; /* requests in both lists, and those that wait for the read of one record */
 };
 
-/* Answers the request once its job's records are read, or refuses it if too many are looked up. */
+/*
+ * Answers the request once the records of its job are read. Answers it at once if the index has the
+ * job's final state, which doesn't change any more, or if too many lookups wait already. Takes
+ * ownership of the request.
+ */
 void user_request_lookup(struct core *core, struct user_request *request);
 /*
- * Reads the record of the request's job; the call owns the request until `on_answer` takes it.
- * `on_answer` is to begin with lookup_end_read.
+ * Reads one record of the request's job. The call owns the request until `on_answer` is called,
+ * which has to call lookup_end_read first.
  */
 void lookup_read_record(struct core *core, struct user_request *request, enum job_record_kind kind,
 			answer_fn on_answer);
-/* The call made by lookup_read_record is answered: its request, which the caller owns. */
+/* Ends a read that lookup_read_record began, and returns its request, which the caller owns. */
 struct user_request *lookup_end_read(struct core *core, const struct call *call,
 				     const struct call_answer *answer);
-/* Answers the request, whose job has no open record, once the final one is read. */
+/*
+ * Answers the request of a job that has no open record: reads its final record, and answers with
+ * that, or that there is no such job. Takes ownership of the request.
+ */
 void lookup_read_final(struct core *core, struct user_request *request);
 /*
- * The record in the state service's answer: *item points into the document that is returned, which
- * the caller frees. NULL if the answer holds no record.
+ * Decodes the record in an answer of the state service. Returns the document, which *item points
+ * into and the caller frees; NULL if the answer has no record.
  */
 json_t *lookup_parse_record(const struct call_answer *answer, struct kv_item *item);
 
-/* Requests wait for the next read of changes. */
+/* True if lookups wait for the next read of changes. */
 bool lookups_waiting(const struct core *core);
-/* A read of changes is sent: all that wait are its batch. */
+/* Makes all waiting lookups the batch, which the read of changes that is being sent will answer. */
 void lookups_begin_batch(struct core *core);
-/* The changes are in the index: answers the batch. */
+/* Answers the batch from the index, to which the changes have been applied. */
 void lookups_answer_batch(struct core *core);
-/* The read failed, but the oldest of the batch has not waited long: another read may succeed. */
+/* True if the oldest lookup of the batch has not waited too long for another read, which may
+ * succeed after this one was refused. */
 bool lookups_batch_may_wait(const struct core *core);
-/* The batch waits for the next read, before those that came later. */
+/* Lets the batch wait for the next read, ahead of the lookups that came later. */
 void lookups_requeue_batch(struct core *core);
-/* The state service refused the read that the batch, or those that wait, needed. */
+/* Ends the batch, because the read of changes failed with `answer`: each request is forwarded to
+ * another controller or answered with an error. */
 void lookups_fail_batch(struct core *core, const struct call_answer *answer);
-/* The read that all waiting lookups wait for has failed: they end as `answer` says. */
+/* Ends all waiting lookups in the same way, because the read of a page failed with `answer`. */
 void lookups_fail_waiting(struct core *core, const struct call_answer *answer);
-/* Frees all requests that wait. */
+/* Frees the requests of both lists without answering them. */
 void lookups_clear(struct core *core);
 
 #endif
--- a/src/core/api/peer_requests.c
+++ b/src/core/api/peer_requests.c
@@ -1,3 +1,6 @@
+/*
+ * Routes requests of other controllers by path.
+ */
 #include "core/api/peer_requests.h"
 
 #include <string.h>
@@ -7,6 +10,7 @@
 #include "core/api/task_counts.h"
 #include "core/state.h"
 
+/* The answer "not leading" means that this controller has no task counts: it is not the leader. */
 static void handle_counts(struct core *core, const struct core_request *request)
 {
 	if (election_is_leader(core))
@@ -15,6 +19,7 @@
 		core_reply_error(core, request->connection, STATUS_MISDIRECTED, 0, "not leading");
 }
 
+/* The answer "method" means that requests between controllers must be POST. */
 void peer_requests_receive(struct core *core, const struct core_request *request)
 {
 	if (strcmp(request->method, "POST"))
--- a/src/core/api/peer_requests.h
+++ b/src/core/api/peer_requests.h
@@ -1,4 +1,6 @@
-/* Requests of other controllers, but for those of share switching, and what is requested of them.
+/*
+ * Requests between controllers, except those of share switching: routes the requests that other
+ * controllers send to this one, and sends this controller's periodic requests to them.
  */
 #ifndef PLOVERLOFT_PEER_REQUESTS_H
 #define PLOVERLOFT_PEER_REQUESTS_H
@@ -6,11 +8,11 @@
 struct core;
 struct core_request;
 
-/* Answers a request on the back link. */
+/* Handles and answers a request of another controller, from the back listener. */
 void peer_requests_receive(struct core *core, const struct core_request *request);
-/* Sends the requests to other controllers that are due. */
+/* Sends those requests to other controllers that are due. */
 void peer_requests_tick(struct core *core);
-/* Frees what requests of other controllers have left behind. */
+/* Frees the marks of forwarded requests and the confirmed cancellations. */
 void peer_requests_clear(struct core *core);
 
 #endif
--- a/src/core/api/submissions.c
+++ b/src/core/api/submissions.c
@@ -1,3 +1,6 @@
+/*
+ * Checks submissions, and commits the records of accepted ones in batches.
+ */
 #include "core/api/submissions.h"
 
 #include <math.h>
@@ -11,8 +14,9 @@
 #include "util/xalloc.h"
 #include "wire/names.h"
 
-/* --- batches --- */
+/* --- transactions --- */
 
+/* Returns the submissions of the transaction that has ended. The caller owns them. */
 static struct user_request *take_batch(struct core *core)
 {
 	struct user_request *batch = core->api.submissions.in_flight;
@@ -21,7 +25,7 @@
 	return batch;
 }
 
-/* To be sent again with the next batch, before those that came later. */
+/* Puts a submission back at the head of the queue, ahead of those that came later. */
 static void requeue(struct core *core, struct user_request *request)
 {
 	DL_PREPEND(core->api.submissions.waiting, request);
@@ -41,7 +45,8 @@
 	}
 }
 
-/* The guards that failed name the jobs that have a record already. */
+/* True if the answer to the transaction names a guard of the job as failed: the job has a record
+ * already. */
 static bool has_record(json_t *conflict, const char *id)
 {
 	char open_key[KEY_MAX], final_key[KEY_MAX];
@@ -51,6 +56,10 @@
 	return wire_failed_has(conflict, open_key) || wire_failed_has(conflict, final_key);
 }
 
+/*
+ * A submission whose job has a record already is answered with the job's status. The others were
+ * not committed either, and wait for the next transaction.
+ */
 static void on_batch_conflict(struct core *core, struct user_request *batch,
 			      const struct call_answer *answer)
 {
@@ -67,6 +76,7 @@
 	json_decref(conflict);
 }
 
+/* The limit may be lower now than at admission: limits_learn_from_refusal lowers it. */
 static bool is_record_too_large(const struct core *core, const struct user_request *request)
 {
 	return job_record_max_bytes(request->spec, request->received_wall_at) >
@@ -74,8 +84,9 @@
 }
 
 /*
- * A 400 is definite: too many jobs for one transaction, which are sent in smaller ones, or a record
- * that is too large.
+ * After a 400, nothing was or will be committed. Either the transaction has too many changes, and
+ * the submissions are sent again in smaller ones, or a record is too large. A single submission
+ * whose record is not too large was refused for an unknown reason and is not sent again.
  */
 static void on_batch_too_large(struct core *core, struct user_request *batch)
 {
@@ -97,7 +108,10 @@
 	}
 }
 
-/* Without an answer, the batch may have been committed, or may yet be: the records are read. */
+/*
+ * Without an answer, the transaction may have been committed, or may yet be: the records are read
+ * to find out. After any other failure it was not committed, so the submissions may be forwarded.
+ */
 static void on_batch_failed(struct core *core, struct user_request *batch,
 			    const struct call_answer *answer)
 {
@@ -128,6 +142,7 @@
 		on_batch_failed(core, batch, answer);
 }
 
+/* Adds the write of the job's open record, guarded so that the job must not have a record yet. */
 static void add_to_transaction(struct txn *txn, const struct user_request *request)
 {
 	char key[KEY_MAX];
@@ -139,6 +154,7 @@
 	txn_put(txn, key, job_record_open_value(request->spec, request->received_wall_at), 0);
 }
 
+/* True if a submission of the same job is in flight. */
 static bool is_in_flight(const struct core *core, const struct user_request *request)
 {
 	const struct user_request *other;
@@ -149,7 +165,8 @@
 	return false;
 }
 
-/* Fills the transaction with waiting submissions, which are in flight from then on. */
+/* Adds waiting submissions to the transaction, up to its limits, and moves them to the list of
+ * those in flight. The first one is added whatever its size. */
 static void fill_batch(struct core *core, struct txn *txn)
 {
 	struct submission_queue *queue = &core->api.submissions;
@@ -159,7 +176,8 @@
 	DL_FOREACH_SAFE (queue->waiting, request, next) {
 		if (txn->op_count >= limits_txn_ops(core))
 			break;
-		/* The same job twice in one transaction would fail by its own guards. */
+		/* A second write of the same job in one transaction would violate its guards. The
+		 * submission waits for the next transaction. */
 		if (is_in_flight(core, request))
 			continue;
 		mark = txn_mark(txn);
@@ -193,14 +211,16 @@
 	user_requests_clear(&core->api.submissions.in_flight);
 }
 
-/* --- arrival --- */
+/* --- arriving submissions --- */
 
-/* Submissions that may wait: what is written within some seconds. */
+/* The capacity of the queue: as many submissions as can be committed within SUBMIT_QUEUE_S, since
+ * users who wait longer give up. */
 static int queue_max(const struct core *core)
 {
 	return (int)fmax(SUBMIT_QUEUE_MIN, SUBMIT_QUEUE_S * limits_write_rps(core));
 }
 
+/* Decodes and checks the description, and sets `admission` to the result. */
 static void decode_and_admit(struct core *core, struct user_request *request, json_t *document)
 {
 	const char *reason;
@@ -214,6 +234,8 @@
 	request->admission = admission_check(core, request->spec, request->received_wall_at);
 }
 
+/* Lets an accepted submission wait for a transaction. It is answered at once if the queue is full,
+ * or if the job is known to have ended. */
 static void enqueue(struct core *core, struct user_request *request)
 {
 	struct submission_queue *queue = &core->api.submissions;
@@ -227,7 +249,9 @@
 	}
 }
 
-/* A description that is not admitted may be of a job that was accepted before: that is looked up.
+/*
+ * The id of a refused description may be that of a job that was accepted before. So the job is
+ * looked up, and only without a record the user is told why the description is refused.
  */
 static void receive_document(struct core *core, const struct core_request *received, const char *id,
 			     json_t *document)
@@ -248,7 +272,8 @@
 	json_t *document = wire_parse(received->body, received->len);
 	const char *id = json_string_value(json_object_get(document, W_ID));
 
-	/* Without a valid id it can't be a job that was accepted. */
+	/* Without a valid id, it can't be a job that was accepted before, so no lookup is needed.
+	 * The answer is "not JSON", or else the key of the id, the invalid field. */
 	if (!id || !wire_job_id_ok(id)) {
 		core_reply_error(core, received->connection, STATUS_BAD_REQUEST, 0,
 				 document ? W_ID : "not JSON");
--- a/src/core/api/submissions.h
+++ b/src/core/api/submissions.h
@@ -1,4 +1,9 @@
-/* Submissions: admitted as they come, and committed in batches that widen with the load. */
+/*
+ * Submissions of jobs. Each is checked when it arrives. If it is accepted, it waits for a
+ * transaction that writes its job's record. One transaction at a time is in flight. The next one
+ * writes the records of all submissions that arrived in the meantime, as far as the limits allow,
+ * so that batches grow with the load.
+ */
 #ifndef PLOVERLOFT_SUBMISSIONS_H
 #define PLOVERLOFT_SUBMISSIONS_H
 
@@ -9,17 +14,20 @@
 struct user_request;
 
 struct submission_queue {
-	struct user_request *waiting; /* for a transaction; owned */
+	struct user_request *waiting; /* list: wait for the next transaction; owned */
 	int waiting_count;
-	struct user_request *in_flight; /* in the transaction under way; owned */
-	size_t largest_record;		/* bytes of the largest record in that transaction */
+	struct user_request *in_flight; /* list: in the transaction in flight; owned */
+	size_t largest_record; /* size of the largest record in that transaction in bytes */
 };
 
-/* A user submits a job. A submission that is repeated is answered with the job's status. */
+/*
+ * Handles a user's submission of a job. If the job was submitted before, the answer tells its
+ * status.
+ */
 void submissions_receive(struct core *core, const struct core_request *request);
-/* Commits what has gathered, one transaction at a time. */
+/* Sends a transaction with waiting submissions, unless one is in flight. */
 void submissions_tick(struct core *core);
-/* Frees all submissions that wait. */
+/* Frees all submissions that wait or are in flight, without answering them. */
 void submissions_clear(struct core *core);
 
 #endif
--- a/src/core/api/task_counts.c
+++ b/src/core/api/task_counts.c
@@ -1,3 +1,6 @@
+/*
+ * The leader's answer to requests for task counts, and the requests of the other controllers.
+ */
 #include "core/api/task_counts.h"
 
 #include <stdlib.h>
@@ -7,6 +10,7 @@
 #include "peer.pb-c.h"
 #include "util/xalloc.h"
 
+/* Both times are so long ago that the counts are not fresh and no request is due. */
 void task_counts_init(struct core *core)
 {
 	core->api.counts.received_at = core->now - COUNTS_DEMAND_WINDOW_S;
@@ -25,7 +29,8 @@
 
 /* --- the leader's answer --- */
 
-/* Jobs with neither done nor running tasks are left out. */
+/* True if the answer lists the job. Jobs without done or running tasks are left out, as are those
+ * that have no open record any more. */
 static bool has_counts(const struct job *job)
 {
 	return !job->orphan && (job->done_count || job->running_count);
@@ -64,9 +69,10 @@
 	free(list);
 }
 
-/* --- the others' requests --- */
+/* --- requests of the other controllers --- */
 
-/* Jobs that the leader does not list have neither done nor running tasks. */
+/* Sets the counts of all open jobs to 0. Jobs that the leader does not list have neither done nor
+ * running tasks. */
 static void reset_counts(struct core *core)
 {
 	struct indexed_job *entry, *next;
@@ -93,7 +99,7 @@
 {
 	struct task_counts *state = &core->api.counts;
 
-	/* From a leader that was deposed since. */
+	/* The sender was deposed: counts of a newer leader were received before. */
 	if (message->token < state->token)
 		return;
 	state->token = message->token;
@@ -127,6 +133,7 @@
 	peer_send_empty(core, peer, COUNTS_PATH, on_counts);
 }
 
+/* True if a request is due: in a follower, for a while after a user was answered with counts. */
 static bool read_due(const struct core *core)
 {
 	const struct task_counts *state = &core->api.counts;
@@ -135,6 +142,7 @@
 	       core->now - state->wanted_at <= COUNTS_DEMAND_WINDOW_S;
 }
 
+/* Sends no request while no leader is known. */
 void task_counts_tick(struct core *core)
 {
 	if (!read_due(core))
--- a/src/core/api/task_counts.h
+++ b/src/core/api/task_counts.h
@@ -1,6 +1,7 @@
 /*
- * How many tasks of each job are done and running. Only the leader knows; the other controllers
- * request the counts from it while users poll, and answer with them for some seconds.
+ * How many tasks of each job are done and running. Only the leader knows that. While users poll
+ * another controller, it requests the counts from the leader every COUNTS_INTERVAL_S, and answers
+ * with them until they are older than COUNTS_MAX_AGE_S.
  */
 #ifndef PLOVERLOFT_TASK_COUNTS_H
 #define PLOVERLOFT_TASK_COUNTS_H
@@ -10,26 +11,29 @@
 
 struct core;
 
+/* Path of the request for the counts, answered by a TaskCounts message. */
 #define COUNTS_PATH "/counts"
 
-/* Times are steady. */
+/* The state of the requests; the counts themselves are in the index of jobs. Times are steady. */
 struct task_counts {
-	double received_at;  /* the newest counts */
-	double wanted_at;    /* the newest answer that needed counts */
-	double next_read_at; /* no request to the leader before */
-	uint64_t token;	     /* the leader's, under which it sent the newest counts */
-	bool in_flight;
+	double received_at;  /* when the newest counts came */
+	double wanted_at;    /* when a user was last answered with the counts of an open job */
+	double next_read_at; /* earliest time of the next request to the leader */
+	uint64_t token;	     /* the token under which the leader sent the newest counts */
+	bool in_flight;	     /* a request to the leader has no answer yet */
 };
 
-/* No counts are known, and none are wanted. */
+/* Sets the initial state: no counts were received, and no user has polled. */
 void task_counts_init(struct core *core);
-/* A user is answered with counts: they are to be kept current for some seconds. */
+/* Records that a user is answered with the counts of an open job. They are then requested from the
+ * leader for COUNTS_DEMAND_WINDOW_S. */
 void task_counts_note_demand(struct core *core);
-/* The counts in the index were received so recently that users may be answered with them. */
+/* True if the counts in the index were received within COUNTS_MAX_AGE_S: only then are users
+ * answered with them. */
 bool task_counts_are_fresh(const struct core *core);
 /* Answers another controller with the counts of all jobs. Only the leader calls it. */
 void task_counts_reply(struct core *core, uint64_t connection);
-/* Requests the counts from the leader, when it is due. */
+/* Requests the counts from the leader, if a request is due. */
 void task_counts_tick(struct core *core);
 
 #endif
--- a/src/core/api/user_requests.c
+++ b/src/core/api/user_requests.c
@@ -1,3 +1,6 @@
+/*
+ * Users' requests: their answers, and the answers to those that fail.
+ */
 #include "core/api/user_requests.h"
 
 #include <stdlib.h>
@@ -8,6 +11,15 @@
 #include "core/state.h"
 #include "util/xalloc.h"
 
+/*
+ * The answers to requests that fail:
+ * - "no such job": the job has no record.
+ * - "busy": too many lookups wait already.
+ * - "unknown outcome": a submission or cancellation may have been carried out, or may yet be. The
+ *   user finds out by polling or by sending it again.
+ * - "state" with 503: the state service does not serve this controller. With 429: the state service
+ *   limits the rate of this controller's requests.
+ */
 static const struct error_reply user_errors[] = {
     [USER_ERROR_NO_SUCH_JOB] = {STATUS_NOT_FOUND, 0, "no such job"},
     [USER_ERROR_BUSY] = {STATUS_TOO_MANY_REQUESTS, RETRY_AFTER_BUSY_S, "busy"},
@@ -78,6 +90,7 @@
 	return true;
 }
 
+/* Answers with the error and frees the request. */
 static void fail_with(struct core *core, struct user_request *request, struct error_reply reply)
 {
 	core_reply_error(core, request->connection, reply.status, reply.retry_after_s, reply.text);
--- a/src/core/api/user_requests.h
+++ b/src/core/api/user_requests.h
@@ -1,6 +1,6 @@
 /*
- * A user's request from its arrival to its answer. It is owned by the queue or the call in which it
- * waits; answering it frees it.
+ * A user's request from its arrival to its answer. The list or the call in which it waits owns it.
+ * Answering it frees it.
  */
 #ifndef PLOVERLOFT_USER_REQUESTS_H
 #define PLOVERLOFT_USER_REQUESTS_H
@@ -14,51 +14,55 @@
 enum user_kind { USER_SUBMIT, USER_POLL, USER_CANCEL };
 
 struct user_request {
-	uint64_t connection; /* the connection that is to be answered */
+	uint64_t connection; /* id of the connection to answer */
 	enum user_kind kind;
-	char id[ID_MAX];	 /* of the job */
-	double received_at;	 /* steady */
-	double received_wall_at; /* wall */
-	/* of a submission */
-	struct job_spec *spec; /* owned; NULL: another kind */
-	char *body;	       /* owned; as it came, with a NUL; NULL: another kind */
+	char id[ID_MAX];	 /* id of the job */
+	double received_at;	 /* steady time */
+	double received_wall_at; /* wall time */
+	/* Submissions only. */
+	struct job_spec *spec; /* owned; NULL in other kinds */
+	char *body; /* the body as received, NUL-terminated; owned; NULL in other kinds */
 	struct admission admission;
-	/* of a cancellation: its commit may have been carried out, so it is not sent again */
+	/* Cancellations only: the commit was sent but not answered. It may have been carried out,
+	 * or may yet be, so it is not sent again. */
 	bool outcome_unknown;
-	struct user_request *prev, *next;
+	struct user_request *prev, *next; /* in the list that owns it */
 };
 
-/* Why a request is refused. */
+/* Why a request fails, apart from admission. The answers are in user_requests.c. */
 enum user_error {
 	USER_ERROR_NO_SUCH_JOB,
-	USER_ERROR_BUSY,	      /* too many requests wait already */
-	USER_ERROR_UNKNOWN_OUTCOME,   /* it may have been carried out */
+	USER_ERROR_BUSY,	      /* too many lookups wait already */
+	USER_ERROR_UNKNOWN_OUTCOME,   /* the request may have been carried out, or may yet be */
 	USER_ERROR_STORE_UNAVAILABLE, /* the state service does not serve this controller */
-	USER_ERROR_STORE_RATE_LIMIT   /* the state service refuses more requests for now */
+	USER_ERROR_STORE_RATE_LIMIT   /* the state service limits the rate of requests */
 };
 
-/* Owned by the caller, who frees it by user_request_free or by answering it. */
+/* Makes a request that arrived now. The caller owns it and frees it by answering it or with
+ * user_request_free. */
 struct user_request *user_request_new(struct core *core, uint64_t connection, enum user_kind kind,
 				      const char *id);
-/* Frees a struct user_request; has the type of `free_arg` in struct call. */
+/* Frees a struct user_request without answering it. Has the type of `free_arg` in struct call. */
 void user_request_free(void *request);
-/* Frees all requests of a list. */
+/* Frees all requests of the list without answering them, and empties the list. */
 void user_requests_clear(struct user_request **list);
 
-/* Answers with the job's status, and frees the request. */
+/* Answers with the job's status and frees the request. */
 void user_request_answer(struct core *core, struct user_request *request,
 			 enum http_status http_status, struct job_status status);
-/* Answers that the job is cancelled, and frees the request. */
+/* Answers that the job is cancelled and frees the request. */
 void user_request_answer_cancelled(struct core *core, struct user_request *request);
-/* Answers if the job's final state is in the index, and frees the request; false if it is not. */
+/* If the index has the final state of the job, answers with it, frees the request and returns
+ * true. */
 bool user_request_answer_final(struct core *core, struct user_request *request);
-/* Answers with the error, and frees the request. */
+/* Answers with the error and frees the request. */
 void user_request_fail(struct core *core, struct user_request *request, enum user_error error);
-/* Answers that the submission was not admitted, and frees the request. */
+/* Answers that the submission is refused, as its `admission` says, and frees the request. */
 void user_request_reject(struct core *core, struct user_request *request);
 /*
- * The state service refused a call on behalf of the request: it is forwarded to another controller
- * that may be served, or else fails. Frees the request.
+ * Ends a request for which a call to the state service failed with `answer`. After a 429,
+ * the user is answered 429 too. Otherwise the request is forwarded to another controller, which may
+ * be served, or fails if that is not possible. Frees the request.
  */
 void user_request_unserved(struct core *core, struct user_request *request,
 			   const struct call_answer *answer);
