--- a/src/core/api/api.c
+++ b/src/core/api/api.c
@@ -42,8 +42,8 @@
 
 /* Handles a poll or a cancellation. An id that does not have the form of job ids is answered as
  * that of an unknown job. */
-static void handle_job(struct core *core, const struct core_request *request, enum user_kind kind,
-		       const char *id)
+static void handle_job(struct core *core, const struct core_request *request,
+		       enum user_request_kind kind, const char *id)
 {
 	if (!check_method(core, request, kind == USER_CANCEL ? "POST" : "GET"))
 		return;
--- a/src/core/api/cancel_requests.c
+++ b/src/core/api/cancel_requests.c
@@ -20,7 +20,7 @@
 	log_info("cancel_committed", "job=%s", id);
 	job_on_cancel_committed(core, id, version);
 	cancellations_announce(core, id, version);
-	cancellations_note_confirmed(core, id, version);
+	cancellations_record_confirmed(core, id, version);
 }
 
 /* Returns the revision of the committed transaction, which is the new version of the record that it
@@ -54,7 +54,7 @@
 		request->outcome_unknown = true;
 		user_request_lookup(core, request);
 	} else {
-		user_request_unserved(core, request, answer);
+		user_request_forward_or_fail(core, request, answer);
 	}
 }
 
@@ -107,7 +107,7 @@
 	if (document)
 		cancel_open_job(core, request, &item);
 	else
-		user_request_unserved(core, request, answer);
+		user_request_forward_or_fail(core, request, answer);
 	json_decref(document);
 }
 
--- a/src/core/api/cancellations.c
+++ b/src/core/api/cancellations.c
@@ -91,7 +91,7 @@
 	}
 }
 
-void cancellations_note_confirmed(struct core *core, const char *id, uint64_t version)
+void cancellations_record_confirmed(struct core *core, const char *id, uint64_t version)
 {
 	struct confirmed_cancel *confirmed;
 
--- a/src/core/api/cancellations.h
+++ b/src/core/api/cancellations.h
@@ -40,7 +40,7 @@
  * record. */
 void cancellations_announce(struct core *core, const char *id, uint64_t version);
 /* Records that the user is answered that the job is cancelled. `version` 0: not known. */
-void cancellations_note_confirmed(struct core *core, const char *id, uint64_t version);
+void cancellations_record_confirmed(struct core *core, const char *id, uint64_t version);
 /* Handles another controller's announcement of a cancellation. */
 void cancellations_receive(struct core *core, const struct core_request *request);
 /* Answers another controller with the cancellations that this controller has confirmed. */
--- a/src/core/api/job_index.c
+++ b/src/core/api/job_index.c
@@ -52,8 +52,8 @@
 		remove_entry(core, core->api.index.finals);
 }
 
-void job_index_note_final(struct core *core, const char *id, enum job_state state,
-			  uint32_t task_count)
+void job_index_set_final(struct core *core, const char *id, enum job_state state,
+			 uint32_t task_count)
 {
 	struct job_index *index = &core->api.index;
 	struct indexed_job *entry = find_or_add(core, id);
@@ -108,7 +108,7 @@
 
 	if (final_id && item->value) {
 		outcome = job_record_outcome(item->value);
-		job_index_note_final(core, final_id, outcome.state, outcome.task_count);
+		job_index_set_final(core, final_id, outcome.state, outcome.task_count);
 	} else if (open_id && item->value) {
 		note_open(core, open_id, item->value);
 	} else if (open_id) {
--- a/src/core/api/job_index.h
+++ b/src/core/api/job_index.h
@@ -50,8 +50,8 @@
 /* Returns the job's entry, which the index owns; NULL if it has none. */
 struct indexed_job *job_index_find(const struct core *core, const char *id);
 /* Records the final state of a job whose final record is committed. */
-void job_index_note_final(struct core *core, const char *id, enum job_state state,
-			  uint32_t task_count);
+void job_index_set_final(struct core *core, const char *id, enum job_state state,
+			 uint32_t task_count);
 /* Applies a record of a job that was read, or a change of one, to the index. */
 void job_index_apply(struct core *core, const struct kv_item *item);
 /*
--- a/src/core/api/job_index_reads.c
+++ b/src/core/api/job_index_reads.c
@@ -50,7 +50,7 @@
 	} else if (answer->status == STATUS_GONE) {
 		job_index_invalidate(core);
 		retry_read(core);
-	} else if (answer->status == STATUS_TOO_MANY_REQUESTS && lookups_batch_may_wait(core)) {
+	} else if (answer->status == STATUS_TOO_MANY_REQUESTS && lookups_batch_may_retry(core)) {
 		retry_read(core);
 	} else {
 		lookups_fail_batch(core, answer);
--- a/src/core/api/lookups.c
+++ b/src/core/api/lookups.c
@@ -69,12 +69,12 @@
 	}
 	document = lookup_parse_record(answer, &item);
 	if (!document) {
-		user_request_unserved(core, request, answer);
+		user_request_forward_or_fail(core, request, answer);
 		return;
 	}
 	outcome = job_record_outcome(item.value);
 	json_decref(document);
-	job_index_note_final(core, request->id, outcome.state, outcome.task_count);
+	job_index_set_final(core, request->id, outcome.state, outcome.task_count);
 	if (!user_request_answer_final(core, request))
 		user_request_fail(core, request, USER_ERROR_STORE_UNAVAILABLE);
 }
@@ -130,7 +130,7 @@
 {
 	const struct job *job = election_is_leader(core) ? job_find(core, request->id) : NULL;
 
-	task_counts_note_demand(core);
+	task_counts_record_demand(core);
 	user_request_answer(core, request, STATUS_OK, open_status(core, entry, job));
 }
 
@@ -176,7 +176,7 @@
 	}
 }
 
-bool lookups_batch_may_wait(const struct core *core)
+bool lookups_batch_may_retry(const struct core *core)
 {
 	const struct user_request *oldest = core->api.lookups.batch;
 
@@ -201,7 +201,7 @@
 	DL_FOREACH_SAFE (*list, request, next) {
 		DL_DELETE(*list, request);
 		core->api.lookups.count--;
-		user_request_unserved(core, request, answer);
+		user_request_forward_or_fail(core, request, answer);
 	}
 }
 
--- a/src/core/api/lookups.h
+++ b/src/core/api/lookups.h
@@ -51,7 +51,7 @@
 void lookups_answer_batch(struct core *core);
 /* True if the oldest lookup of the batch has not waited too long for another read, which may
  * succeed after this one was refused. */
-bool lookups_batch_may_wait(const struct core *core);
+bool lookups_batch_may_retry(const struct core *core);
 /* Lets the batch wait for the next read, ahead of the lookups that came later. */
 void lookups_requeue_batch(struct core *core);
 /* Ends the batch, because the read of changes failed with `answer`: each request is forwarded to
--- a/src/core/api/submissions.c
+++ b/src/core/api/submissions.c
@@ -122,7 +122,7 @@
 		if (answer->outcome == CALL_UNANSWERED)
 			user_request_lookup(core, request);
 		else
-			user_request_unserved(core, request, answer);
+			user_request_forward_or_fail(core, request, answer);
 	}
 }
 
--- a/src/core/api/task_counts.c
+++ b/src/core/api/task_counts.c
@@ -17,7 +17,7 @@
 	core->api.counts.wanted_at = core->now - COUNTS_DEMAND_WINDOW_S;
 }
 
-void task_counts_note_demand(struct core *core)
+void task_counts_record_demand(struct core *core)
 {
 	core->api.counts.wanted_at = core->now;
 }
--- a/src/core/api/task_counts.h
+++ b/src/core/api/task_counts.h
@@ -27,7 +27,7 @@
 void task_counts_init(struct core *core);
 /* Records that a user is answered with the counts of an open job. They are then requested from the
  * leader for COUNTS_DEMAND_WINDOW_S. */
-void task_counts_note_demand(struct core *core);
+void task_counts_record_demand(struct core *core);
 /* True if the counts in the index were received within COUNTS_MAX_AGE_S: only then are users
  * answered with them. */
 bool task_counts_are_fresh(const struct core *core);
--- a/src/core/api/user_requests.c
+++ b/src/core/api/user_requests.c
@@ -28,8 +28,8 @@
     [USER_ERROR_STORE_RATE_LIMIT] = {STATUS_TOO_MANY_REQUESTS, RETRY_AFTER_S, "state"},
 };
 
-struct user_request *user_request_new(struct core *core, uint64_t connection, enum user_kind kind,
-				      const char *id)
+struct user_request *user_request_new(struct core *core, uint64_t connection,
+				      enum user_request_kind kind, const char *id)
 {
 	struct user_request *request = xcalloc(1, sizeof(*request));
 
@@ -68,7 +68,7 @@
 	    wire_job_answer(request->id, status.state, status.done_count, status.running_count);
 
 	if (status.state == JOB_STATE_CANCELLED)
-		cancellations_note_confirmed(core, request->id, 0);
+		cancellations_record_confirmed(core, request->id, 0);
 	core_reply(core, request->connection, http_status, 0, body);
 	user_request_free(request);
 }
@@ -107,8 +107,8 @@
 	fail_with(core, request, admission_error(&request->admission));
 }
 
-void user_request_unserved(struct core *core, struct user_request *request,
-			   const struct call_answer *answer)
+void user_request_forward_or_fail(struct core *core, struct user_request *request,
+				  const struct call_answer *answer)
 {
 	if (answer->status == STATUS_TOO_MANY_REQUESTS)
 		user_request_fail(core, request, USER_ERROR_STORE_RATE_LIMIT);
--- a/src/core/api/user_requests.h
+++ b/src/core/api/user_requests.h
@@ -11,11 +11,11 @@
 #include "core/api/job_index.h"
 #include "core/runtime/call.h"
 
-enum user_kind { USER_SUBMIT, USER_POLL, USER_CANCEL };
+enum user_request_kind { USER_SUBMIT, USER_POLL, USER_CANCEL };
 
 struct user_request {
 	uint64_t connection; /* id of the connection to answer */
-	enum user_kind kind;
+	enum user_request_kind kind;
 	char id[ID_MAX];	 /* id of the job */
 	double received_at;	 /* steady time */
 	double received_wall_at; /* wall time */
@@ -40,8 +40,8 @@
 
 /* Makes a request that arrived now. The caller owns it and frees it by answering it or with
  * user_request_free. */
-struct user_request *user_request_new(struct core *core, uint64_t connection, enum user_kind kind,
-				      const char *id);
+struct user_request *user_request_new(struct core *core, uint64_t connection,
+				      enum user_request_kind kind, const char *id);
 /* Frees a struct user_request without answering it. Has the type of `free_arg` in struct call. */
 void user_request_free(void *request);
 /* Frees all requests of the list without answering them, and empties the list. */
@@ -64,7 +64,7 @@
  * the user is answered 429 too. Otherwise the request is forwarded to another controller, which may
  * be served, or fails if that is not possible. Frees the request.
  */
-void user_request_unserved(struct core *core, struct user_request *request,
-			   const struct call_answer *answer);
+void user_request_forward_or_fail(struct core *core, struct user_request *request,
+				  const struct call_answer *answer);
 
 #endif
