--- a/src/core/api/admission.c
+++ b/src/core/api/admission.c
@@ -44,7 +44,7 @@
 }
 
 /* True if the type is offered in a zone that the job allows. */
-static bool zone_fits(const struct machine_type *type, const struct job_spec *spec)
+static bool offered_in_allowed_zone(const struct machine_type *type, const struct job_spec *spec)
 {
 	for (int i = 0; i < type->zones.count; i++)
 		if (!*spec->zone || !strcmp(type->zones.names[i], spec->zone))
@@ -55,12 +55,13 @@
 /*
  * True if the job allows the type in one of its zones, and a machine of the type is large enough
  * for one task. machine_type_allowed is given the job's own zone, so it checks only the list of
- * allowed types; zone_fits checks the zones.
+ * allowed types; offered_in_allowed_zone checks the zones.
  */
 static bool type_fits(const struct machine_type *type, const struct job_spec *spec)
 {
-	return zone_fits(type, spec) && machine_type_allowed(type, spec->zone, false, spec) &&
-	       spec->cpus <= type->cpus && spec->gpus <= type->gpus && spec->mem_gb <= type->mem_gb;
+	return offered_in_allowed_zone(type, spec) &&
+	       machine_type_allowed(type, spec->zone, false, spec) && spec->cpus <= type->cpus &&
+	       spec->gpus <= type->gpus && spec->mem_gb <= type->mem_gb;
 }
 
 static bool fits_some_type(const struct core *core, const struct job_spec *spec)
@@ -104,8 +105,8 @@
 	return fits_two_zones(core, spec);
 }
 
-static enum admission_outcome check(struct core *core, const struct job_spec *spec,
-				    double submitted_at)
+static enum admission_outcome decide_outcome(struct core *core, const struct job_spec *spec,
+					     double submitted_at)
 {
 	if (!team_find(core, spec->team))
 		return ADMISSION_UNKNOWN_TEAM;
@@ -125,7 +126,7 @@
 struct admission admission_check(struct core *core, const struct job_spec *spec,
 				 double submitted_at)
 {
-	struct admission admission = {check(core, spec, submitted_at), NULL};
+	struct admission admission = {decide_outcome(core, spec, submitted_at), NULL};
 
 	return admission;
 }
--- a/src/core/api/cancel_requests.c
+++ b/src/core/api/cancel_requests.c
@@ -25,7 +25,7 @@
 
 /* Returns the revision of the committed transaction, which is the new version of the record that it
  * wrote. */
-static uint64_t revision_of(const struct call_answer *answer)
+static uint64_t committed_revision(const struct call_answer *answer)
 {
 	json_t *document = wire_parse(answer->body, answer->len);
 	uint64_t revision = wire_revision(document);
@@ -46,7 +46,7 @@
 
 	store_update_availability(core, answer);
 	if (answer->status == STATUS_OK) {
-		on_committed(core, request->id, revision_of(answer));
+		on_committed(core, request->id, committed_revision(answer));
 		user_request_answer_cancelled(core, request);
 	} else if (answer->status == STATUS_CONFLICT) {
 		user_request_lookup(core, request);
@@ -59,7 +59,8 @@
 }
 
 /* Sends the transaction that marks the open record `item` as cancelled. */
-static void commit(struct core *core, struct user_request *request, const struct kv_item *item)
+static void commit_cancelled_record(struct core *core, struct user_request *request,
+				    const struct kv_item *item)
 {
 	json_t *value = job_record_cancelled_value(item->value);
 	struct txn txn;
@@ -90,7 +91,7 @@
 	else if (request->outcome_unknown || too_late)
 		user_request_fail(core, request, USER_ERROR_UNKNOWN_OUTCOME);
 	else
-		commit(core, request, item);
+		commit_cancelled_record(core, request, item);
 }
 
 static void on_open_record(struct core *core, struct call *call, const struct call_answer *answer)
--- a/src/core/api/forwarding.c
+++ b/src/core/api/forwarding.c
@@ -14,7 +14,7 @@
 #include "wire/names.h"
 
 /* Returns the bytes of a message's field as a NUL-terminated string, which the caller owns. */
-static char *text_of(const ProtobufCBinaryData *field)
+static char *field_to_string(const ProtobufCBinaryData *field)
 {
 	return field->len ? xstrndup((const char *)field->data, field->len) : xstrdup("");
 }
@@ -60,7 +60,7 @@
 		peer->no_forward_before = core->now + PEER_FORWARD_BACKOFF_S;
 	if (message) {
 		core_reply(core, context->connection, (int)message->status,
-			   (int)message->retry_after, text_of(&message->body));
+			   (int)message->retry_after, field_to_string(&message->body));
 		peer__forwarded_answer__free_unpacked(message, NULL);
 	} else {
 		core_reply_error(core, context->connection, STATUS_UNAVAILABLE, RETRY_AFTER_S,
@@ -70,7 +70,7 @@
 }
 
 /* Writes the path on which the user's request arrived. */
-static void request_path(char path[HTTP_PATH_MAX], const struct user_request *request)
+static void format_request_path(char path[HTTP_PATH_MAX], const struct user_request *request)
 {
 	if (request->kind == USER_SUBMIT)
 		snprintf(path, HTTP_PATH_MAX, W_PATH_JOBS);
@@ -84,7 +84,7 @@
 	Peer__ForwardedRequest message = PEER__FORWARDED_REQUEST__INIT;
 	char path[HTTP_PATH_MAX];
 
-	request_path(path, request);
+	format_request_path(path, request);
 	message.method = request->kind == USER_POLL ? "GET" : "POST";
 	message.path = path;
 	message.body.data = (uint8_t *)request->body;
@@ -140,7 +140,7 @@
 
 /* --- requests that other controllers forward to this one --- */
 
-static void note_forwarded(struct core *core, uint64_t connection)
+static void mark_forwarded(struct core *core, uint64_t connection)
 {
 	struct forwarded_request *forwarded = xcalloc(1, sizeof(*forwarded));
 
@@ -151,7 +151,7 @@
 static void handle_forwarded(struct core *core, uint64_t connection,
 			     const Peer__ForwardedRequest *message)
 {
-	char *body = text_of(&message->body);
+	char *body = field_to_string(&message->body);
 	struct core_request request = {
 	    .connection = connection,
 	    .side = CORE_BACK,
@@ -175,7 +175,7 @@
 		core_reply_error(core, request->connection, STATUS_BAD_REQUEST, 0, "forward");
 		return;
 	}
-	note_forwarded(core, request->connection);
+	mark_forwarded(core, request->connection);
 	handle_forwarded(core, request->connection, message);
 	peer__forwarded_request__free_unpacked(message, NULL);
 }
--- a/src/core/api/job_index.c
+++ b/src/core/api/job_index.c
@@ -70,7 +70,7 @@
 }
 
 /* Applies an open record. It may be older than the final state, which doesn't change any more. */
-static void note_open(struct core *core, const char *id, json_t *value)
+static void set_open(struct core *core, const char *id, json_t *value)
 {
 	struct indexed_job *entry = find_or_add(core, id);
 	bool cancelled = job_record_is_cancelled(value);
@@ -84,7 +84,7 @@
  * Applies the deletion of an open record. The transaction that deletes it also writes the final
  * record, which is applied as a change of its own. Until then, nothing is known of the job.
  */
-static void note_open_deleted(struct core *core, const char *id)
+static void remove_open(struct core *core, const char *id)
 {
 	struct indexed_job *entry = job_index_find(core, id);
 
@@ -110,9 +110,9 @@
 		outcome = job_record_outcome(item->value);
 		job_index_set_final(core, final_id, outcome.state, outcome.task_count);
 	} else if (open_id && item->value) {
-		note_open(core, open_id, item->value);
+		set_open(core, open_id, item->value);
 	} else if (open_id) {
-		note_open_deleted(core, open_id);
+		remove_open(core, open_id);
 	}
 }
 
--- a/src/core/api/job_index.h
+++ b/src/core/api/job_index.h
@@ -38,13 +38,13 @@
 	 * records are read first, page by page. */
 	bool valid;
 	bool read_in_flight;
-	uint64_t revision;    /* if valid: all changes up to this one are applied */
-	char cursor[KEY_MAX]; /* last key of the pages read so far; empty: none was read */
-	double retry_at;      /* no read is sent before this time */
-	double sent_at;	      /* when the newest read of changes was sent */
+	uint64_t revision;	/* if valid: all changes up to this one are applied */
+	char cursor[KEY_MAX];	/* last key of the pages read so far; empty: none was read */
+	double next_read_at;	/* no read is sent before this time */
+	double changes_sent_at; /* when the newest read of changes was sent */
 	/* When the newest read of changes that succeeded, or the read of the first page, was sent.
 	 * Later changes may be missing in the index. */
-	double read_at;
+	double current_as_of;
 };
 
 /* Returns the job's entry, which the index owns; NULL if it has none. */
--- a/src/core/api/job_index_reads.c
+++ b/src/core/api/job_index_reads.c
@@ -22,17 +22,17 @@
 	json_t *document = wire_parse(answer->body, answer->len);
 
 	wire_items(document, apply_item, core);
-	index->read_at = index->sent_at;
+	index->current_as_of = index->changes_sent_at;
 	if (wire_revision(document) > index->revision)
 		index->revision = wire_revision(document);
 	json_decref(document);
 }
 
 /* The batch of the read that was refused waits for another read. */
-static void retry_read(struct core *core)
+static void requeue_batch(struct core *core)
 {
 	lookups_requeue_batch(core);
-	core->api.index.retry_at = core->now + INDEX_RETRY_S;
+	core->api.index.next_read_at = core->now + INDEX_RETRY_S;
 }
 
 /*
@@ -49,9 +49,9 @@
 		lookups_answer_batch(core);
 	} else if (answer->status == STATUS_GONE) {
 		job_index_invalidate(core);
-		retry_read(core);
+		requeue_batch(core);
 	} else if (answer->status == STATUS_TOO_MANY_REQUESTS && lookups_batch_may_retry(core)) {
-		retry_read(core);
+		requeue_batch(core);
 	} else {
 		lookups_fail_batch(core, answer);
 	}
@@ -61,8 +61,8 @@
 {
 	struct job_index *index = &core->api.index;
 
-	index->retry_at = core->now + INDEX_BATCH_S;
-	index->sent_at = core->now;
+	index->next_read_at = core->now + INDEX_BATCH_S;
+	index->changes_sent_at = core->now;
 	lookups_begin_batch(core);
 	store_watch(core, KEY_JOBS, index->revision, 0, on_changes, NULL);
 }
@@ -90,7 +90,7 @@
 
 	if (!*index->cursor) {
 		index->revision = wire_revision(document);
-		index->read_at = call->sent_at;
+		index->current_as_of = call->sent_at;
 	}
 	wire_items(document, apply_item, core);
 	snprintf(index->cursor, sizeof(index->cursor), "%s", last_key(document));
@@ -109,11 +109,11 @@
 	index->read_in_flight = false;
 	store_update_availability(core, answer);
 	if (answer->status != STATUS_OK) {
-		index->retry_at = core->now + INDEX_RETRY_S;
+		index->next_read_at = core->now + INDEX_RETRY_S;
 		lookups_fail_waiting(core, answer);
 		return;
 	}
-	index->retry_at = core->now;
+	index->next_read_at = core->now;
 	document = wire_parse(answer->body, answer->len);
 	apply_page(core, call, document);
 	json_decref(document);
@@ -128,14 +128,14 @@
 	const struct job_index *index = &core->api.index;
 
 	return index->valid && !store_is_unavailable(core) &&
-	       core->now - index->sent_at > INDEX_IDLE_READ_S;
+	       core->now - index->changes_sent_at > INDEX_IDLE_READ_S;
 }
 
 /* True if so many records may have changed since the last read, at the allowed rate of writes, that
  * one answer with all changes would be too large. The pages are then read again. */
-static bool is_far_behind(const struct core *core)
+static bool may_have_too_many_changes(const struct core *core)
 {
-	double age_s = core->now - core->api.index.read_at;
+	double age_s = core->now - core->api.index.current_as_of;
 
 	return age_s * core->conf->limits.write_rps > INDEX_CHANGES_MAX;
 }
@@ -144,7 +144,7 @@
 {
 	const struct job_index *index = &core->api.index;
 
-	if (index->read_in_flight || core->now < index->retry_at)
+	if (index->read_in_flight || core->now < index->next_read_at)
 		return false;
 	return lookups_waiting(core) || idle_read_due(core);
 }
@@ -155,7 +155,7 @@
 
 	if (!read_due(core))
 		return;
-	if (index->valid && is_far_behind(core))
+	if (index->valid && may_have_too_many_changes(core))
 		job_index_invalidate(core);
 	index->read_in_flight = true;
 	if (index->valid)
--- a/src/core/api/submissions.c
+++ b/src/core/api/submissions.c
@@ -17,7 +17,7 @@
 /* --- transactions --- */
 
 /* Returns the submissions of the transaction that has ended. The caller owns them. */
-static struct user_request *take_batch(struct core *core)
+static struct user_request *detach_batch(struct core *core)
 {
 	struct user_request *batch = core->api.submissions.in_flight;
 
@@ -128,7 +128,7 @@
 
 static void on_batch_answer(struct core *core, struct call *call, const struct call_answer *answer)
 {
-	struct user_request *batch = take_batch(core);
+	struct user_request *batch = detach_batch(core);
 
 	(void)call;
 	store_update_availability(core, answer);
@@ -215,7 +215,7 @@
 
 /* The capacity of the queue: as many submissions as can be committed within SUBMIT_QUEUE_S, since
  * users who wait longer give up. */
-static int queue_max(const struct core *core)
+static int queue_capacity(const struct core *core)
 {
 	return (int)fmax(SUBMIT_QUEUE_MIN, SUBMIT_QUEUE_S * limits_write_rps(core));
 }
@@ -240,7 +240,7 @@
 {
 	struct submission_queue *queue = &core->api.submissions;
 
-	if (queue->waiting_count >= queue_max(core)) {
+	if (queue->waiting_count >= queue_capacity(core)) {
 		request->admission.outcome = ADMISSION_OVERLOADED;
 		user_request_reject(core, request);
 	} else if (!user_request_answer_final(core, request)) {
--- a/src/core/api/task_counts.c
+++ b/src/core/api/task_counts.c
@@ -14,12 +14,12 @@
 void task_counts_init(struct core *core)
 {
 	core->api.counts.received_at = core->now - COUNTS_DEMAND_WINDOW_S;
-	core->api.counts.wanted_at = core->now - COUNTS_DEMAND_WINDOW_S;
+	core->api.counts.last_demand_at = core->now - COUNTS_DEMAND_WINDOW_S;
 }
 
 void task_counts_record_demand(struct core *core)
 {
-	core->api.counts.wanted_at = core->now;
+	core->api.counts.last_demand_at = core->now;
 }
 
 bool task_counts_are_fresh(const struct core *core)
@@ -129,23 +129,24 @@
 	struct task_counts *state = &core->api.counts;
 
 	state->in_flight = true;
-	state->next_read_at = core->now + COUNTS_INTERVAL_S;
+	state->next_request_at = core->now + COUNTS_INTERVAL_S;
 	peer_send_empty(core, peer, COUNTS_PATH, on_counts);
 }
 
 /* True if a request is due: in a follower, for a while after a user was answered with counts. */
-static bool read_due(const struct core *core)
+static bool request_due(const struct core *core)
 {
 	const struct task_counts *state = &core->api.counts;
 
-	return !election_is_leader(core) && !state->in_flight && core->now >= state->next_read_at &&
-	       core->now - state->wanted_at <= COUNTS_DEMAND_WINDOW_S;
+	return !election_is_leader(core) && !state->in_flight &&
+	       core->now >= state->next_request_at &&
+	       core->now - state->last_demand_at <= COUNTS_DEMAND_WINDOW_S;
 }
 
 /* Sends no request while no leader is known. */
 void task_counts_tick(struct core *core)
 {
-	if (!read_due(core))
+	if (!request_due(core))
 		return;
 	for (size_t i = 0; i < core->conf->peer_count; i++)
 		if (!strcmp(core->conf->peers[i].name, election_leader(core)))
--- a/src/core/api/task_counts.h
+++ b/src/core/api/task_counts.h
@@ -16,11 +16,11 @@
 
 /* The state of the requests; the counts themselves are in the index of jobs. Times are steady. */
 struct task_counts {
-	double received_at;  /* when the newest counts came */
-	double wanted_at;    /* when a user was last answered with the counts of an open job */
-	double next_read_at; /* earliest time of the next request to the leader */
-	uint64_t token;	     /* the token under which the leader sent the newest counts */
-	bool in_flight;	     /* a request to the leader has no answer yet */
+	double received_at;	/* when the newest counts came */
+	double last_demand_at;	/* when a user was last answered with the counts of an open job */
+	double next_request_at; /* earliest time of the next request to the leader */
+	uint64_t token;		/* the token under which the leader sent the newest counts */
+	bool in_flight;		/* a request to the leader has no answer yet */
 };
 
 /* Sets the initial state: no counts were received, and no user has polled. */
