--- a/src/core/api/admission.c
+++ b/src/core/api/admission.c
@@ -53,9 +53,9 @@
 }
 
 /*
- * True if the job allows the type in one of its zones, and a machine of the type is large enough
- * for one task. machine_type_allowed is given the job's own zone, so it checks only the list of
- * allowed types; offered_in_allowed_zone checks the zones.
+ * True if the job allows the type and a zone where it is offered, and a machine of the type is
+ * large enough for one task. machine_type_allowed is given the job's own zone, so it checks only
+ * the list of allowed types; offered_in_allowed_zone checks the zones.
  */
 static bool type_fits(const struct machine_type *type, const struct job_spec *spec)
 {
--- a/src/core/api/submissions.c
+++ b/src/core/api/submissions.c
@@ -76,7 +76,8 @@
 	json_decref(conflict);
 }
 
-/* The limit may be lower now than at admission: limits_learn_from_refusal lowers it. */
+/* True if the record exceeds the present limit. A refusal may have lowered the limit since the job
+ * was admitted, see limits_learn_from_refusal. */
 static bool is_record_too_large(const struct core *core, const struct user_request *request)
 {
 	return job_record_max_bytes(request->spec, request->received_wall_at) >
@@ -251,7 +252,7 @@
 
 /*
  * The id of a refused description may be that of a job that was accepted before. So the job is
- * looked up, and only without a record the user is told why the description is refused.
+ * looked up. Only if it has no record, the user is told why the description is refused.
  */
 static void receive_document(struct core *core, const struct core_request *received, const char *id,
 			     json_t *document)
--- a/src/core/api/user_requests.c
+++ b/src/core/api/user_requests.c
@@ -16,7 +16,7 @@
  * - "no such job": the job has no record.
  * - "busy": too many lookups wait already.
  * - "unknown outcome": a submission or cancellation may have been carried out, or may yet be. The
- *   user finds out by polling or by sending it again.
+ *   user can find out by a poll, or send it again.
  * - "state" with 503: the state service does not serve this controller. With 429: the state service
  *   limits the rate of this controller's requests.
  */
--- a/src/core/api/user_requests.h
+++ b/src/core/api/user_requests.h
@@ -23,8 +23,8 @@
 	struct job_spec *spec; /* owned; NULL in other kinds */
 	char *body; /* the body as received, NUL-terminated; owned; NULL in other kinds */
 	struct admission admission;
-	/* Cancellations only: the commit was sent but not answered. It may have been carried out,
-	 * or may yet be, so it is not sent again. */
+	/* Cancellations only: a transaction was sent but not answered. It may have been committed,
+	 * or may yet be, so this controller does not send another one. */
 	bool outcome_unknown;
 	struct user_request *prev, *next; /* in the list that owns it */
 };
