--- a/src/core/api/cancel_requests.c
+++ b/src/core/api/cancel_requests.c
@@ -1,3 +1,6 @@
+/*
+ * Commits cancellations to the open records of jobs.
+ */
 #include "core/api/cancel_requests.h"
 
 #include "core/api/cancellations.h"
@@ -8,16 +11,21 @@
 #include "util/log.h"
 #include "wire/names.h"
 
-/* The job's tasks are stopped by whoever leads, who may not read of it for a while. */
+/*
+ * The leader has to stop the job's tasks. It may be unable to read the change in the state service
+ * for a while, so the cancellation is also announced to all other controllers.
+ */
 static void on_committed(struct core *core, const char *id, uint64_t version)
 {
 	log_info("cancel_committed", "job=%s", id);
 	job_on_cancel_committed(core, id, version);
 	cancellations_announce(core, id, version);
-	cancellations_note_confirmed(core, id, version);
+	cancellations_record_confirmed(core, id, version);
 }
 
-static uint64_t revision_of(const struct call_answer *answer)
+/* Returns the revision of the committed transaction, which is the new version of the record that it
+ * wrote. */
+static uint64_t committed_revision(const struct call_answer *answer)
 {
 	json_t *document = wire_parse(answer->body, answer->len);
 	uint64_t revision = wire_revision(document);
@@ -26,13 +34,19 @@
 	return revision;
 }
 
+/*
+ * After a conflict, another transaction has changed or ended the job, so its records are read again
+ * and the cancellation is tried again. Without an answer, the transaction may have been committed,
+ * or may yet be: the records are read again to see if the job is cancelled. After any other failure
+ * it was not committed, so the request may be forwarded.
+ */
 static void on_commit_answer(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	struct user_request *request = call->arg;
 
 	store_update_availability(core, answer);
 	if (answer->status == STATUS_OK) {
-		on_committed(core, request->id, revision_of(answer));
+		on_committed(core, request->id, committed_revision(answer));
 		user_request_answer_cancelled(core, request);
 	} else if (answer->status == STATUS_CONFLICT) {
 		user_request_lookup(core, request);
@@ -40,16 +54,19 @@
 		request->outcome_unknown = true;
 		user_request_lookup(core, request);
 	} else {
-		user_request_unserved(core, request, answer);
+		user_request_forward_or_fail(core, request, answer);
 	}
 }
 
-static void commit(struct core *core, struct user_request *request, const struct kv_item *item)
+/* Sends the transaction that marks the open record `item` as cancelled. */
+static void commit_cancelled_record(struct core *core, struct user_request *request,
+				    const struct kv_item *item)
 {
 	json_t *value = job_record_cancelled_value(item->value);
 	struct txn txn;
 
-	/* A record made before a limit was lowered: where its job might run matters no more. */
+	/* A record that was written before a limit was lowered may now be too large. The list of
+	 * machine types can be removed: no more tasks of a cancelled job are placed. */
 	if (wire_value_bytes(value) > limits_value_bytes(core))
 		job_record_remove_machine_types(value);
 	txn_begin(&txn);
@@ -59,6 +76,11 @@
 	    user_request_free;
 }
 
+/*
+ * Cancels a job that is still open. The request is answered "unknown outcome" instead if an earlier
+ * transaction had no answer and may yet be committed, or if it is so old that the user will have
+ * given up before the answer arrives.
+ */
 static void cancel_open_job(struct core *core, struct user_request *request,
 			    const struct kv_item *item)
 {
@@ -69,7 +91,7 @@
 	else if (request->outcome_unknown || too_late)
 		user_request_fail(core, request, USER_ERROR_UNKNOWN_OUTCOME);
 	else
-		commit(core, request, item);
+		commit_cancelled_record(core, request, item);
 }
 
 static void on_open_record(struct core *core, struct call *call, const struct call_answer *answer)
@@ -86,7 +108,7 @@
 	if (document)
 		cancel_open_job(core, request, &item);
 	else
-		user_request_unserved(core, request, answer);
+		user_request_forward_or_fail(core, request, answer);
 	json_decref(document);
 }
 
--- a/src/core/api/forwarding.c
+++ b/src/core/api/forwarding.c
@@ -1,3 +1,6 @@
+/*
+ * Forwards users' requests to other controllers, and handles those that others forward.
+ */
 #include "core/api/forwarding.h"
 
 #include <stdio.h>
@@ -10,8 +13,8 @@
 #include "util/xalloc.h"
 #include "wire/names.h"
 
-/* The bytes of a message's field as a string, which the caller owns. */
-static char *text_of(const ProtobufCBinaryData *field)
+/* Returns the bytes of a message's field as a NUL-terminated string, which the caller owns. */
+static char *field_to_string(const ProtobufCBinaryData *field)
 {
 	return field->len ? xstrndup((const char *)field->data, field->len) : xstrdup("");
 }
@@ -30,14 +33,16 @@
 	free(forwarded);
 }
 
-/* --- from here to another controller --- */
+/* --- requests that this controller forwards --- */
 
-/* Which request a call forwards. */
+/* The request that a call forwards. */
 struct forward_context {
-	uint64_t connection; /* of the user */
-	size_t peer;
+	uint64_t connection; /* id of the user's connection */
+	size_t peer;	     /* index of the controller that the request was forwarded to */
 };
 
+/* Without a valid answer, the user gets 503 "state": the state service does not serve this
+ * controller, and forwarding failed. */
 static void on_forward_answer(struct core *core, struct call *call,
 			      const struct call_answer *answer)
 {
@@ -49,12 +54,13 @@
 		message = peer__forwarded_answer__unpack(NULL, answer->len,
 							 (const uint8_t *)answer->body);
 	peer_record_answer(core, context->peer, answer);
-	/* It is not served either, or does not answer: the outage concerns all for now. */
+	/* The peer does not answer, or the state service does not serve it either. Requests aren't
+	 * forwarded to it for a while, since the outage probably concerns it as well. */
 	if (!message || message->status == STATUS_UNAVAILABLE)
 		peer->no_forward_before = core->now + PEER_FORWARD_BACKOFF_S;
 	if (message) {
 		core_reply(core, context->connection, (int)message->status,
-			   (int)message->retry_after, text_of(&message->body));
+			   (int)message->retry_after, field_to_string(&message->body));
 		peer__forwarded_answer__free_unpacked(message, NULL);
 	} else {
 		core_reply_error(core, context->connection, STATUS_UNAVAILABLE, RETRY_AFTER_S,
@@ -63,8 +69,8 @@
 	free(context);
 }
 
-/* The path by which the user's request came. */
-static void request_path(char path[HTTP_PATH_MAX], const struct user_request *request)
+/* Writes the path on which the user's request arrived. */
+static void format_request_path(char path[HTTP_PATH_MAX], const struct user_request *request)
 {
 	if (request->kind == USER_SUBMIT)
 		snprintf(path, HTTP_PATH_MAX, W_PATH_JOBS);
@@ -78,7 +84,7 @@
 	Peer__ForwardedRequest message = PEER__FORWARDED_REQUEST__INIT;
 	char path[HTTP_PATH_MAX];
 
-	request_path(path, request);
+	format_request_path(path, request);
 	message.method = request->kind == USER_POLL ? "GET" : "POST";
 	message.path = path;
 	message.body.data = (uint8_t *)request->body;
@@ -101,8 +107,8 @@
 	call->free_arg = free;
 }
 
-/* The peer that answered last of those not backed off from; the number of peers if there is none.
- */
+/* Returns the peer with the newest answer of those to which requests may be forwarded now; the
+ * number of peers if there is none. */
 static size_t choose_peer(const struct core *core)
 {
 	size_t best = core->conf->peer_count;
@@ -132,9 +138,9 @@
 	return true;
 }
 
-/* --- from another controller to here --- */
+/* --- requests that other controllers forward to this one --- */
 
-static void note_forwarded(struct core *core, uint64_t connection)
+static void mark_forwarded(struct core *core, uint64_t connection)
 {
 	struct forwarded_request *forwarded = xcalloc(1, sizeof(*forwarded));
 
@@ -145,7 +151,7 @@
 static void handle_forwarded(struct core *core, uint64_t connection,
 			     const Peer__ForwardedRequest *message)
 {
-	char *body = text_of(&message->body);
+	char *body = field_to_string(&message->body);
 	struct core_request request = {
 	    .connection = connection,
 	    .side = CORE_BACK,
@@ -159,6 +165,7 @@
 	free(body);
 }
 
+/* The answer "forward" means that the message can't be decoded. */
 void forwarding_receive(struct core *core, const struct core_request *request)
 {
 	Peer__ForwardedRequest *message =
@@ -168,7 +175,7 @@
 		core_reply_error(core, request->connection, STATUS_BAD_REQUEST, 0, "forward");
 		return;
 	}
-	note_forwarded(core, request->connection);
+	mark_forwarded(core, request->connection);
 	handle_forwarded(core, request->connection, message);
 	peer__forwarded_request__free_unpacked(message, NULL);
 }
--- a/src/core/api/job_index_reads.c
+++ b/src/core/api/job_index_reads.c
@@ -1,4 +1,6 @@
-/* Reads of the jobs' records that keep the index current. */
+/*
+ * Reads the records of jobs and their changes, which keep the index current.
+ */
 #include "core/api/job_index.h"
 
 #include <stdio.h>
@@ -12,7 +14,7 @@
 	job_index_apply(core, item);
 }
 
-/* --- changes --- */
+/* --- reads of changes --- */
 
 static void apply_changes(struct core *core, const struct call_answer *answer)
 {
@@ -20,19 +22,23 @@
 	json_t *document = wire_parse(answer->body, answer->len);
 
 	wire_items_for_each(document, apply_item, core);
-	index->read_at = index->sent_at;
+	index->current_as_of = index->changes_sent_at;
 	if (wire_revision(document) > index->revision)
 		index->revision = wire_revision(document);
 	json_decref(document);
 }
 
-/* The same requests wait for another read. */
-static void retry_read(struct core *core)
+/* The batch of the read that was refused waits for another read. */
+static void requeue_batch(struct core *core)
 {
 	lookups_requeue_batch(core);
-	core->api.index.retry_at = core->now + INDEX_RETRY_S;
+	core->api.index.next_read_at = core->now + INDEX_RETRY_S;
 }
 
+/*
+ * 410: the state service no longer keeps all changes since the last read, so the open records are
+ * read again. 429: another read may succeed while the batch can wait.
+ */
 static void on_changes(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	(void)call;
@@ -43,9 +49,9 @@
 		lookups_answer_batch(core);
 	} else if (answer->status == STATUS_GONE) {
 		job_index_invalidate(core);
-		retry_read(core);
-	} else if (answer->status == STATUS_TOO_MANY_REQUESTS && lookups_batch_may_wait(core)) {
-		retry_read(core);
+		requeue_batch(core);
+	} else if (answer->status == STATUS_TOO_MANY_REQUESTS && lookups_batch_may_retry(core)) {
+		requeue_batch(core);
 	} else {
 		lookups_fail_batch(core, answer);
 	}
@@ -55,15 +61,15 @@
 {
 	struct job_index *index = &core->api.index;
 
-	index->retry_at = core->now + INDEX_BATCH_S;
-	index->sent_at = core->now;
+	index->next_read_at = core->now + INDEX_BATCH_S;
+	index->changes_sent_at = core->now;
 	lookups_begin_batch(core);
 	store_watch(core, KEY_JOBS, index->revision, 0, on_changes, NULL);
 }
 
-/* --- pages of open jobs --- */
+/* --- reads of pages of open records --- */
 
-/* The page's last key; empty if it has no items. */
+/* Returns the last key of the page; an empty string if the page is empty. */
 static const char *last_key(json_t *document)
 {
 	json_t *items = json_object_get(document, W_ITEMS);
@@ -74,14 +80,17 @@
 	return key ? json_string_value(key) : "";
 }
 
-/* Changes from the first page's revision on are read after the last page. */
+/*
+ * Applies a page. The pages are read at different revisions. So after the last page, the changes
+ * since the revision of the first page are read.
+ */
 static void apply_page(struct core *core, const struct call *call, json_t *document)
 {
 	struct job_index *index = &core->api.index;
 
 	if (!*index->cursor) {
 		index->revision = wire_revision(document);
-		index->read_at = call->sent_at;
+		index->current_as_of = call->sent_at;
 	}
 	wire_items_for_each(document, apply_item, core);
 	snprintf(index->cursor, sizeof(index->cursor), "%s", last_key(document));
@@ -91,6 +100,7 @@
 	}
 }
 
+/* If the read fails, the pages read so far stay valid: the next read continues after them. */
 static void on_page(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	struct job_index *index = &core->api.index;
@@ -99,31 +109,33 @@
 	index->read_in_flight = false;
 	store_update_availability(core, answer);
 	if (answer->status != STATUS_OK) {
-		index->retry_at = core->now + INDEX_RETRY_S;
+		index->next_read_at = core->now + INDEX_RETRY_S;
 		lookups_fail_waiting(core, answer);
 		return;
 	}
-	index->retry_at = core->now;
+	index->next_read_at = core->now;
 	document = wire_parse(answer->body, answer->len);
 	apply_page(core, call, document);
 	json_decref(document);
 }
 
-/* --- when to read --- */
+/* --- choice and timing of the next read --- */
 
-/* No request has come for a while: the changes are read before they are too many. */
+/* True if there was no lookup for so long that the changes should be read before they are too many
+ * for one answer. */
 static bool idle_read_due(const struct core *core)
 {
 	const struct job_index *index = &core->api.index;
 
 	return index->valid && !store_is_unavailable(core) &&
-	       core->now - index->sent_at > INDEX_IDLE_READ_S;
+	       core->now - index->changes_sent_at > INDEX_IDLE_READ_S;
 }
 
-/* One answer with all that may have changed since would be too large: the pages are read again. */
-static bool is_far_behind(const struct core *core)
+/* True if so many records may have changed since the last read, at the allowed rate of writes, that
+ * one answer with all changes would be too large. The pages are then read again. */
+static bool may_have_too_many_changes(const struct core *core)
 {
-	double age_s = core->now - core->api.index.read_at;
+	double age_s = core->now - core->api.index.current_as_of;
 
 	return age_s * core->conf->limits.write_rps > INDEX_CHANGES_MAX;
 }
@@ -132,7 +144,7 @@
 {
 	const struct job_index *index = &core->api.index;
 
-	if (index->read_in_flight || core->now < index->retry_at)
+	if (index->read_in_flight || core->now < index->next_read_at)
 		return false;
 	return lookups_waiting(core) || idle_read_due(core);
 }
@@ -143,7 +155,7 @@
 
 	if (!read_due(core))
 		return;
-	if (index->valid && is_far_behind(core))
+	if (index->valid && may_have_too_many_changes(core))
 		job_index_invalidate(core);
 	index->read_in_flight = true;
 	if (index->valid)
--- a/src/core/api/user_requests.c
+++ b/src/core/api/user_requests.c
@@ -1,3 +1,6 @@
+/*
+ * Users' requests: their answers, and the answers to those that fail.
+ */
 #include "core/api/user_requests.h"
 
 #include <stdlib.h>
@@ -8,6 +11,15 @@
 #include "core/state.h"
 #include "util/xalloc.h"
 
+/*
+ * The answers to requests that fail:
+ * - "no such job": the job has no record.
+ * - "busy": too many lookups wait already.
+ * - "unknown outcome": a submission or cancellation may have been carried out, or may yet be. The
+ *   user can find out by a poll, or send it again.
+ * - "state" with 503: the state service does not serve this controller. With 429: the state service
+ *   limits the rate of this controller's requests.
+ */
 static const struct error_reply user_errors[] = {
     [USER_ERROR_NO_SUCH_JOB] = {STATUS_NOT_FOUND, 0, "no such job"},
     [USER_ERROR_BUSY] = {STATUS_TOO_MANY_REQUESTS, RETRY_AFTER_BUSY_S, "busy"},
@@ -16,8 +28,8 @@
     [USER_ERROR_STORE_RATE_LIMIT] = {STATUS_TOO_MANY_REQUESTS, RETRY_AFTER_S, "state"},
 };
 
-struct user_request *user_request_new(struct core *core, uint64_t connection, enum user_kind kind,
-				      const char *id)
+struct user_request *user_request_new(struct core *core, uint64_t connection,
+				      enum user_request_kind kind, const char *id)
 {
 	struct user_request *request = xcalloc(1, sizeof(*request));
 
@@ -56,7 +68,7 @@
 	    wire_job_answer(request->id, status.state, status.done_count, status.running_count);
 
 	if (status.state == JOB_STATE_CANCELLED)
-		cancellations_note_confirmed(core, request->id, 0);
+		cancellations_record_confirmed(core, request->id, 0);
 	core_reply(core, request->connection, http_status, 0, body);
 	user_request_free(request);
 }
@@ -78,6 +90,7 @@
 	return true;
 }
 
+/* Answers with the error and frees the request. */
 static void fail_with(struct core *core, struct user_request *request, struct error_reply reply)
 {
 	core_reply_error(core, request->connection, reply.status, reply.retry_after_s, reply.text);
@@ -94,8 +107,8 @@
 	fail_with(core, request, admission_error(&request->admission));
 }
 
-void user_request_unserved(struct core *core, struct user_request *request,
-			   const struct call_answer *answer)
+void user_request_forward_or_fail(struct core *core, struct user_request *request,
+				  const struct call_answer *answer)
 {
 	if (answer->status == STATUS_TOO_MANY_REQUESTS)
 		user_request_fail(core, request, USER_ERROR_STORE_RATE_LIMIT);
