--- a/daemon/controller.c
+++ b/daemon/controller.c
@@ -21,7 +21,7 @@
 
 static struct core_time current_time(void)
 {
-	return (struct core_time){.steady = net_now(), .wall = net_wall()};
+	return (struct core_time){.steady = net_now(), .wall = net_wall_time()};
 }
 
 static void handle_request(void *context, uint64_t connection, enum net_side side,
@@ -86,7 +86,7 @@
 /* Another number for each controller and each of its starts. */
 static uint64_t make_seed(const struct conf *conf)
 {
-	double times[2] = {net_now(), net_wall()};
+	double times[2] = {net_now(), net_wall_time()};
 
 	return XXH3_64bits(times, sizeof(times)) ^ XXH3_64bits(conf->name, strlen(conf->name)) ^
 	       (uint64_t)getpid();
@@ -107,7 +107,7 @@
 
 static struct net *open_network(const struct conf *conf, struct controller *controller)
 {
-	static const struct net_ops ops = {.request = handle_request, .reply = handle_reply};
+	static const struct net_callbacks ops = {.request = handle_request, .reply = handle_reply};
 	/* With fewer than the settings allow, idle connections are closed sooner. */
 	int connections_max = open_files_raise(conf->max_connections) - NET_FILES_RESERVED;
 	/* An agent silent for its lease has lost its tasks; our own idle ones close first. */
--- a/src/core/election/election.c
+++ b/src/core/election/election.c
@@ -141,7 +141,7 @@
 	election->lease = 0;
 	election->token = 0;
 	election->renewal_in_flight = false;
-	log_token(0);
+	log_set_token(0);
 	core->events->leadership_lost(core);
 	election_invalidate_keys(core);
 }
--- a/src/core/election/leader_lease.c
+++ b/src/core/election/leader_lease.c
@@ -43,7 +43,7 @@
 	snprintf(election->leader, sizeof(election->leader), "%s", core->conf->name);
 	election->role = ROLE_RECOVERING;
 	core_invalidate_calls(core);
-	log_token(token);
+	log_set_token(token);
 	log_info("leader", "state=recovering");
 	core->events->leadership_won(core);
 }
--- a/src/core/records/transaction_commit.c
+++ b/src/core/records/transaction_commit.c
@@ -100,7 +100,7 @@
 		task_records_raise_format(core);
 		log_info("format", "raised=%d", FORMAT_NEWEST);
 	}
-	log_token(revision);
+	log_set_token(revision);
 	core->events->token_renewed(core);
 }
 
--- a/src/net/client_pool.c
+++ b/src/net/client_pool.c
@@ -21,10 +21,10 @@
 		client_pool_close(pool, pool->calls);
 	while (pool->idle)
 		client_pool_close(pool, pool->idle);
-	client_pool_reap(pool);
+	client_pool_free_closed(pool);
 }
 
-struct endpoint *client_pool_hold_endpoint(struct client_pool *pool, const char *address)
+struct endpoint *client_pool_acquire_endpoint(struct client_pool *pool, const char *address)
 {
 	struct endpoint *endpoint;
 
@@ -61,7 +61,7 @@
 	DL_DELETE2(pool->idle, connection, idle_prev, idle_next);
 }
 
-struct client_connection *client_pool_take_idle(struct client_pool *pool, struct endpoint *endpoint)
+struct client_connection *client_pool_pop_idle(struct client_pool *pool, struct endpoint *endpoint)
 {
 	struct client_connection *connection = endpoint->idle;
 
@@ -103,7 +103,7 @@
 {
 	DL_DELETE(pool->calls, connection);
 	connection->state = CLIENT_IDLE;
-	connection_release_buffers(&connection->base);
+	connection_free_empty_buffers(&connection->base);
 	idle_add(pool, connection);
 }
 
@@ -140,7 +140,7 @@
 	}
 }
 
-void client_pool_reap(struct client_pool *pool)
+void client_pool_free_closed(struct client_pool *pool)
 {
 	struct client_connection *connection, *next;
 
--- a/src/net/client_pool.h
+++ b/src/net/client_pool.h
@@ -25,7 +25,7 @@
 struct endpoint {
 	char address[NET_ADDR_MAX];
 	struct client_connection *idle; /* list, the most recently used first */
-	int references;	   /* one for each connection and client_pool_hold_endpoint() */
+	int references;	   /* one for each connection and client_pool_acquire_endpoint() */
 	UT_hash_handle hh; /* of the pool's `endpoints` */
 };
 
@@ -65,21 +65,20 @@
 
 /* Returns the endpoint of an address, which is created if there is none, with a reference for the
  * caller. client_pool_release_endpoint() releases that. */
-struct endpoint *client_pool_hold_endpoint(struct client_pool *pool, const char *address);
+struct endpoint *client_pool_acquire_endpoint(struct client_pool *pool, const char *address);
 /* Releases a reference to the endpoint. The endpoint is freed with its last reference. */
 void client_pool_release_endpoint(struct client_pool *pool, struct endpoint *endpoint);
 
 /* Removes and returns an idle connection to the endpoint; NULL if there is none. The caller must
  * call client_pool_begin_call() next. */
-struct client_connection *client_pool_take_idle(struct client_pool *pool,
-						struct endpoint *endpoint);
+struct client_connection *client_pool_pop_idle(struct client_pool *pool, struct endpoint *endpoint);
 
 /* Starts a new connection to the endpoint; returns NULL if that fails at once. The caller must call
  * client_pool_begin_call() next. */
 struct client_connection *client_pool_connect(struct client_pool *pool, struct endpoint *endpoint,
 					      const struct sockaddr_in *address);
 
-/* Assigns a call to a connection that client_pool_take_idle() or client_pool_connect() returned. */
+/* Assigns a call to a connection that client_pool_pop_idle() or client_pool_connect() returned. */
 void client_pool_begin_call(struct client_pool *pool, struct client_connection *connection,
 			    uint64_t call_id, double deadline_at);
 
@@ -94,7 +93,7 @@
 /* The connection that has been idle longest; NULL if none is idle. */
 struct client_connection *client_pool_longest_idle(const struct client_pool *pool);
 
-/* Closes the connection if it is open. Its memory remains valid until client_pool_reap(). */
+/* Closes the connection if it is open. Its memory remains valid until client_pool_free_closed(). */
 void client_pool_close(struct client_pool *pool, struct client_connection *connection);
 
 /* Closes the connections that have been idle for more than NET_CLIENT_IDLE_MAX_S. */
@@ -102,6 +101,6 @@
 
 /* Frees the closed connections. To be called when no event that epoll reported can point to them
  * any more. */
-void client_pool_reap(struct client_pool *pool);
+void client_pool_free_closed(struct client_pool *pool);
 
 #endif
--- a/src/net/clock.c
+++ b/src/net/clock.c
@@ -16,7 +16,7 @@
 	return seconds_of(CLOCK_MONOTONIC);
 }
 
-double net_wall(void)
+double net_wall_time(void)
 {
 	return seconds_of(CLOCK_REALTIME);
 }
--- a/src/net/clock.h
+++ b/src/net/clock.h
@@ -8,6 +8,6 @@
 
 /* The wall clock: seconds since 1970. Times of two machines can be compared as far as their clocks
  * agree. */
-double net_wall(void);
+double net_wall_time(void);
 
 #endif
--- a/src/net/connection.c
+++ b/src/net/connection.c
@@ -59,7 +59,7 @@
 {
 	/* One byte more, for the NUL: without it, bytes that an earlier, longer message left in
 	 * memory would follow this one. */
-	char *room = buf_room(&connection->input, NET_READ_CHUNK_BYTES + 1);
+	char *room = buf_reserve(&connection->input, NET_READ_CHUNK_BYTES + 1);
 	ssize_t received;
 
 	do {
@@ -94,7 +94,8 @@
 	bool unsent;
 
 	while (output->len) {
-		ssize_t sent = send(connection->fd, buf_at(output), output->len, MSG_NOSIGNAL);
+		ssize_t sent =
+		    send(connection->fd, buf_contents(output), output->len, MSG_NOSIGNAL);
 
 		if (sent < 0 && errno == EINTR)
 			continue;
@@ -102,7 +103,7 @@
 			return CONNECTION_BROKEN;
 		if (sent < 0)
 			break;
-		buf_drop(output, (size_t)sent);
+		buf_consume(output, (size_t)sent);
 	}
 	unsent = output->len > 0;
 	if (unsent != connection->awaits_write) {
@@ -112,7 +113,7 @@
 	return CONNECTION_OK;
 }
 
-void connection_release_buffers(struct connection *connection)
+void connection_free_empty_buffers(struct connection *connection)
 {
 	if (!connection->input.len)
 		buf_free(&connection->input);
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -90,7 +90,7 @@
 					struct connection *connection);
 
 /* Frees the memory of the buffers that are empty, since thousands of connections may be idle. */
-void connection_release_buffers(struct connection *connection);
+void connection_free_empty_buffers(struct connection *connection);
 
 /* Frees both buffers with their contents. */
 void connection_free_buffers(struct connection *connection);
--- a/src/net/connection_limit.c
+++ b/src/net/connection_limit.c
@@ -58,7 +58,7 @@
  * the caller that is being answered, by a header in the response: its next request is the furthest
  * ahead. Then only as many callers reconnect as there are too many.
  */
-bool connection_limit_sheds_caller(struct connection_limit *limit)
+bool connection_limit_should_close_caller(struct connection_limit *limit)
 {
 	int max = caller_max(limit);
 	struct client_connection *idle;
--- a/src/net/connection_limit.h
+++ b/src/net/connection_limit.h
@@ -32,6 +32,6 @@
  * after the response, because nearly all sockets for callers are in use. If a connection of our own
  * is idle, that one is closed instead and false is returned.
  */
-bool connection_limit_sheds_caller(struct connection_limit *limit);
+bool connection_limit_should_close_caller(struct connection_limit *limit);
 
 #endif
--- a/src/net/http.c
+++ b/src/net/http.c
@@ -202,15 +202,16 @@
 
 /*
  * Removes the next line from the front of `rest`, and sets `line` to it without its LF or CR LF.
- * Returns HTTP_MORE if the line is incomplete, and HTTP_BAD if it exceeds HTTP_HEAD_MAX, counted
- * from `head`.
+ * Returns HTTP_INCOMPLETE if the line is incomplete, and HTTP_BAD if it exceeds HTTP_HEAD_MAX,
+ * counted from `head`.
  */
 static enum http_result next_line(const char *head, struct span *rest, struct span *line)
 {
 	const char *newline = memchr(rest->at, '\n', rest->len);
 
 	if (!newline)
-		return (size_t)(rest->at - head) + rest->len > HTTP_HEAD_MAX ? HTTP_BAD : HTTP_MORE;
+		return (size_t)(rest->at - head) + rest->len > HTTP_HEAD_MAX ? HTTP_BAD
+									     : HTTP_INCOMPLETE;
 	if ((size_t)(newline - head) > HTTP_HEAD_MAX)
 		return HTTP_BAD;
 	*line = span_between(rest->at, newline);
@@ -246,7 +247,7 @@
 	msg->body = rest.at;
 	if (msg->body_len > max_body)
 		return HTTP_TOO_LARGE;
-	return rest.len >= msg->body_len ? HTTP_OK : HTTP_MORE;
+	return rest.len >= msg->body_len ? HTTP_OK : HTTP_INCOMPLETE;
 }
 
 const char *http_reason(int status)
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -15,8 +15,8 @@
 
 /* The result of parsing a message. */
 enum http_result {
-	HTTP_MORE, /* the message is incomplete so far */
-	HTTP_OK,   /* the message is complete */
+	HTTP_INCOMPLETE, /* the message is incomplete so far */
+	HTTP_OK,	 /* the message is complete */
 	/* Not a message of HTTP/1.x, its head exceeds HTTP_HEAD_MAX, or it has a Transfer-Encoding,
 	 * such as a chunked body. */
 	HTTP_BAD,
--- a/src/net/http_client.c
+++ b/src/net/http_client.c
@@ -16,7 +16,7 @@
 static void report_failure(struct http_client *client, uint64_t call_id,
 			   enum net_call_failure failure)
 {
-	client->ops->reply(client->ops_context, call_id, failure, "", 0);
+	client->ops->reply(client->callback_context, call_id, failure, "", 0);
 }
 
 /* Closes a connection whose call ends without a response, and tells the callback. */
@@ -56,8 +56,8 @@
 {
 	/* This reference keeps the endpoint meanwhile: it may be new, and making way for a new
 	 * connection may close the only other one to it. */
-	struct endpoint *endpoint = client_pool_hold_endpoint(client->pool, address);
-	struct client_connection *connection = client_pool_take_idle(client->pool, endpoint);
+	struct endpoint *endpoint = client_pool_acquire_endpoint(client->pool, address);
+	struct client_connection *connection = client_pool_pop_idle(client->pool, endpoint);
 
 	if (!connection)
 		connection = connect_to(client, endpoint);
@@ -110,7 +110,7 @@
 		client_pool_close(client->pool, connection);
 	else
 		client_pool_end_call(client->pool, connection);
-	client->ops->reply(client->ops_context, call_id, response->status, response->body,
+	client->ops->reply(client->callback_context, call_id, response->status, response->body,
 			   response->body_len);
 	buf_free(&received);
 }
@@ -126,8 +126,9 @@
 				  connection); /* no request was sent, so these bytes answer none */
 		return;
 	}
-	switch (http_parse(&response, buf_at(input), input->len, HTTP_RESPONSE, HTTP_REPLY_MAX)) {
-	case HTTP_MORE:
+	switch (
+	    http_parse(&response, buf_contents(input), input->len, HTTP_RESPONSE, HTTP_REPLY_MAX)) {
+	case HTTP_INCOMPLETE:
 		break;
 	case HTTP_OK:
 		deliver_response(client, connection, &response);
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -56,13 +56,13 @@
 		    int retry_after_s, const char *body, size_t body_len)
 {
 	connection->awaits_response = false;
-	server_connection_touch(server->connections, connection);
-	if (connection_limit_sheds_caller(server->limit))
+	server_connection_mark_active(server->connections, connection);
+	if (connection_limit_should_close_caller(server->limit))
 		connection->close_after_response = true;
 	write_response(connection, status, retry_after_s, body, body_len);
 	flush(server, connection);
 	if (!connection->base.closed)
-		connection_release_buffers(&connection->base);
+		connection_free_empty_buffers(&connection->base);
 }
 
 void http_server_respond(struct http_server *server, uint64_t connection_id, int status,
@@ -101,11 +101,11 @@
 	memcpy(body, request->body, body_len);
 	body[body_len] = 0;
 	/* After this, request->path and request->body are no longer valid. */
-	buf_drop(&connection->base.input, request->head_len + body_len);
+	buf_consume(&connection->base.input, request->head_len + body_len);
 	connection->awaits_response = true;
 	connection->close_after_response = request->close;
-	server->ops->request(server->ops_context, connection->id, connection->side, request->method,
-			     path, body, body_len);
+	server->ops->request(server->callback_context, connection->id, connection->side,
+			     request->method, path, body, body_len);
 	free(body);
 }
 
@@ -120,10 +120,10 @@
 
 	while (!connection->base.closed && !connection->awaits_response && input->len) {
 		struct http_msg request;
-		enum http_result result = http_parse(&request, buf_at(input), input->len,
+		enum http_result result = http_parse(&request, buf_contents(input), input->len,
 						     HTTP_REQUEST, body_max(connection));
 
-		if (result == HTTP_MORE)
+		if (result == HTTP_INCOMPLETE)
 			return;
 		if (result == HTTP_TOO_LARGE) {
 			reject_request(server, connection, STATUS_PAYLOAD_TOO_LARGE);
@@ -153,6 +153,6 @@
 		return;
 	}
 	if (was_empty && base->input.len)
-		server_connection_touch(server->connections, connection);
+		server_connection_mark_active(server->connections, connection);
 	handle_input(server, connection);
 }
--- a/src/net/net.c
+++ b/src/net/net.c
@@ -29,14 +29,14 @@
 	struct connection_limit limit;
 	struct http_server http_server;
 	struct http_client http_client;
-	struct listener listeners[NET_SIDES];
+	struct listener listeners[NET_SIDE_COUNT];
 	double caller_idle_max_s;
 	double iteration_ended_at;  /* when the previous iteration had handled its events */
 	double next_sweep_at;	    /* when timeouts are checked next */
 	struct epoll_event *events; /* of the present iteration: up to limit.max; owned */
 };
 
-struct net *net_new(const struct net_ops *ops, void *ctx, int max_conns, double idle_s)
+struct net *net_new(const struct net_callbacks *ops, void *ctx, int max_conns, double idle_s)
 {
 	struct net *net = xcalloc(1, sizeof(*net));
 
@@ -53,13 +53,13 @@
 	    .connections = &net->servers,
 	    .limit = &net->limit,
 	    .ops = ops,
-	    .ops_context = ctx,
+	    .callback_context = ctx,
 	};
 	net->http_client = (struct http_client){
 	    .pool = &net->clients,
 	    .limit = &net->limit,
 	    .ops = ops,
-	    .ops_context = ctx,
+	    .callback_context = ctx,
 	};
 	listener_init(&net->listeners[NET_FRONT], NET_FRONT);
 	listener_init(&net->listeners[NET_BACK], NET_BACK);
@@ -72,7 +72,7 @@
 {
 	server_connections_free(&net->servers);
 	client_pool_free(&net->clients);
-	for (int side = 0; side < NET_SIDES; side++)
+	for (int side = 0; side < NET_SIDE_COUNT; side++)
 		listener_free(&net->listeners[side]);
 	connection_set_free(&net->connections);
 	free(net->events);
@@ -143,7 +143,7 @@
 static void close_overdue(struct net *net, double now)
 {
 	http_client_expire_calls(&net->http_client, now);
-	server_connections_close_silent(&net->servers, now, net->caller_idle_max_s);
+	server_connections_close_timed_out(&net->servers, now, net->caller_idle_max_s);
 	client_pool_close_idle(&net->clients, now);
 }
 
@@ -186,6 +186,6 @@
 		net->next_sweep_at = net->iteration_ended_at + NET_SWEEP_MS / 1000.0;
 		close_overdue(net, net->iteration_ended_at);
 	}
-	server_connections_reap(&net->servers);
-	client_pool_reap(&net->clients);
+	server_connections_free_closed(&net->servers);
+	client_pool_free_closed(&net->clients);
 }
--- a/src/net/net.h
+++ b/src/net/net.h
@@ -21,7 +21,7 @@
 };
 
 /* Number of values of enum net_side. */
-#define NET_SIDES 2
+#define NET_SIDE_COUNT 2
 
 /* The status of a call that ended without an HTTP status. */
 enum net_call_failure {
@@ -34,7 +34,7 @@
  * valid during the callback only. A NUL follows each body; `len` does not count it. Callbacks may
  * call net_send() and net_answer(), but not net_poll().
  */
-struct net_ops {
+struct net_callbacks {
 	/* A request arrived. It is answered with net_answer() and `conn`, at once or later. */
 	void (*request)(void *ctx, uint64_t conn, enum net_side side, const char *method,
 			const char *path, const char *body, size_t len);
@@ -63,7 +63,7 @@
  * is closed once it has been idle for `idle_s` seconds, or earlier when sockets run short. `ops` is
  * not copied and must outlive the loop.
  */
-struct net *net_new(const struct net_ops *ops, void *ctx, int max_conns, double idle_s);
+struct net *net_new(const struct net_callbacks *ops, void *ctx, int max_conns, double idle_s);
 
 /* Closes all sockets and frees the loop. Calls in flight end without their callback. */
 void net_free(struct net *net);
--- a/src/net/server_connections.c
+++ b/src/net/server_connections.c
@@ -19,7 +19,7 @@
 {
 	while (connections->by_activity)
 		server_connection_close(connections, connections->by_activity);
-	server_connections_reap(connections);
+	server_connections_free_closed(connections);
 }
 
 struct server_connection *server_connections_add(struct server_connections *connections, int fd,
@@ -48,8 +48,8 @@
 	return connection;
 }
 
-void server_connection_touch(struct server_connections *connections,
-			     struct server_connection *connection)
+void server_connection_mark_active(struct server_connections *connections,
+				   struct server_connection *connection)
 {
 	connection->active_at = net_now();
 	DL_DELETE(connections->by_activity, connection);
@@ -84,8 +84,8 @@
 	return NULL;
 }
 
-void server_connections_close_silent(struct server_connections *connections, double now,
-				     double idle_max_s)
+void server_connections_close_timed_out(struct server_connections *connections, double now,
+					double idle_max_s)
 {
 	struct server_connection *connection, *next;
 
@@ -101,7 +101,7 @@
 	}
 }
 
-void server_connections_reap(struct server_connections *connections)
+void server_connections_free_closed(struct server_connections *connections)
 {
 	struct server_connection *connection, *next;
 
--- a/src/net/server_connections.h
+++ b/src/net/server_connections.h
@@ -57,10 +57,11 @@
 						  uint64_t id);
 
 /* Records activity on the connection at the present time. */
-void server_connection_touch(struct server_connections *connections,
-			     struct server_connection *connection);
+void server_connection_mark_active(struct server_connections *connections,
+				   struct server_connection *connection);
 
-/* Closes the connection if it is open. Its memory remains valid until server_connections_reap(). */
+/* Closes the connection if it is open. Its memory remains valid until
+ * server_connections_free_closed(). */
 void server_connection_close(struct server_connections *connections,
 			     struct server_connection *connection);
 
@@ -75,11 +76,11 @@
  * NET_MESSAGE_TIMEOUT_S, a request is only partly received or the caller has not read all of a
  * response. A connection stays open while its request is being answered.
  */
-void server_connections_close_silent(struct server_connections *connections, double now,
-				     double idle_max_s);
+void server_connections_close_timed_out(struct server_connections *connections, double now,
+					double idle_max_s);
 
 /* Frees the closed connections. To be called when no event that epoll reported can point to them
  * any more. */
-void server_connections_reap(struct server_connections *connections);
+void server_connections_free_closed(struct server_connections *connections);
 
 #endif
--- a/src/util/buf.c
+++ b/src/util/buf.c
@@ -33,7 +33,7 @@
 	buf->capacity = capacity;
 }
 
-char *buf_room(struct buf *buf, size_t len)
+char *buf_reserve(struct buf *buf, size_t len)
 {
 	if (buf->start && (buf->len == 0 || buf->start + buf->len + len > buf->capacity))
 		move_to_front(buf);
@@ -46,7 +46,7 @@
 {
 	if (!len)
 		return;
-	memcpy(buf_room(buf, len), bytes, len);
+	memcpy(buf_reserve(buf, len), bytes, len);
 	buf->len += len;
 }
 
@@ -61,12 +61,12 @@
 	if (len <= 0)
 		return;
 	va_start(arguments, format);
-	vsnprintf(buf_room(buf, (size_t)len + 1), (size_t)len + 1, format, arguments);
+	vsnprintf(buf_reserve(buf, (size_t)len + 1), (size_t)len + 1, format, arguments);
 	va_end(arguments);
 	buf->len += (size_t)len;
 }
 
-void buf_drop(struct buf *buf, size_t len)
+void buf_consume(struct buf *buf, size_t len)
 {
 	buf->start += len;
 	buf->len -= len;
--- a/src/util/buf.h
+++ b/src/util/buf.h
@@ -26,17 +26,17 @@
  * writes there and adds the number of written bytes to buf->len. Earlier pointers into the buffer
  * become invalid.
  */
-char *buf_room(struct buf *buf, size_t len);
+char *buf_reserve(struct buf *buf, size_t len);
 
 /* Removes the first `len` bytes of the contents. `len` is at most buf->len. */
-void buf_drop(struct buf *buf, size_t len);
+void buf_consume(struct buf *buf, size_t len);
 
 /* Frees the memory. The buffer is empty afterwards and can be used again. */
 void buf_free(struct buf *buf);
 
 /* The contents: buf->len bytes without a terminating NUL. The pointer is valid until the buffer
  * changes. */
-static inline char *buf_at(const struct buf *buf)
+static inline char *buf_contents(const struct buf *buf)
 {
 	return buf->data + buf->start;
 }
--- a/src/util/log.c
+++ b/src/util/log.c
@@ -32,12 +32,12 @@
 	log_error("log_level", "value=%.32s reason=unknown_level used=info", level);
 }
 
-void log_token(unsigned long long token)
+void log_set_token(unsigned long long token)
 {
 	leader_token = token;
 }
 
-int log_on(enum log_level level)
+int log_enabled(enum log_level level)
 {
 	return level <= most_detailed;
 }
@@ -49,7 +49,7 @@
 	va_list arguments;
 	int len, details_len;
 
-	if (!log_on(level))
+	if (!log_enabled(level))
 		return;
 	len = snprintf(line, sizeof(line), "level=%s node=%s token=%llu event=%s ",
 		       level_names[level], node_name, leader_token, event);
--- a/src/util/log.h
+++ b/src/util/log.h
@@ -17,10 +17,10 @@
 void log_setup(const char *node, const char *level);
 
 /* Sets the fencing token that all further lines contain. 0: this controller is not the leader. */
-void log_token(unsigned long long token);
+void log_set_token(unsigned long long token);
 
 /* True if lines of this level are written. */
-int log_on(enum log_level level);
+int log_enabled(enum log_level level);
 
 /*
  * Writes one line with a single write(), if its level is written. A line that is too long is
@@ -34,12 +34,12 @@
 #define log_error(event, ...) log_line(LOG_ERROR, event, __VA_ARGS__)
 #define log_info(event, ...)                                                                       \
 	do {                                                                                       \
-		if (log_on(LOG_INFO))                                                              \
+		if (log_enabled(LOG_INFO))                                                         \
 			log_line(LOG_INFO, event, __VA_ARGS__);                                    \
 	} while (0)
 #define log_debug(event, ...)                                                                      \
 	do {                                                                                       \
-		if (log_on(LOG_DEBUG))                                                             \
+		if (log_enabled(LOG_DEBUG))                                                        \
 			log_line(LOG_DEBUG, event, __VA_ARGS__);                                   \
 	} while (0)
 
--- a/src/wire/transaction.c
+++ b/src/wire/transaction.c
@@ -99,7 +99,7 @@
 static void add_list(struct buf *out, const struct buf *list)
 {
 	if (list->len)
-		buf_add(out, buf_at(list), list->len);
+		buf_add(out, buf_contents(list), list->len);
 }
 
 char *txn_finish(struct txn *txn)
@@ -112,7 +112,7 @@
 	buf_addf(&out, "],\"" W_THEN "\":[");
 	add_list(&out, &txn->ops);
 	buf_add(&out, "]}", 2);
-	text = xalloc_checked(strndup(buf_at(&out), out.len));
+	text = xalloc_checked(strndup(buf_contents(&out), out.len));
 	buf_free(&out);
 	txn_abandon(txn);
 	return text;
--- a/tests/loopback/loopback.c
+++ b/tests/loopback/loopback.c
@@ -164,7 +164,7 @@
 /* 0, or -1 if the server can't listen. */
 static int start_server(struct loopback *loopback, int index)
 {
-	static const struct net_ops operations = {.request = take_request};
+	static const struct net_callbacks operations = {.request = take_request};
 	struct loopback_server *server = &loopback->servers[index];
 
 	server->loopback = loopback;
@@ -180,7 +180,7 @@
 
 int loopback_init(struct loopback *loopback)
 {
-	static const struct net_ops operations = {.reply = loopback_take_reply};
+	static const struct net_callbacks operations = {.reply = loopback_take_reply};
 
 	signal(SIGPIPE, SIG_IGN);
 	snprintf(loopback->dir, sizeof(loopback->dir), "/tmp/ploverloft-loopback-XXXXXX");
--- a/tests/runner/main.c
+++ b/tests/runner/main.c
@@ -84,7 +84,7 @@
 	}
 	set_up_log();
 	world_init(&world, options.scenario);
-	world.standin.verbose = log_on(LOG_INFO);
+	world.standin.verbose = log_enabled(LOG_INFO);
 	if (!set_up_trace(&world, &options))
 		return STATUS_USAGE;
 	scenario_play(&world, file);
--- a/tests/unit/net_support.c
+++ b/tests/unit/net_support.c
@@ -67,7 +67,7 @@
 
 void test_server_start(struct test_server *server, int callers)
 {
-	static const struct net_ops callbacks = {answer_request, count_reply};
+	static const struct net_callbacks callbacks = {answer_request, count_reply};
 
 	*server = (struct test_server){0};
 	server->net = net_new(&callbacks, server, callers + NET_CONNS_RESERVED, IDLE_S);
--- a/tests/unit/test_http.c
+++ b/tests/unit/test_http.c
@@ -62,8 +62,8 @@
 static void test_request_incomplete(void **state)
 {
 	static const struct request_case cases[] = {
-	    {"body cut off", "POST /a HTTP/1.1\r\nContent-Length: 3\r\n\r\nab", HTTP_MORE},
-	    {"header cut off", "POST /a HTTP/1.1\r\nContent-Le", HTTP_MORE},
+	    {"body cut off", "POST /a HTTP/1.1\r\nContent-Length: 3\r\n\r\nab", HTTP_INCOMPLETE},
+	    {"header cut off", "POST /a HTTP/1.1\r\nContent-Le", HTTP_INCOMPLETE},
 	};
 
 	(void)state;
@@ -139,8 +139,9 @@
 
 	(void)state;
 	for (size_t length = 0; length < strlen(text); length++)
-		wrong += row_differs(text + length,
-				     parse_bytes(&message, text, length, HTTP_REQUEST), HTTP_MORE);
+		wrong +=
+		    row_differs(text + length, parse_bytes(&message, text, length, HTTP_REQUEST),
+				HTTP_INCOMPLETE);
 	assert_int_equal(wrong, 0);
 	assert_int_equal(parse_text(&message, text, HTTP_REQUEST), HTTP_OK);
 	assert_int_equal(message.body_len, 4);
--- a/tests/unit/test_net_bodies.c
+++ b/tests/unit/test_net_bodies.c
@@ -54,8 +54,8 @@
 /* Makes both calls, one after the other. */
 static void call_twice(struct two_answers *two)
 {
-	static const struct net_ops server_callbacks = {answer_long_then_short, NULL};
-	static const struct net_ops client_callbacks = {NULL, take_answer};
+	static const struct net_callbacks server_callbacks = {answer_long_then_short, NULL};
+	static const struct net_callbacks client_callbacks = {NULL, take_answer};
 	struct net *client = net_new(&client_callbacks, two, CONNECTIONS, IDLE_S);
 	struct loopback_address address;
 
@@ -130,8 +130,8 @@
 /* Makes the call to a server's side for users and workers or to that for controllers. */
 static struct large_call call_with_large_body(enum net_side side)
 {
-	static const struct net_ops server_callbacks = {take_large_request, NULL};
-	static const struct net_ops client_callbacks = {NULL, take_status};
+	static const struct net_callbacks server_callbacks = {take_large_request, NULL};
+	static const struct net_callbacks client_callbacks = {NULL, take_status};
 	struct large_call large = {.status = NO_STATUS};
 	struct net *client = net_new(&client_callbacks, &large, CONNECTIONS, IDLE_S);
 	char *body = xcalloc(1, LARGE_BODY);
