--- a/src/net/clock.c
+++ b/src/net/clock.c
@@ -3,7 +3,7 @@
 
 #include <time.h>
 
-static double seconds_of(clockid_t clock)
+static double read_clock_s(clockid_t clock)
 {
 	struct timespec time;
 
@@ -13,10 +13,10 @@
 
 double net_now(void)
 {
-	return seconds_of(CLOCK_MONOTONIC);
+	return read_clock_s(CLOCK_MONOTONIC);
 }
 
 double net_wall_time(void)
 {
-	return seconds_of(CLOCK_REALTIME);
+	return read_clock_s(CLOCK_REALTIME);
 }
--- a/src/net/connection.c
+++ b/src/net/connection.c
@@ -26,7 +26,8 @@
 }
 
 /* Tells epoll which events of the connection to report. `operation` is that of epoll_ctl(). */
-static void watch(const struct connection_set *set, struct connection *connection, int operation)
+static void set_epoll_events(const struct connection_set *set, struct connection *connection,
+			     int operation)
 {
 	struct epoll_event event = {.events = EPOLLIN | (connection->awaits_write ? EPOLLOUT : 0),
 				    .data.ptr = connection};
@@ -36,13 +37,13 @@
 
 void connection_set_add_listener(struct connection_set *set, struct connection *listener)
 {
-	watch(set, listener, EPOLL_CTL_ADD);
+	set_epoll_events(set, listener, EPOLL_CTL_ADD);
 }
 
 void connection_set_add(struct connection_set *set, struct connection *connection)
 {
 	set->open_count++;
-	watch(set, connection, EPOLL_CTL_ADD);
+	set_epoll_events(set, connection, EPOLL_CTL_ADD);
 }
 
 void connection_set_close(struct connection_set *set, struct connection *connection)
@@ -91,7 +92,7 @@
 					struct connection *connection)
 {
 	struct buf *output = &connection->output;
-	bool unsent;
+	bool has_unsent;
 
 	while (output->len) {
 		ssize_t sent =
@@ -105,10 +106,10 @@
 			break;
 		buf_consume(output, (size_t)sent);
 	}
-	unsent = output->len > 0;
-	if (unsent != connection->awaits_write) {
-		connection->awaits_write = unsent;
-		watch(set, connection, EPOLL_CTL_MOD);
+	has_unsent = output->len > 0;
+	if (has_unsent != connection->awaits_write) {
+		connection->awaits_write = has_unsent;
+		set_epoll_events(set, connection, EPOLL_CTL_MOD);
 	}
 	return CONNECTION_OK;
 }
--- a/src/net/connection_limit.c
+++ b/src/net/connection_limit.c
@@ -5,7 +5,7 @@
 #include "net/clock.h"
 #include "util/log.h"
 
-static void log_evicted(enum connection_kind kind, double idle_since)
+static void log_eviction(enum connection_kind kind, double idle_since)
 {
 	log_debug("connection_evicted", "kind=%d idle=%.1f", kind, net_now() - idle_since);
 }
@@ -23,13 +23,13 @@
 	struct server_connection *server;
 
 	if (client) {
-		log_evicted(CONNECTION_CLIENT, client->idle_since);
+		log_eviction(CONNECTION_CLIENT, client->idle_since);
 		client_pool_close(limit->clients, client);
 		return true;
 	}
 	server = server_connections_longest_idle(limit->servers);
 	if (server) {
-		log_evicted(CONNECTION_SERVER, server->active_at);
+		log_eviction(CONNECTION_SERVER, server->active_at);
 		server_connection_close(limit->servers, server);
 		return true;
 	}
@@ -39,14 +39,14 @@
 
 /* The number of open connections, of both kinds, from which on a further caller is admitted only
  * after an eviction. */
-static int caller_max(const struct connection_limit *limit)
+static int caller_admission_max(const struct connection_limit *limit)
 {
 	return limit->max - NET_CONNS_RESERVED;
 }
 
 bool connection_limit_admit(struct connection_limit *limit, enum connection_kind kind)
 {
-	int max = kind == CONNECTION_SERVER ? caller_max(limit) : limit->max;
+	int max = kind == CONNECTION_SERVER ? caller_admission_max(limit) : limit->max;
 
 	return limit->set->open_count < max || evict_longest_idle(limit);
 }
@@ -60,7 +60,7 @@
  */
 bool connection_limit_should_close_caller(struct connection_limit *limit)
 {
-	int max = caller_max(limit);
+	int max = caller_admission_max(limit);
 	struct client_connection *idle;
 
 	if (limit->set->open_count <= max - max / NET_SPARE_CONNS_DIVISOR)
--- a/src/net/http_client.c
+++ b/src/net/http_client.c
@@ -16,7 +16,7 @@
 static void report_failure(struct http_client *client, uint64_t call_id,
 			   enum net_call_failure failure)
 {
-	client->ops->reply(client->callback_context, call_id, failure, "", 0);
+	client->callbacks->reply(client->callback_context, call_id, failure, "", 0);
 }
 
 /* Closes a connection whose call ends without a response, and tells the callback. */
@@ -110,8 +110,8 @@
 		client_pool_close(client->pool, connection);
 	else
 		client_pool_end_call(client->pool, connection);
-	client->ops->reply(client->callback_context, call_id, response->status, response->body,
-			   response->body_len);
+	client->callbacks->reply(client->callback_context, call_id, response->status,
+				 response->body, response->body_len);
 	buf_free(&received);
 }
 
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -15,8 +15,8 @@
 struct http_client {
 	struct client_pool *pool;
 	struct connection_limit *limit;
-	const struct net_callbacks *ops; /* the callbacks */
-	void *callback_context;		 /* their `ctx` */
+	const struct net_callbacks *callbacks;
+	void *callback_context; /* `ctx` of the callbacks */
 };
 
 /* Sends a call as net_send() does. If that fails at once, the callback runs before this returns. */
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -23,7 +23,7 @@
 
 /* Sends as much output as the socket accepts. Closes the connection if it broke, or if its last
  * response is sent completely. */
-static void flush(struct http_server *server, struct server_connection *connection)
+static void flush_or_close(struct http_server *server, struct server_connection *connection)
 {
 	enum connection_result result =
 	    connection_flush(server->connections->set, &connection->base);
@@ -60,7 +60,7 @@
 	if (connection_limit_should_close_caller(server->limit))
 		connection->close_after_response = true;
 	write_response(connection, status, retry_after_s, body, body_len);
-	flush(server, connection);
+	flush_or_close(server, connection);
 	if (!connection->base.closed)
 		connection_free_empty_buffers(&connection->base);
 }
@@ -104,8 +104,8 @@
 	buf_consume(&connection->base.input, request->head_len + body_len);
 	connection->awaits_response = true;
 	connection->close_after_response = request->close;
-	server->ops->request(server->callback_context, connection->id, connection->side,
-			     request->method, path, body, body_len);
+	server->callbacks->request(server->callback_context, connection->id, connection->side,
+				   request->method, path, body, body_len);
 	free(body);
 }
 
@@ -144,7 +144,7 @@
 	bool was_empty = base->input.len == 0;
 
 	if (!base->closed && (events & EPOLLOUT))
-		flush(server, connection);
+		flush_or_close(server, connection);
 	if (base->closed || !(events & (EPOLLIN | EPOLLERR | EPOLLHUP)))
 		return;
 	if (connection_read(base, body_max(connection) + HTTP_HEAD_MAX, extent) ==
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -17,8 +17,8 @@
 struct http_server {
 	struct server_connections *connections;
 	struct connection_limit *limit;
-	const struct net_callbacks *ops; /* the callbacks */
-	void *callback_context;		 /* their `ctx` */
+	const struct net_callbacks *callbacks;
+	void *callback_context; /* `ctx` of the callbacks */
 };
 
 /* Handles the events that epoll reported for a connection. `events` is a mask of EPOLLIN and
--- a/src/net/net.c
+++ b/src/net/net.c
@@ -36,7 +36,8 @@
 	struct epoll_event *events; /* of the present iteration: up to limit.max; owned */
 };
 
-struct net *net_new(const struct net_callbacks *ops, void *ctx, int max_conns, double idle_s)
+struct net *net_new(const struct net_callbacks *callbacks, void *ctx, int max_conns,
+		    double caller_idle_max_s)
 {
 	struct net *net = xcalloc(1, sizeof(*net));
 
@@ -52,18 +53,18 @@
 	net->http_server = (struct http_server){
 	    .connections = &net->servers,
 	    .limit = &net->limit,
-	    .ops = ops,
+	    .callbacks = callbacks,
 	    .callback_context = ctx,
 	};
 	net->http_client = (struct http_client){
 	    .pool = &net->clients,
 	    .limit = &net->limit,
-	    .ops = ops,
+	    .callbacks = callbacks,
 	    .callback_context = ctx,
 	};
 	listener_init(&net->listeners[NET_FRONT], NET_FRONT);
 	listener_init(&net->listeners[NET_BACK], NET_BACK);
-	net->caller_idle_max_s = idle_s;
+	net->caller_idle_max_s = caller_idle_max_s;
 	net->events = xcalloc((size_t)max_conns, sizeof(*net->events));
 	return net;
 }
@@ -126,21 +127,21 @@
  */
 static void handle_caller_events(struct net *net, int count, enum read_extent extent)
 {
-	int left = NET_CALLER_EVENTS_MAX;
+	int remaining = NET_CALLER_EVENTS_MAX;
 
-	for (int i = 0; i < count && left; i++) {
+	for (int i = 0; i < count && remaining; i++) {
 		const struct connection *connection = net->events[i].data.ptr;
 
 		if (connection->kind == CONNECTION_CLIENT)
 			continue;
 		handle_caller_event(net, &net->events[i], extent);
-		left--;
+		remaining--;
 	}
 }
 
 /* Ends the calls whose deadline has passed, and closes connections that are idle or stalled too
  * long. */
-static void close_overdue(struct net *net, double now)
+static void handle_timeouts(struct net *net, double now)
 {
 	http_client_expire_calls(&net->http_client, now);
 	server_connections_close_timed_out(&net->servers, now, net->caller_idle_max_s);
@@ -184,7 +185,7 @@
 	net->iteration_ended_at = net_now();
 	if (net->iteration_ended_at >= net->next_sweep_at) {
 		net->next_sweep_at = net->iteration_ended_at + NET_SWEEP_MS / 1000.0;
-		close_overdue(net, net->iteration_ended_at);
+		handle_timeouts(net, net->iteration_ended_at);
 	}
 	server_connections_free_closed(&net->servers);
 	client_pool_free_closed(&net->clients);
--- a/src/net/net.h
+++ b/src/net/net.h
@@ -60,10 +60,11 @@
 /*
  * Makes an event loop, which the caller frees with net_free(). It has at most `max_conns` open
  * connections, of which only our own calls use the last NET_CONNS_RESERVED. A caller's connection
- * is closed once it has been idle for `idle_s` seconds, or earlier when sockets run short. `ops` is
- * not copied and must outlive the loop.
+ * is closed once it has been idle for `caller_idle_max_s` seconds, or earlier when sockets run
+ * short. `callbacks` is not copied and must outlive the loop.
  */
-struct net *net_new(const struct net_callbacks *ops, void *ctx, int max_conns, double idle_s);
+struct net *net_new(const struct net_callbacks *callbacks, void *ctx, int max_conns,
+		    double caller_idle_max_s);
 
 /* Closes all sockets and frees the loop. Calls in flight end without their callback. */
 void net_free(struct net *net);
--- a/src/net/server_connections.c
+++ b/src/net/server_connections.c
@@ -68,7 +68,7 @@
 }
 
 /* True if a message is partly received or partly sent. */
-static bool is_mid_message(const struct server_connection *connection)
+static bool has_partial_message(const struct server_connection *connection)
 {
 	return connection->base.input.len || connection->base.output.len;
 }
@@ -79,7 +79,7 @@
 	struct server_connection *connection;
 
 	DL_FOREACH (connections->by_activity, connection)
-		if (!connection->awaits_response && !is_mid_message(connection))
+		if (!connection->awaits_response && !has_partial_message(connection))
 			return connection;
 	return NULL;
 }
@@ -90,13 +90,13 @@
 	struct server_connection *connection, *next;
 
 	DL_FOREACH_SAFE (connections->by_activity, connection, next) {
-		double silent_s = now - connection->active_at;
+		double inactive_s = now - connection->active_at;
 
-		if (silent_s <= NET_MESSAGE_TIMEOUT_S)
+		if (inactive_s <= NET_MESSAGE_TIMEOUT_S)
 			break;
 		if (connection->awaits_response)
 			continue;
-		if (is_mid_message(connection) || silent_s > idle_max_s)
+		if (has_partial_message(connection) || inactive_s > idle_max_s)
 			server_connection_close(connections, connection);
 	}
 }
--- a/src/util/log.c
+++ b/src/util/log.c
@@ -10,7 +10,7 @@
 #define LOG_LINE_SIZE 1024 /* bytes of the longest line, with its newline */
 
 static char node_name[LOG_NODE_SIZE] = "-";
-static enum log_level most_detailed = LOG_INFO;
+static enum log_level max_level = LOG_INFO;
 static unsigned long long leader_token;
 
 static const char *const level_names[] = {
@@ -20,12 +20,12 @@
 {
 	if (node)
 		snprintf(node_name, sizeof(node_name), "%s", node);
-	most_detailed = LOG_INFO;
+	max_level = LOG_INFO;
 	if (!level || !*level)
 		return;
 	for (int i = LOG_ERROR; i <= LOG_DEBUG; i++) {
 		if (!strcmp(level, level_names[i])) {
-			most_detailed = (enum log_level)i;
+			max_level = (enum log_level)i;
 			return;
 		}
 	}
@@ -39,7 +39,7 @@
 
 int log_enabled(enum log_level level)
 {
-	return level <= most_detailed;
+	return level <= max_level;
 }
 
 void log_line(enum log_level level, const char *event, const char *format, ...)
