--- a/src/net/connection_limit.c
+++ b/src/net/connection_limit.c
@@ -13,9 +13,9 @@
 /*
  * Closes the connection that has been idle longest, one of our own if any is idle. Returns false
  * if there is no idle connection. Sockets run short when, for example, many machines vanish without
- * closing their connections. Due to the eviction, requests for /ready, users and calls to the state
- * service still get a socket, however many connections are left from callers that may no longer
- * exist.
+ * closing their connections. Eviction ensures that requests for /ready, users and calls to the
+ * state service always get a socket, however many connections are left of callers that may no
+ * longer exist.
  */
 static bool evict_longest_idle(struct connection_limit *limit)
 {
--- a/src/net/connection_limit.h
+++ b/src/net/connection_limit.h
@@ -14,7 +14,7 @@
 
 /* The limit and the connections that it is applied to. */
 struct connection_limit {
-	int max; /* open connections; only our own calls use the last NET_CONNS_RESERVED of them */
+	int max; /* open connections; NET_CONNS_RESERVED of them for our own calls only */
 	/* The sets of connections are not owned. */
 	const struct connection_set *set;
 	struct server_connections *servers;
--- a/src/net/net.c
+++ b/src/net/net.c
@@ -33,7 +33,7 @@
 	double caller_idle_max_s;
 	double iteration_ended_at;  /* when the previous iteration had handled its events */
 	double next_sweep_at;	    /* when timeouts are checked next */
-	struct epoll_event *events; /* of the present iteration: up to limit.max; owned */
+	struct epoll_event *events; /* of the current iteration, up to limit.max; owned */
 };
 
 struct net *net_new(const struct net_callbacks *callbacks, void *ctx, int max_conns,
@@ -109,6 +109,7 @@
 	}
 }
 
+/* Accepts connections on a listener, or handles an event of a caller's connection. */
 static void handle_caller_event(struct net *net, const struct epoll_event *event,
 				enum read_extent extent)
 {
@@ -148,7 +149,8 @@
 	client_pool_close_idle(&net->clients, now);
 }
 
-/* Waits for events until `wait_s` has passed or the next sweep may be due. Returns their number. */
+/* Waits for events for up to `wait_s` seconds, but at most until the next sweep may be due. Returns
+ * the number of events, or -1 on failure. */
 static int wait_for_events(struct net *net, double wait_s)
 {
 	int wait_ms = wait_s <= 0 ? 0 : (int)(wait_s * 1000.0) + 1;
--- a/src/net/net.h
+++ b/src/net/net.h
@@ -48,7 +48,7 @@
 
 /* A call to send. Its strings and its body are copied. */
 struct net_call {
-	uint64_t id;	  /* chosen by the sender; the callback for the call's end gets it */
+	uint64_t id;	  /* chosen by the sender; passed to the reply callback */
 	const char *addr; /* "ADDRESS:PORT" with a numeric IPv4 address */
 	const char *method;
 	const char *path;
@@ -59,7 +59,7 @@
 
 /*
  * Makes an event loop, which the caller frees with net_free(). It has at most `max_conns` open
- * connections, of which only our own calls use the last NET_CONNS_RESERVED. A caller's connection
+ * connections, of which NET_CONNS_RESERVED can be used by our own calls only. A caller's connection
  * is closed once it has been idle for `caller_idle_max_s` seconds, or earlier when sockets run
  * short. `callbacks` is not copied and must outlive the loop.
  */
@@ -86,8 +86,8 @@
 void net_answer(struct net *net, uint64_t conn, int status, int retry_after, const char *body,
 		size_t len);
 
-/* Runs one iteration: waits for events for `wait_s` seconds, at most NET_SWEEP_MS, and handles the
- * events that came and the timeouts that passed. */
+/* Runs one event-loop iteration: waits for events for up to `wait_s` seconds, but at most
+ * NET_SWEEP_MS, then handles them and the timeouts that have passed. */
 void net_poll(struct net *net, double wait_s);
 
 #endif
