--- a/src/net/http_client.c
+++ b/src/net/http_client.c
@@ -122,8 +122,8 @@
 	struct http_msg response;
 
 	if (connection->state == CLIENT_IDLE) {
-		client_pool_close(client->pool,
-				  connection); /* no request was sent, so these bytes answer none */
+		/* No request was sent, so these bytes belong to none. */
+		client_pool_close(client->pool, connection);
 		return;
 	}
 	switch (
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -75,8 +75,8 @@
 		respond(server, connection, status, retry_after_s, body, body_len);
 }
 
-/* Answers a request that cannot be parsed, and closes the connection: it is unknown where the next
- * request would begin. */
+/* Answers a request that is malformed or too large, and closes the connection: it is unknown where
+ * the next request would begin. */
 static void reject_request(struct http_server *server, struct server_connection *connection,
 			   int status)
 {
