--- a/daemon/controller.c
+++ b/daemon/controller.c
@@ -23,7 +23,7 @@
 
 static struct core_time current_time(void)
 {
-	return (struct core_time){.steady = net_now(), .wall = net_wall()};
+	return (struct core_time){.steady = net_now(), .wall = net_wall_time()};
 }
 
 static void handle_request(void *context, uint64_t connection, enum net_side side,
@@ -90,7 +90,7 @@
 /* Returns a seed that differs between controllers and between starts of one controller. */
 static uint64_t make_seed(const struct conf *conf)
 {
-	double times[2] = {net_now(), net_wall()};
+	double times[2] = {net_now(), net_wall_time()};
 
 	return XXH3_64bits(times, sizeof(times)) ^ XXH3_64bits(conf->name, strlen(conf->name)) ^
 	       (uint64_t)getpid();
@@ -113,7 +113,7 @@
  * logged. */
 static struct net *open_network(const struct conf *conf, struct controller *controller)
 {
-	static const struct net_ops ops = {.request = handle_request, .reply = handle_reply};
+	static const struct net_callbacks ops = {.request = handle_request, .reply = handle_reply};
 	/* If the process may open fewer files than the settings allow, the limit on connections is
 	 * lower and idle connections are closed sooner. */
 	int connections_max = open_files_raise(conf->max_connections) - NET_FILES_RESERVED;
--- a/src/net/connection.c
+++ b/src/net/connection.c
@@ -1,4 +1,4 @@
-/* Sockets of the event loop with their buffers. See connection.h. */
+/* Registers sockets with epoll, and reads and writes them through buffers. */
 #include "net/connection.h"
 
 #include <errno.h>
@@ -25,8 +25,9 @@
 	return epoll_wait(set->epoll_fd, events, events_max, wait_ms);
 }
 
-/* `operation`: one of epoll_ctl(). */
-static void watch(const struct connection_set *set, struct connection *connection, int operation)
+/* Tells epoll which events of the connection to report. `operation` is that of epoll_ctl(). */
+static void set_epoll_events(const struct connection_set *set, struct connection *connection,
+			     int operation)
 {
 	struct epoll_event event = {.events = EPOLLIN | (connection->awaits_write ? EPOLLOUT : 0),
 				    .data.ptr = connection};
@@ -36,29 +37,30 @@
 
 void connection_set_add_listener(struct connection_set *set, struct connection *listener)
 {
-	watch(set, listener, EPOLL_CTL_ADD);
+	set_epoll_events(set, listener, EPOLL_CTL_ADD);
 }
 
 void connection_set_add(struct connection_set *set, struct connection *connection)
 {
 	set->open_count++;
-	watch(set, connection, EPOLL_CTL_ADD);
+	set_epoll_events(set, connection, EPOLL_CTL_ADD);
 }
 
 void connection_set_close(struct connection_set *set, struct connection *connection)
 {
 	connection->closed = true;
-	/* Closing alone leaves it with epoll while a forked child still holds the descriptor. */
+	/* close() alone would leave the socket registered while a forked child has it open. */
 	epoll_ctl(set->epoll_fd, EPOLL_CTL_DEL, connection->fd, NULL);
 	close(connection->fd);
 	set->open_count--;
 }
 
-/* As recv() into the room at the end of `input`, but not interrupted by signals. */
+/* Appends a chunk to `input` with recv() and returns its result. Tries again after a signal. */
 static ssize_t receive(struct connection *connection)
 {
-	/* One byte more for the NUL: of a longer message before, nothing may follow this one. */
-	char *room = buf_room(&connection->input, NET_READ_CHUNK_BYTES + 1);
+	/* One byte more, for the NUL: without it, bytes that an earlier, longer message left in
+	 * memory would follow this one. */
+	char *room = buf_reserve(&connection->input, NET_READ_CHUNK_BYTES + 1);
 	ssize_t received;
 
 	do {
@@ -90,10 +92,11 @@
 					struct connection *connection)
 {
 	struct buf *output = &connection->output;
-	bool unsent;
+	bool has_unsent;
 
 	while (output->len) {
-		ssize_t sent = send(connection->fd, buf_at(output), output->len, MSG_NOSIGNAL);
+		ssize_t sent =
+		    send(connection->fd, buf_contents(output), output->len, MSG_NOSIGNAL);
 
 		if (sent < 0 && errno == EINTR)
 			continue;
@@ -101,17 +104,17 @@
 			return CONNECTION_BROKEN;
 		if (sent < 0)
 			break;
-		buf_drop(output, (size_t)sent);
+		buf_consume(output, (size_t)sent);
 	}
-	unsent = output->len > 0;
-	if (unsent != connection->awaits_write) {
-		connection->awaits_write = unsent;
-		watch(set, connection, EPOLL_CTL_MOD);
+	has_unsent = output->len > 0;
+	if (has_unsent != connection->awaits_write) {
+		connection->awaits_write = has_unsent;
+		set_epoll_events(set, connection, EPOLL_CTL_MOD);
 	}
 	return CONNECTION_OK;
 }
 
-void connection_release_buffers(struct connection *connection)
+void connection_free_empty_buffers(struct connection *connection)
 {
 	if (!connection->input.len)
 		buf_free(&connection->input);
--- a/src/net/server_connections.c
+++ b/src/net/server_connections.c
@@ -1,4 +1,4 @@
-/* The connections that callers made. See server_connections.h. */
+/* Keeps the connections that callers made, and closes the idle and the stalled ones. */
 #include "net/server_connections.h"
 
 #include <stdlib.h>
@@ -19,7 +19,7 @@
 {
 	while (connections->by_activity)
 		server_connection_close(connections, connections->by_activity);
-	server_connections_reap(connections);
+	server_connections_free_closed(connections);
 }
 
 struct server_connection *server_connections_add(struct server_connections *connections, int fd,
@@ -48,8 +48,8 @@
 	return connection;
 }
 
-void server_connection_touch(struct server_connections *connections,
-			     struct server_connection *connection)
+void server_connection_mark_active(struct server_connections *connections,
+				   struct server_connection *connection)
 {
 	connection->active_at = net_now();
 	DL_DELETE(connections->by_activity, connection);
@@ -67,8 +67,8 @@
 	DL_APPEND(connections->closed, connection);
 }
 
-/* Whether a message is received or sent in part. */
-static bool is_mid_message(const struct server_connection *connection)
+/* True if a message is partly received or partly sent. */
+static bool has_partial_message(const struct server_connection *connection)
 {
 	return connection->base.input.len || connection->base.output.len;
 }
@@ -79,29 +79,29 @@
 	struct server_connection *connection;
 
 	DL_FOREACH (connections->by_activity, connection)
-		if (!connection->awaits_response && !is_mid_message(connection))
+		if (!connection->awaits_response && !has_partial_message(connection))
 			return connection;
 	return NULL;
 }
 
-void server_connections_close_silent(struct server_connections *connections, double now,
-				     double idle_max_s)
+void server_connections_close_timed_out(struct server_connections *connections, double now,
+					double idle_max_s)
 {
 	struct server_connection *connection, *next;
 
 	DL_FOREACH_SAFE (connections->by_activity, connection, next) {
-		double silent_s = now - connection->active_at;
+		double inactive_s = now - connection->active_at;
 
-		if (silent_s <= NET_MESSAGE_TIMEOUT_S)
+		if (inactive_s <= NET_MESSAGE_TIMEOUT_S)
 			break;
 		if (connection->awaits_response)
 			continue;
-		if (is_mid_message(connection) || silent_s > idle_max_s)
+		if (has_partial_message(connection) || inactive_s > idle_max_s)
 			server_connection_close(connections, connection);
 	}
 }
 
-void server_connections_reap(struct server_connections *connections)
+void server_connections_free_closed(struct server_connections *connections)
 {
 	struct server_connection *connection, *next;
 
--- a/src/util/buf.c
+++ b/src/util/buf.c
@@ -1,4 +1,8 @@
-/* A growable byte buffer. See buf.h. */
+/*
+ * Implements the growable byte buffer. Consuming only advances `start`; the contents are moved to
+ * the front of the memory when there is no space behind them, and the memory grows when that is not
+ * enough.
+ */
 #include "util/buf.h"
 
 #include <stdarg.h>
@@ -8,8 +12,9 @@
 
 #include "util/xalloc.h"
 
-#define BUF_CAPACITY_MIN 256 /* bytes of the first allocation: the head of a message */
+#define BUF_CAPACITY_MIN 256 /* bytes of the first allocation: enough for the head of a message */
 
+/* Moves the contents to the start of the memory. */
 static void move_to_front(struct buf *buf)
 {
 	if (buf->len)
@@ -17,6 +22,7 @@
 	buf->start = 0;
 }
 
+/* Enlarges the memory to at least `needed` bytes by doubling it. */
 static void grow(struct buf *buf, size_t needed)
 {
 	size_t capacity = buf->capacity ? buf->capacity : BUF_CAPACITY_MIN;
@@ -27,7 +33,7 @@
 	buf->capacity = capacity;
 }
 
-char *buf_room(struct buf *buf, size_t len)
+char *buf_reserve(struct buf *buf, size_t len)
 {
 	if (buf->start && (buf->len == 0 || buf->start + buf->len + len > buf->capacity))
 		move_to_front(buf);
@@ -40,7 +46,7 @@
 {
 	if (!len)
 		return;
-	memcpy(buf_room(buf, len), bytes, len);
+	memcpy(buf_reserve(buf, len), bytes, len);
 	buf->len += len;
 }
 
@@ -55,12 +61,12 @@
 	if (len <= 0)
 		return;
 	va_start(arguments, format);
-	vsnprintf(buf_room(buf, (size_t)len + 1), (size_t)len + 1, format, arguments);
+	vsnprintf(buf_reserve(buf, (size_t)len + 1), (size_t)len + 1, format, arguments);
 	va_end(arguments);
 	buf->len += (size_t)len;
 }
 
-void buf_drop(struct buf *buf, size_t len)
+void buf_consume(struct buf *buf, size_t len)
 {
 	buf->start += len;
 	buf->len -= len;
