--- a/tests/runner/behaviour_trace.c
+++ b/tests/runner/behaviour_trace.c
@@ -1,7 +1,8 @@
 /*
- * A line per action: simulated time, controller, what it is, and the body with bytes that are not
- * printable escaped. The digest covers these lines, so that equal digests mean equal lines. The
- * numbers that a controller gives to its calls are left out: they never leave it.
+ * Each action is one line: simulated time, controller, the action and its body, in which bytes that
+ * are not printable are escaped. The digest covers these lines with the body unescaped, so that
+ * equal digests mean equal lines. The ids that a controller gives to its calls are left out, since
+ * they are never sent.
  */
 #include "behaviour_trace.h"
 
@@ -15,12 +16,12 @@
 #include "util/xalloc.h"
 
 #define DIGEST_SEED 0
-/* Bytes of a line without its body: addresses and paths are shorter. */
+/* Size in bytes of the text that one call formats. Addresses and paths are shorter than that. */
 #define LINE_MAX_BYTES 1024
 
 struct behaviour_trace {
 	XXH64_state_t *digest;
-	FILE *file; /* NULL: only the digest is wanted */
+	FILE *file; /* NULL: only the digest is computed */
 };
 
 struct behaviour_trace *behaviour_trace_new(const char *path)
--- a/tests/runner/behaviour_trace.h
+++ b/tests/runner/behaviour_trace.h
@@ -1,5 +1,6 @@
 /*
- * Records what the controllers of a scenario send and answer, so that two versions can be compared.
+ * Records the actions of a scenario's controllers, calls and answers, so that the behaviour of two
+ * versions can be compared.
  */
 #ifndef PLOVERLOFT_BEHAVIOUR_TRACE_H
 #define PLOVERLOFT_BEHAVIOUR_TRACE_H
@@ -11,15 +12,15 @@
 struct behaviour_trace;
 
 /*
- * A trace that keeps a running digest (64-bit xxhash) of all actions. `path` names a file that also
- * gets each of them as a line of text; NULL: none. Returns NULL if the file can't be written. The
- * caller frees the trace with behaviour_trace_free.
+ * Creates a trace that keeps a running digest (64-bit xxhash) of all actions. `path` names a file
+ * to which each action is also written as a line of text; NULL: no file. Returns NULL and sets
+ * errno if the file cannot be opened. The caller frees the trace with behaviour_trace_free.
  */
 struct behaviour_trace *behaviour_trace_new(const char *path);
-/* Adds an action that the controller `node` took at `at_s`, in seconds of simulated time. */
+/* Adds an action of the controller with the index `node`, at `at_s` seconds of simulated time. */
 void behaviour_trace_add(struct behaviour_trace *trace, double at_s, int node,
 			 const struct core_action *action);
-/* The digest of all actions so far. */
+/* Returns the digest of all actions so far. */
 uint64_t behaviour_trace_digest(const struct behaviour_trace *trace);
 /* Closes the file and frees the trace. */
 void behaviour_trace_free(struct behaviour_trace *trace);
--- a/tests/runner/clients.c
+++ b/tests/runner/clients.c
@@ -1,4 +1,4 @@
-/* Requests of clients, from the first try to the last answer. */
+/* Sends, retries and polls for the clients, and evaluates the answers. */
 #include "clients.h"
 
 #include <stdio.h>
@@ -14,7 +14,8 @@
 #include "util/xalloc.h"
 #include "wire/names.h"
 
-#define PATIENCE_S 5 /* until a client gives a request up and tries again */
+/* Time without an answer after which a request is retried or dropped. */
+#define CLIENT_TIMEOUT_S 5
 
 static struct client_request *client_request_new(struct world *world, enum client_request_kind kind,
 						 const char *job, int controller)
@@ -98,7 +99,7 @@
 	return (int)(world_random(world) * world->controller_count);
 }
 
-/* One try; if the controller can't be reached, there will be another. */
+/* Sends the request, or marks it for a retry if the controller cannot be reached. */
 static void try_request(struct world *world, struct client_request *client)
 {
 	int controller = choose_controller(world, client);
@@ -117,7 +118,7 @@
 	case CLIENT_CANCEL:
 		send_cancellation(world, client, controller);
 		break;
-	case CLIENT_RAW: /* has one try only */
+	case CLIENT_RAW: /* is never retried */
 		break;
 	}
 }
@@ -133,13 +134,13 @@
 {
 	struct client_request *client = client_request_new(world, CLIENT_RAW, "", controller);
 
-	/* As it was sent at second 0, later ticks find it late: scenarios count on that. */
+	/* The first tick later than CLIENT_TIMEOUT_S drops the request: scenarios rely on that. */
 	client->sent_at_s = 0;
 	send_request(world, client, controller, method, path, body);
 }
 
-static void tell_checker(struct world *world, const struct client_request *client,
-			 const struct message *answer)
+static void notify_checker(struct world *world, const struct client_request *client,
+			   const struct message *answer)
 {
 	struct standin *standin = &world->standin;
 	bool accepted = answer->status == ANSWER_OK || answer->status == ANSWER_CREATED;
@@ -164,7 +165,7 @@
 	}
 }
 
-/* Whether the client tries again after an answer of this status. */
+/* True if the client retries the request after an answer with this status. */
 static bool is_retried(const struct client_request *client, int status)
 {
 	if (client->kind != CLIENT_SUBMIT && client->kind != CLIENT_CANCEL)
@@ -183,15 +184,15 @@
 		return;
 	if (answer->status > 0 && answer->status < STATUS_COUNT)
 		world->answer_counts[answer->status]++;
-	tell_checker(world, client, answer);
+	notify_checker(world, client, answer);
 	client->connection = 0;
 	client->retry = is_retried(client, answer->status);
 	if (!client->retry)
 		client_request_free(world, client);
 }
 
-/* Polls come anew each second, and raw requests have one try. */
-static bool is_dropped_unanswered(const struct client_request *client)
+/* True for requests that are not retried: polls, which are sent anew each second, and raw ones. */
+static bool is_never_retried(const struct client_request *client)
 {
 	return client->kind == CLIENT_POLL || client->kind == CLIENT_RAW;
 }
@@ -201,11 +202,11 @@
 	struct client_request *client, *next;
 
 	DL_FOREACH_SAFE (world->clients, client, next) {
-		bool late = world->now_s - client->sent_at_s > PATIENCE_S;
+		bool late = world->now_s - client->sent_at_s > CLIENT_TIMEOUT_S;
 
 		if (!client->retry && !late)
 			continue;
-		if (is_dropped_unanswered(client))
+		if (is_never_retried(client))
 			client_request_free(world, client);
 		else
 			try_request(world, client);
--- a/tests/runner/clients.h
+++ b/tests/runner/clients.h
@@ -1,10 +1,13 @@
-/* Simulated clients: they submit, poll and cancel jobs, and try again until they are answered. */
+/*
+ * Simulated clients. They submit, poll and cancel jobs. Submissions and cancellations are retried
+ * until they are answered.
+ */
 #ifndef PLOVERLOFT_RUNNER_CLIENTS_H
 #define PLOVERLOFT_RUNNER_CLIENTS_H
 
 #include "world.h"
 
-/* Statuses of answers that clients tell apart. */
+/* HTTP statuses that clients distinguish. */
 enum answer_status {
 	ANSWER_OK = 200,
 	ANSWER_CREATED = 201,
@@ -13,22 +16,23 @@
 	ANSWER_UNAVAILABLE = 503
 };
 
-/* Sends a request for a job now; `controller` is an index, or HOST_ANY for one at random. */
+/* Sends a request about a job. `controller` is an index; HOST_ANY: a random one for each try. */
 void client_request_job(struct world *world, enum client_request_kind kind, const char *job,
 			int controller);
 /*
- * Sends any request to a controller that is up. It is not tried again, and its answer counts only
- * until clients_tick gives it up: at once in a scenario that has run for a client's patience.
+ * Sends any request to a controller that is up. It is not retried, and its answer counts only until
+ * clients_tick drops the request. Once a scenario has run for longer than a client's timeout, that
+ * is the next call of clients_tick.
  */
 void client_request_raw(struct world *world, int controller, const char *method, const char *path,
 			const char *body);
-/* Takes a controller's answer; the checker of the rules is told what the client learned. */
+/* Handles a controller's answer to a client, and passes it to the checker of the rules. */
 void client_answer(struct world *world, const struct message *answer);
-/* Once a second: tries again what was not answered, and polls all accepted jobs. */
+/* Called once a second: retries requests that were not answered, and polls all accepted jobs. */
 void clients_tick(struct world *world);
-/* Cancels the job that the scenario names (cancelend) at the moment when its last task ends. */
+/* Cancels the job that a cancel_at_end line names, as soon as its last task has ended. */
 void clients_cancel_at_end(struct world *world);
-/* Frees all requests under way. */
+/* Frees all requests. */
 void clients_free(struct world *world);
 
 #endif
--- a/tests/runner/connections.h
+++ b/tests/runner/connections.h
@@ -1,7 +1,8 @@
 /*
- * Numbers of the connections on which controllers are asked. A controller only repeats the number
- * with its answer, so that it can say whom the answer goes to: clients count from 1, other
- * controllers from PEER_CONNECTIONS; the connection of a report names its machine and the report.
+ * Numbers of the connections on which controllers receive requests. A controller passes the number
+ * back with its answer, so the number can encode where the answer goes. Clients' connections are
+ * numbered from 1, those of other controllers from PEER_CONNECTIONS. The number of a report's
+ * connection contains the machine and the number of the report.
  */
 #ifndef PLOVERLOFT_RUNNER_CONNECTIONS_H
 #define PLOVERLOFT_RUNNER_CONNECTIONS_H
@@ -12,14 +13,16 @@
 #define PEER_CONNECTIONS (UINT64_C(1) << 29)
 #define REPORT_CONNECTIONS (UINT64_C(1) << 30)
 #define REPORT_NUMBER_MASK (REPORT_CONNECTIONS - 1)
-#define MACHINE_SHIFT 40
+#define MACHINE_SHIFT 40 /* position of the machine's index in the number of a connection */
 
-/* A report number that no machine reaches: the answer to a duplicate goes nowhere. */
+/* The report number of all duplicates. No machine's own reports reach it, so that the answer to a
+ * duplicate is ignored. */
 #define DUPLICATE_REPORT_NUMBER UINT64_C(0x3ffffffe)
 
-/* Who asked on a connection. */
+/* The kind of host that sent the request on a connection. */
 enum connection_kind { CONNECTION_CLIENT, CONNECTION_PEER, CONNECTION_REPORT };
 
+/* Returns the kind of host that sent the request on this connection. */
 static inline enum connection_kind connection_kind(uint64_t connection)
 {
 	if (connection >= REPORT_CONNECTIONS)
@@ -29,20 +32,20 @@
 	return CONNECTION_CLIENT;
 }
 
-/* The connection on which a machine sends the report of this number. */
+/* Returns the connection on which a machine sends the report with this number. */
 static inline uint64_t report_connection(int machine, uint64_t report_number)
 {
 	return (uint64_t)machine << MACHINE_SHIFT | REPORT_CONNECTIONS |
 	       (report_number & REPORT_NUMBER_MASK);
 }
 
-/* The machine whose report came on this connection. */
+/* Returns the index of the machine whose report arrived on this connection. */
 static inline int report_connection_machine(uint64_t connection)
 {
 	return (int)(connection >> MACHINE_SHIFT);
 }
 
-/* Whether the connection carries the report of this number. */
+/* True if the report with this number arrived on the connection. */
 static inline bool report_connection_is(uint64_t connection, uint64_t report_number)
 {
 	return (connection & REPORT_NUMBER_MASK) == (report_number & REPORT_NUMBER_MASK);
--- a/tests/runner/controllers.c
+++ b/tests/runner/controllers.c
@@ -1,4 +1,4 @@
-/* Processes of the controllers, each with a core and a clock of its own. */
+/* Simulates the controllers' processes. Each has its own core and its own clock. */
 #include "controllers.h"
 
 #include <stdio.h>
@@ -8,13 +8,15 @@
 #include "outbox.h"
 #include "util/xalloc.h"
 
-/* The clocks' readings when a scenario begins. */
+/* The readings of the clocks at the start of a scenario. */
 #define STEADY_CLOCK_START_S 1000
 #define WALL_CLOCK_START_S 1.8e9
 
-/* A controller that wakes reads what waits for it before its clock ticks. */
-#define WAKE_S 1e-3
-/* It reads the newest report first: earlier by this share of the time that the report waited. */
+/* Time after a freeze until the controller's next tick, before which it reads the messages that
+ * wait for it. */
+#define WAKE_DELAY_S 1e-3
+/* Part of the time that a report waited during a freeze by which its reading is delayed after the
+ * freeze: the newest report is read first. */
 #define WAKE_REPORT_SHARE 1e-6
 
 #define MS_PER_S 1000
@@ -52,7 +54,7 @@
 	tick(world, index);
 }
 
-static void name_of(int index, char *name, size_t size)
+static void controller_name(int index, char *name, size_t size)
 {
 	snprintf(name, size, "node-%d", index);
 }
@@ -72,7 +74,7 @@
 		if (i == index)
 			continue;
 		peer = &conf->peers[conf->peer_count++];
-		name_of(i, peer->name, sizeof(peer->name));
+		controller_name(i, peer->name, sizeof(peer->name));
 		peer_address(i, peer->addr, sizeof(peer->addr));
 	}
 }
@@ -83,13 +85,14 @@
 	struct conf *conf = &controller->conf;
 
 	*conf = world->conf;
-	name_of(index, conf->name, sizeof(conf->name));
-	name_of(index, world->standin.controller_names[index],
-		sizeof(world->standin.controller_names[index]));
+	controller_name(index, conf->name, sizeof(conf->name));
+	controller_name(index, world->standin.controller_names[index],
+			sizeof(world->standin.controller_names[index]));
 	snprintf(conf->front_addr, sizeof(conf->front_addr), "10.0.0.%d:8080", index + 1);
 	peer_address(index, conf->back_addr, sizeof(conf->back_addr));
 	configure_peers(world, index, conf);
-	/* The first three clocks are half of the allowed skew behind, exact, and half ahead. */
+	/* The clock of the first controller is late by half of the allowed skew, that of the second
+	 * is exact, and that of the third is ahead by half. */
 	controller->clock_skew_s = (index - 1) * world->conf.skew_ms / (2 * MS_PER_S);
 }
 
@@ -109,7 +112,7 @@
 
 		if (!controller->up && world->now_s >= controller->restart_at_s)
 			start(world, i);
-		if (controller->up && world->now_s >= controller->frozen_until_s + WAKE_S)
+		if (controller->up && world->now_s >= controller->frozen_until_s + WAKE_DELAY_S)
 			tick(world, i);
 	}
 }
@@ -183,7 +186,9 @@
 		index = atoi(word);
 	if (index >= 0 && index < world->controller_count)
 		return index;
-	world_fail(world, "no such node: %s", word);
+	world_fail(world, "controller \"%s\" does not exist: there are %d%s", word,
+		   world->controller_count,
+		   controller_leader(world) < 0 ? ", and none of them leads" : "");
 	return 0;
 }
 
@@ -197,5 +202,5 @@
 	frozen_until_s = controller->frozen_until_s;
 	if (message->kind == MESSAGE_REPORT)
 		return frozen_until_s + WAKE_REPORT_SHARE * (frozen_until_s - message->due_at_s);
-	return frozen_until_s + WAKE_S / 2;
+	return frozen_until_s + WAKE_DELAY_S / 2;
 }
--- a/tests/runner/controllers.h
+++ b/tests/runner/controllers.h
@@ -1,4 +1,4 @@
-/* The controllers' processes: start, crash, freeze, and what reaches their cores. */
+/* The controllers' processes: they start, crash and freeze, and pass inputs to their cores. */
 #ifndef PLOVERLOFT_RUNNER_CONTROLLERS_H
 #define PLOVERLOFT_RUNNER_CONTROLLERS_H
 
@@ -6,31 +6,34 @@
 
 /* Configures and starts all controllers of the scenario. */
 void controllers_start_all(struct world *world);
-/* Restarts those whose time has come and ticks the cores of those that run. */
+/* Restarts the controllers whose downtime is over, and ticks the cores of those that are up and not
+ * frozen. */
 void controllers_tick(struct world *world);
-/* Frees the cores and what configuring them allocated. */
+/* Frees the cores and their settings. */
 void controllers_free(struct world *world);
 
-/* Ends the process and with it the core; it starts again after `down_s` seconds. Does nothing if
- * it is down already. */
+/* Ends the process and frees its core. The controller is restarted after `down_s` seconds. Nothing
+ * happens if it is down already. */
 void controller_crash(struct world *world, int index, double down_s);
-/* Crashes the controller if it has reached the step that the scenario names (crashon). */
+/* Crashes the controller if it is at the step that a crash_at_step line names. */
 void controller_crash_at_step(struct world *world, int index);
 
-/* Hand a request, or the answer to a call, to the core of a controller that is up. */
+/* Passes a request to the core of a controller, which must be up. */
 void controller_request(struct world *world, int index, const struct core_request *request);
+/* Passes the end of a call to the core of a controller, which must be up. */
 void controller_answer(struct world *world, int index, const struct core_answer *answer);
 
-/* The controller of this host number; NULL if the host is none. */
+/* Returns the controller with this host number; NULL if the host is not a controller. */
 struct controller *controller_of_host(struct world *world, int host);
-/* The index of a leader; -1 if there is none. */
+/* Returns the index of a controller that leads; -1 if none does. */
 int controller_leader(struct world *world);
 /*
- * The index for a word of a scenario: a number, "leader" or "follower" (the one after the leader).
- * If there is none, fails the scenario and returns 0.
+ * Returns the index of the controller that a word of a scenario names: a number, "leader", or
+ * "follower" for the controller after the leader. If there is no such controller, this fails the
+ * scenario and returns 0.
  */
 int controller_named(struct world *world, const char *word);
-/* When a frozen controller reads this message, in seconds; 0: it is not frozen. */
+/* Returns the time at which a frozen controller will read this message; 0: it reads it now. */
 double controller_wake_time(struct world *world, const struct message *message);
 
 #endif
--- a/tests/runner/core_inspection.c
+++ b/tests/runner/core_inspection.c
@@ -1,4 +1,4 @@
-/* Reads the core's state; never changes it. */
+/* Reads the core's internal state and never changes it. */
 #include "core_inspection.h"
 
 #include "core/state.h"
--- a/tests/runner/core_inspection.h
+++ b/tests/runner/core_inspection.h
@@ -1,6 +1,6 @@
 /*
- * What the runner reads from inside a controller's core. All else goes through core/core.h; only
- * this module includes the core's own headers.
+ * Reads the internal state of a controller's core. Only this module includes the core's internal
+ * headers; the other modules of the runner use core/core.h.
  */
 #ifndef PLOVERLOFT_RUNNER_CORE_INSPECTION_H
 #define PLOVERLOFT_RUNNER_CORE_INSPECTION_H
@@ -12,18 +12,18 @@
 /* Steps of an election at which a scenario can crash a controller. */
 enum crash_step {
 	CRASH_NEVER,
-	CRASH_WITH_LEASE, /* it holds a lease and tries to become the leader */
-	CRASH_LOADING,	  /* it is the leader and reads the records */
+	CRASH_WITH_LEASE, /* it holds a lease and claims the leader's key */
+	CRASH_LOADING,	  /* it holds the leader's key and reads the records */
 	CRASH_LEADING	  /* it has read them and leads */
 };
 
-/* Whether the controller is at this step now; never so for CRASH_NEVER. */
+/* True if the controller is at this step now; never true for CRASH_NEVER. */
 bool inspect_reached_step(const struct core *core, enum crash_step step);
-/* Whether it leads by its own account. */
+/* True if the controller considers itself the leader. */
 bool inspect_leads(const struct core *core);
-/* Direct commands in flight. */
+/* Returns the number of unanswered calls to agents: direct commands and probes. */
 double inspect_direct_commands(const struct core *core);
-/* How often it switched shares between controllers. */
+/* Returns the number of slots that the controller has switched from one job to another. */
 double inspect_share_switches(const struct core *core);
 
 #endif
--- a/tests/runner/delivery.c
+++ b/tests/runner/delivery.c
@@ -1,4 +1,4 @@
-/* Delivery of messages to controllers, stand-ins and clients. */
+/* Delivers messages to controllers, stand-ins and clients. */
 #include "delivery.h"
 
 #include <stdlib.h>
@@ -13,16 +13,16 @@
 #include "util/xalloc.h"
 #include "wire/names.h"
 
-#define SLOW_REPLY_S 0.3	  /* that a slow reply of the state service takes longer */
-#define DUPLICATE_MIN_DELAY_S 0.5 /* until the copy of a report comes */
-#define HANG_RETRY_S 0.25	  /* between looks whether a hanging machine goes on */
+#define SLOW_REPLY_S 0.3	  /* additional latency of a slow reply of the state service */
+#define DUPLICATE_MIN_DELAY_S 0.5 /* least delay of the copy of a report */
+#define HANG_RETRY_S 0.25	  /* interval between tries to deliver to a hanging machine */
 
-/* A request that a stand-in has not replied to yet; its address is the stand-in's handle. */
+/* A request to a stand-in that has no reply yet. The stand-in's handle is the address of this. */
 struct service_request {
-	int controller; /* index of the one that asked */
-	int service;	/* host that was asked */
-	uint64_t call;	/* 0: nobody waits for the reply */
-	uint64_t incarnation;
+	int controller;	      /* index of the controller that sent the request */
+	int service;	      /* number of the host that received it */
+	uint64_t call;	      /* id of the controller's call; 0: the reply is dropped */
+	uint64_t incarnation; /* of the controller's process that made the call */
 };
 
 /* --- requests between controllers --- */
@@ -59,8 +59,9 @@
 
 /* --- requests to the stand-ins --- */
 
-/* What is sent to a hanging machine is read when it goes on: late, if it has work by then. */
-static void wait_for_machine(struct world *world, const struct message *message)
+/* Queues a request to a hanging machine again. The machine reads it up to HANG_RETRY_S after it
+ * stops hanging, possibly later than newer requests. */
+static void requeue_request(struct world *world, const struct message *message)
 {
 	struct message *again = message_new(world, MESSAGE_REQUEST, message->from, message->to,
 					    world->now_s + HANG_RETRY_S);
@@ -72,7 +73,7 @@
 	message_set_body(again, message->body, message->body_length);
 }
 
-/* A handle by which the stand-in names the request in its reply; standin_reply frees it. */
+/* Returns the handle that the stand-in passes back with its reply. standin_reply frees it. */
 static uint64_t service_request_new(const struct message *message)
 {
 	struct service_request *pending = xcalloc(1, sizeof(*pending));
@@ -91,7 +92,7 @@
 	if (machine->power != POWER_UP)
 		return;
 	if (machine->hanging) {
-		wait_for_machine(world, message);
+		requeue_request(world, message);
 		return;
 	}
 	standin_agent_request(&world->standin, machine, service_request_new(message), message->path,
@@ -139,9 +140,10 @@
 		free((struct service_request *)(uintptr_t)watch->handle);
 }
 
-/* --- reports of machines --- */
+/* --- reports from machines --- */
 
-/* Late copies, to any controller, also of reports that a dead machine once sent. */
+/* Sends late copies of a report to random controllers. They arrive even if the machine has failed
+ * by then. */
 static void send_duplicates(struct world *world, int machine, const char *body)
 {
 	const struct network_faults *faults = &world->network_faults;
@@ -185,7 +187,7 @@
 	controller_request(world, message->to, &request);
 }
 
-/* A machine takes the answer to its newest report only. */
+/* Delivers the answer to a machine's newest report; the answer to an older one is dropped. */
 static void deliver_report_reply(struct world *world, const struct message *message)
 {
 	int index = message->to - HOST_MACHINES;
@@ -221,7 +223,7 @@
 	controller_answer(world, message->to, &no_answer);
 }
 
-/* A controller that is down takes nothing, and none takes replies to an earlier incarnation. */
+/* False if the controller is down, or if the message is a reply to an earlier process of it. */
 static bool is_accepted(const struct controller *controller, const struct message *message)
 {
 	bool is_reply = message->kind == MESSAGE_REPLY || message->kind == MESSAGE_TIMEOUT;
--- a/tests/runner/delivery.h
+++ b/tests/runner/delivery.h
@@ -1,22 +1,25 @@
-/* Hands messages to the hosts that they arrive at, and takes the stand-ins' replies and reports. */
+/* Delivers messages to their hosts, and sends the replies and reports of the stand-ins. */
 #ifndef PLOVERLOFT_RUNNER_DELIVERY_H
 #define PLOVERLOFT_RUNNER_DELIVERY_H
 
 #include "world.h"
 
-/* Hands over a message, which the caller still owns. One that nobody waits for is ignored. */
+/* Delivers a message. The caller keeps it. A message to a controller that is down, or a reply to a
+ * call of an earlier process of the controller, is ignored. */
 void deliver_message(struct world *world, struct message *message);
 
 /*
- * The stand-ins' callbacks (struct standin_callbacks); `context` is the world. The handle is the
- * one that came with the request, and is freed. Bodies are copied.
+ * Sends a stand-in's reply to a request. A callback of the stand-ins (struct standin_callbacks), as
+ * standin_report is; `context` is the world. `handle` came with the request, and its memory is
+ * freed. The body is copied.
  */
 void standin_reply(void *context, uint64_t handle, int status, const char *body);
+/* Sends a report from a machine's agent to a controller; both are indexes. The body is copied. */
 void standin_report(void *context, int machine, int controller, const char *body);
 
-/* Frees what is kept for the requests that the state service still holds open. */
+/* Frees the pending requests for the watches that the state service has not answered. */
 void service_requests_free(struct world *world);
-/* Frees what is kept for requests between controllers that have no answer yet. */
+/* Frees the pending requests between controllers. */
 void peer_requests_free(struct world *world);
 
 #endif
--- a/tests/runner/expectations.c
+++ b/tests/runner/expectations.c
@@ -1,4 +1,4 @@
-/* Measures of a scenario, and the comparison with what it expects. */
+/* The measures that `expect` lines can name, and their comparison with the expected numbers. */
 #include "expectations.h"
 
 #include <math.h>
@@ -6,18 +6,18 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define EQUAL_WITHIN 1e-9  /* numbers closer than this are equal */
-#define NO_SUCH_JOB (-1.0) /* measured where a job is not known */
+#define EQUAL_WITHIN 1e-9  /* numbers that differ by less are equal */
+#define NO_SUCH_JOB (-1.0) /* the value of counts of a job that was never submitted */
 
-/* A measure of what happened so far; `argument` is the word behind its name. */
+/* A number that scenarios can check. `argument` is the word after the name in the line. */
 struct measure {
 	const char *name;
 	double (*value)(struct world *world, const char *argument);
 };
 
-/* --- of one job, whose number is the argument --- */
+/* --- measures of a job; the argument is its number --- */
 
-/* NULL if it was never submitted. */
+/* Returns the job with this number; NULL if it was never submitted. */
 static const struct standin_job *job_numbered(struct world *world, const char *number)
 {
 	char id[ID_MAX];
@@ -54,7 +54,7 @@
 	return job ? job->starts : NO_SUCH_JOB;
 }
 
-/* Tasks shown as running by the newest answer to its client. */
+/* The number of running tasks that the newest answer to the job's client showed. */
 static double tasks_shown_running(struct world *world, const char *argument)
 {
 	const struct standin_job *job = job_numbered(world, argument);
@@ -62,7 +62,7 @@
 	return job ? job->answered_running : NO_SUCH_JOB;
 }
 
-/* Share of a service's replica time in which a replica ran. */
+/* The share of a service's replica time in which the replicas ran. */
 static double served_share(struct world *world, const char *argument)
 {
 	const struct standin_job *job = job_numbered(world, argument);
@@ -70,7 +70,7 @@
 	return job && job->replica_s > 0 ? job->served_s / job->replica_s : 0;
 }
 
-/* Seconds from its acceptance until it began. */
+/* The time in seconds from the job's acceptance until it began; infinite if it has not begun. */
 static double wait_time(struct world *world, const char *argument)
 {
 	const struct standin_job *job = job_numbered(world, argument);
@@ -78,7 +78,7 @@
 	return job && job->began_at >= 0 ? job->began_at - job->accepted_at : INFINITY;
 }
 
-/* Its tasks that run on machines now. */
+/* The number of the job's tasks that run on machines now. */
 static double tasks_running(struct world *world, const char *argument)
 {
 	char id[ID_MAX];
@@ -94,7 +94,7 @@
 	return count;
 }
 
-/* --- of the controllers --- */
+/* --- measures of the controllers --- */
 
 static double leaders(struct world *world, const char *argument)
 {
@@ -128,13 +128,13 @@
 	return count;
 }
 
-/* Answers to clients with the status that the argument names. */
+/* The number of answers to clients with the HTTP status in the argument. */
 static double client_answers(struct world *world, const char *argument)
 {
 	return world->answer_counts[atoi(argument)];
 }
 
-/* --- of the stand-ins --- */
+/* --- measures of the stand-ins --- */
 
 static double leader_key_writes(struct world *world, const char *argument)
 {
@@ -142,7 +142,8 @@
 	return (double)world->standin.state_service.takeovers;
 }
 
-/* puts, toolarge, requests or refused */
+/* A counter of the state service. The argument is puts, toolarge or requests; anything else stands
+ * for the refused requests. */
 static double state_service_count(struct world *world, const char *argument)
 {
 	const struct standin_state_service *state = &world->standin.state_service;
@@ -156,7 +157,7 @@
 	return (double)state->refused;
 }
 
-/* Records whose key begins with the argument. */
+/* The number of records whose key begins with the argument. */
 static double keys_with_prefix(struct world *world, const char *argument)
 {
 	const struct standin_key *key = world->standin.state_service.keys;
@@ -167,7 +168,8 @@
 	return count;
 }
 
-/* Requests to machines: show for questions, else direct commands. */
+/* The number of requests that reached machines: with the argument probes, the probes; with any
+ * other, the direct commands. */
 static double machine_requests(struct world *world, const char *argument)
 {
 	if (!strcmp(argument, "probes"))
@@ -187,14 +189,14 @@
 	return (double)world->standin.starts_total;
 }
 
-/* Machines that there ever were. */
+/* The number of machines that have ever existed. */
 static double machines_rented(struct world *world, const char *argument)
 {
 	(void)argument;
 	return world->standin.machine_count;
 }
 
-/* Machines that are up, of the type that the argument names, or of any. */
+/* The number of machines that are up and of the type in the argument, or of any type for `any`. */
 static double machines_up(struct world *world, const char *argument)
 {
 	bool any = !strcmp(argument, "any");
@@ -209,7 +211,7 @@
 	return count;
 }
 
-/* Whether the rule that the argument names was broken. */
+/* 1 if the rule that the argument names was broken, else 0. */
 static double rule_broken(struct world *world, const char *argument)
 {
 	for (int rule = 0; rule < RULE_COUNT; rule++)
@@ -242,7 +244,7 @@
     {"broken", rule_broken},
 };
 
-/* NULL if there is none of this name. */
+/* Returns the measure with this name; NULL if there is none. */
 static const struct measure *measure_named(const char *name)
 {
 	for (size_t i = 0; i < sizeof(measures) / sizeof(*measures); i++)
@@ -251,7 +253,8 @@
 	return NULL;
 }
 
-static bool holds(double actual, const char *comparison, double expected)
+/* Compares a measured with an expected number. Any comparison but == and >= stands for <=. */
+static bool comparison_is_true(double actual, const char *comparison, double expected)
 {
 	if (!strcmp(comparison, "=="))
 		return fabs(actual - expected) < EQUAL_WITHIN;
@@ -271,11 +274,11 @@
 	double actual;
 
 	if (!measure) {
-		world_fail(world, "unknown measure: %s", name);
+		world_fail(world, "unknown measure \"%s\"", name);
 		return;
 	}
 	actual = measure->value(world, argument);
-	if (!holds(actual, comparison, atof(expected)))
+	if (!comparison_is_true(actual, comparison, atof(expected)))
 		world_fail(world, "%s %s is %g, expected %s %s", name, argument, actual, comparison,
 			   expected);
 }
@@ -294,5 +297,7 @@
 		standin_rule_broken(standin, RULE_NOTHING_RAN, "no start");
 	for (int rule = 0; rule < RULE_COUNT; rule++)
 		if (standin->rules_broken[rule] && !strstr(permitted, rule_names[rule]))
-			world_fail(world, "rule broken: %s", standin->broken_why);
+			world_fail(
+			    world, "rule %s broken %d times; latest message of the checker: %s",
+			    rule_names[rule], standin->rules_broken[rule], standin->broken_why);
 }
--- a/tests/runner/expectations.h
+++ b/tests/runner/expectations.h
@@ -1,15 +1,15 @@
-/* What a scenario expects: measures of what happened, compared with numbers. */
+/* The `expect` lines of a scenario, which compare a measure with a number, and the final checks. */
 #ifndef PLOVERLOFT_RUNNER_EXPECTATIONS_H
 #define PLOVERLOFT_RUNNER_EXPECTATIONS_H
 
 #include "scenario_line.h"
 
-/* The keywords of these lines; ends with a name of NULL. */
+/* The keywords of these lines; an entry with a NULL name ends the table. */
 extern const struct scenario_keyword expectation_keywords[];
 
 /*
- * Checks the rules about the whole scenario and fails it for each rule that was broken, at any
- * time, unless `permitted` names it.
+ * Checks the rules that apply to the scenario as a whole. Then fails the scenario for each rule
+ * that was broken at any time, unless `permitted`, a list of names, contains it.
  */
 void expect_rules_kept(struct world *world, const char *permitted);
 
--- a/tests/runner/faults.c
+++ b/tests/runner/faults.c
@@ -1,4 +1,7 @@
-/* Lines that disturb the deployment. Those with end=1 end what the same line without it began. */
+/*
+ * The handlers of the lines that cause faults. Some faults last until a line with the option end=1,
+ * which is otherwise the same as the line that began them.
+ */
 #include "faults.h"
 
 #include <math.h>
@@ -11,9 +14,10 @@
 #include "network.h"
 #include "util/xalloc.h"
 
-#define DEFAULT_DOWN_S 3      /* of a controller that crashes */
-#define DEFAULT_DURATION_S 10 /* of a partition or an outage */
-#define DEFAULT_NOTICE_S 8    /* until a machine that got notice is taken away */
+#define DEFAULT_DOWN_S 3      /* downtime of a controller that crashes */
+#define DEFAULT_DURATION_S 10 /* duration of a partition, a freeze or an outage */
+#define DEFAULT_NOTICE_S 8    /* time of a preemption notice, until the machine is taken back */
+/* Longest delay of the copies of reports, beyond the least one. */
 #define DEFAULT_DUPLICATE_DELAY_S 30
 #define MACHINE_PREFIX "machine:"
 
@@ -22,29 +26,30 @@
 	return line_option_number(line, "back", DEFAULT_DOWN_S);
 }
 
-/* The end of a fault that begins now and lasts as long as for= says. */
+/* Returns the time at which a fault ends that begins now; the option for= is its duration. */
 static double end_time(const struct world *world, const struct scenario_line *line)
 {
 	return world->now_s + line_option_number(line, "for", DEFAULT_DURATION_S);
 }
 
-static bool begins(const struct scenario_line *line)
+/* True if the line begins a fault, false if it ends one. */
+static bool begins_fault(const struct scenario_line *line)
 {
 	return line_option_number(line, "end", 0) == 0;
 }
 
-void fault_note_end(struct world *world, const struct scenario_line *line)
+void faults_extend_duration(struct world *world, const struct scenario_line *line)
 {
 	double duration_s = fmax(line_option_number(line, "for", 0), down_time(line));
 
-	world->quiet_since_s = fmax(world->quiet_since_s, world->now_s + duration_s);
+	world->faults_end_s = fmax(world->faults_end_s, world->now_s + duration_s);
 }
 
-/* quiet: from now on the checker takes what still lasts for no fault, to test the checks */
-static void end_of_faults(struct world *world, const struct scenario_line *line)
+/* quiet: from now on the checker ignores faults that still last, so that its checks can fail */
+static void end_faults(struct world *world, const struct scenario_line *line)
 {
 	(void)line;
-	world->quiet_since_s = world->now_s;
+	world->faults_end_s = world->now_s;
 }
 
 /* cancel_at_end N: job N is cancelled when its last task ends */
@@ -53,15 +58,15 @@
 	world->cancel_at_end = line_integer(line, 1);
 }
 
-/* --- controllers --- */
+/* --- faults of controllers --- */
 
-/* crash NODE|leader|follower|all back=S */
+/* crash NODE|leader|follower|all back=S: the controller is restarted after S seconds */
 static void crash(struct world *world, const struct scenario_line *line)
 {
-	const char *who = line_word(line, 1);
+	const char *name = line_word(line, 1);
 
-	if (strcmp(who, "all")) {
-		controller_crash(world, controller_named(world, who), down_time(line));
+	if (strcmp(name, "all")) {
+		controller_crash(world, controller_named(world, name), down_time(line));
 		return;
 	}
 	for (int i = 0; i < world->controller_count; i++)
@@ -76,11 +81,13 @@
 		return CRASH_LOADING;
 	if (!strcmp(word, "leading"))
 		return CRASH_LEADING;
-	world_fail(world, "no such step of an election: %s", word);
+	world_fail(world, "unknown step of an election \"%s\": not lease, recovering or leading",
+		   word);
 	return CRASH_NEVER;
 }
 
-/* crash_at_step lease|recovering|leading times=N back=S */
+/* crash_at_step lease|recovering|leading times=N back=S: the next N controllers that reach this
+ * step of an election crash there */
 static void crash_at_step(struct world *world, const struct scenario_line *line)
 {
 	world->election_crash.step = crash_step(world, line_word(line, 1));
@@ -88,7 +95,7 @@
 	world->election_crash.down_s = down_time(line);
 }
 
-/* freeze NODE for=S */
+/* freeze NODE for=S: the controller neither reads nor sends for S seconds */
 static void freeze(struct world *world, const struct scenario_line *line)
 {
 	int index = controller_named(world, line_word(line, 1));
@@ -96,25 +103,25 @@
 	world->controllers[index].frozen_until_s = end_time(world, line);
 }
 
-/* --- state service and cloud --- */
+/* --- faults of the state service and the cloud --- */
 
-/* outage state for=S / outage cloud [end=1] */
+/* outage state for=S / outage cloud [end=1]: the service answers all requests with 503 */
 static void outage(struct world *world, const struct scenario_line *line)
 {
 	if (strcmp(line_word(line, 1), "state")) {
-		world->standin.cloud.down = begins(line);
+		world->standin.cloud.down = begins_fault(line);
 		return;
 	}
 	standin_state_outage(&world->standin, true);
 	world->state_outage_until_s = end_time(world, line);
 }
 
-/* refuse NODE [end=1]: the state service answers 503 to this controller */
+/* refuse NODE [end=1]: the state service answers this controller's requests with 503 */
 static void refuse(struct world *world, const struct scenario_line *line)
 {
 	int index = controller_named(world, line_word(line, 1));
 
-	world->standin.state_service.refuses[index] = begins(line);
+	world->standin.state_service.refuses[index] = begins_fault(line);
 }
 
 /* stall NODE [end=1]: the state service does not answer this controller's reads of changes */
@@ -122,43 +129,44 @@
 {
 	int index = controller_named(world, line_word(line, 1));
 
-	world->standin.state_service.stalls[index] = begins(line);
+	world->standin.state_service.stalls[index] = begins_fault(line);
 }
 
-/* --- network --- */
+/* --- faults of the network --- */
 
-/* loss P */
-static void lose(struct world *world, const struct scenario_line *line)
+/* loss P: this share of messages is lost */
+static void set_message_loss(struct world *world, const struct scenario_line *line)
 {
 	world->network_faults.lost = line_number(line, 1);
 }
 
-/* repeat P */
-static void repeat(struct world *world, const struct scenario_line *line)
+/* repeat P: this share of requests is carried out twice */
+static void set_request_repetition(struct world *world, const struct scenario_line *line)
 {
 	world->network_faults.repeated = line_number(line, 1);
 }
 
-/* slow_store P */
-static void slow_state_replies(struct world *world, const struct scenario_line *line)
+/* slow_store P: this share of the state service's replies arrives late */
+static void set_slow_state_replies(struct world *world, const struct scenario_line *line)
 {
 	world->network_faults.slow_state_replies = line_number(line, 1);
 }
 
-/* late_writes P */
-static void delay_transactions(struct world *world, const struct scenario_line *line)
+/* late_writes P: this share of transactions gets no reply and is carried out late */
+static void set_late_transactions(struct world *world, const struct scenario_line *line)
 {
 	world->network_faults.late_transactions = line_number(line, 1);
 }
 
-/* late_reports P after=S */
-static void duplicate_reports(struct world *world, const struct scenario_line *line)
+/* late_reports P after=S: of this share of reports, a copy arrives up to about S seconds later */
+static void set_duplicate_reports(struct world *world, const struct scenario_line *line)
 {
 	world->network_faults.duplicate_reports = line_number(line, 1);
 	world->network_faults.duplicate_delay_s =
 	    line_option_number(line, "after", DEFAULT_DUPLICATE_DELAY_S);
 }
 
+/* Returns the number of the host that a word of a scenario names. */
 static int host_named(struct world *world, const char *word)
 {
 	if (!strcmp(word, "state"))
@@ -211,7 +219,8 @@
 	}
 }
 
-/* partition A B for=S [mode=hold]: A a host or machine:K..L, B a host, "workers" or "peers" */
+/* partition A B for=S [mode=hold]: A is a host or machine:K..L, and B is a host, "workers" for all
+ * machines or "peers" for all other controllers */
 static void partition_hosts(struct world *world, const struct scenario_line *line)
 {
 	const char *from = line_word(line, 1);
@@ -227,7 +236,7 @@
 		cut_between(world, line, host_named(world, from), host_named(world, to));
 }
 
-/* outbound_partition K for=S: machine K's reports arrive, answers and commands do not reach it */
+/* outbound_partition K for=S: reports from machine K arrive, but no message reaches the machine */
 static void partition_outbound(struct world *world, const struct scenario_line *line)
 {
 	int machine = HOST_MACHINES + line_integer(line, 1);
@@ -237,8 +246,8 @@
 	added->scope = CUT_ONE_WAY;
 }
 
-/* inbound_partition K for=S: machine K, or K..L, reaches no controller, while direct commands reach
- * it */
+/* inbound_partition K for=S: reports from machine K, or from machines K..L, reach no controller,
+ * but direct commands and probes reach the machine and are answered */
 static void partition_inbound(struct world *world, const struct scenario_line *line)
 {
 	int last;
@@ -252,7 +261,7 @@
 	}
 }
 
-/* capture K: keeps the newest report of machine K */
+/* capture K: saves a copy of the newest report of machine K */
 static void capture_report(struct world *world, const struct scenario_line *line)
 {
 	int machine = line_integer(line, 1) % CAPTURED_REPORTS;
@@ -261,7 +270,7 @@
 	world->captured_reports[machine] = xstrdup(world->standin.machines[machine].report_text);
 }
 
-/* replay K: the captured report of machine K comes once more, to the leader */
+/* replay K: sends the captured report of machine K to the leader once more */
 static void replay_report(struct world *world, const struct scenario_line *line)
 {
 	int machine = line_integer(line, 1) % CAPTURED_REPORTS;
@@ -269,7 +278,8 @@
 	struct message *report;
 
 	if (leader < 0 || !world->captured_reports[machine]) {
-		world_fail(world, "nothing to replay: %s", line_word(line, 1));
+		world_fail(world, "report of machine %s cannot be replayed: %s", line_word(line, 1),
+			   leader < 0 ? "no controller leads" : "none was captured");
 		return;
 	}
 	report = message_new(world, MESSAGE_REPORT, HOST_MACHINES + machine, leader, world->now_s);
@@ -277,12 +287,12 @@
 	report->body = xstrdup(world->captured_reports[machine]);
 }
 
-/* --- machines --- */
+/* --- faults of machines --- */
 
 typedef void machine_fault(struct world *world, const struct scenario_line *line,
 			   struct standin_machine *machine);
 
-/* Applies a fault to machine K, or to the machines K..L. */
+/* Applies a fault to machine K, or to machines K..L. */
 static void for_machines(struct world *world, const struct scenario_line *line,
 			 machine_fault *apply)
 {
@@ -300,23 +310,23 @@
 	standin_machine_off(&world->standin, machine, false);
 }
 
-/* kill K: it loses its power */
+/* kill K: the machine fails without notice */
 static void kill_machines(struct world *world, const struct scenario_line *line)
 {
 	for_machines(world, line, kill_one);
 }
 
-static void take_one(struct world *world, const struct scenario_line *line,
-		     struct standin_machine *machine)
+static void reclaim_one(struct world *world, const struct scenario_line *line,
+			struct standin_machine *machine)
 {
 	(void)line;
 	standin_machine_off(&world->standin, machine, true);
 }
 
-/* reclaim K: the cloud takes it back */
+/* reclaim K: the cloud takes the machine back */
 static void reclaim_machines(struct world *world, const struct scenario_line *line)
 {
-	for_machines(world, line, take_one);
+	for_machines(world, line, reclaim_one);
 }
 
 static void restart_one(struct world *world, const struct scenario_line *line,
@@ -326,7 +336,7 @@
 	standin_machine_restart(&world->standin, machine);
 }
 
-/* restart K: back at once, all forgotten */
+/* restart K: the machine's agent is restarted at once and has lost its memory */
 static void restart_machines(struct world *world, const struct scenario_line *line)
 {
 	for_machines(world, line, restart_one);
@@ -339,7 +349,7 @@
 	machine->changed = true;
 }
 
-/* preemption_notice K for=S: it learns that it will be taken away */
+/* preemption_notice K for=S: the machine gets the notice that it is taken back after S seconds */
 static void notify_machines(struct world *world, const struct scenario_line *line)
 {
 	for_machines(world, line, notify_one);
@@ -349,17 +359,17 @@
 		     struct standin_machine *machine)
 {
 	(void)world;
-	machine->hanging = begins(line);
+	machine->hanging = begins_fault(line);
 }
 
-/* hang K [end=1] */
+/* hang K [end=1]: the machine neither answers nor runs its tasks */
 static void hang_machines(struct world *world, const struct scenario_line *line)
 {
 	for_machines(world, line, hang_one);
 }
 
 const struct scenario_keyword fault_keywords[] = {
-    {"quiet", 0, end_of_faults},
+    {"quiet", 0, end_faults},
     {"cancel_at_end", 1, cancel_at_end},
     {"crash", 1, crash},
     {"crash_at_step", 1, crash_at_step},
@@ -367,11 +377,11 @@
     {"outage", 1, outage},
     {"refuse", 1, refuse},
     {"stall", 1, stall},
-    {"loss", 1, lose},
-    {"repeat", 1, repeat},
-    {"slow_store", 1, slow_state_replies},
-    {"late_writes", 1, delay_transactions},
-    {"late_reports", 1, duplicate_reports},
+    {"loss", 1, set_message_loss},
+    {"repeat", 1, set_request_repetition},
+    {"slow_store", 1, set_slow_state_replies},
+    {"late_writes", 1, set_late_transactions},
+    {"late_reports", 1, set_duplicate_reports},
     {"partition", 2, partition_hosts},
     {"outbound_partition", 1, partition_outbound},
     {"inbound_partition", 1, partition_inbound},
--- a/tests/runner/main.c
+++ b/tests/runner/main.c
@@ -1,38 +1,41 @@
 /*
- * Plays a scenario file: controllers' cores against the stand-ins, in simulated time. Every
- * scenario runs under the checker of the rules and says what it expects. See tests/README.md.
+ * The scenario runner. It runs a scenario file in simulated time: the controllers' cores with
+ * stand-ins for the systems around them. A scenario fails if an expectation that it states is not
+ * met, or if the checker finds a broken rule. tests/README.md describes the scenario language.
  */
+#include <errno.h>
 #include <getopt.h>
 #include <inttypes.h>
 #include <stdio.h>
 #include <stdlib.h>
+#include <string.h>
 
 #include "behaviour_trace.h"
 #include "scenario.h"
 #include "util/log.h"
 #include "world.h"
 
-/* Exit status of the program. */
+/* Exit statuses of the program. */
 enum exit_status { STATUS_PASSED, STATUS_FAILED, STATUS_USAGE };
 
-/* What the command line says. */
+/* The command line. */
 struct options {
 	const char *scenario;
-	const char *trace; /* file for the controllers' actions; NULL: none */
-	bool digest;	   /* print the digest of the controllers' actions */
+	const char *trace; /* path of the file for the controllers' actions; NULL: none */
+	bool digest;	   /* true: print the digest of the controllers' actions */
 };
 
-/* Returns false if the arguments are wrong. */
+/* Parses the command line. Returns false if it is wrong. */
 static bool options_parse(struct options *options, int argc, char **argv)
 {
-	static const struct option known[] = {
+	static const struct option long_options[] = {
 	    {"digest", no_argument, NULL, 'd'},
 	    {"trace", required_argument, NULL, 't'},
 	    {0},
 	};
 	int option;
 
-	while ((option = getopt_long(argc, argv, "", known, NULL)) != -1) {
+	while ((option = getopt_long(argc, argv, "", long_options, NULL)) != -1) {
 		if (option == 'd')
 			options->digest = true;
 		else if (option == 't')
@@ -53,14 +56,15 @@
 	log_setup("-", level ? level : "error");
 }
 
-/* Returns false if the file of the trace can't be written. */
+/* Creates the trace if one is requested. Returns false if its file cannot be opened. */
 static bool set_up_trace(struct world *world, const struct options *options)
 {
 	if (!options->digest && !options->trace)
 		return true;
 	world->trace = behaviour_trace_new(options->trace);
 	if (!world->trace)
-		fprintf(stderr, "%s can't be written\n", options->trace);
+		fprintf(stderr, "trace file %s: cannot be written: %s\n", options->trace,
+			strerror(errno));
 	return world->trace;
 }
 
@@ -76,22 +80,28 @@
 {
 	static struct world world;
 	struct options options = {0};
-	FILE *file = options_parse(&options, argc, argv) ? fopen(options.scenario, "r") : NULL;
+	FILE *file;
 
-	if (!file) {
+	if (!options_parse(&options, argc, argv)) {
 		fprintf(stderr, "usage: runner [--digest] [--trace FILE] SCENARIO\n");
 		return STATUS_USAGE;
 	}
+	file = fopen(options.scenario, "r");
+	if (!file) {
+		fprintf(stderr, "scenario %s: cannot be read: %s\n", options.scenario,
+			strerror(errno));
+		return STATUS_USAGE;
+	}
 	set_up_log();
 	world_init(&world, options.scenario);
 	world.standin.verbose = log_on(LOG_INFO);
 	if (!set_up_trace(&world, &options))
 		return STATUS_USAGE;
-	scenario_play(&world, file);
+	scenario_run(&world, file);
 	fclose(file);
 	finish_trace(&world, &options);
 	world_free(&world);
 	if (world.failures)
-		fprintf(stderr, "%d failures\n", world.failures);
+		fprintf(stderr, "%s: %d failures\n", options.scenario, world.failures);
 	return world.failures ? STATUS_FAILED : STATUS_PASSED;
 }
--- a/tests/runner/message_queue.c
+++ b/tests/runner/message_queue.c
@@ -1,4 +1,5 @@
-/* A doubly linked list: messages due at the same time keep the order in which they were sent. */
+/* The queue is a doubly linked list. Messages due at the same time keep the order in which they
+ * were added. */
 #include "message_queue.h"
 
 #include <stdlib.h>
@@ -8,8 +9,8 @@
 
 #include "util/xalloc.h"
 
-/* The last message due at `due_at_s` or before; NULL if there is none. */
-static struct message *last_due(struct world *world, double due_at_s)
+/* Returns the last message that is due at `due_at_s` or before; NULL if there is none. */
+static struct message *last_due_by(struct world *world, double due_at_s)
 {
 	struct message *message = world->queue ? world->queue->prev : NULL;
 
@@ -20,7 +21,7 @@
 
 static void enqueue(struct world *world, struct message *message)
 {
-	struct message *before = last_due(world, message->due_at_s);
+	struct message *before = last_due_by(world, message->due_at_s);
 
 	if (before)
 		DL_APPEND_ELEM(world->queue, before, message);
@@ -57,7 +58,7 @@
 	free(message);
 }
 
-struct message *message_take_due(struct world *world, double until_s)
+struct message *message_pop_due(struct world *world, double until_s)
 {
 	struct message *message = world->queue;
 
--- a/tests/runner/message_queue.h
+++ b/tests/runner/message_queue.h
@@ -1,21 +1,23 @@
-/* The queue of messages on their way, ordered by their time of arrival. */
+/* The queue of messages in flight, ordered by their time of arrival. */
 #ifndef PLOVERLOFT_RUNNER_MESSAGE_QUEUE_H
 #define PLOVERLOFT_RUNNER_MESSAGE_QUEUE_H
 
 #include "world.h"
 
-/* Puts a new message into the queue, which owns it; the caller fills in what it says. */
+/* Adds a new message to the queue, which owns it. The caller sets the fields of its kind. */
 struct message *message_new(struct world *world, enum message_kind kind, int from, int to,
 			    double due_at_s);
-/* Copies `length` bytes into the message; `body` may be NULL if `length` is 0. */
+/* Sets the body of a message to a copy of `length` bytes. `body` may be NULL if `length` is 0. */
 void message_set_body(struct message *message, const char *body, size_t length);
-/* Frees a message that is in no queue, and its strings. */
+/* Frees a message that was removed from the queue, and its strings. */
 void message_free(struct message *message);
-/* Takes the first message out of the queue if it is due by `until_s`; NULL if none is. */
-struct message *message_take_due(struct world *world, double until_s);
-/* Puts a message that was taken back into the queue, behind all others due at that time. */
+/* Removes and returns the first message if it is due by `until_s`; otherwise returns NULL. The
+ * caller owns the message. */
+struct message *message_pop_due(struct world *world, double until_s);
+/* Returns a removed message to the queue with a new time of arrival, after all others that are due
+ * by then. */
 void message_postpone(struct world *world, struct message *message, double due_at_s);
-/* Frees all messages of the queue. */
+/* Frees all messages in the queue. */
 void message_queue_free(struct world *world);
 
 #endif
--- a/tests/runner/network.c
+++ b/tests/runner/network.c
@@ -1,4 +1,4 @@
-/* Which messages arrive, and when. */
+/* Decides which messages arrive, and when. */
 #include "network.h"
 
 #include <stdlib.h>
@@ -10,7 +10,8 @@
 #include "message_queue.h"
 #include "util/xalloc.h"
 
-#define LATENCY_S 0.004 /* of a message on average, from half of it to one and a half */
+/* Mean latency of a message. It varies from half of this to one and a half. */
+#define LATENCY_S 0.004
 
 double network_arrival_time(struct world *world)
 {
@@ -37,16 +38,16 @@
 	world->cuts = NULL;
 }
 
-/* A cut both ways: its `to` may be any host. */
+/* True if a cut with CUT_BOTH_WAYS stops messages between two hosts. Its `to` may be HOST_ANY. */
 static bool stops_either_way(const struct network_cut *cut, int from, int to)
 {
-	bool there = cut->from == from && (cut->to == to || cut->to == HOST_ANY);
-	bool back = cut->from == to && (cut->to == from || cut->to == HOST_ANY);
+	bool forward = cut->from == from && (cut->to == to || cut->to == HOST_ANY);
+	bool backward = cut->from == to && (cut->to == from || cut->to == HOST_ANY);
 
-	return there || back;
+	return forward || backward;
 }
 
-/* A cut one way: its `from` may be any host. */
+/* True if a cut with CUT_ONE_WAY stops messages from `from` to `to`. Its `from` may be HOST_ANY. */
 static bool stops_one_way(const struct network_cut *cut, int from, int to)
 {
 	return cut->to == to && (cut->from == from || cut->from == HOST_ANY);
@@ -68,6 +69,7 @@
 	return NULL;
 }
 
+/* True if a cut with CUT_REPORTS stops the message. */
 static bool report_is_cut(const struct world *world, const struct message *message)
 {
 	const struct network_cut *cut;
@@ -80,7 +82,8 @@
 	return false;
 }
 
-/* Draws a random number for each message that can be lost. */
+/* True if the message is lost at random. Draws a random number for each message that can be lost:
+ * timeouts are events within a controller, and messages of clients and machines are not lost. */
 static bool is_lost(struct world *world, const struct message *message)
 {
 	if (message->kind == MESSAGE_TIMEOUT || message->from >= HOST_CLIENTS)
@@ -88,7 +91,7 @@
 	return world_random(world) < world->network_faults.lost;
 }
 
-/* Takes over the message: it is delivered, lost, or goes back into the queue. */
+/* Delivers or drops a message that is due, or returns it to the queue. Takes ownership of it. */
 static void transmit(struct world *world, struct message *message)
 {
 	double wake_s = controller_wake_time(world, message);
@@ -113,7 +116,7 @@
 {
 	struct message *message;
 
-	while ((message = message_take_due(world, until_s))) {
+	while ((message = message_pop_due(world, until_s))) {
 		if (message->due_at_s > world->now_s)
 			world->now_s = message->due_at_s;
 		world->standin.now = world->now_s;
--- a/tests/runner/outbox.c
+++ b/tests/runner/outbox.c
@@ -1,4 +1,4 @@
-/* Calls and answers of the controllers' cores. */
+/* Sends the calls and answers of the controllers' cores, with the faults of requests. */
 #include "outbox.h"
 
 #include <stdlib.h>
@@ -10,12 +10,12 @@
 #include "util/xalloc.h"
 #include "wire/names.h"
 
-#define REQUEST_COPIES 2	    /* a request, and its repetition */
-#define REPEAT_DELAY_S 1.5	    /* until a repeated request is carried out again */
-#define LATE_TRANSACTION_MIN_S 2    /* until a late transaction is carried out, at least */
-#define LATE_TRANSACTION_RANGE_S 10 /* on top of that, at most */
+#define REQUEST_COPIES 2	    /* a request and its repetition */
+#define REPEAT_DELAY_S 1.5	    /* time until a repeated request is carried out again */
+#define LATE_TRANSACTION_MIN_S 2    /* least delay of a late transaction */
+#define LATE_TRANSACTION_RANGE_S 10 /* longest additional delay */
 
-/* The host that listens at an address; HOST_ANY if none does. */
+/* Returns the number of the host that listens at an address; HOST_ANY if there is none. */
 static int host_at_address(struct world *world, const char *address)
 {
 	const struct standin_machine *machine;
@@ -31,7 +31,7 @@
 	return machine ? HOST_MACHINES + (int)(machine - world->standin.machines) : HOST_ANY;
 }
 
-/* An answer to a client or to the report of a machine: text, or nothing. */
+/* Sends an answer to a client or to a report. Its body is text or absent. */
 static void send_text_answer(struct world *world, int index, const struct core_action *action)
 {
 	bool to_machine = connection_kind(action->id) == CONNECTION_REPORT;
@@ -44,7 +44,7 @@
 	answer->body = action->body ? xstrdup(action->body) : NULL;
 }
 
-/* An answer to another controller, which may be binary. */
+/* Sends an answer to another controller. Its body may be binary. */
 static void send_peer_answer(struct world *world, int index, const struct core_action *action)
 {
 	struct peer_request *pending;
@@ -71,7 +71,8 @@
 		send_text_answer(world, index, action);
 }
 
-/* Whether a transaction gets no reply and is carried out later; draws a random number for each. */
+/* True for a transaction that gets no reply and is carried out late. Draws a random number for each
+ * transaction. */
 static bool is_late_transaction(struct world *world, int to, const struct core_action *action)
 {
 	if (to != HOST_STATE || strcmp(action->path, W_PATH_TXN))
@@ -79,7 +80,7 @@
 	return world_random(world) < world->network_faults.late_transactions;
 }
 
-/* `call` is 0 if the controller gets no reply. */
+/* Sends a request. `call` is the id of the controller's call; 0: the controller gets no reply. */
 static void send_request(struct world *world, int index, int to, const struct core_action *action,
 			 double due_at_s, uint64_t call)
 {
@@ -93,8 +94,8 @@
 }
 
 /*
- * Queues the timeout of a call and then its request, which faults may repeat or delay. The order of
- * the random numbers must not change: scenarios depend on it.
+ * Queues the timeout of a call and then its request, which faults may repeat or delay. The order in
+ * which random numbers are drawn must not change: scenarios depend on it.
  */
 static void send_call(struct world *world, int index, const struct core_action *action)
 {
--- a/tests/runner/requests.c
+++ b/tests/runner/requests.c
@@ -1,4 +1,5 @@
-/* Lines with which clients ask something, and those that break a rule on purpose. */
+/* The handlers of the lines that make clients send requests, and of those that break a rule on
+ * purpose. */
 #include "requests.h"
 
 #include <stdio.h>
@@ -30,7 +31,7 @@
 	return PRIO_NORMAL;
 }
 
-/* How the tasks of a service end by themselves. */
+/* Returns how the tasks of a service end by themselves, from the option ends=. */
 static enum task_end_reason task_end(const char *word)
 {
 	if (!strcmp(word, "done"))
@@ -41,9 +42,9 @@
 }
 
 static void copy_option(char *out, size_t size, const struct scenario_line *line, const char *name,
-			const char *otherwise)
+			const char *default_value)
 {
-	snprintf(out, size, "%s", line_option(line, name, otherwise));
+	snprintf(out, size, "%s", line_option(line, name, default_value));
 }
 
 static void parse_job(struct job_spec *spec, const struct scenario_line *line, const char *id)
@@ -71,7 +72,7 @@
 	spec->spot = line_option_number(line, "spot", 0) > 0;
 }
 
-/* Tells the stand-ins of a job, unless they know it already. */
+/* Adds a job to those that the stand-ins know, unless they know it already. */
 static void declare_job(struct world *world, const struct scenario_line *line, const char *id)
 {
 	struct standin_job *job = standin_job_find(&world->standin, id);
@@ -91,7 +92,7 @@
 	HASH_ADD_STR(world->standin.jobs, spec.id, job);
 }
 
-/* The controller that the option node= names; HOST_ANY without it. */
+/* Returns the index of the controller that the option node= names; HOST_ANY without the option. */
 static int controller_option(struct world *world, const struct scenario_line *line)
 {
 	const char *word = line_option(line, "node", NULL);
@@ -99,7 +100,7 @@
 	return word ? controller_named(world, word) : HOST_ANY;
 }
 
-/* submit N ... [copies=]: jobs N, N + 1 and so on */
+/* submit N ... [copies=C]: submits C jobs with the numbers N, N + 1 and so on */
 static void submit(struct world *world, const struct scenario_line *line)
 {
 	int controller = controller_option(world, line);
@@ -114,7 +115,7 @@
 	}
 }
 
-/* poll N [node=] */
+/* poll N [node=]: requests the state of job N */
 static void poll_job(struct world *world, const struct scenario_line *line)
 {
 	char id[ID_MAX];
@@ -123,7 +124,7 @@
 	client_request_job(world, CLIENT_POLL, id, controller_option(world, line));
 }
 
-/* cancel N [node=] */
+/* cancel N [node=]: requests the cancellation of job N */
 static void cancel(struct world *world, const struct scenario_line *line)
 {
 	char id[ID_MAX];
@@ -132,8 +133,9 @@
 	client_request_job(world, CLIENT_CANCEL, id, controller_option(world, line));
 }
 
-/* request METHOD PATH [node=] [body=...]: the body goes to the end of the line */
-static void send_raw(struct world *world, const struct scenario_line *line)
+/* request METHOD PATH [node=] [body=...]: sends a raw request; the body extends to the end of the
+ * line */
+static void send_raw_request(struct world *world, const struct scenario_line *line)
 {
 	const char *body = strstr(line->text, BODY_OPTION);
 	int controller = controller_option(world, line);
@@ -147,10 +149,10 @@
 }
 
 /*
- * Each check must be able to fail: this breaks a rule on purpose.
- * break start JOB MACHINE TASK: the machine starts a task that nobody commanded
- * break accept JOB: the client gets the answer that the job is accepted
- * break answer JOB STATUS [BODY]: the client gets this answer to a poll
+ * Breaks a rule on purpose, to show that the check of the rule can fail.
+ * break start JOB MACHINE TASK: the machine starts a task without a command
+ * break accept JOB: the checker is informed that a client was told that the job is accepted
+ * break answer JOB STATUS [BODY]: the checker is informed of this answer to a client's poll
  */
 static void break_rule(struct world *world, const struct scenario_line *line)
 {
@@ -170,6 +172,7 @@
 }
 
 const struct scenario_keyword request_keywords[] = {
-    {"submit", 1, submit},    {"poll", 1, poll_job},	{"cancel", 1, cancel},
-    {"request", 2, send_raw}, {"break", 2, break_rule}, {NULL, 0, NULL},
+    {"submit", 1, submit},    {"poll", 1, poll_job},
+    {"cancel", 1, cancel},    {"request", 2, send_raw_request},
+    {"break", 2, break_rule}, {NULL, 0, NULL},
 };
--- a/tests/runner/scenario.c
+++ b/tests/runner/scenario.c
@@ -1,4 +1,7 @@
-/* The scenario language, which tests/README.md describes: finds what runs a line. */
+/*
+ * Reads a scenario and runs each line by the handler of its keyword. tests/README.md describes the
+ * scenario language.
+ */
 #include "scenario.h"
 
 #include <math.h>
@@ -10,11 +13,12 @@
 #include "scenario_line.h"
 #include "setup.h"
 
-/* Played after the last line: longer than a job may go unanswered. */
+/* Time simulated after the last line and the last fault: longer than the 75 s for which a job may
+ * get no answer. */
 #define EPILOGUE_S 80.0
 #define BREAKS_PREFIX "breaks "
 
-/* until T: plays until T seconds */
+/* until T: simulates until T seconds */
 static void run_until(struct world *world, const struct scenario_line *line)
 {
 	world_run(world, line_number(line, 1));
@@ -25,8 +29,9 @@
     {NULL, 0, NULL},
 };
 
-/* NULL if the table has none of this name. */
-static const struct scenario_keyword *find(const struct scenario_keyword *table, const char *name)
+/* Returns the keyword with this name; NULL if the table has none. */
+static const struct scenario_keyword *find_in_table(const struct scenario_keyword *table,
+						    const char *name)
 {
 	for (const struct scenario_keyword *keyword = table; keyword->name; keyword++)
 		if (!strcmp(keyword->name, name))
@@ -34,8 +39,9 @@
 	return NULL;
 }
 
-/* Keywords of all lines but faults; NULL if there is none of this name. */
-static const struct scenario_keyword *find_ordinary(const char *name)
+/* Returns the keyword with this name from the tables other than that of faults; NULL if they have
+ * none. */
+static const struct scenario_keyword *find_other_than_fault(const char *name)
 {
 	static const struct scenario_keyword *const tables[] = {
 	    time_keywords,
@@ -45,7 +51,7 @@
 	};
 
 	for (size_t i = 0; i < sizeof(tables) / sizeof(*tables); i++) {
-		const struct scenario_keyword *keyword = find(tables[i], name);
+		const struct scenario_keyword *keyword = find_in_table(tables[i], name);
 
 		if (keyword)
 			return keyword;
@@ -56,23 +62,24 @@
 static void run_line(struct world *world, const struct scenario_line *line)
 {
 	const char *name = line_word(line, 0);
-	const struct scenario_keyword *fault = find(fault_keywords, name);
-	const struct scenario_keyword *keyword = fault ? fault : find_ordinary(name);
+	const struct scenario_keyword *fault = find_in_table(fault_keywords, name);
+	const struct scenario_keyword *keyword = fault ? fault : find_other_than_fault(name);
 
 	if (!keyword) {
-		world_fail(world, "unknown line: %s", name);
+		world_fail(world, "unknown keyword \"%s\"", name);
 		return;
 	}
 	if (line->word_count <= keyword->arguments) {
-		world_fail(world, "too few words: %s", name);
+		world_fail(world, "keyword \"%s\" needs %d words after it, found %d", name,
+			   keyword->arguments, line->word_count - 1);
 		return;
 	}
 	if (fault)
-		fault_note_end(world, line);
+		faults_extend_duration(world, line);
 	keyword->run(world, line);
 }
 
-/* Runs a line: empty, a comment, or [at T] KEYWORD ... */
+/* Runs the text of a line: [at T] KEYWORD ..., or an empty line or a comment, which do nothing. */
 static void run_text(struct world *world, const char *text)
 {
 	struct scenario_line line;
@@ -87,10 +94,10 @@
 	run_line(world, &line);
 }
 
-void scenario_play(struct world *world, FILE *file)
+void scenario_run(struct world *world, FILE *file)
 {
 	char text[LINE_BYTES];
-	char permitted[LINE_BYTES] = ""; /* the rules that the scenario breaks on purpose */
+	char permitted[LINE_BYTES] = ""; /* names of the rules that the scenario may break */
 
 	while (fgets(text, sizeof(text), file)) {
 		world->line_number++;
@@ -99,7 +106,7 @@
 		else
 			run_text(world, text);
 	}
-	/* Whatever it did, everybody is answered again when its faults are over. */
-	world_run(world, fmax(world->now_s, world->quiet_since_s) + EPILOGUE_S);
+	/* After the last fault the checker requires that users get answers again. */
+	world_run(world, fmax(world->now_s, world->faults_end_s) + EPILOGUE_S);
 	expect_rules_kept(world, permitted);
 }
--- a/tests/runner/scenario.h
+++ b/tests/runner/scenario.h
@@ -1,4 +1,4 @@
-/* Plays a scenario: reads its lines, runs each at its time, and checks the rules at the end. */
+/* Runs a scenario: reads its lines, runs each at its time, and checks the rules at the end. */
 #ifndef PLOVERLOFT_RUNNER_SCENARIO_H
 #define PLOVERLOFT_RUNNER_SCENARIO_H
 
@@ -6,7 +6,7 @@
 
 #include "world.h"
 
-/* Plays all lines of an open file. Failures are printed and counted in the world. */
-void scenario_play(struct world *world, FILE *file);
+/* Runs all lines of an open file. Failures are printed and counted in the world. */
+void scenario_run(struct world *world, FILE *file);
 
 #endif
--- a/tests/runner/scenario_line.c
+++ b/tests/runner/scenario_line.c
@@ -43,7 +43,8 @@
 	return atoi(line_word(line, index));
 }
 
-const char *line_option(const struct scenario_line *line, const char *name, const char *otherwise)
+const char *line_option(const struct scenario_line *line, const char *name,
+			const char *default_value)
 {
 	size_t length = strlen(name);
 
@@ -53,14 +54,14 @@
 		if (!strncmp(word, name, length) && word[length] == '=')
 			return word + length + 1;
 	}
-	return otherwise;
+	return default_value;
 }
 
-double line_option_number(const struct scenario_line *line, const char *name, double otherwise)
+double line_option_number(const struct scenario_line *line, const char *name, double default_value)
 {
 	const char *value = line_option(line, name, NULL);
 
-	return value ? atof(value) : otherwise;
+	return value ? atof(value) : default_value;
 }
 
 bool line_option_set(const struct scenario_line *line, const char *name)
--- a/tests/runner/setup.c
+++ b/tests/runner/setup.c
@@ -1,4 +1,5 @@
-/* Lines that describe the deployment. Settings count when the controllers start. */
+/* The handlers of the lines that describe the deployment. Settings take effect when the controllers
+ * start. */
 #include "setup.h"
 
 #include <stdio.h>
@@ -11,19 +12,19 @@
 #define BYTES_PER_KB 1024
 #define MACHINE_CACHE_GB 50
 
-/* nodes N */
+/* nodes N: the number of controllers */
 static void set_controller_count(struct world *world, const struct scenario_line *line)
 {
 	world->controller_count = line_integer(line, 1);
 }
 
-/* seed N */
+/* seed N: the seed of the controllers' random numbers */
 static void set_seed(struct world *world, const struct scenario_line *line)
 {
 	world->seed = strtoull(line_word(line, 1), NULL, 10);
 }
 
-/* What the state service allows from now on; limits of 0 stay as they are. */
+/* Sets the limits of the state service from now on. Those that are 0 do not change. */
 static void apply_limits(struct standin_state_service *state, const struct conf_limits *limits)
 {
 	if (limits->txn_ops)
@@ -36,7 +37,8 @@
 		state->write_rps = limits->write_rps;
 }
 
-/* limits value_kb= txn_ops= write_rps= rps= */
+/* limits value_kb= txn_ops= write_rps= rps=: changes the limits of the state service, but not the
+ * controllers' settings */
 static void change_limits(struct world *world, const struct scenario_line *line)
 {
 	struct conf_limits limits = {
@@ -59,7 +61,8 @@
 	*setting = (int)line_option_number(line, option, *setting);
 }
 
-/* settings report= lease= cancel= txn_ops= ... keep= */
+/* settings report= lease= cancel= txn_ops= ... keep=: changes the controllers' settings, and the
+ * limits of the state service to match; keep= is the number of changes that it keeps */
 static void change_settings(struct world *world, const struct scenario_line *line)
 {
 	struct conf *conf = &world->conf;
@@ -78,16 +81,17 @@
 	world->standin.state_service.changes_kept = (size_t)line_option_number(line, "keep", 0);
 }
 
-/* hold_format NODE|all [end=1]: counts from the controller's next start */
+/* hold_format NODE|all [end=1]: from its next start on, the controller writes records that the
+ * previous version can read */
 static void keep_previous_format(struct world *world, const struct scenario_line *line)
 {
-	const char *who = line_word(line, 1);
-	bool all = !strcmp(who, "all");
-	bool keeps = line_option_number(line, "end", 0) == 0;
+	const char *name = line_word(line, 1);
+	bool all = !strcmp(name, "all");
+	bool keeps_format = line_option_number(line, "end", 0) == 0;
 
 	for (int i = 0; i < world->controller_count; i++)
-		if (all || controller_named(world, who) == i)
-			world->controllers[i].keeps_previous_format = keeps;
+		if (all || controller_named(world, name) == i)
+			world->controllers[i].keeps_previous_format = keeps_format;
 }
 
 static enum objective_kind objective_kind(const char *word)
@@ -99,7 +103,7 @@
 	return OBJECTIVE_PRICE;
 }
 
-/* objective guarantee|wait|price class= within= share= */
+/* objective guarantee|wait|price class= within= share=: adds a service-level objective */
 static void add_objective(struct world *world, const struct scenario_line *line)
 {
 	struct conf *conf = &world->conf;
@@ -130,7 +134,8 @@
 	}
 }
 
-/* type NAME cpus= mem= gpus= boot= fetch= price= spotprice= zones=a,b capacity= reuse= */
+/* type NAME cpus= mem= gpus= boot= fetch= price= spotprice= zones=a,b capacity= reuse=: adds a
+ * machine type to the cloud's catalog */
 static void add_machine_type(struct world *world, const struct scenario_line *line)
 {
 	struct machine_type type = {0};
@@ -149,7 +154,7 @@
 	standin_type_add(&world->standin, &type, capacity, line_option_set(line, "reuse"));
 }
 
-/* team NAME cpus= cpus_max= gpus= gpus_max= */
+/* team NAME cpus= cpus_max= gpus= gpus_max=: adds a team with its guarantee and its quota */
 static void add_team(struct world *world, const struct scenario_line *line)
 {
 	struct conf_team *team = world_add_team(world, line_word(line, 1));
@@ -160,7 +165,7 @@
 	team->gpus_max = line_option_number(line, "gpus_max", 0);
 }
 
-/* machines TYPE N zone= spot= faulty= up= */
+/* machines TYPE N zone= spot= faulty= up=: adds N machines, which are up from the time up= on */
 static void add_machines(struct world *world, const struct scenario_line *line)
 {
 	const char *type = line_word(line, 1);
--- a/tests/runner/setup.h
+++ b/tests/runner/setup.h
@@ -4,7 +4,7 @@
 
 #include "scenario_line.h"
 
-/* The keywords of these lines; ends with a name of NULL. */
+/* The keywords of these lines; an entry with a NULL name ends the table. */
 extern const struct scenario_keyword setup_keywords[];
 
 #endif
--- a/tests/runner/world.c
+++ b/tests/runner/world.c
@@ -1,4 +1,4 @@
-/* Sets up, plays and frees the simulated world of a scenario. */
+/* Initialises, runs and frees the simulated world of a scenario. */
 #include "world.h"
 
 #include <math.h>
@@ -17,9 +17,9 @@
 #include "outbox.h"
 #include "util/xalloc.h"
 
-#define STEP_S 0.05	      /* between two ticks of the controllers */
-#define TIME_TOLERANCE_S 1e-9 /* times closer than this are equal */
-#define STEP_TOLERANCE 1e-6   /* of a step: rounding of simulated time */
+#define STEP_S 0.05	      /* interval between ticks of the controllers */
+#define TIME_TOLERANCE_S 1e-9 /* times that differ by less are equal */
+#define STEP_TOLERANCE 1e-6   /* largest rounding error of simulated time, in steps */
 #define DEFAULT_CONTROLLERS 3
 #define DEFAULT_TEAM "core"
 
@@ -48,7 +48,7 @@
 
 void world_init(struct world *world, const char *scenario_path)
 {
-	static const struct standin_callbacks operations = {standin_reply, standin_report};
+	static const struct standin_callbacks callbacks = {standin_reply, standin_report};
 
 	memset(world, 0, sizeof(*world));
 	world->scenario_path = scenario_path;
@@ -56,7 +56,7 @@
 	world->seed = 1;
 	world->random_state[0] = 7;
 	default_conf(&world->conf);
-	standin_init(&world->standin, &operations, world, &world->conf);
+	standin_init(&world->standin, &callbacks, world, &world->conf);
 }
 
 void world_free(struct world *world)
@@ -118,6 +118,7 @@
 	return (floor(now_s / STEP_S + STEP_TOLERANCE) + 1) * STEP_S;
 }
 
+/* True if a full second of simulated time passed in the step that ended at `now_s`. */
 static bool second_began(double now_s)
 {
 	return floor(now_s) != floor(now_s - STEP_S);
@@ -137,9 +138,9 @@
 		controllers_tick(world);
 		if (second_began(next_s)) {
 			clients_tick(world);
-			standin_check_room(&world->standin, world->quiet_since_s);
+			standin_check_room(&world->standin, world->faults_end_s);
 		}
 		clients_cancel_at_end(world);
-		standin_check_answers(&world->standin, world->quiet_since_s);
+		standin_check_answers(&world->standin, world->faults_end_s);
 	}
 }
