--- a/.ci/check_docs.py
+++ b/.ci/check_docs.py
@@ -1,9 +1,12 @@
 #!/usr/bin/env python3
-"""Checks that each identifier that the pages name in backticks exists in the sources.
+"""Checks that the sources contain each identifier that the documentation has in backticks.
 
-An identifier is a backticked word with an underscore, of letters, digits and underscores. Pages of history (results,
-incidents, roadmap) are left out, and so are table columns with the heading "before", which have the names of earlier
-versions.
+A word in backticks counts as an identifier if it starts with a letter, consists of letters, digits
+and underscores, and has an underscore inside. Parts of paths, of options and of wildcard patterns do
+not count. Pages about the past (results, incidents, roadmap) are not checked, nor are table columns
+with the heading "before": they contain names of earlier versions.
+
+The status is 1 if an identifier is missing from the sources.
 """
 import re
 import subprocess
@@ -18,6 +21,7 @@
 
 
 def source_words():
+    """Returns all words in the sources, and the names of the source files without suffix."""
     paths = subprocess.run(['git', 'ls-files', 'src', 'daemon', 'proto', 'tests', 'deploy', '.ci', '*.txt'], cwd=ROOT,
                            check=True, capture_output=True, text=True).stdout.split()
     words = set()
@@ -44,14 +48,14 @@
 
 
 def main():
-    known = source_words()
+    words_in_sources = source_words()
     missing = 0
     for page in PAGES:
         for number, line in current_text((ROOT / page).read_text().splitlines()):
             for span in CODE_SPAN.findall(line):
                 for word in IDENTIFIER.findall(span):
-                    if word not in known:
-                        print(f'{page}:{number}: {word} is not in the sources')
+                    if word not in words_in_sources:
+                        print(f'{page}:{number}: identifier {word} is not in the sources')
                         missing += 1
     sys.exit(1 if missing else 0)
 
--- a/.ci/external_names.py
+++ b/.ci/external_names.py
@@ -1,12 +1,14 @@
 #!/usr/bin/env python3
-"""Lists the names and texts that leave the process, and checks that the working tree still has them.
+"""Checks that the working tree still has all external names and texts of an earlier commit.
 
-They are read from the sources of COMMIT: names on the wire, paths, keys and fields of records, fields of peer
-messages, settings, arguments, environment variables, events and fields of the log, texts of answers, and the lines
-of the deploy file. Messages to operators about wrong settings and arguments are not among them.
+External means that other programs, stored data or operators depend on them: names on the wire,
+paths, keys and fields of records, fields of peer messages, settings, arguments, environment
+variables, events and fields of the log, texts of answers, and the lines of the deploy file. Error
+messages about invalid settings and arguments are not included.
 
-Usage: external_names.py [--list] COMMIT     --list prints the names instead of searching for them
-Status 1: a name is missing in the working tree.
+Usage: external_names.py [--list] COMMIT
+--list prints the names of COMMIT and checks nothing. Otherwise, the status is 1 if a name of COMMIT
+is missing from the working tree.
 """
 import re
 import subprocess
@@ -18,7 +20,7 @@
 COMMENT = re.compile(r'/\*.*?\*/|//[^\n]*', re.S)
 LOG_CALL = re.compile(r'\blog_(?:error|info|debug|line)\(([^;]*?)\);', re.S)
 LOG_FIELD = re.compile(r'\b([a-z_]+)=')
-# Calls whose literals are messages to operators: wrong settings and arguments.
+# Calls whose literals are error messages about invalid settings and arguments, and usage texts.
 OPERATOR_MESSAGE = re.compile(r'\b(?:fail|argp_error|fprintf|printf|puts|perror)\(.*?\);', re.S)
 PROTO_LINE = re.compile(r'^\s*(?:(?:repeated )?\w+ \w+ = \d+;|message \w+|package \w+;)', re.M)
 
@@ -38,7 +40,7 @@
 
 
 def without_comments(text):
-    # A literal may hold a comment's first characters ("//"): literals are matched first and kept.
+    # Literals are matched first and kept, because they may contain the start of a comment ("//").
     pattern = re.compile(f'({LITERAL.pattern})|{COMMENT.pattern}', re.S)
     return pattern.sub(lambda match: match.group(1) or ' ', text)
 
@@ -56,19 +58,22 @@
     return names
 
 
-def names_of_c(path, text):
+def names_in_c(path, text):
     text = without_comments(text)
     names = log_names(text)
-    rest = LOG_CALL.sub(' ', text)
-    rest = re.sub(r'^\s*#\s*include.*$', '', rest, flags=re.M)
+    remaining = LOG_CALL.sub(' ', text)
+    remaining = re.sub(r'^\s*#\s*include.*$', '', remaining, flags=re.M)
     if path.startswith(('src/conf', 'daemon')):
-        rest = OPERATOR_MESSAGE.sub(' ', rest)
-        rest = re.sub(r'snprintf\([^;]*;', ' ', rest)
-    area = '/'.join(path.split('/')[:3 if path.startswith('src/core/') else 2])
-    for literal in LITERAL.findall(rest):
+        remaining = OPERATOR_MESSAGE.sub(' ', remaining)
+        # In these folders, snprintf only formats error messages about settings.
+        remaining = re.sub(r'snprintf\([^;]*;', ' ', remaining)
+    # Texts in folders of src are listed by folder: they may move between the files of one folder.
+    folder = '/'.join(path.split('/')[:3 if path.startswith('src/core/') else 2])
+    for literal in LITERAL.findall(remaining):
+        # Literals that start with "%s%s" are formats of keys and contain no name of their own.
         is_help_text = path == 'daemon/arguments.c' and len(literal.split()) > 2
         if literal != '""' and not literal.startswith('"%s%s') and not is_help_text:
-            names.add(f'text {area if not area.endswith(".h") else path} {literal}')
+            names.add(f'text {folder if not folder.endswith(".h") else path} {literal}')
     return names
 
 
@@ -79,8 +84,8 @@
             names.update(f'peer message {" ".join(line.split())}' for line in PROTO_LINE.findall(text))
         elif path.startswith('deploy'):
             names.update(f'deploy {line.strip()}' for line in text.splitlines() if line.strip())
-        elif path != 'src/constants.h':
-            names.update(names_of_c(path, text))
+        elif path != 'src/constants.h':  # its only literal is the version number
+            names.update(names_in_c(path, text))
     return names
 
 
@@ -94,8 +99,8 @@
         return
     missing = sorted(expected - names_in(sources_of_working_tree()))
     for name in missing:
-        print(f'missing: {name}')
-    print(f'{len(expected)} names searched for, {len(missing)} missing')
+        print(f'missing from the working tree: {name}')
+    print(f'{len(expected)} external names checked, {len(missing)} missing')
     sys.exit(1 if missing else 0)
 
 
