--- a/tests/arguments.sh
+++ b/tests/arguments.sh
@@ -1,18 +1,22 @@
 #!/bin/sh
-# Wrong settings and arguments, as an operator meets them: file, field and reason, exit 2.
+# Tests the program's command line and its checks of the settings. Guards against a program that starts with
+# wrong settings or arguments, or refuses them with a message that does not name the file, the field and the
+# reason. Wrong settings and arguments must end it with status 2.
+# Usage: arguments.sh PROGRAM
 program=$1
 dir=$(mktemp -d)
 trap 'rm -r "$dir"' EXIT
-bad=0
+failed=0
 
-want() { # want STATUS TEXT ARGUMENTS...
-	status=$1 text=$2
+# Runs the program and checks its exit status, and that its output matches the pattern (of grep).
+expect() { # expect STATUS PATTERN ARGUMENTS...
+	expected=$1 pattern=$2
 	shift 2
 	out=$(timeout 10 "$program" "$@" 2>&1)
-	got=$?
-	if [ $got -ne "$status" ] || ! printf '%s' "$out" | grep -q -- "$text"; then
-		echo "FAIL: $* -> $got: $out (wanted $status, '$text')"
-		bad=1
+	status=$?
+	if [ $status -ne "$expected" ] || ! printf '%s' "$out" | grep -q -- "$pattern"; then
+		echo "FAIL: $program $*: exit status $status, expected $expected; output expected to match '$pattern': $out"
+		failed=1
 	fi
 }
 
@@ -54,40 +58,41 @@
 sed 's/^report_s.*/report_s = 0/' "$dir/good.toml" >"$dir/zero.toml"
 sed 's/^front.*/front = "nowhere"/' "$dir/good.toml" >"$dir/addr.toml"
 printf 'label = \n' >"$dir/syntax.toml"
-next() { # next FILE LINE: good settings with one field of the limits to come
+# Writes the valid settings with a table of upcoming limits, which has this one field.
+write_next_limits() { # write_next_limits FILE LINE
 	printf '[facts.state.next]\n%s\n' "$2" | cat "$dir/good.toml" - >"$dir/$1"
 }
-next next_good.toml 'value_kb = 2.0'
-next next_type.toml 'txn_ops = "5"'
-next next_zero.toml 'write_rps = 0'
-next next_ops.toml 'txn_ops = 1'
-next next_value.toml 'value_kb = -2.0'
+write_next_limits next_good.toml 'value_kb = 2.0'
+write_next_limits next_type.toml 'txn_ops = "5"'
+write_next_limits next_zero.toml 'write_rps = 0'
+write_next_limits next_ops.toml 'txn_ops = 1'
+write_next_limits next_value.toml 'value_kb = -2.0'
 sed 's/^\[facts.state\]/&\nnext = 3/' "$dir/good.toml" >"$dir/next_table.toml"
 printf 'records {\n  hold_format = true\n}\n' >"$dir/hold.hcl"
 printf 'records {\n  hold_format = 3\n}\n' >"$dir/hold_type.hcl"
 
-want 0 'settings are valid' --check --config "$dir/good.toml"
-want 0 'settings are valid' --check --config "$dir/good.toml" --operator-config "$dir/good.hcl"
-want 2 'unknown.hcl.*patience' --check --config "$dir/good.toml" --operator-config "$dir/unknown.hcl"
-want 2 'range.hcl: field rentals.headroom' --check --config "$dir/good.toml" --operator-config "$dir/range.hcl"
-want 2 'none.hcl: cannot be read' --check --config "$dir/good.toml" --operator-config "$dir/none.hcl"
-want 2 'type.toml: field facts.workers.lease_s: must be a number' --config "$dir/type.toml"
-want 2 'missing.toml: field facts.workers.cancel_s: missing' --config "$dir/missing.toml"
-want 2 'zero.toml: field facts.workers.report_s: must be above zero' --config "$dir/zero.toml"
-want 2 'addr.toml: field front: must be HOST:PORT' --config "$dir/addr.toml"
-want 0 'settings are valid' --check --config "$dir/next_good.toml"
-want 2 'next_type.toml: field facts.state.next.txn_ops: must be a number' --check --config "$dir/next_type.toml"
-want 2 'next_zero.toml: field facts.state.next.write_rps: must be' --check --config "$dir/next_zero.toml"
-want 2 'next_ops.toml: field facts.state.next.txn_ops: must be' --check --config "$dir/next_ops.toml"
-want 2 'next_value.toml: field facts.state.next.value_kb: must be' --check --config "$dir/next_value.toml"
-want 2 'next_table.toml: field facts.state.next: must be a table' --check --config "$dir/next_table.toml"
-want 0 'settings are valid' --check --config "$dir/good.toml" --operator-config "$dir/hold.hcl"
-want 2 'hold_type.hcl' --check --config "$dir/good.toml" --operator-config "$dir/hold_type.hcl"
-want 2 'syntax.toml:1' --config "$dir/syntax.toml"
-want 2 'none.toml' --config "$dir/none.toml"
-want 2 'config FILE is needed' --check
-want 2 'unexpected argument' --config "$dir/good.toml" more
-want 2 'unrecognized option' --nonsense
-want 0 'ploverloft [0-9]' --version
-want 0 'operator-config' --help
-exit $bad
+expect 0 'settings are valid' --check --config "$dir/good.toml"
+expect 0 'settings are valid' --check --config "$dir/good.toml" --operator-config "$dir/good.hcl"
+expect 2 'unknown.hcl.*patience' --check --config "$dir/good.toml" --operator-config "$dir/unknown.hcl"
+expect 2 'range.hcl: field rentals.headroom' --check --config "$dir/good.toml" --operator-config "$dir/range.hcl"
+expect 2 'none.hcl: cannot be read' --check --config "$dir/good.toml" --operator-config "$dir/none.hcl"
+expect 2 'type.toml: field facts.workers.lease_s: must be a number' --config "$dir/type.toml"
+expect 2 'missing.toml: field facts.workers.cancel_s: missing' --config "$dir/missing.toml"
+expect 2 'zero.toml: field facts.workers.report_s: must be above zero' --config "$dir/zero.toml"
+expect 2 'addr.toml: field front: must be HOST:PORT' --config "$dir/addr.toml"
+expect 0 'settings are valid' --check --config "$dir/next_good.toml"
+expect 2 'next_type.toml: field facts.state.next.txn_ops: must be a number' --check --config "$dir/next_type.toml"
+expect 2 'next_zero.toml: field facts.state.next.write_rps: must be' --check --config "$dir/next_zero.toml"
+expect 2 'next_ops.toml: field facts.state.next.txn_ops: must be' --check --config "$dir/next_ops.toml"
+expect 2 'next_value.toml: field facts.state.next.value_kb: must be' --check --config "$dir/next_value.toml"
+expect 2 'next_table.toml: field facts.state.next: must be a table' --check --config "$dir/next_table.toml"
+expect 0 'settings are valid' --check --config "$dir/good.toml" --operator-config "$dir/hold.hcl"
+expect 2 'hold_type.hcl' --check --config "$dir/good.toml" --operator-config "$dir/hold_type.hcl"
+expect 2 'syntax.toml:1' --config "$dir/syntax.toml"
+expect 2 'none.toml' --config "$dir/none.toml"
+expect 2 'config FILE is needed' --check
+expect 2 'unexpected argument' --config "$dir/good.toml" more
+expect 2 'unrecognized option' --nonsense
+expect 0 'ploverloft [0-9]' --version
+expect 0 'operator-config' --help
+exit $failed
--- a/tests/bench/bench.h
+++ b/tests/bench/bench.h
@@ -1,6 +1,7 @@
 /*
- * A leader under a bench: its core, the answers that a state service and a cloud would give, and
- * measures of what it costs. Inputs are fixed, so that the allocations do not vary.
+ * Benchmark of a leader's core: users and agents send requests, a simulated state service and cloud
+ * answer its calls, and processor time and allocations are measured. The input is fixed, so that
+ * the number of allocations does not vary between runs.
  */
 #ifndef PLOVERLOFT_BENCH_H
 #define PLOVERLOFT_BENCH_H
@@ -11,58 +12,64 @@
 #include "conf/conf.h"
 #include "core/core.h"
 
-#define BENCH_REPORT_S 4.0 /* seconds between reports of a machine */
+#define BENCH_REPORT_S 4.0 /* seconds between two reports of a machine */
 
 struct bench {
 	struct conf conf;
 	struct core *core;
-	double now; /* seconds, steady */
-	unsigned long long revision;
-	unsigned long long token; /* the leader's fencing token */
-	uint64_t jobs_watch;	  /* the open read of the jobs' changes; 0: none */
-	int listed_machines;	  /* in the cloud's inventory */
-	char *page;		  /* newest page of it; owned */
+	double now;		     /* seconds of the steady clock */
+	unsigned long long revision; /* of the state service */
+	unsigned long long token;    /* the leader's fencing token */
+	uint64_t jobs_watch;	     /* id of the call that watches the jobs' changes; 0: none */
+	int listed_machines;	     /* number of machines in the cloud's inventory */
+	char *page;		     /* the inventory's page that was sent last; owned */
 };
 
-/* The time as the core takes it. */
+/* Returns the bench's present time by both clocks of the core. */
 struct core_time bench_time(const struct bench *bench);
 
 /* --- services.c --- */
 
-/* Answers all that the core has sent, until it sends no more. */
+/* Answers the core's calls until it sends no more. Drops its answers to requests. */
 void bench_answer_all(struct bench *bench);
 
-/* --- requests.c: each is answered before it returns --- */
+/* --- requests.c: these answer all calls of the core before they return --- */
 
+/* Passes a request of a user or agent to the core. */
 void bench_request(struct bench *bench, const char *method, const char *path, const char *body);
 
-/* Submits a job of this number; `kind` as the wire names it. */
+/* Submits the job with this number. `kind` is its kind's name in the protocol (W_KIND_...). */
 void bench_submit(struct bench *bench, int number, int tasks, const char *kind);
 
-/* Reports of all machines, spread over their interval; `tasks` is the text of each one's list. */
+/* Rounds of reports. In each round all machines report once, spread over BENCH_REPORT_S. */
 struct bench_reports {
-	int machines;
-	int first_sequence;
+	int machines;	    /* number of machines */
+	int first_sequence; /* sequence number of the reports of the first round */
 	int rounds;
-	const char *tasks;
+	const char *tasks; /* JSON text of each report's tasks, without the list's brackets */
 };
 
+/* Sends the reports to the core. */
 void bench_report_rounds(struct bench *bench, const struct bench_reports *reports);
 
-/* Ticks for so many seconds, with what falls due in them. */
+/* Advances the time by this many seconds with the core's ticks, which do the work that is due. */
 void bench_run(struct bench *bench, int seconds);
 
 /* --- measures.c --- */
 
-/* What was used from a moment on. */
+/* Processor time and allocations of this process since its start, at the begin of a measurement. */
 struct measure {
 	double cpu_s;
 	unsigned long long allocations;
 };
 
+/* Begins a measurement. */
 struct measure measure_begin(void);
 
-/* Prints what each of `count` events took; returns the allocations of each. */
+/*
+ * Ends a measurement of `count` events called `what`. Prints the processor time and the allocations
+ * of one event, and returns the allocations.
+ */
 double measure_end(const struct measure *begin, const char *what, long count);
 
 #endif
--- a/tests/bench/measures.c
+++ b/tests/bench/measures.c
@@ -1,4 +1,4 @@
-/* Processor time and allocations of this process. */
+/* Measures the processor time and counts the memory allocations of this process. */
 #include <stddef.h>
 #include <stdio.h>
 #include <time.h>
@@ -7,12 +7,14 @@
 
 #define US_PER_S 1e6
 
-/* Since the start, of the libraries too; the sanitizers bring functions of their own. */
+/*
+ * Allocations since the start of the process, including those of libraries. They are not counted
+ * under AddressSanitizer, which replaces the allocation functions itself.
+ */
 static unsigned long long allocations;
 
 #ifndef __SANITIZE_ADDRESS__
-/* The C library's own names, by which its functions stay within reach of those that replace them.
- */
+/* The C library's names for its functions, under which the replacements below call them. */
 /* NOLINTBEGIN(bugprone-reserved-identifier) */
 void *__libc_malloc(size_t size);
 void *__libc_calloc(size_t count, size_t size);
--- a/tests/bench/requests.c
+++ b/tests/bench/requests.c
@@ -1,16 +1,16 @@
-/* Requests of users and agents to the core, and time that passes. */
+/* Sends requests of users and agents to the core, and advances its time. */
 #include <stdio.h>
 #include <string.h>
 
 #include "bench/bench.h"
 #include "wire/names.h"
 
-#define WALL_OFFSET_S 1.8e9 /* of the wall clock from the steady one */
+#define WALL_OFFSET_S 1.8e9 /* by which the wall clock is ahead of the steady one */
 #define TICKS_PER_S 10
 #define TICK_INTERVAL_S 0.1
 #define REPORT_MAX 2048	    /* bytes of a report, with its NUL */
 #define SUBMISSION_MAX 1024 /* bytes of a submission, with its NUL */
-#define CONNECTION 1	    /* all requests come on the same */
+#define CONNECTION 1	    /* id of the connection by which all requests arrive */
 
 struct core_time bench_time(const struct bench *bench)
 {
@@ -52,7 +52,7 @@
 	bench_request(bench, "POST", W_PATH_JOBS, body);
 }
 
-/* One machine's report; `tasks` is the text of its list. */
+/* Sends one machine's report. `tasks` is the JSON text of its tasks, without the brackets. */
 static void send_report(struct bench *bench, int machine, int sequence, const char *tasks)
 {
 	char body[REPORT_MAX];
--- a/tests/bench/services.c
+++ b/tests/bench/services.c
@@ -1,4 +1,4 @@
-/* Answers of a state service without records, and of a cloud with one type of machines. */
+/* Simulates a state service that has no records and a cloud that has one machine type. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -9,10 +9,10 @@
 #include "util/xalloc.h"
 #include "wire/names.h"
 
-#define PAGE_MAX 500	 /* machines of a page, from the protocol */
-#define LISTED_BYTES 200 /* of one machine in it, at most */
-#define PAGE_SPARE 100	 /* bytes of a page beside its machines */
-#define ANSWER_MAX 512	 /* bytes of a short answer, with its NUL */
+#define PAGE_MAX 500		 /* most machines in a page of the inventory, from the protocol */
+#define LISTED_MACHINE_BYTES 200 /* most bytes of one machine in a page */
+#define PAGE_SPARE 100		 /* bytes of a page beside its machines */
+#define ANSWER_MAX 512		 /* bytes of any answer that is not a page, with its NUL */
 
 static const char catalog[] =
     "{\"" W_TYPES "\":[{\"" W_NAME "\":\"g\",\"" W_CPUS "\":16,\"" W_GPUS "\":0,\"" W_MEMORY
@@ -26,8 +26,8 @@
 
 /* --- the cloud --- */
 
-/* The number of the page's first machine: the path names the one before it, if any. */
-static int first_of_page(const char *path)
+/* Returns the number of the page's first machine. The path names the machine before it, if any. */
+static int first_machine_of_page(const char *path)
 {
 	static const char after[] = W_AFTER "=vm-";
 	const char *parameter = strstr(path, after);
@@ -35,7 +35,7 @@
 	return parameter ? atoi(parameter + strlen(after)) + 1 : 0;
 }
 
-static int print_machine(char *text, size_t size, int number)
+static int format_machine(char *text, size_t size, int number)
 {
 	return snprintf(text, size,
 			"{\"" W_ID "\":\"vm-%06d\",\"" W_ADDR "\":\"10.1.%d.%d:9000\",\"" W_TYPE
@@ -44,13 +44,13 @@
 			number, number / 250, number % 250 + 1);
 }
 
-/* A page of the inventory; valid until the next one. */
+/* Returns a page of the inventory as JSON, which is valid until the next call. */
 static const char *inventory_page(struct bench *bench, const char *path)
 {
-	int first = first_of_page(path);
+	int first = first_machine_of_page(path);
 	int last =
 	    first + PAGE_MAX < bench->listed_machines ? first + PAGE_MAX : bench->listed_machines;
-	size_t size = (size_t)PAGE_MAX * LISTED_BYTES + PAGE_SPARE;
+	size_t size = (size_t)PAGE_MAX * LISTED_MACHINE_BYTES + PAGE_SPARE;
 	size_t length;
 
 	free(bench->page);
@@ -59,7 +59,7 @@
 	for (int i = first; i < last; i++) {
 		if (i > first)
 			bench->page[length++] = ',';
-		length += (size_t)print_machine(bench->page + length, size - length, i);
+		length += (size_t)format_machine(bench->page + length, size - length, i);
 	}
 	snprintf(bench->page + length, size - length, "],\"" W_MORE "\":%s}",
 		 last < bench->listed_machines ? "true" : "false");
@@ -68,9 +68,12 @@
 
 /* --- the state service --- */
 
-/* A transaction on the leader's key gives the token. */
-static void print_revision(struct bench *bench, const struct core_action *action, char *text,
-			   size_t size)
+/*
+ * Writes the answer to a read or a transaction, with a new revision. The revision of a transaction
+ * on the leader's key is also the leader's fencing token.
+ */
+static void format_state_answer(struct bench *bench, const struct core_action *action, char *text,
+				size_t size)
 {
 	bench->revision++;
 	if (!strcmp(action->path, W_PATH_TXN) && strstr(action->body, "\"leader\"")) {
@@ -82,9 +85,9 @@
 	}
 }
 
-/* The answer to a call, maybe in `text`; NULL if none comes. */
-static const char *answer_to(struct bench *bench, const struct core_action *action, char *text,
-			     size_t size)
+/* Returns the answer's body, or NULL for a watch, which stays open. It may be written to `text`. */
+static const char *answer_body(struct bench *bench, const struct core_action *action, char *text,
+			       size_t size)
 {
 	if (!strcmp(action->path, W_PATH_TYPES))
 		return catalog;
@@ -95,12 +98,12 @@
 	if (!strcmp(action->path, W_PATH_LEASES))
 		snprintf(text, size, "{\"" W_LEASE "\":7}");
 	else
-		print_revision(bench, action, text, size);
+		format_state_answer(bench, action, text, size);
 	return text;
 }
 
-/* No single key exists. */
-static enum http_status status_of(const struct core_action *action)
+/* Returns the answer's status. A read of a single key finds none: the service has no records. */
+static enum http_status answer_status(const struct core_action *action)
 {
 	return begins_with(action->path, W_PATH_KEYS "/") ? STATUS_NOT_FOUND : STATUS_OK;
 }
@@ -117,7 +120,7 @@
 	core_answer(bench->core, bench_time(bench), &answer);
 }
 
-/* The puts under the jobs' keys, as events. */
+/* Returns the open jobs' records that the transaction puts, as events. The caller owns the list. */
 static json_t *job_events(const struct bench *bench, json_t *transaction)
 {
 	json_t *events = json_array();
@@ -136,8 +139,9 @@
 }
 
 /*
- * The answer to a read of changes; the caller frees it. The transaction goes along in a field that
- * says nothing to the core: so it was in all versions whose figures there are.
+ * Returns the body of the answer to a watch, which the caller frees. It has the whole transaction
+ * in a field that the core ignores: the benchmarks of all earlier versions had it, and without it
+ * the figures could not be compared with theirs.
  */
 static char *changes_answer(const struct bench *bench, json_t *events, json_t *transaction)
 {
@@ -145,7 +149,7 @@
 					W_EVENTS, events, "of", transaction));
 }
 
-/* Answers the leader's open read of the jobs' changes with what a transaction put there. */
+/* Answers the leader's open watch of the jobs with the records of jobs that the transaction put. */
 static void answer_jobs_watch(struct bench *bench, const char *body)
 {
 	json_t *transaction = wire_parse(body, strlen(body));
@@ -168,10 +172,10 @@
 static void answer_call(struct bench *bench, const struct core_action *action)
 {
 	char text[ANSWER_MAX];
-	const char *body = answer_to(bench, action, text, sizeof(text));
+	const char *body = answer_body(bench, action, text, sizeof(text));
 
 	if (body)
-		send_answer(bench, action->id, status_of(action), body);
+		send_answer(bench, action->id, answer_status(action), body);
 	else if (strstr(action->path, "=" KEY_OPEN_JOBS))
 		bench->jobs_watch = action->id;
 	if (body && !strcmp(action->path, W_PATH_TXN))
--- a/tests/bench_report.c
+++ b/tests/bench_report.c
@@ -1,8 +1,13 @@
 /*
- * What the leader's paths cost: processor time and allocations for each kind of event, against
- * answers that a state service and a cloud would give. Inputs are fixed, so the allocations do not
- * vary; times do, with the machine: compare runs made in turn. It prints figures, and fails if an
- * unchanged report takes more allocations than stated below.
+ * Benchmark of the leader: prints the processor time and the allocations for each kind of event,
+ * with a simulated state service and cloud. The input is fixed, so the number of allocations does
+ * not vary between runs. The times depend on the machine: to compare two versions, run them
+ * alternately.
+ *
+ * It fails if an unchanged report takes more than UNCHANGED_ALLOCATIONS_MAX allocations. It so
+ * guards against unchanged reports that are parsed again instead of being found in the cache of
+ * reports, and against costs for each report that grow with the number of machines.
+ *
  * Usage: bench_report [MACHINES [ROUNDS]]
  */
 #include <stdbool.h>
@@ -13,16 +18,17 @@
 #include "util/log.h"
 #include "wire/names.h"
 
-#define UNCHANGED_ALLOCATIONS_MAX 4.0 /* the answer, its text, and what is due beside it */
+/* Allocations for one unchanged report: for the answer, its text, and other work that is due. */
+#define UNCHANGED_ALLOCATIONS_MAX 4.0
 
 #define DEFAULT_MACHINES 1000
 #define DEFAULT_ROUNDS 50
 #define JOBS 500
 #define POLLS 500
-#define INVENTORY_S 30	     /* seconds in which inventories are read */
-#define INVENTORY_PERIOD_S 4 /* seconds between them, about */
+#define INVENTORY_S 30	     /* seconds in which the inventory is read periodically */
+#define INVENTORY_PERIOD_S 4 /* approximate seconds between two reads of the inventory */
 
-/* One task of a job that the leader does not know. */
+/* JSON text of a report's task whose job is unknown to the leader. */
 #define UNKNOWN_TASK(index)                                                                        \
 	"{\"" W_TASK "\":\"job-900000/" index "\",\"" W_ATTEMPT "\":1,\"" W_STATE                  \
 	"\":\"" W_TASK_RUNNING "\"}"
@@ -44,7 +50,7 @@
 	conf->idle_patience_s = 1e6;
 }
 
-/* The allocations of each report. */
+/* Measures rounds of reports. Returns the allocations for one report. */
 static double measure_reports(struct bench *bench, const char *what,
 			      const struct bench_reports *reports)
 {
@@ -54,7 +60,7 @@
 	return measure_end(&begin, what, (long)reports->machines * reports->rounds);
 }
 
-/* Seconds of the loop's ticks, with cycles, scans and timers as they fall due. */
+/* Measures seconds in which the core only ticks, with the cycles, scans and timers that are due. */
 static void measure_seconds(struct bench *bench, const char *what, int seconds)
 {
 	struct measure begin = measure_begin();
@@ -63,7 +69,7 @@
 	measure_end(&begin, what, seconds);
 }
 
-/* Reports without and with tasks; the allocations of an unchanged one. */
+/* Measures reports without and with tasks. Returns the allocations for one unchanged report. */
 static double measure_idle(struct bench *bench, int machines, int rounds)
 {
 	struct bench_reports first = {machines, 1, 1, ""};
@@ -80,7 +86,7 @@
 	return unchanged;
 }
 
-/* Arrays and gangs in turn, and reports while they are placed. */
+/* Measures alternate submissions of arrays and gangs, and reports while their tasks are placed. */
 static void measure_jobs(struct bench *bench, int machines)
 {
 	struct bench_reports reports = {machines, 300, 2, ""};
@@ -96,6 +102,7 @@
 	measure_seconds(bench, "a second with 500 jobs", 20);
 }
 
+/* Measures polls up to the requests that they send to the state service. */
 static void measure_polls(struct bench *bench)
 {
 	struct measure begin = measure_begin();
@@ -105,7 +112,10 @@
 	measure_end(&begin, "a poll, until the state service is asked", POLLS);
 }
 
-/* No inventory was read before: the cloud's rate was 0. */
+/*
+ * Measures reads of the inventory. None was read before, because the limit of requests to the cloud
+ * was 0.
+ */
 static void measure_inventories(struct bench *bench, int machines)
 {
 	struct measure begin;
@@ -138,7 +148,7 @@
 	free(bench.page);
 	if (unchanged <= UNCHANGED_ALLOCATIONS_MAX)
 		return 0;
-	fprintf(stderr, "an unchanged report takes %.1f allocations, at most %.1f are expected\n",
+	fprintf(stderr, "an unchanged report takes %.1f allocations, expected at most %.1f\n",
 		unchanged, UNCHANGED_ALLOCATIONS_MAX);
 	return 1;
 }
--- a/tests/build_version.sh
+++ b/tests/build_version.sh
@@ -1,6 +1,8 @@
 #!/bin/bash
-# Builds an earlier version from the history into a folder of its own. NAME is "production", which
-# deploy/service.toml names, or one of tests/versions_in_use; the program is DIR/build/ploverloft afterwards.
+# Builds an earlier version from the git history, for the upgrade tests. ROOT is the repository and DIR the
+# directory to build in; the program is then DIR/build/ploverloft. NAME is a version in
+# tests/versions_in_use, or "production" for the commit that deploy/service.toml names. Nothing is done if
+# DIR has that commit's program already.
 # Usage: build_version.sh ROOT DIR NAME
 set -eu
 root=$1
@@ -12,7 +14,7 @@
 	commit=$(awk -v name="$name" '$1 == name { print $2 }' "$root/tests/versions_in_use")
 fi
 if ! git -C "$root" cat-file -e "$commit^{commit}" 2>/dev/null; then
-	echo "the history has no commit '$commit' for version $name" >&2
+	echo "version $name: commit '$commit' does not exist in the git history of $root" >&2
 	exit 1
 fi
 if [ "$(cat "$dir/commit" 2>/dev/null)" = "$commit" ] && [ -x "$dir/build/ploverloft" ]; then
--- a/tests/compare_object_code.sh
+++ b/tests/compare_object_code.sh
@@ -1,7 +1,11 @@
 #!/bin/bash
-# Compares the machine code and data of each object file of the program between the working tree and an earlier
-# commit. A change of comments, formatting or names leaves them equal; a changed text shows in .rodata.
-# Debug information is left out. Usage: compare_object_code.sh COMMIT     status 0: no object file differs
+# Compares the machine code and the data of each object file of the program between the working tree and an
+# earlier commit. It guards against changes of behaviour in commits that only change comments, formatting or
+# names: these leave all object files equal, while a changed string literal shows in .rodata. Debug information
+# is not compared.
+# Usage: compare_object_code.sh COMMIT
+# Exit status 0: no object file differs. COMPARE_DIR: directory in which the build of COMMIT is kept.
+# COMPARE_JOBS: number of parallel compilers.
 set -eu
 cd "$(dirname "$0")/.."
 root=$PWD
@@ -15,8 +19,8 @@
 	cmake --build "$2" -j"$jobs" --target ploverloft >>"$2.log"
 }
 
-# Prints the sections that the program runs and reads; symbol names are not among them.
-code_of() { # code_of OBJECT
+# Prints the sections with machine code and data. Names of symbols are in other sections.
+print_sections() { # print_sections OBJECT
 	objdump -s -j .text -j .text.unlikely -j .text.startup -j .rodata -j .rodata.str1.1 -j .rodata.str1.8 \
 		-j .rodata.cst8 -j .rodata.cst16 -j .data -j .data.rel.ro.local -j .data.rel.local "$1" 2>/dev/null |
 		grep -v 'file format' || true
@@ -34,7 +38,7 @@
 count=0
 for object in $(cd "$new/build" && find CMakeFiles -name '*.o' | sort); do
 	count=$((count + 1))
-	if ! cmp -s <(code_of "$old/build/$object") <(code_of "$new/build/$object"); then
+	if ! cmp -s <(print_sections "$old/build/$object") <(print_sections "$new/build/$object"); then
 		echo "differs: ${object#CMakeFiles/*.dir/}"
 		differing=$((differing + 1))
 	fi
--- a/tests/compare_versions.sh
+++ b/tests/compare_versions.sh
@@ -1,9 +1,12 @@
 #!/bin/bash
-# Compares what the controllers send and answer, message by message, between the working tree and an
-# earlier commit: all scenarios are run in both versions, and each that differs is named with its first
-# different message. A scenario renamed since is compared with what it was renamed from. Log lines don't count.
-# The commit's own runner is used, so the commit must have `runner --digest` (from 0.6.0's digest on).
-# Usage: compare_versions.sh COMMIT [SCENARIO...]     status 0: no scenario differs
+# Compares the messages that the controllers send between the working tree and an earlier commit. It guards
+# against unintended changes of behaviour: all scenarios are run in both versions, and each scenario that
+# differs is printed with its first different message. A scenario that was renamed since COMMIT is compared
+# with the one under its former name. Log lines are not compared. The runner of COMMIT is used for that
+# version, so it must have `runner --digest` (from 0.6.0's digest on).
+# Usage: compare_versions.sh COMMIT [SCENARIO...]
+# Exit status 0: no scenario differs. COMPARE_DIR: directory in which the builds are kept. COMPARE_JOBS: number
+# of parallel compilers and scenarios.
 set -eu
 cd "$(dirname "$0")/.."
 root=$PWD
@@ -23,22 +26,22 @@
 cmake -S . -B "$new/build" -DCMAKE_BUILD_TYPE=Release >"$new/log"
 cmake --build "$new/build" -j"$jobs" --target runner >>"$new/log"
 
-# Prints the path in COMMIT of a scenario of the working tree.
+# Prints the path that a scenario of the working tree has in COMMIT.
 git diff -M --name-status --diff-filter=R "$commit" -- tests/scenarios >"$new/renames"
 old_path() {
 	awk -F'\t' -v path="$1" '$3 == path { print $2; found = 1 } END { if (!found) print path }' "$new/renames"
 }
 
-# Prints one line if the scenario differs.
+# Runs the scenario in both versions. If they differ, prints its name and the first message that differs.
 compare_scenario() {
 	local path=$1 before name digest
 	name=$(basename "$path" .txt)
 	before=$old/source/$(old_path "$path")
 	if [ ! -f "$before" ]; then
-		echo "$name: new, nothing to compare with"
+		echo "$name: new, the earlier commit has no such scenario"
 		return
 	fi
-	# What COMMIT does is the same each time: its digests are kept.
+	# The digest of COMMIT never changes, so it is kept for later comparisons.
 	digest=$old/$(basename "$before" .txt).digest
 	[ -s "$digest" ] || "$old/build/runner" --digest "$before" >"$digest" 2>/dev/null || true
 	"$new/build/runner" --digest "$path" >"$new/$name.new" 2>/dev/null || true
@@ -47,7 +50,7 @@
 	fi
 	"$old/build/runner" --trace "$new/$name.old" "$before" >/dev/null 2>&1 || true
 	"$new/build/runner" --trace "$new/$name.new" "$path" >/dev/null 2>&1 || true
-	echo "$name differs, first message before and now:"
+	echo "$name differs, first different message before and now:"
 	cmp "$new/$name.old" "$new/$name.new" 2>&1 | sed 's/.*line \([0-9]*\)$/\1/' | while read -r line; do
 		sed -n "${line}p" "$new/$name.old" | cut -c1-300
 		sed -n "${line}p" "$new/$name.new" | cut -c1-300
--- a/tests/connections.c
+++ b/tests/connections.c
@@ -1,9 +1,16 @@
 /*
- * Thousands of kept connections to one real controller over loopback: each carries reports of an
- * agent of its own, all are answered on the connection that they came by, and users are served
- * beside them. Prints the controller's memory and descriptors. Usage: connections PROGRAM COUNT
+ * Test of thousands of open connections to one real controller over the loopback interface. Each
+ * connection belongs to another agent and carries its reports. Every report must be answered on the
+ * connection on which it was sent, and a user's submission must be accepted meanwhile. Prints the
+ * controller's memory and number of descriptors.
+ *
+ * It guards against a controller that closes connections below its max_connections, does not raise
+ * its limit of open files, starves users, or uses too much memory for each connection.
+ *
+ * Usage: connections PROGRAM COUNT
  */
 #include <arpa/inet.h>
+#include <errno.h>
 #include <fcntl.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -17,33 +24,37 @@
 #include "util/xalloc.h"
 #include "wire/names.h"
 
-#define SPARE_FILES 200	      /* of this process, beside the agents' connections */
-#define SPARE_CONNECTIONS 600 /* of the controller: other agents, users, peers, its own calls */
-#define ROUNDS 2	      /* reports of each agent */
-#define MEMORY_MB_MAX 64.0    /* of the controller: a few KiB a machine and connection */
-#define PASS_S 60.0	      /* seconds for a report of every agent */
-
-#define JOB 1			/* its number */
-#define SUBMISSIONS 20		/* tries */
-#define SUBMISSION_S 0.5	/* seconds between them */
-#define SETTLE_S 2		/* seconds after the election */
-#define CONNECT_BATCH 50	/* connections opened between turns of the loop */
-#define REPORT_BATCH 100	/* reports sent between them */
-#define TURN_S 0.005		/* seconds of such a turn */
-#define FIRST_MACHINE 1000	/* the agents' machines have numbers from here on */
-#define LEADER_KEY_2 "leader/2" /* of the newest format */
+/* Files that this process may open beside the agents' connections. */
+#define SPARE_FILES 200
+/* Connections of the controller for the stand-ins' agents, users, peers and its own calls. */
+#define SPARE_CONNECTIONS 600
+#define ROUNDS 2 /* reports of each agent */
+/* Resident memory of the controller in MiB: some KiB for each machine and connection. */
+#define MEMORY_MB_MAX 64.0
+/* Seconds in which one report of every agent must be answered. */
+#define ROUND_TIMEOUT_S 60.0
+
+#define JOB 1			     /* number of the job */
+#define SUBMISSION_TRIES_MAX 20	     /* tries to submit the job */
+#define SUBMISSION_RETRY_S 0.5	     /* seconds between two tries */
+#define SETTLE_S 2		     /* seconds between the election and the first connection */
+#define CONNECT_BATCH 50	     /* connections opened between two runs of the stand-ins */
+#define REPORT_BATCH 100	     /* reports sent between two runs of the stand-ins */
+#define BATCH_RUN_S 0.005	     /* seconds of such a run */
+#define FIRST_MACHINE 1000	     /* number of the first agent's machine; the others follow */
+#define NEWEST_LEADER_KEY "leader/2" /* leader's key in the newest format of the records */
 #define ANSWERED_OK "HTTP/1.1 200"
 
-/* The agents' connections to one controller. */
+/* The agents and their connections to one controller. */
 struct agents {
 	int count;
-	int *fds;	/* owned */
-	bool *answered; /* in the present round; owned */
+	int *fds;	/* socket of each agent; owned */
+	bool *answered; /* by agent: the report of this round was answered; owned */
 };
 
 /* --- one agent --- */
 
-/* A connection that does not block; -1, with a message, if there is none. */
+/* Returns a nonblocking socket connected to the address. On failure prints why and returns -1. */
 static int connect_to(const char *addr)
 {
 	struct sockaddr_in address = {.sin_family = AF_INET};
@@ -53,13 +64,17 @@
 	address.sin_port = htons((uint16_t)atoi(colon + 1));
 	address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
 	if (fd < 0 || connect(fd, (struct sockaddr *)&address, sizeof(address))) {
-		perror("connect");
+		fprintf(stderr, "cannot connect to the controller at %s: %s\n", addr,
+			strerror(errno));
 		return -1;
 	}
 	return fcntl(fd, F_SETFL, O_NONBLOCK) ? -1 : fd;
 }
 
-/* 0, or -1. No probe reaches the agent: its address is a port that is closed. */
+/*
+ * Sends an agent's report without tasks. Returns 0, or -1 if it cannot be sent at once. The
+ * report's address is a closed port, so that no probe reaches the agent.
+ */
 static int send_report(int fd, int agent, int sequence)
 {
 	char body[512], text[1024];
@@ -76,10 +91,13 @@
 	return send(fd, text, (size_t)length, MSG_NOSIGNAL) == length ? 0 : -1;
 }
 
-enum answer { ANSWER_NONE_YET, ANSWER_TAKEN, ANSWER_WRONG };
+enum answer { ANSWER_NONE_YET, ANSWER_OK, ANSWER_WRONG };
 
-/* ANSWER_WRONG: it is none to a report, or the connection broke or is to be closed. */
-static enum answer take_answer(int fd)
+/*
+ * Receives the answer to an agent's report. Returns ANSWER_WRONG if its status is not 200, or if
+ * the connection is closed or the answer announces that it will be.
+ */
+static enum answer receive_answer(int fd)
 {
 	char text[1024];
 	ssize_t length = recv(fd, text, sizeof(text) - 1, 0);
@@ -89,7 +107,7 @@
 	text[length] = 0;
 	if (strncmp(text, ANSWERED_OK, strlen(ANSWERED_OK)) || strstr(text, "Connection: close"))
 		return ANSWER_WRONG;
-	return ANSWER_TAKEN;
+	return ANSWER_OK;
 }
 
 /* --- all agents --- */
@@ -101,7 +119,7 @@
 		if (agents->fds[i] < 0)
 			return false;
 		if (i % CONNECT_BATCH == 0)
-			loopback_run(loopback, TURN_S);
+			loopback_run(loopback, BATCH_RUN_S);
 	}
 	return true;
 }
@@ -112,81 +130,90 @@
 		if (send_report(agents->fds[i], i, sequence))
 			return false;
 		if (i % REPORT_BATCH == 0)
-			loopback_run(loopback, TURN_S);
+			loopback_run(loopback, BATCH_RUN_S);
 	}
 	return true;
 }
 
-/* Takes the answers that came off the number of those left; false if one is wrong. */
-static bool take_answers(struct agents *agents, int *left)
+/*
+ * Receives the answers that have arrived, and subtracts their number from *left, which counts
+ * the missing answers. Returns false if an answer is wrong.
+ */
+static bool receive_answers(struct agents *agents, int *left)
 {
 	for (int i = 0; i < agents->count; i++) {
 		enum answer answer =
-		    agents->answered[i] ? ANSWER_NONE_YET : take_answer(agents->fds[i]);
+		    agents->answered[i] ? ANSWER_NONE_YET : receive_answer(agents->fds[i]);
 
 		if (answer == ANSWER_WRONG)
 			return false;
-		agents->answered[i] |= answer == ANSWER_TAKEN;
-		*left -= answer == ANSWER_TAKEN;
+		agents->answered[i] |= answer == ANSWER_OK;
+		*left -= answer == ANSWER_OK;
 	}
 	return true;
 }
 
-/* Every agent reports once and is answered on its connection. */
+/* Every agent sends one report. Returns whether each is answered on its connection in time. */
 static bool report_all(struct loopback *loopback, struct agents *agents, int sequence)
 {
-	double from = net_now();
+	double started_at = net_now();
 	int left = agents->count;
 	bool ok;
 
 	memset(agents->answered, 0, (size_t)agents->count * sizeof(*agents->answered));
 	ok = send_all(loopback, agents, sequence);
-	while (ok && left && net_now() - from < PASS_S) {
+	while (ok && left && net_now() - started_at < ROUND_TIMEOUT_S) {
 		loopback_run(loopback, 0.02);
-		ok = take_answers(agents, &left);
+		ok = receive_answers(agents, &left);
 	}
 	if (!ok || left)
-		fprintf(stderr, "reports: %d of %d unanswered\n", left, agents->count);
+		fprintf(
+		    stderr,
+		    "round %d: %d of %d reports have no valid answer after %.1f s, expected 0\n",
+		    sequence, left, agents->count, net_now() - started_at);
 	return ok && !left;
 }
 
 /* --- the controller --- */
 
-/* The leader's index; -1 if there is none. */
+/* Returns the index of the controller that leads, or -1 if there is none. */
 static int leader_index(const struct loopback *loopback)
 {
-	const char *name = loopback_leader(loopback, LEADER_KEY_2);
+	const char *name = loopback_leader(loopback, NEWEST_LEADER_KEY);
 
 	return name ? atoi(name + strlen("node-")) : -1;
 }
 
-/* The same, once there is one; -1 if there is none in time. */
+/* Waits for a leader. Returns its index, or -1 if there is none within LOOPBACK_TIMEOUT_S. */
 static int wait_for_leader(struct loopback *loopback)
 {
-	double from = net_now();
+	double started_at = net_now();
 	int leader = leader_index(loopback);
 
-	while (leader < 0 && net_now() - from < LIMIT_S) {
+	while (leader < 0 && net_now() - started_at < LOOPBACK_TIMEOUT_S) {
 		loopback_run(loopback, 0.2);
 		leader = leader_index(loopback);
 	}
 	return leader;
 }
 
-/* A user's job is accepted beside the reports. */
+/* Submits the job to the controller. Returns whether it is accepted within the tries. */
 static bool submit(struct loopback *loopback, int controller)
 {
 	const int *accepted = &loopback->answer_counts[STATUS_CREATED];
 
-	for (int i = 0; !*accepted && i < SUBMISSIONS; i++) {
+	for (int i = 0; !*accepted && i < SUBMISSION_TRIES_MAX; i++) {
 		loopback_submit(loopback, JOB, controller);
-		loopback_run(loopback, SUBMISSION_S);
+		loopback_run(loopback, SUBMISSION_RETRY_S);
 	}
 	return *accepted > 0;
 }
 
-/* Whether the memory is within its bound; under a sanitizer it says nothing. */
-static bool memory_suffices(double memory)
+/*
+ * Whether the controller's memory is below its limit. It is not checked under a sanitizer, which
+ * needs memory of its own.
+ */
+static bool memory_within_limit(double memory)
 {
 #ifdef __SANITIZE_ADDRESS__
 	(void)memory;
@@ -208,9 +235,9 @@
 	return submit(loopback, leader);
 }
 
-static bool play(struct loopback *loopback, const char *program, struct agents *agents)
+static bool run_test(struct loopback *loopback, const char *program, struct agents *agents)
 {
-	double from = net_now();
+	double started_at = net_now();
 	double memory;
 	int leader;
 	pid_t pid;
@@ -226,8 +253,8 @@
 	pid = loopback->controllers[leader].pid;
 	memory = process_memory_mb(pid);
 	printf("%d connections: %.1f MB, %d descriptors, %.1f s\n", agents->count, memory,
-	       process_descriptors(pid), net_now() - from);
-	return memory_suffices(memory);
+	       process_descriptors(pid), net_now() - started_at);
+	return memory_within_limit(memory);
 }
 
 static void free_agents(struct agents *agents)
@@ -247,18 +274,19 @@
 
 	if (agents.count <= 0)
 		return 2;
-	if (process_raise_files(agents.count + SPARE_CONNECTIONS + SPARE_FILES)) {
-		fprintf(stderr, "this system allows fewer files than %d connections need\n",
-			agents.count);
+	if (process_raise_file_limit(agents.count + SPARE_CONNECTIONS + SPARE_FILES)) {
+		fprintf(stderr,
+			"cannot raise the limit of open files to %d, needed for %d connections\n",
+			agents.count + SPARE_CONNECTIONS + SPARE_FILES, agents.count);
 		return 1;
 	}
 	loopback.max_connections = agents.count + SPARE_CONNECTIONS;
 	if (loopback_init(&loopback))
 		return 2;
-	loopback_job(&loopback, JOB, JOB_ARRAY, 2, 1);
+	loopback_add_job(&loopback, JOB, JOB_ARRAY, 2, 1);
 	agents.fds = xcalloc((size_t)agents.count, sizeof(*agents.fds));
 	agents.answered = xcalloc((size_t)agents.count, sizeof(*agents.answered));
-	ok = play(&loopback, argv[1], &agents) && !loopback_broken(&loopback);
+	ok = run_test(&loopback, argv[1], &agents) && !loopback_rule_broken(&loopback);
 	free_agents(&agents);
 	loopback_free(&loopback);
 	return !ok;
--- a/tests/loopback/clients.c
+++ b/tests/loopback/clients.c
@@ -1,4 +1,4 @@
-/* Users and agents as callers of the controllers. */
+/* Calls of users and agents to the controllers. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -15,7 +15,10 @@
 
 enum call_kind { CALL_REPORT = 1, CALL_SUBMIT, CALL_POLL, CALL_CANCEL };
 
-/* A call's id: its kind, then a user's job, or an agent's machine and the report's sequence. */
+/*
+ * A call's id holds its kind in the highest bits. Below it a user's call holds the number of the
+ * job, and an agent's report the index of the machine and the sequence number.
+ */
 #define CALL_KIND_SHIFT 56
 #define CALL_MACHINE_SHIFT 40
 #define CALL_MACHINE_MASK 0xffffu
@@ -37,7 +40,7 @@
 
 /* --- agents --- */
 
-void loopback_report(void *context, int machine, int controller, const char *body)
+void loopback_send_report(void *context, int machine, int controller, const char *body)
 {
 	struct loopback *loopback = context;
 	uint64_t sequence = loopback->standin.machines[machine].sequence;
@@ -55,8 +58,12 @@
 	net_send(loopback->net, &call);
 }
 
-/* An agent takes the answer to its newest report only; no answer is as good as a refusal. */
-static void take_report_reply(struct loopback *loopback, uint64_t id, int status, const char *body)
+/*
+ * Passes the answer to a report to its agent, if it is the agent's newest report. A report without
+ * an answer counts as refused with status 503.
+ */
+static void handle_report_reply(struct loopback *loopback, uint64_t id, int status,
+				const char *body)
 {
 	int index = (int)(id >> CALL_MACHINE_SHIFT & CALL_MACHINE_MASK);
 	const struct standin_machine *machine = &loopback->standin.machines[index];
@@ -70,8 +77,8 @@
 
 /* --- users --- */
 
-static void user_call(struct loopback *loopback, enum call_kind kind, int job, int controller,
-		      const char *method, const char *path, const char *body)
+static void send_user_call(struct loopback *loopback, enum call_kind kind, int job, int controller,
+			   const char *method, const char *path, const char *body)
 {
 	struct net_call call = {
 	    .id = (uint64_t)kind << CALL_KIND_SHIFT | (uint64_t)job,
@@ -86,8 +93,8 @@
 	net_send(loopback->net, &call);
 }
 
-void loopback_job(struct loopback *loopback, int number, enum job_kind kind, uint32_t tasks,
-		  double run_s)
+void loopback_add_job(struct loopback *loopback, int number, enum job_kind kind, uint32_t tasks,
+		      double run_s)
 {
 	struct standin_job *job = xcalloc(1, sizeof(*job));
 	struct job_spec *spec = &job->spec;
@@ -114,7 +121,7 @@
 	char *body = wire_serialize(wire_job_encode(&job->spec));
 
 	job->submitted = true;
-	user_call(loopback, CALL_SUBMIT, number, controller, "POST", W_PATH_JOBS, body);
+	send_user_call(loopback, CALL_SUBMIT, number, controller, "POST", W_PATH_JOBS, body);
 	free(body);
 }
 
@@ -123,7 +130,7 @@
 	char path[PATH_MAX_BYTES];
 
 	snprintf(path, sizeof(path), W_PATH_JOBS "/" W_JOB_PREFIX "%d", number);
-	user_call(loopback, CALL_POLL, number, controller, "GET", path, "");
+	send_user_call(loopback, CALL_POLL, number, controller, "GET", path, "");
 }
 
 void loopback_cancel(struct loopback *loopback, int number, int controller)
@@ -132,19 +139,23 @@
 
 	find_job(loopback, number)->cancel_requested = true;
 	snprintf(path, sizeof(path), W_PATH_JOBS "/" W_JOB_PREFIX "%d" W_PATH_CANCEL, number);
-	user_call(loopback, CALL_CANCEL, number, controller, "POST", path, "");
+	send_user_call(loopback, CALL_CANCEL, number, controller, "POST", path, "");
 }
 
-static bool says_done(const char *text)
+/* Whether the text of an answer shows the job as done. */
+static bool shows_done(const char *text)
 {
 	return strstr(text, "\"" W_JOB_DONE "\"}") || strstr(text, ":\"" W_JOB_DONE "\"");
 }
 
 /* --- answers --- */
 
-/* The checker takes an answer as one to a lookup sent just now. */
-static void take_user_reply(struct loopback *loopback, enum call_kind kind, int number, int status,
-			    const char *text)
+/*
+ * Passes the answer to a user's call to the checker of the rules. The time at which the request was
+ * sent is not kept: the checker gets the present time for it.
+ */
+static void handle_user_reply(struct loopback *loopback, enum call_kind kind, int number,
+			      int status, const char *text)
 {
 	struct standin *standin = &loopback->standin;
 	char id[ID_MAX];
@@ -159,14 +170,14 @@
 		break;
 	case CALL_POLL:
 		standin_lookup_answered(standin, id, status, text, standin->now);
-		loopback->known_done[number] |= says_done(text);
+		loopback->known_done[number] |= shows_done(text);
 		break;
 	case CALL_REPORT:
 		break;
 	}
 }
 
-void loopback_take_reply(void *context, uint64_t id, int status, const char *body, size_t len)
+void loopback_handle_reply(void *context, uint64_t id, int status, const char *body, size_t len)
 {
 	struct loopback *loopback = context;
 	enum call_kind kind = (enum call_kind)(id >> CALL_KIND_SHIFT);
@@ -174,9 +185,9 @@
 
 	snprintf(text, sizeof(text), "%.*s", (int)len, body);
 	if (kind == CALL_REPORT)
-		take_report_reply(loopback, id, status, len ? body : "");
+		handle_report_reply(loopback, id, status, len ? body : "");
 	else
-		take_user_reply(loopback, kind, (int)(id & CALL_JOB_MASK), status, text);
+		handle_user_reply(loopback, kind, (int)(id & CALL_JOB_MASK), status, text);
 	if (status > 0 && status < LOOPBACK_STATUSES)
 		loopback->answer_counts[status]++;
 }
--- a/tests/loopback/controllers.c
+++ b/tests/loopback/controllers.c
@@ -1,4 +1,4 @@
-/* Controllers as processes, with the settings that they are started with. */
+/* Starts controllers as processes with their settings files, and kills them. */
 #include <signal.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -9,9 +9,10 @@
 
 #include "loopback/loopback.h"
 
-#define FILES_AT_START 1024 /* the usual soft limit */
-#define EXEC_FAILED 127	    /* the shell's status for it */
+#define USUAL_FILE_LIMIT 1024 /* the usual soft limit of open files */
+#define EXEC_FAILED 127	      /* exit status that shells use for a program that cannot be started */
 
+/* Writes the controllers that this one knows: all others. */
 static void write_peers(const struct loopback *loopback, int index, FILE *file)
 {
 	for (int i = 0; i < LOOPBACK_CONTROLLERS; i++)
@@ -20,7 +21,7 @@
 				i, loopback->controllers[i].back);
 }
 
-/* What loopback->conf says, as the platform's settings have it. */
+/* Writes the platform's settings. They agree with loopback->conf, which the stand-ins use. */
 static void write_facts(const struct loopback *loopback, FILE *file)
 {
 	fprintf(file, "[facts]\nnodes=%d\nzones=[\"a\"]\nskew_ms=100.0\n", LOOPBACK_CONTROLLERS);
@@ -51,24 +52,27 @@
 	fclose(file);
 }
 
-/* As a system starts programs: more files are theirs to ask for. */
-static void lower_open_files(void)
+/*
+ * Lowers the soft limit of open files to that which systems usually give to programs: a controller
+ * that needs more has to raise it by itself.
+ */
+static void lower_file_limit(void)
 {
 	struct rlimit files;
 
-	if (getrlimit(RLIMIT_NOFILE, &files) || files.rlim_cur < FILES_AT_START)
+	if (getrlimit(RLIMIT_NOFILE, &files) || files.rlim_cur < USUAL_FILE_LIMIT)
 		return;
-	files.rlim_cur = FILES_AT_START;
+	files.rlim_cur = USUAL_FILE_LIMIT;
 	setrlimit(RLIMIT_NOFILE, &files);
 }
 
-/* In the new process: becomes the program. */
-static void become(const char *program, const char *settings)
+/* Replaces the new process by the program. Does not return. */
+static void exec_program(const char *program, const char *settings)
 {
-	/* A test that ends early must not leave controllers behind. */
+	/* The controller is killed when the test ends, even if that crashes. */
 	prctl(PR_SET_PDEATHSIG, SIGKILL);
 	setenv("LOG_LEVEL", "error", 0);
-	lower_open_files();
+	lower_file_limit();
 	execl(program, program, "--config", settings, (char *)NULL);
 	_exit(EXEC_FAILED);
 }
@@ -84,7 +88,7 @@
 	if (pid < 0)
 		abort();
 	if (pid == 0)
-		become(program, path);
+		exec_program(program, path);
 	loopback->controllers[index].pid = pid;
 }
 
--- a/tests/loopback/loopback.c
+++ b/tests/loopback/loopback.c
@@ -1,4 +1,4 @@
-/* Start, time and end of real controllers' surroundings: the stand-ins as servers. */
+/* Setup, event loop and teardown of the loopback tests: the stand-ins as servers. */
 #include "loopback/loopback.h"
 
 #include <arpa/inet.h>
@@ -11,22 +11,23 @@
 
 #include "wire/names.h"
 
-/* Which server of loopback->servers is what. */
+/* Indices in loopback->servers; those from SERVER_MACHINES on are agents. */
 enum { SERVER_STATE, SERVER_CLOUD, SERVER_MACHINES };
 
-/* A request's handle: the server's index above its connection. */
+/* A request's handle: the server's index in the high bits, the connection's id in the low ones. */
 #define HANDLE_SERVER_SHIFT 48
 #define HANDLE_CONNECTION_MASK 0xffffffffffffull
 
-#define PORTS_MAX 64
+#define PORTS_MAX 64 /* ports that one test may use */
 #define SERVER_CONNECTIONS 500
-#define POLL_S 0.005 /* seconds that one turn waits for messages */
+#define ITERATION_WAIT_S 0.005 /* time that one event-loop iteration waits for messages */
 
 #define MACHINE_TYPE "g"
 #define ZONE "a"
 
 /* --- addresses --- */
 
+/* Returns a port that was free a moment ago. */
 static int free_port(void)
 {
 	struct sockaddr_in address = {.sin_family = AF_INET};
@@ -49,7 +50,11 @@
 	return false;
 }
 
-/* The system may offer a port again once it is closed: two listeners would meet on it. */
+/*
+ * Writes an address on the loopback interface with a port that this test has not used before. The
+ * system may assign a port again as soon as it is closed; two servers would then get the same
+ * address.
+ */
 static void new_address(char address[CONF_NAME_MAX])
 {
 	static int used[PORTS_MAX], used_count;
@@ -63,7 +68,7 @@
 
 /* --- stand-ins as servers --- */
 
-static void reply(void *context, uint64_t handle, int status, const char *body)
+static void send_reply(void *context, uint64_t handle, int status, const char *body)
 {
 	struct loopback *loopback = context;
 	struct net *net = loopback->servers[handle >> HANDLE_SERVER_SHIFT].net;
@@ -71,8 +76,8 @@
 	net_answer(net, handle & HANDLE_CONNECTION_MASK, status, 0, body, strlen(body));
 }
 
-static void take_request(void *context, uint64_t conn, enum net_side side, const char *method,
-			 const char *path, const char *body, size_t len)
+static void handle_request(void *context, uint64_t conn, enum net_side side, const char *method,
+			   const char *path, const char *body, size_t len)
 {
 	struct loopback_server *server = context;
 	struct standin *standin = &server->loopback->standin;
@@ -92,7 +97,7 @@
 	}
 }
 
-/* --- start --- */
+/* --- setup --- */
 
 static void set_conf(struct conf *conf)
 {
@@ -112,7 +117,7 @@
 	conf->inventory_lag_s = 1;
 }
 
-/* Machines are all there; none can be rented. */
+/* Adds the only machine type. All machines exist from the start: the cloud rents out no more. */
 static void add_machine_type(struct standin *standin)
 {
 	struct machine_type type = {
@@ -132,8 +137,8 @@
 static void start_standins(struct loopback *loopback)
 {
 	static const struct standin_callbacks callbacks = {
-	    .reply = reply,
-	    .report = loopback_report,
+	    .reply = send_reply,
+	    .report = loopback_send_report,
 	};
 
 	standin_init(&loopback->standin, &callbacks, loopback, &loopback->conf);
@@ -142,7 +147,8 @@
 	loopback->standin.controller_count = LOOPBACK_CONTROLLERS;
 }
 
-static void name_controllers(struct loopback *loopback)
+/* Gives each controller its addresses and its name. */
+static void init_controllers(struct loopback *loopback)
 {
 	for (int i = 0; i < LOOPBACK_CONTROLLERS; i++) {
 		new_address(loopback->controllers[i].front);
@@ -151,7 +157,7 @@
 	}
 }
 
-/* A machine that is up, whose agent is this server. */
+/* Adds a machine that is up and whose agent has this server's address. */
 static void add_machine(struct loopback *loopback, const struct loopback_server *server)
 {
 	struct standin_machine *machine =
@@ -161,15 +167,15 @@
 	machine->up_at = loopback->standin.now;
 }
 
-/* 0, or -1 if the server can't listen. */
+/* Starts the server with this index. Returns 0, or -1 if it cannot listen. */
 static int start_server(struct loopback *loopback, int index)
 {
-	static const struct net_ops operations = {.request = take_request};
+	static const struct net_ops operations = {.request = handle_request};
 	struct loopback_server *server = &loopback->servers[index];
 
 	server->loopback = loopback;
 	server->index = index;
-	server->net = net_new(&operations, server, SERVER_CONNECTIONS, LIMIT_S);
+	server->net = net_new(&operations, server, SERVER_CONNECTIONS, LOOPBACK_TIMEOUT_S);
 	new_address(server->addr);
 	if (net_listen(server->net, NET_FRONT, server->addr))
 		return -1;
@@ -180,7 +186,7 @@
 
 int loopback_init(struct loopback *loopback)
 {
-	static const struct net_ops operations = {.reply = loopback_take_reply};
+	static const struct net_ops operations = {.reply = loopback_handle_reply};
 
 	signal(SIGPIPE, SIG_IGN);
 	snprintf(loopback->dir, sizeof(loopback->dir), "/tmp/ploverloft-loopback-XXXXXX");
@@ -190,15 +196,15 @@
 		loopback->max_connections = LOOPBACK_CONNECTIONS;
 	set_conf(&loopback->conf);
 	start_standins(loopback);
-	name_controllers(loopback);
+	init_controllers(loopback);
 	for (int i = 0; i < LOOPBACK_SERVERS; i++)
 		if (start_server(loopback, i))
 			return -1;
-	loopback->net = net_new(&operations, loopback, SERVER_CONNECTIONS, LIMIT_S);
+	loopback->net = net_new(&operations, loopback, SERVER_CONNECTIONS, LOOPBACK_TIMEOUT_S);
 	return 0;
 }
 
-/* --- time and end --- */
+/* --- event loop and teardown --- */
 
 void loopback_run(struct loopback *loopback, double seconds)
 {
@@ -207,13 +213,13 @@
 
 	while ((now = net_now()) < until) {
 		standin_tick(&loopback->standin, now);
-		net_poll(loopback->net, POLL_S);
+		net_poll(loopback->net, ITERATION_WAIT_S);
 		for (int i = 0; i < LOOPBACK_SERVERS; i++)
 			net_poll(loopback->servers[i].net, 0);
 	}
 }
 
-bool loopback_broken(const struct loopback *loopback)
+bool loopback_rule_broken(const struct loopback *loopback)
 {
 	const struct standin *standin = &loopback->standin;
 	bool broken = false;
@@ -221,7 +227,9 @@
 	for (int rule = 0; rule < RULE_COUNT; rule++) {
 		if (!standin->rules_broken[rule])
 			continue;
-		fprintf(stderr, "rule broken: %s: %s\n", rule_names[rule], standin->broken_why);
+		fprintf(stderr,
+			"rule %s broken %d times, expected 0; the newest break of a rule: %s\n",
+			rule_names[rule], standin->rules_broken[rule], standin->broken_why);
 		broken = true;
 	}
 	return broken;
--- a/tests/loopback/loopback.h
+++ b/tests/loopback/loopback.h
@@ -1,6 +1,8 @@
 /*
- * Real controllers over loopback: three processes, of one version or of two, against the stand-ins
- * of the state service, the cloud and the machines, under the checker of the rules.
+ * Harness of the loopback tests: three controllers run as real processes, of the same or of
+ * different versions. Over the loopback interface they talk to the stand-ins of the state service,
+ * the cloud and the agents, which this process serves. The checker of the rules watches the
+ * stand-ins.
  */
 #ifndef PLOVERLOFT_LOOPBACK_H
 #define PLOVERLOFT_LOOPBACK_H
@@ -15,84 +17,106 @@
 
 #define LOOPBACK_CONTROLLERS 3
 #define LOOPBACK_MACHINES 3
-#define LOOPBACK_MACHINE_CPUS 32 /* of each machine */
-#define LOOPBACK_SERVERS (2 + LOOPBACK_MACHINES)
-#define LOOPBACK_JOBS 256	 /* numbers of jobs are below */
-#define LOOPBACK_STATUSES 600	 /* HTTP statuses are below */
-#define LOOPBACK_CONNECTIONS 500 /* of a controller, unless a test needs more */
-/* Limits of the state service that the settings announce for later. */
+#define LOOPBACK_MACHINE_CPUS 32		 /* of each machine */
+#define LOOPBACK_SERVERS (2 + LOOPBACK_MACHINES) /* state service, cloud, one for each agent */
+#define LOOPBACK_JOBS 256			 /* every job's number is below this */
+#define LOOPBACK_STATUSES 600			 /* every HTTP status is below this */
+#define LOOPBACK_CONNECTIONS 500 /* a controller's max_connections, unless a test sets more */
+/* Lower limits of the state service, which the settings announce for later (facts.state.next). */
 #define LOOPBACK_NEXT_VALUE_KB 2.0
 #define LOOPBACK_NEXT_TXN_OPS 5
-/* seconds a test may take: generous, so that a slow machine changes nothing */
-#define LIMIT_S 90.0
+/*
+ * Timeout in seconds of a test, or of each wait in a test of several steps. It is generous, so that
+ * tests also pass on a slow machine.
+ */
+#define LOOPBACK_TIMEOUT_S 90.0
 
 struct loopback;
 
-/* One stand-in as a server: the state service, the cloud, then one for each machine. */
+/* The server of one stand-in: of the state service, of the cloud or of one machine's agent. */
 struct loopback_server {
 	struct loopback *loopback;
-	int index;
+	int index; /* in loopback->servers: state service, cloud, then the machines' agents */
 	struct net *net;
-	char addr[CONF_NAME_MAX];
+	char addr[CONF_NAME_MAX]; /* where it listens */
 };
 
-/* One controller: a process while it runs. */
+/* One controller. It keeps its addresses when its process ends and another is started. */
 struct loopback_controller {
 	char front[CONF_NAME_MAX]; /* address for users and agents */
 	char back[CONF_NAME_MAX];  /* address for other controllers */
-	pid_t pid;		   /* 0: it does not run */
+	pid_t pid;		   /* of its process; 0: none runs */
 };
 
 struct loopback {
 	struct standin standin;
 	struct conf conf;
-	struct net *net; /* users and agents as callers */
+	struct net *net; /* event loop that sends the calls of users and agents */
 	struct loopback_server servers[LOOPBACK_SERVERS];
 	struct loopback_controller controllers[LOOPBACK_CONTROLLERS];
-	char dir[CONF_NAME_MAX]; /* the controllers' settings */
-	int max_connections;	 /* of a controller; 0 before loopback_init: LOOPBACK_CONNECTIONS */
-	int answer_counts[LOOPBACK_STATUSES]; /* answers to users and agents, by status */
-	bool known_done[LOOPBACK_JOBS];	      /* jobs that a user was shown as done */
+	char dir[CONF_NAME_MAX]; /* directory of the controllers' settings files */
+	/* Setting of the controllers. If it is 0, loopback_init sets it to LOOPBACK_CONNECTIONS. */
+	int max_connections;
+	int answer_counts[LOOPBACK_STATUSES]; /* answers to users and agents, by HTTP status */
+	bool known_done[LOOPBACK_JOBS];	      /* by job number: a user saw the job as done */
 };
 
-/* --- start, time and end: loopback.c --- */
+/* --- setup, event loop and teardown: loopback.c --- */
 
-/* 0, or -1 if no directory or port is to be had. `loopback` is zero but for max_connections. */
+/*
+ * Starts the stand-ins; the controllers are started by loopback_start. All fields of `loopback` but
+ * max_connections must be zero. Returns 0, or -1 if the settings' directory cannot be made or a
+ * server cannot listen.
+ */
 int loopback_init(struct loopback *loopback);
 
-/* Ends the controllers too. */
+/* Kills the controllers that run, and frees what `loopback` owns. */
 void loopback_free(struct loopback *loopback);
 
-/* Plays for so many seconds. */
+/* Runs the stand-ins and the calls of users and agents for this many seconds of real time. */
 void loopback_run(struct loopback *loopback, double seconds);
 
-/* Whether a rule is broken; it is printed. */
-bool loopback_broken(const struct loopback *loopback);
+/* Returns whether the checker found a broken rule. Prints each such rule to stderr. */
+bool loopback_rule_broken(const struct loopback *loopback);
 
-/* The name that the leader's key holds; NULL if there is none. Valid until the next run. */
+/*
+ * Returns the controller's name in the value of this leader's key, or NULL if the key does not
+ * exist. The string is valid until the next loopback_run.
+ */
 const char *loopback_leader(const struct loopback *loopback, const char *key);
 
 /* --- controllers: controllers.c --- */
 
-/* Writes the controller's settings and starts it as the program at this path. */
+/* Writes the controller's settings file and starts it as a process of the program at this path. */
 void loopback_start(struct loopback *loopback, int controller, const char *program);
 
-/* Kills the controller at once, if it runs. */
+/* Ends the controller with SIGKILL, if it runs, and waits for the end of its process. */
 void loopback_kill(struct loopback *loopback, int controller);
 
-/* --- users and agents as callers: clients.c --- */
+/* --- calls of users and agents: clients.c --- */
 
-/* Sends an agent's heartbeat: the callback of the stand-ins, whose context is the loopback. */
-void loopback_report(void *context, int machine, int controller, const char *body);
+/*
+ * Callback `report` of the stand-ins: sends an agent's heartbeat to a controller. `context` is the
+ * struct loopback.
+ */
+void loopback_send_report(void *context, int machine, int controller, const char *body);
 
-/* Takes the end of any call: the callback of loopback->net, whose context is the loopback. */
-void loopback_take_reply(void *context, uint64_t id, int status, const char *body, size_t len);
+/*
+ * Callback `reply` of loopback->net: handles the end of any call. `context` is the struct loopback.
+ */
+void loopback_handle_reply(void *context, uint64_t id, int status, const char *body, size_t len);
 
-/* Adds a job of this number, which can then be submitted: each task takes one CPU. */
-void loopback_job(struct loopback *loopback, int job, enum job_kind kind, uint32_t tasks,
-		  double run_s);
+/*
+ * Adds a job, which users can then submit: the id is made of the number, each task takes one CPU
+ * and runs for `run_s` seconds.
+ */
+void loopback_add_job(struct loopback *loopback, int job, enum job_kind kind, uint32_t tasks,
+		      double run_s);
 
-/* Sends a request for a job to one controller; the answer comes while the loopback runs. */
+/*
+ * These send a user's request about a job to one controller. The answer is handled during a later
+ * loopback_run.
+ */
 void loopback_submit(struct loopback *loopback, int job, int controller);
 void loopback_poll(struct loopback *loopback, int job, int controller);
 void loopback_cancel(struct loopback *loopback, int job, int controller);
--- a/tests/loopback/process_use.c
+++ b/tests/loopback/process_use.c
@@ -1,4 +1,4 @@
-/* What a process of this system uses. */
+/* Memory and file descriptors that a process uses. See process_use.h. */
 #include "loopback/process_use.h"
 
 #include <dirent.h>
@@ -10,7 +10,7 @@
 #define PATH_BYTES 64
 #define LINE_BYTES 128
 #define KB_PER_MB 1024
-#define MEMORY_FIELD "VmRSS:" /* in KiB */
+#define MEMORY_FIELD "VmRSS:" /* resident memory in KiB */
 
 double process_memory_mb(pid_t pid)
 {
@@ -45,7 +45,7 @@
 	return count;
 }
 
-int process_raise_files(int wanted)
+int process_raise_file_limit(int wanted)
 {
 	struct rlimit files;
 
--- a/tests/loopback/rollout.c
+++ b/tests/loopback/rollout.c
@@ -1,4 +1,4 @@
-/* What the tests with controllers of several versions share. */
+/* Shared parts of the tests in which controllers of several versions run together. */
 #include "loopback/rollout.h"
 
 #include <stdio.h>
@@ -6,15 +6,16 @@
 
 #include "wire/names.h"
 
-#define NEWEST_LEADER_KEY "leader/2"
+#define NEWEST_LEADER_KEY "leader/2" /* leader's key in the newest format of the records */
 #define BYTES_PER_KB 1024
 
-#define TRIES 40	/* of a submission or a cancellation */
-#define RETRY_S 0.5	/* seconds between them */
-#define WAIT_STEP_S 0.1 /* seconds between looks at a condition */
-#define ANSWERS_S 0.4	/* seconds for the answers to polls */
-#define NEVER_LEADS_S 4 /* seconds in which a version that may not lead would have */
-#define POLLED_CONTROLLER 1
+#define TRIES_MAX 40	     /* most requests sent for one submission or cancellation */
+#define RETRY_S 0.5	     /* seconds between two of them */
+#define CHECK_INTERVAL_S 0.1 /* seconds between two checks of a condition */
+#define POLL_ANSWERS_S 0.4   /* seconds in which the answers to polls arrive */
+/* Seconds in which a controller that wrongly claims leadership would have become the leader. */
+#define CLAIM_OBSERVED_S 4
+#define POLLED_CONTROLLER 1 /* index of the controller that users poll */
 
 #define ARRAY_TASKS 40
 #define SERVICE_TASKS 3
@@ -26,13 +27,13 @@
 {
 	if (loopback_init(loopback))
 		return -1;
-	loopback_job(loopback, ARRAY, JOB_ARRAY, ARRAY_TASKS, 15);
-	loopback_job(loopback, SERVICE, JOB_SERVICE, SERVICE_TASKS, 1000);
-	loopback_job(loopback, GANG, JOB_GANG, GANG_TASKS, 14);
-	loopback_job(loopback, CANCELLED_ARRAY, JOB_ARRAY, 8, 100);
-	loopback_job(loopback, LATE_ARRAY, JOB_ARRAY, LATE_ARRAY_TASKS, 8);
-	loopback_job(loopback, LATE_GANG, JOB_GANG, LATE_GANG_TASKS, 8);
-	loopback_job(loopback, LAST_ARRAY, JOB_ARRAY, 5, 2);
+	loopback_add_job(loopback, ARRAY, JOB_ARRAY, ARRAY_TASKS, 15);
+	loopback_add_job(loopback, SERVICE, JOB_SERVICE, SERVICE_TASKS, 1000);
+	loopback_add_job(loopback, GANG, JOB_GANG, GANG_TASKS, 14);
+	loopback_add_job(loopback, CANCELLED_ARRAY, JOB_ARRAY, 8, 100);
+	loopback_add_job(loopback, LATE_ARRAY, JOB_ARRAY, LATE_ARRAY_TASKS, 8);
+	loopback_add_job(loopback, LATE_GANG, JOB_GANG, LATE_GANG_TASKS, 8);
+	loopback_add_job(loopback, LAST_ARRAY, JOB_ARRAY, 5, 2);
 	return 0;
 }
 
@@ -41,26 +42,27 @@
 	uint64_t too_large = loopback->standin.state_service.too_large;
 
 	if (too_large) {
-		fprintf(stderr, "%llu transactions beyond the limits\n",
+		fprintf(stderr,
+			"%llu transactions exceeded the limits of the state service, expected 0\n",
 			(unsigned long long)too_large);
 		ok = false;
 	}
-	if (loopback_broken(loopback))
+	if (loopback_rule_broken(loopback))
 		ok = false;
 	loopback_free(loopback);
 	return !ok;
 }
 
-bool rollout_wait(struct loopback *loopback, rollout_condition holds, const char *what)
+bool rollout_wait(struct loopback *loopback, rollout_condition is_met, const char *what)
 {
-	double from = net_now();
+	double started_at = net_now();
 
-	while (!holds(loopback)) {
-		if (net_now() - from > LIMIT_S) {
-			fprintf(stderr, "not in time: %s\n", what);
+	while (!is_met(loopback)) {
+		if (net_now() - started_at > LOOPBACK_TIMEOUT_S) {
+			fprintf(stderr, "timed out after %.0f s: %s\n", LOOPBACK_TIMEOUT_S, what);
 			return false;
 		}
-		loopback_run(loopback, WAIT_STEP_S);
+		loopback_run(loopback, CHECK_INTERVAL_S);
 	}
 	return true;
 }
@@ -93,7 +95,7 @@
 	       rollout_running(loopback, GANG) == GANG_TASKS;
 }
 
-bool rollout_cancelled_gone(struct loopback *loopback)
+bool rollout_cancelled_ended(struct loopback *loopback)
 {
 	return rollout_running(loopback, CANCELLED_ARRAY) == 0;
 }
@@ -116,18 +118,18 @@
 	for (int job = ARRAY; job <= LAST_ARRAY; job++)
 		if (job != SERVICE && job != CANCELLED_ARRAY && !known_done[job])
 			loopback_poll(loopback, job, POLLED_CONTROLLER);
-	loopback_run(loopback, ANSWERS_S);
+	loopback_run(loopback, POLL_ANSWERS_S);
 	return known_done[ARRAY] && known_done[GANG] && known_done[LATE_ARRAY] &&
 	       known_done[LATE_GANG] && known_done[LAST_ARRAY] &&
 	       rollout_running(loopback, SERVICE) == SERVICE_TASKS;
 }
 
-bool rollout_newest_format_led(struct loopback *loopback)
+bool rollout_newest_format_has_leader(struct loopback *loopback)
 {
 	return loopback_leader(loopback, NEWEST_LEADER_KEY) != NULL;
 }
 
-bool rollout_newest_format_leaderless(struct loopback *loopback)
+bool rollout_newest_format_has_no_leader(struct loopback *loopback)
 {
 	return loopback_leader(loopback, NEWEST_LEADER_KEY) == NULL;
 }
@@ -138,7 +140,7 @@
 {
 	const struct standin_job *job = find_job(loopback, number);
 
-	for (int i = 0; !job->accepted && i < TRIES; i++) {
+	for (int i = 0; !job->accepted && i < TRIES_MAX; i++) {
 		loopback_submit(loopback, number, i % LOOPBACK_CONTROLLERS);
 		loopback_run(loopback, RETRY_S);
 	}
@@ -148,7 +150,7 @@
 {
 	const struct standin_job *job = find_job(loopback, number);
 
-	for (int i = 0; !job->known_cancelled && i < TRIES; i++) {
+	for (int i = 0; !job->known_cancelled && i < TRIES_MAX; i++) {
 		loopback_cancel(loopback, number, i % LOOPBACK_CONTROLLERS);
 		loopback_run(loopback, RETRY_S);
 	}
@@ -168,57 +170,63 @@
 	state_service->txn_ops = LOOPBACK_NEXT_TXN_OPS;
 }
 
-void rollout_report(struct loopback *loopback)
+void rollout_print_jobs(struct loopback *loopback)
 {
 	for (int job = ARRAY; job <= LAST_ARRAY; job++)
-		fprintf(stderr, "job %d: done %d, %u running\n", job, loopback->known_done[job],
+		fprintf(stderr, W_JOB_PREFIX "%d: %s, %u tasks running\n", job,
+			loopback->known_done[job] ? "done" : "not done",
 			rollout_running(loopback, job));
 }
 
-static void kill_others(struct loopback *loopback, int controller)
+static void kill_other_controllers(struct loopback *loopback, int controller)
 {
 	for (int other = 0; other < LOOPBACK_CONTROLLERS; other++)
 		if (other != controller)
 			loopback_kill(loopback, other);
 }
 
-static void start_others(struct loopback *loopback, int controller, const char *program)
+static void start_other_controllers(struct loopback *loopback, int controller, const char *program)
 {
 	for (int other = 0; other < LOOPBACK_CONTROLLERS; other++)
 		if (other != controller)
 			loopback_start(loopback, other, program);
 }
 
-/* The old version is alone, and does not lead. */
-static bool old_version_never_leads(struct loopback *loopback)
+/* The old version, the only one that runs, must not become the leader. */
+static bool old_version_does_not_lead(struct loopback *loopback)
 {
-	if (!rollout_wait(loopback, rollout_newest_format_leaderless, "the leader's lease ends"))
+	if (!rollout_wait(loopback, rollout_newest_format_has_no_leader,
+			  "waited for the end of the last leader's lease"))
 		return false;
-	loopback_run(loopback, NEVER_LEADS_S);
-	if (!rollout_newest_format_led(loopback))
+	loopback_run(loopback, CLAIM_OBSERVED_S);
+	if (!rollout_newest_format_has_leader(loopback))
 		return true;
-	fprintf(stderr, "a version that can't read the records leads\n");
+	fprintf(
+	    stderr,
+	    "a controller of the old version leads, though it cannot read the records' format\n");
 	return false;
 }
 
-static bool finish_all_work(struct loopback *loopback)
+static bool finish_all_jobs(struct loopback *loopback)
 {
-	if (!rollout_wait(loopback, rollout_newest_format_led, "this version leads again"))
+	if (!rollout_wait(loopback, rollout_newest_format_has_leader,
+			  "waited for a controller of the new version to lead again"))
 		return false;
 	rollout_submit(loopback, LAST_ARRAY);
-	if (rollout_wait(loopback, rollout_all_done, "all work is done and the service runs"))
+	if (rollout_wait(loopback, rollout_all_done,
+			 "waited until all jobs are done and the service runs"))
 		return true;
-	rollout_report(loopback);
+	rollout_print_jobs(loopback);
 	return false;
 }
 
-bool rollout_one_back(struct loopback *loopback, int controller, const char *old_program,
-		      const char *new_program)
+bool rollout_downgrade_one(struct loopback *loopback, int controller, const char *old_program,
+			   const char *new_program)
 {
 	rollout_replace(loopback, controller, old_program);
-	kill_others(loopback, controller);
-	if (!old_version_never_leads(loopback))
+	kill_other_controllers(loopback, controller);
+	if (!old_version_does_not_lead(loopback))
 		return false;
-	start_others(loopback, controller, new_program);
-	return finish_all_work(loopback);
+	start_other_controllers(loopback, controller, new_program);
+	return finish_all_jobs(loopback);
 }
--- a/tests/loopback/rollout.h
+++ b/tests/loopback/rollout.h
@@ -1,71 +1,86 @@
 /*
- * What the tests with controllers of several versions share: jobs of known numbers, and waiting for
- * what is to come.
+ * Shared parts of the tests in which controllers of several versions run together: the jobs, the
+ * steps of a rollout, and the conditions that the tests wait for.
  */
 #ifndef PLOVERLOFT_ROLLOUT_H
 #define PLOVERLOFT_ROLLOUT_H
 
 #include "loopback/loopback.h"
 
-/* The jobs of each test, by their numbers; rollout_init adds them. */
+/* Numbers of the jobs that rollout_init adds. */
 enum { ARRAY = 1, SERVICE, GANG, CANCELLED_ARRAY, LATE_ARRAY, LATE_GANG, LAST_ARRAY };
 
-/* Something that a test waits for. */
+/* A condition that a test waits for: returns whether it is met. */
 typedef bool (*rollout_condition)(struct loopback *loopback);
 
-/* 0, or -1 if no directory or port is to be had. */
+/* Initializes `loopback` and adds the jobs. Returns 0, or -1 if loopback_init fails. */
 int rollout_init(struct loopback *loopback);
 
 /*
- * Ends the test and its controllers. 0, or 1 if `ok` is false, a rule is broken, or a transaction
- * was beyond the state service's limits.
+ * Kills the controllers and frees `loopback`. Returns the test's exit status: 0, or 1 if `ok` is
+ * false, a rule is broken, or a transaction exceeded the limits of the state service.
  */
 int rollout_end(struct loopback *loopback, bool ok);
 
-/* Plays until the condition holds. False, with `what` printed, if it does not within LIMIT_S. */
-bool rollout_wait(struct loopback *loopback, rollout_condition holds, const char *what);
+/*
+ * Runs until the condition is met. If it is not met within LOOPBACK_TIMEOUT_S, prints `what`, a
+ * sentence that says what is waited for, and returns false.
+ */
+bool rollout_wait(struct loopback *loopback, rollout_condition is_met, const char *what);
 
-/* Tasks of the job that run. */
+/* Returns the number of the job's tasks that run. */
 uint32_t rollout_running(struct loopback *loopback, int job);
 
-/* Submits until it is accepted, at one controller after the other; gives up after some tries. */
+/*
+ * Submits the job to one controller after the other until it is accepted or the tries are used up.
+ */
 void rollout_submit(struct loopback *loopback, int job);
 
-/* Cancels until it is confirmed, at one controller after the other; gives up after some tries. */
+/*
+ * Sends a cancellation of the job to one controller after the other until it is confirmed or the
+ * tries are used up.
+ */
 void rollout_cancel(struct loopback *loopback, int job);
 
-/* Kills the controller and starts it as the given program. */
+/* Kills the controller and starts it again as the given program. */
 void rollout_replace(struct loopback *loopback, int controller, const char *program);
 
-/* The state service's limits fall to those announced. */
+/* Lowers the limits of the state service to those that the settings announce. */
 void rollout_lower_limits(struct loopback *loopback);
 
 /*
- * The controller comes back as a version that does not read the newest format, all others end: it
- * may serve users, and never leads. The others return as the new version, and all work is done.
- * False if not.
+ * Starts the controller as an old version that cannot read the newest format of the records, and
+ * kills the others. The old version may serve users, but must not lead. Then starts the others as
+ * the new version and waits until all jobs are done. Returns false if one of these steps fails.
  */
-bool rollout_one_back(struct loopback *loopback, int controller, const char *old_program,
-		      const char *new_program);
+bool rollout_downgrade_one(struct loopback *loopback, int controller, const char *old_program,
+			   const char *new_program);
 
-/* Prints which jobs are done and how many of their tasks run. */
-void rollout_report(struct loopback *loopback);
+/* Prints for each job whether it is done and how many of its tasks run. */
+void rollout_print_jobs(struct loopback *loopback);
 
-/* --- conditions; the format is that of the records, see docs/design.md --- */
+/* --- conditions; "format" is that of the records, see docs/design.md --- */
 
-/* The first array, the service and the gang run in full. */
+/* All tasks of ARRAY, SERVICE and GANG run. */
 bool rollout_first_work_runs(struct loopback *loopback);
 
+/* Some task of CANCELLED_ARRAY runs. */
 bool rollout_cancelled_runs(struct loopback *loopback);
-bool rollout_cancelled_gone(struct loopback *loopback);
+/* No task of CANCELLED_ARRAY runs. */
+bool rollout_cancelled_ended(struct loopback *loopback);
 
-/* The late array and the late gang run in full. */
+/* All tasks of LATE_ARRAY and LATE_GANG run. */
 bool rollout_late_work_runs(struct loopback *loopback);
 
-/* All but the service, which runs, and the cancelled array. Polls for it, and plays a while. */
+/*
+ * Users saw all jobs but SERVICE and CANCELLED_ARRAY as done, and all tasks of SERVICE run. Polls
+ * the jobs that are not known as done, and runs for a moment to receive the answers.
+ */
 bool rollout_all_done(struct loopback *loopback);
 
-bool rollout_newest_format_led(struct loopback *loopback);
-bool rollout_newest_format_leaderless(struct loopback *loopback);
+/* A controller leads with the newest format. */
+bool rollout_newest_format_has_leader(struct loopback *loopback);
+/* No controller leads with the newest format. */
+bool rollout_newest_format_has_no_leader(struct loopback *loopback);
 
 #endif
--- a/tests/upgrade.c
+++ b/tests/upgrade.c
@@ -1,7 +1,14 @@
 /*
- * The version in production and this one over loopback, each leading over what the other wrote:
- * rolled one by one under jobs and cancellations, then the limits of the state service fall, then a
- * process comes back as the old version. Usage: upgrade PROGRAM OLD_PROGRAM
+ * Test of the upgrade from the version in production (old) to this one (new) over the loopback
+ * interface. Controllers are upgraded one by one while jobs run and are cancelled, and each version
+ * leads with records that the other wrote; then the limits of the state service fall, and at last a
+ * controller returns to the old version.
+ *
+ * It guards against records that the other version misreads, so that jobs are lost, run twice or
+ * run on after their cancellation; against a format of the records that is raised while an old
+ * controller could still lead; and against transactions that exceed the lowered limits.
+ *
+ * Usage: upgrade PROGRAM OLD_PROGRAM
  */
 #include <stdio.h>
 #include <string.h>
@@ -14,7 +21,7 @@
 
 static const char *new_program, *old_program;
 
-static bool old_leads(struct loopback *loopback)
+static bool first_format_has_leader(struct loopback *loopback)
 {
 	return loopback_leader(loopback, LEADER_KEY) != NULL;
 }
@@ -33,68 +40,78 @@
 	return name && strcmp(name, CONTROLLER_0);
 }
 
-/* Old ones lead over new work. */
-static bool start_old(struct loopback *loopback)
+/* Old controllers lead, and the first jobs start under them. */
+static bool start_old_version(struct loopback *loopback)
 {
 	for (int i = 0; i < LOOPBACK_CONTROLLERS; i++)
 		loopback_start(loopback, i, old_program);
-	if (!rollout_wait(loopback, old_leads, "an old version leads"))
+	if (!rollout_wait(loopback, first_format_has_leader,
+			  "waited for a controller of the old version to lead"))
 		return false;
 	rollout_submit(loopback, ARRAY);
 	rollout_submit(loopback, SERVICE);
 	rollout_submit(loopback, GANG);
-	return rollout_wait(loopback, rollout_first_work_runs, "work starts under the old version");
+	return rollout_wait(loopback, rollout_first_work_runs,
+			    "waited for the first jobs to run under the old version");
 }
 
-/* A new one leads over the old ones' records. */
-static bool lead_over_old(struct loopback *loopback)
+/* The new version leads with the records of the old one. */
+static bool new_leads_with_old_records(struct loopback *loopback)
 {
 	rollout_replace(loopback, 0, new_program);
 	loopback_run(loopback, SETTLE_S);
 	loopback_kill(loopback, 1);
 	loopback_kill(loopback, 2);
-	if (!rollout_wait(loopback, controller_0_leads, "the new version leads over old records"))
+	if (!rollout_wait(loopback, controller_0_leads,
+			  "waited for the new version to lead with records of the old one"))
 		return false;
 	rollout_submit(loopback, CANCELLED_ARRAY);
-	return rollout_wait(loopback, rollout_cancelled_runs, "work starts under the new version");
+	return rollout_wait(loopback, rollout_cancelled_runs,
+			    "waited for a job to run under the new version");
 }
 
-/* An old one leads over the new one's records. */
-static bool lead_over_new(struct loopback *loopback)
+/* The old version leads with the records of the new one, and a job is cancelled. */
+static bool old_leads_with_new_records(struct loopback *loopback)
 {
 	loopback_start(loopback, 1, old_program);
 	loopback_start(loopback, 2, old_program);
 	loopback_run(loopback, SETTLE_S);
 	loopback_kill(loopback, 0);
-	if (!rollout_wait(loopback, another_leads, "the old version leads over new records"))
+	if (!rollout_wait(loopback, another_leads,
+			  "waited for the old version to lead with records of the new one"))
 		return false;
 	loopback_start(loopback, 0, new_program);
 	rollout_cancel(loopback, CANCELLED_ARRAY);
-	return rollout_wait(loopback, rollout_cancelled_gone, "a cancellation across versions");
+	return rollout_wait(loopback, rollout_cancelled_ended,
+			    "waited until no task of the cancelled job runs");
 }
 
-/* The rest is upgraded, then the limits fall. */
-static bool roll_and_lower(struct loopback *loopback)
+/* Upgrades the other controllers, which raises the records' format, and then lowers the limits. */
+static bool upgrade_rest_and_lower_limits(struct loopback *loopback)
 {
 	rollout_replace(loopback, 1, new_program);
 	loopback_run(loopback, SETTLE_S);
-	if (rollout_newest_format_led(loopback)) {
-		fprintf(stderr, "the format is raised with an old controller left\n");
+	if (rollout_newest_format_has_leader(loopback)) {
+		fprintf(stderr,
+			"the records' format is raised while controller 2 runs the old version\n");
 		return false;
 	}
 	rollout_replace(loopback, 2, new_program);
-	if (!rollout_wait(loopback, rollout_newest_format_led, "the format is raised"))
+	if (!rollout_wait(loopback, rollout_newest_format_has_leader,
+			  "waited for the records' format to be raised"))
 		return false;
 	rollout_lower_limits(loopback);
 	rollout_submit(loopback, LATE_ARRAY);
 	rollout_submit(loopback, LATE_GANG);
-	return rollout_wait(loopback, rollout_late_work_runs, "work starts under the new limits");
+	return rollout_wait(loopback, rollout_late_work_runs,
+			    "waited for jobs to run under the lowered limits");
 }
 
-static bool play(struct loopback *loopback)
+static bool run_test(struct loopback *loopback)
 {
-	return start_old(loopback) && lead_over_old(loopback) && lead_over_new(loopback) &&
-	       roll_and_lower(loopback) && rollout_one_back(loopback, 2, old_program, new_program);
+	return start_old_version(loopback) && new_leads_with_old_records(loopback) &&
+	       old_leads_with_new_records(loopback) && upgrade_rest_and_lower_limits(loopback) &&
+	       rollout_downgrade_one(loopback, 2, old_program, new_program);
 }
 
 int main(int argc, char **argv)
@@ -105,5 +122,5 @@
 		return 2;
 	new_program = argv[1];
 	old_program = argv[2];
-	return rollout_end(&loopback, play(&loopback));
+	return rollout_end(&loopback, run_test(&loopback));
 }
