--- a/tests/bench/services.c
+++ b/tests/bench/services.c
@@ -140,8 +140,8 @@
 
 /*
  * Returns the body of the answer to a watch, which the caller frees. It has the whole transaction
- * in a field that the core ignores: the benchmarks of all earlier versions had it, and without it
- * the figures could not be compared with theirs.
+ * in a field that the core ignores: it was there in every version for which there are figures, and
+ * without it new figures could not be compared with them.
  */
 static char *changes_answer(const struct bench *bench, json_t *events, json_t *transaction)
 {
--- a/tests/bench_report.c
+++ b/tests/bench_report.c
@@ -4,7 +4,7 @@
  * not vary between runs. The times depend on the machine: to compare two versions, run them
  * alternately.
  *
- * It fails if an unchanged report takes more than UNCHANGED_ALLOCATIONS_MAX allocations. It so
+ * It fails if an unchanged report takes more than UNCHANGED_ALLOCATIONS_MAX allocations. This
  * guards against unchanged reports that are parsed again instead of being found in the cache of
  * reports, and against costs for each report that grow with the number of machines.
  *
--- a/tests/compare_versions.sh
+++ b/tests/compare_versions.sh
@@ -2,8 +2,8 @@
 # Compares the messages that the controllers send between the working tree and an earlier commit. It guards
 # against unintended changes of behaviour: all scenarios are run in both versions, and each scenario that
 # differs is printed with its first different message. A scenario that was renamed since COMMIT is compared
-# with the one under its former name. Log lines are not compared. The runner of COMMIT is used for that
-# version, so it must have `runner --digest` (from 0.6.0's digest on).
+# with the one under its former name. Log lines are not compared. Scenarios of COMMIT are run by COMMIT's own
+# runner, which must have the option --digest: it does from 5a4b392 on, shortly after 0.6.0.
 # Usage: compare_versions.sh COMMIT [SCENARIO...]
 # Exit status 0: no scenario differs. COMPARE_DIR: directory in which the builds are kept. COMPARE_JOBS: number
 # of parallel compilers and scenarios.
--- a/tests/smoke.c
+++ b/tests/smoke.c
@@ -1,8 +1,8 @@
 /*
  * Smoke test of the real program over the loopback interface: two of three controllers are killed
  * and restarted while a job array and a gang run. It guards against jobs that are lost or run twice
- * when controllers fail, and against failures of the program itself (settings, sockets, event
- * loop), which simulated scenarios do not run. It ends as soon as both jobs are done.
+ * when controllers fail, and against faults in those parts of the program that simulated scenarios
+ * do not run: settings, sockets and event loop. It ends as soon as both jobs are done.
  *
  * Usage: smoke PROGRAM
  */
--- a/tests/unit/test_http.c
+++ b/tests/unit/test_http.c
@@ -41,6 +41,7 @@
 	enum http_result expected;
 };
 
+/* Returns the number of requests whose result is not the expected one, and prints each of them. */
 static int count_wrong_results(const struct request_case *cases, size_t count)
 {
 	struct http_msg message;
--- a/tests/unit/test_net_limits.c
+++ b/tests/unit/test_net_limits.c
@@ -1,9 +1,10 @@
 /*
  * Tests of which callers' connections are closed when there are more callers than sockets.
  *
- * Agents of vanished machines leave connections open: if none were closed, new callers would get no
- * answer. If the longest idle caller were always closed, callers that send requests in rounds would
- * each lose the connection just before their next request, and all would reconnect in every round.
+ * Machines that vanish leave their agents' connections open: if none were closed, new callers would
+ * get no answer. If the longest idle caller were always closed, callers that send requests in
+ * rounds would each lose the connection just before their next request, and all would reconnect in
+ * every round.
  */
 #include "support.h"
 
--- a/tests/unit/test_report_cache.c
+++ b/tests/unit/test_report_cache.c
@@ -48,6 +48,10 @@
 	uint64_t sequence; /* 0: the report is not recognised */
 };
 
+/*
+ * Looks up each case's report after stored_report was stored. Returns the number of cases with an
+ * unexpected result, and prints each of them.
+ */
 static int count_wrong_sequences(const struct lookup_case *cases, size_t count)
 {
 	int failures = 0;
