--- a/tests/standins/agent_commands.c
+++ b/tests/standins/agent_commands.c
@@ -1,4 +1,4 @@
-/* Commands that agents carry out: starts, stops, and ended tasks that they may forget. */
+/* The commands that agents carry out: to start a task, to stop it, and to forget an exited one. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -12,11 +12,12 @@
 #include "wire/names.h"
 
 #define TASK_NAME_PATTERN "%47[^/]/%u" /* a job's id of at most ID_MAX - 1 bytes, and the index */
-#define FORCED_ATTEMPT 999999999u      /* the first attempt that no controller asked for */
+/* Attempt number of a job's first task if it is started without a command. */
+#define FORCED_ATTEMPT 999999999u
 
-_Static_assert(ID_MAX == 48, "TASK_NAME_PATTERN holds the length of an id");
+_Static_assert(ID_MAX == 48, "TASK_NAME_PATTERN has the length of an id in it");
 
-/* Which attempt of a task a command is about. */
+/* The attempt of a task that a command is about. */
 struct command_target {
 	char job[ID_MAX];
 	uint32_t index;
@@ -31,8 +32,9 @@
 
 /* --- starts --- */
 
-/* Whether an attempt of the task is on the machine that has not ended. */
-static bool is_busy(const struct standin_machine *machine, const struct command_target *target)
+/* True if the machine has an attempt of the task that has not exited. */
+static bool has_active_attempt(const struct standin_machine *machine,
+			       const struct command_target *target)
 {
 	for (const struct standin_task *task = machine->tasks; task; task = task->next)
 		if (task->state != TASK_EXITED && task->index == target->index &&
@@ -41,8 +43,8 @@
 	return false;
 }
 
-/* Whether a task of the job fits beside the others. */
-static bool has_room_for(const struct standin_machine *machine, const struct standin_job *job)
+/* True if the machine has free capacity for a task of the job. */
+static bool has_capacity_for(const struct standin_machine *machine, const struct standin_job *job)
 {
 	double cpus = machine->type->cpus;
 	double gpus = machine->type->gpus;
@@ -60,21 +62,21 @@
 	       job->spec.mem_gb <= mem_gb + AMOUNT_TOLERANCE;
 }
 
-/* Why a start is refused; END_NONE if it is not. */
-static enum task_end_reason refusal(const struct standin_machine *machine,
-				    const struct standin_job *job,
-				    const struct command_target *target)
+/* The reason for which the agent refuses a start, or END_NONE. */
+static enum task_end_reason refusal_reason(const struct standin_machine *machine,
+					   const struct standin_job *job,
+					   const struct command_target *target)
 {
 	if (!job->submitted || target->index >= job->spec.task_count)
 		return END_UNKNOWN_JOB;
-	if (is_busy(machine, target))
+	if (has_active_attempt(machine, target))
 		return END_BUSY;
-	if (!has_room_for(machine, job))
+	if (!has_capacity_for(machine, job))
 		return END_NO_ROOM;
 	return END_NONE;
 }
 
-/* A new task on the machine, which fetches its image. */
+/* Adds an attempt of a task to the machine, which begins to fetch the image. */
 static struct standin_task *add_task(struct standin *standin, struct standin_machine *machine,
 				     struct standin_job *job, const struct command_target *target)
 {
@@ -94,7 +96,11 @@
 	return task;
 }
 
-/* A start of a job that nobody has heard of is ignored; one that is refused is reported so. */
+/*
+ * Carries out a start. A repeated start of the same attempt has no effect, and a start of a job
+ * that the stand-ins do not know is ignored. A refused attempt is added as exited, so that the
+ * agent reports the reason.
+ */
 static void start_task(struct standin *standin, struct standin_machine *machine,
 		       const struct command_target *target)
 {
@@ -107,7 +113,7 @@
 			return;
 	if (!job)
 		return;
-	refused = refusal(machine, job, target);
+	refused = refusal_reason(machine, job, target);
 	task = add_task(standin, machine, job, target);
 	if (refused != END_NONE)
 		task_exit(task, refused);
@@ -129,6 +135,7 @@
 
 /* --- stops --- */
 
+/* The task begins to save its state, and exits when that is done. */
 static void begin_save(struct standin *standin, struct standin_task *task)
 {
 	task->state = TASK_SAVING;
@@ -136,7 +143,7 @@
 	task->machine->changed = true;
 }
 
-/* Whether the task's progress can be saved within `grace_s` seconds. */
+/* True if the task can save its state within `grace_s` seconds. */
 static bool can_save(const struct standin_task *task, double grace_s)
 {
 	const struct job_spec *spec = &task->job->spec;
@@ -144,6 +151,10 @@
 	return task->state == TASK_RUNNING && spec->checkpoint_s > 0 && grace_s >= spec->save_s;
 }
 
+/*
+ * Stops one attempt. One that already saves its state is only ended by a stop without a grace
+ * period.
+ */
 static void stop_task(struct standin *standin, struct standin_task *task, double grace_s)
 {
 	if (task->state == TASK_EXITED || (task->state == TASK_SAVING && grace_s > 0))
@@ -162,8 +173,9 @@
 			stop_task(standin, task, grace_s);
 }
 
-/* --- ended tasks --- */
+/* --- exited tasks --- */
 
+/* Removes an exited attempt from the machine, so that its agent no longer reports it. */
 static void forget_task(struct standin_machine *machine, const struct command_target *target)
 {
 	struct standin_task **link = &machine->tasks;
@@ -182,7 +194,7 @@
 
 /* --- commands --- */
 
-/* A command that is not well-formed ends the test. */
+/* The attempt that the command names. A malformed command aborts the test. */
 static struct command_target decode_target(const json_t *command)
 {
 	const char *name = json_string_value(json_object_get(command, W_TASK));
--- a/tests/standins/agent_messages.c
+++ b/tests/standins/agent_messages.c
@@ -1,4 +1,7 @@
-/* Messages of agents: heartbeats and their answers, answers to probes and direct commands. */
+/*
+ * The messages of agents: heartbeats and their answers, and the answers to probes and direct
+ * commands.
+ */
 #include <stdlib.h>
 #include <string.h>
 
@@ -7,10 +10,14 @@
 #include "standins/standin.h"
 #include "wire/names.h"
 
-#define ANSWER_TIMEOUT_S 4.0 /* seconds until a heartbeat counts as lost */
-#define RETRY_S 1.0	     /* seconds until the next controller is tried */
-#define REDIRECT_S 0.1	     /* seconds until the leader that an answer names is tried */
-#define NEWS_INTERVAL_S 0.5  /* seconds between heartbeats at least, when there is news */
+/* Time without an answer after which a heartbeat counts as lost. */
+#define HEARTBEAT_TIMEOUT_S 4.0
+/* Delay of the next heartbeat, to the next controller, after one was lost or refused. */
+#define HEARTBEAT_RETRY_S 1.0
+/* Delay of the next heartbeat, to the leader that the answer names, after a redirect. */
+#define HEARTBEAT_REDIRECT_S 0.1
+/* Least interval between heartbeats that are sent early because the machine has changed. */
+#define HEARTBEAT_MIN_INTERVAL_S 0.5
 
 static const char *const task_state_names[] = {
     [TASK_FETCHING] = W_TASK_FETCHING, [TASK_WAITING] = W_TASK_WAITING,
@@ -35,7 +42,7 @@
 	return (uint64_t)json_integer_value(json_object_get(object, name));
 }
 
-/* --- what a message says --- */
+/* --- content of a message --- */
 
 static json_t *encode_task(const struct standin_task *task)
 {
@@ -61,6 +68,7 @@
 	return tasks;
 }
 
+/* Seconds until the cloud reclaims the machine, or null without a notice. */
 static json_t *encode_notice(const struct standin *standin, const struct standin_machine *machine)
 {
 	if (machine->notice_until < 0)
@@ -68,7 +76,7 @@
 	return json_real(machine->notice_until - standin->now);
 }
 
-/* The next message of the machine's agent, with all its tasks. */
+/* The next message of the machine's agent, with all its tasks and a new sequence number. */
 static json_t *next_message(const struct standin *standin, struct standin_machine *machine)
 {
 	json_t *message;
@@ -86,9 +94,14 @@
 
 /* --- probes and direct commands --- */
 
-/* Carries out the commands if they are for this incarnation, from no deposed leader. */
-static enum http_status take_direct_commands(struct standin *standin,
-					     struct standin_machine *machine, const json_t *request)
+/*
+ * Carries out direct commands and returns the status of the answer. They are rejected if they are
+ * for another incarnation of the agent, or from a deposed leader: under an older token than the
+ * agent has seen.
+ */
+static enum http_status handle_direct_commands(struct standin *standin,
+					       struct standin_machine *machine,
+					       const json_t *request)
 {
 	uint64_t token = integer_field(request, W_TOKEN);
 
@@ -115,7 +128,7 @@
 	}
 	standin->direct_commands += !strcmp(path, W_PATH_COMMANDS);
 	request = wire_parse(body, strlen(body));
-	status = take_direct_commands(standin, machine, request);
+	status = handle_direct_commands(standin, machine, request);
 	json_decref(request);
 	standin_answer(standin, handle, status, next_message(standin, machine));
 }
@@ -125,12 +138,16 @@
 static void try_next_controller(struct standin *standin, struct standin_machine *machine)
 {
 	machine->controller = (machine->controller + 1) % standin->controller_count;
-	machine->next_report_at = standin->now + RETRY_S;
+	machine->next_report_at = standin->now + HEARTBEAT_RETRY_S;
 }
 
-/* An answer without a fencing token, or with an older one, says nothing. */
-static void take_answer(struct standin *standin, struct standin_machine *machine,
-			const json_t *body)
+/*
+ * Renews the agent's lease and carries out the commands. An answer without a fencing token, or with
+ * an older one than the agent has seen, is ignored: it is not from the present leader. The lease
+ * counts from when the heartbeat was sent.
+ */
+static void apply_answer(struct standin *standin, struct standin_machine *machine,
+			 const json_t *body)
 {
 	uint64_t token = integer_field(body, W_TOKEN);
 
@@ -140,7 +157,7 @@
 	agent_run_commands(standin, machine, body, token);
 }
 
-/* The controller's index; -1 if there is none of this name, which may be NULL. */
+/* Index of the controller with this name, or -1. `name` may be NULL. */
 static int controller_named(const struct standin *standin, const char *name)
 {
 	for (int i = 0; name && i < standin->controller_count; i++)
@@ -149,8 +166,12 @@
 	return -1;
 }
 
-static void take_refusal(struct standin *standin, struct standin_machine *machine, int status,
-			 const json_t *body)
+/*
+ * Handles an answer with another status than 200: the next heartbeat goes to the leader that it
+ * names, or else to the next controller.
+ */
+static void handle_refusal(struct standin *standin, struct standin_machine *machine, int status,
+			   const json_t *body)
 {
 	const char *name = json_string_value(json_object_get(body, W_REPORT_TO));
 	int leader = controller_named(standin, name);
@@ -160,7 +181,7 @@
 		return;
 	}
 	machine->controller = leader;
-	machine->next_report_at = standin->now + REDIRECT_S;
+	machine->next_report_at = standin->now + HEARTBEAT_REDIRECT_S;
 }
 
 void standin_agent_answer(struct standin *standin, int machine_index, uint64_t incarnation,
@@ -176,9 +197,9 @@
 	machine->report_unanswered = false;
 	parsed = body ? wire_parse(body, strlen(body)) : NULL;
 	if (status == STATUS_OK)
-		take_answer(standin, machine, parsed);
+		apply_answer(standin, machine, parsed);
 	else
-		take_refusal(standin, machine, status, parsed);
+		handle_refusal(standin, machine, status, parsed);
 	json_decref(parsed);
 }
 
@@ -205,15 +226,15 @@
 {
 	double age_s = standin->now - machine->report_sent_at;
 	bool due = standin->now >= machine->next_report_at;
-	bool has_news = machine->changed && age_s >= NEWS_INTERVAL_S;
+	bool early = machine->changed && age_s >= HEARTBEAT_MIN_INTERVAL_S;
 
 	if (machine->report_unanswered) {
-		if (age_s > ANSWER_TIMEOUT_S) {
+		if (age_s > HEARTBEAT_TIMEOUT_S) {
 			machine->report_unanswered = false;
 			try_next_controller(standin, machine);
 		}
 		return;
 	}
-	if (due || has_news)
+	if (due || early)
 		send_report(standin, machine);
 }
--- a/tests/standins/agent_tasks.c
+++ b/tests/standins/agent_tasks.c
@@ -1,4 +1,4 @@
-/* Tasks on machines, from the fetch of their image to their end. */
+/* The states of tasks on machines, from the fetch of the image to the exit. */
 #include <utlist.h>
 
 #include "standins/agents.h"
@@ -12,7 +12,11 @@
 	task->machine->changed = true;
 }
 
-/* Whether a task of a gang is there for the others, at least in the state `least`. */
+/*
+ * True if the other tasks of the gang need not miss this one: it is in the state `least` or a later
+ * one. It is not missed either if it is done or was stopped on a command: neither makes the rest of
+ * the gang fail.
+ */
 static bool is_present(const struct standin_task *task, enum task_state least)
 {
 	if (task->state != TASK_EXITED)
@@ -20,7 +24,7 @@
 	return task->end_reason == END_DONE || task->end_reason == END_STOPPED;
 }
 
-/* Whether all tasks of the gang's attempt are there. */
+/* True if all tasks of the gang's attempt are present, see is_present. */
 static bool is_gang_complete(const struct standin_job *job, uint64_t attempt, enum task_state least)
 {
 	const struct standin_task *task;
@@ -31,7 +35,11 @@
 	return count == job->spec.task_count;
 }
 
-/* The image is there: the task starts, or ends at once. */
+/*
+ * The image has been fetched, and the task starts. It exits at once if it fails on this machine or
+ * by its description, or if an earlier attempt has completed it. A gang's task first waits for the
+ * others.
+ */
 static void finish_fetch(struct standin *standin, struct standin_task *task)
 {
 	const struct standin_job *job = task->job;
@@ -46,6 +54,7 @@
 		task_exit(task, END_DONE);
 }
 
+/* The task runs once all of its gang is present; it gives up after conf->gang_wait_s. */
 static void wait_for_gang(struct standin *standin, struct standin_task *task)
 {
 	if (is_gang_complete(task->job, task->attempt, TASK_WAITING)) {
@@ -56,8 +65,8 @@
 	}
 }
 
-/* The task stands still until its gang is complete again, or gives up. */
-static void wait_for_peers(struct standin *standin, struct standin_task *task)
+/* The task makes no progress while its gang is incomplete; it gives up after conf->gang_peer_s. */
+static void wait_for_lost_peers(struct standin *standin, struct standin_task *task)
 {
 	if (task->peers_missed_at <= 0)
 		task->peers_missed_at = standin->now;
@@ -65,14 +74,14 @@
 		task_exit(task, END_PEERS_LOST);
 }
 
-/* A gang completes together. */
+/* Records all tasks as completed: those of a gang complete together. */
 static void mark_gang_done(struct standin_job *job)
 {
 	for (uint32_t i = 0; i < job->spec.task_count; i++)
 		job_mark_done(job, i);
 }
 
-/* The task has run for as long as its job takes. */
+/* The task has run for job->run_s seconds: it exits, unless it is a replica that runs on. */
 static void finish_run(struct standin_task *task)
 {
 	struct standin_job *job = task->job;
@@ -89,12 +98,13 @@
 	task_exit(task, END_DONE);
 }
 
-static void run_on(struct standin *standin, struct standin_task *task, double elapsed_s)
+/* Advances a running task. */
+static void advance_running(struct standin *standin, struct standin_task *task, double elapsed_s)
 {
 	const struct standin_job *job = task->job;
 
 	if (job->spec.kind == JOB_GANG && !is_gang_complete(job, task->attempt, TASK_RUNNING)) {
-		wait_for_peers(standin, task);
+		wait_for_lost_peers(standin, task);
 		return;
 	}
 	task->progress += elapsed_s;
@@ -119,7 +129,7 @@
 		wait_for_gang(standin, task);
 		break;
 	case TASK_RUNNING:
-		run_on(standin, task, elapsed_s);
+		advance_running(standin, task, elapsed_s);
 		break;
 	case TASK_SAVING:
 		if (standin->now >= task->save_until)
--- a/tests/standins/agents.h
+++ b/tests/standins/agents.h
@@ -1,4 +1,7 @@
-/* Stand-ins for the agents on machines: their tasks, the commands they carry out, their reports. */
+/*
+ * Stand-ins for the agents on the machines: the tasks that they run, the commands that they carry
+ * out, and the reports that they send.
+ */
 #ifndef PLOVERLOFT_STANDINS_AGENTS_H
 #define PLOVERLOFT_STANDINS_AGENTS_H
 
@@ -10,36 +13,48 @@
 
 /* --- messages: agent_messages.c --- */
 
-/* Answers a probe or direct commands by standin->callbacks; none if the machine is not up. */
+/*
+ * Handles a probe or direct commands and answers through standin->callbacks. A machine that is not
+ * up sends no answer.
+ */
 void standin_agent_request(struct standin *standin, struct standin_machine *machine,
 			   uint64_t handle, const char *path, const char *body);
 
 /*
- * Takes the answer to the heartbeat of this incarnation and sequence, unless it is out of date;
- * `status` as HTTP has it, `body` may be NULL.
+ * Handles the answer to the heartbeat with this incarnation and sequence number. The answer is
+ * ignored unless the agent still waits for it. `status` is the HTTP status, `body` may be NULL.
  */
 void standin_agent_answer(struct standin *standin, int machine, uint64_t incarnation,
 			  uint64_t sequence, int status, const char *body);
 
-/* Sends a heartbeat if it is due, or if there is news. Gives up one without an answer. */
+/*
+ * Sends a heartbeat if one is due or the machine has changed since the last one. While a heartbeat
+ * is unanswered, none is sent; after a timeout it counts as lost.
+ */
 void agent_report_if_due(struct standin *standin, struct standin_machine *machine);
 
 /* --- commands: agent_commands.c --- */
 
-/* Notes the fencing token and carries out the commands in `body`, an answer or direct commands. */
+/*
+ * Records the fencing token if it is newer than the agent's, and carries out the commands in
+ * `body`, which is the answer to a heartbeat or a request with direct commands.
+ */
 void agent_run_commands(struct standin *standin, struct standin_machine *machine,
 			const json_t *body, uint64_t token);
 
-/* Starts a task as no command does, to break a rule on purpose. */
+/*
+ * Starts a task that no controller asked for, to break a rule on purpose: the task runs at once,
+ * without fetching its image.
+ */
 void standin_force_start(struct standin *standin, struct standin_machine *machine, const char *job,
 			 uint32_t index);
 
 /* --- tasks: agent_tasks.c --- */
 
-/* The task has ended; its agent reports the reason. */
+/* Ends the task. It stays on its machine as exited, so that the agent reports the reason. */
 void task_exit(struct standin_task *task, enum task_end_reason reason);
 
-/* Moves a task on by `elapsed_s` seconds, to the present time. */
+/* Advances a task by the `elapsed_s` seconds up to standin->now. */
 void task_tick(struct standin *standin, struct standin_task *task, double elapsed_s);
 
 #endif
--- a/tests/standins/answers.c
+++ b/tests/standins/answers.c
@@ -1,4 +1,4 @@
-/* Answers of the stand-ins to requests. */
+/* Sends the answers of the stand-ins to the requests that they get. */
 #include "standins/answers.h"
 
 #include <stdlib.h>
--- a/tests/standins/cloud.c
+++ b/tests/standins/cloud.c
@@ -1,4 +1,4 @@
-/* Stand-in for the cloud. */
+/* Stand-in for the cloud: the catalog of machine types, rentals, deletions and the inventory. */
 #include "standins/cloud.h"
 
 #include <math.h>
@@ -37,7 +37,7 @@
 
 /* --- rentals --- */
 
-/* NULL if no rental of this name was answered. */
+/* The rental request of this name, if it was carried out before, or NULL. */
 static const struct standin_rental *find_rental(const struct standin_cloud *cloud, const char *name)
 {
 	for (size_t i = 0; i < cloud->rental_count; i++)
@@ -46,7 +46,8 @@
 	return NULL;
 }
 
-static void note_rental(struct standin_cloud *cloud, const char *name, const json_t *body)
+/* Keeps the answer to a rental request, for repetitions of the request. */
+static void record_rental(struct standin_cloud *cloud, const char *name, const json_t *body)
 {
 	struct standin_rental *rental;
 
@@ -57,7 +58,7 @@
 	rental->answer = json_dumps(body, JSON_COMPACT);
 }
 
-/* Rents one machine; returns its name. */
+/* Rents one machine and returns its id. */
 static json_t *rent_machine(struct standin *standin, const json_t *request)
 {
 	const char *type = json_string_value(json_object_get(request, W_TYPE));
@@ -72,13 +73,13 @@
 	return json_string(machine->id);
 }
 
-/* As many machines as were asked for, or as there are; the list of their names. */
+/* Rents the requested number of machines, or as many as can be rented. Returns their ids. */
 static json_t *rent_machines(struct standin *standin, const json_t *request)
 {
 	const char *type = json_string_value(json_object_get(request, W_TYPE));
 	int wanted = (int)json_integer_value(json_object_get(request, W_COUNT));
 	struct standin_cloud *cloud = &standin->cloud;
-	json_t *names = json_array();
+	json_t *ids = json_array();
 	int rented = 0;
 
 	for (size_t i = 0; i < cloud->type_count; i++) {
@@ -86,25 +87,25 @@
 			continue;
 		for (; cloud->capacity[i] > 0 && rented < wanted; rented++) {
 			cloud->capacity[i]--;
-			json_array_append_new(names, rent_machine(standin, request));
+			json_array_append_new(ids, rent_machine(standin, request));
 		}
 	}
-	return names;
+	return ids;
 }
 
 static void answer_new_rental(struct standin *standin, uint64_t handle, const json_t *request)
 {
 	const char *name = json_string_value(json_object_get(request, W_REQUEST));
-	json_t *names = rent_machines(standin, request);
+	json_t *ids = rent_machines(standin, request);
 	json_t *body;
 
-	if (!json_array_size(names)) {
-		json_decref(names);
+	if (!json_array_size(ids)) {
+		json_decref(ids);
 		standin_answer_error(standin, handle, STATUS_UNAVAILABLE, "no capacity");
 		return;
 	}
-	body = json_pack("{s:o}", W_MACHINES_LIST, names);
-	note_rental(&standin->cloud, name, body);
+	body = json_pack("{s:o}", W_MACHINES_LIST, ids);
+	record_rental(&standin->cloud, name, body);
 	standin_answer(standin, handle, STATUS_OK, body);
 }
 
@@ -123,6 +124,7 @@
 
 /* --- deletions --- */
 
+/* Makes a deleted machine of this type available again, if the type allows that. */
 static void return_capacity(struct standin_cloud *cloud, const struct machine_type *type)
 {
 	for (size_t i = 0; i < cloud->type_count; i++)
@@ -154,8 +156,12 @@
 	standin_answer_error(standin, handle, STATUS_OK, "");
 }
 
-/* --- the inventory, which lags behind --- */
+/* --- the inventory, which shows the machines as they were conf->inventory_lag_s ago --- */
 
+/*
+ * True if the inventory has the machine. Until the clock has passed the lag, all machines are
+ * listed: those that a scenario begins with count as rented before it.
+ */
 static bool is_listed(const struct standin *standin, const struct standin_machine *machine)
 {
 	double lag_s = standin->conf->inventory_lag_s;
@@ -165,6 +171,7 @@
 	return machine->power != POWER_DELETED || standin->now - machine->off_at <= lag_s;
 }
 
+/* The machine's state in the inventory. A failure shows at once, the end of a boot with the lag. */
 static const char *listed_state(const struct standin *standin,
 				const struct standin_machine *machine)
 {
--- a/tests/standins/job_fit.c
+++ b/tests/standins/job_fit.c
@@ -1,4 +1,4 @@
-/* Whether a job may and can run somewhere. */
+/* Whether machine types, zones and a team's quota allow a job to run. */
 #include "standins/job_fit.h"
 
 #include <string.h>
@@ -63,7 +63,7 @@
 	return false;
 }
 
-/* Whether the types that the job fits are offered in two zones at least. */
+/* True if the machine types that the job fits are offered in at least two zones. */
 static bool fits_two_zones(const struct standin_cloud *cloud, const struct standin_job *job)
 {
 	const char *first = NULL;
@@ -82,7 +82,10 @@
 	return false;
 }
 
-/* Half of a spread job's tasks fit in a zone: it takes two of them. */
+/*
+ * True if there are enough zones for the job. At most half of the tasks of a spread gang or service
+ * may be in one zone, so from two tasks on it needs two zones, and can't run in one.
+ */
 static bool zones_suffice(const struct standin_cloud *cloud, const struct standin_job *job)
 {
 	const struct job_spec *spec = &job->spec;
--- a/tests/standins/jobs.c
+++ b/tests/standins/jobs.c
@@ -1,4 +1,4 @@
-/* Jobs as their users know them, and their tasks on machines. */
+/* Jobs, the record of their completed tasks, and the replica time of services. */
 #include "standins/jobs.h"
 
 #include <stdlib.h>
@@ -67,13 +67,19 @@
 
 /* --- services --- */
 
+/*
+ * True if the service should have all its replicas now. It has STANDIN_SERVED_AFTER_S to start
+ * them, and need not run any more once its cancellation was requested.
+ */
 static bool replica_time_counts(const struct standin *standin, const struct standin_job *job)
 {
 	return job->spec.kind == JOB_SERVICE && job->accepted && !job->cancel_requested &&
 	       standin->now - job->accepted_at > STANDIN_SERVED_AFTER_S;
 }
 
-static void count_service(struct standin_job *job, double elapsed_s)
+/* Adds the last `elapsed_s` seconds to a service's replica time. A replica on a hanging machine
+ * does not serve. */
+static void count_replica_time(struct standin_job *job, double elapsed_s)
 {
 	const struct standin_task *task;
 
@@ -89,5 +95,5 @@
 
 	HASH_ITER (hh, standin->jobs, job, next)
 		if (replica_time_counts(standin, job))
-			count_service(job, elapsed_s);
+			count_replica_time(job, elapsed_s);
 }
--- a/tests/standins/jobs.h
+++ b/tests/standins/jobs.h
@@ -1,6 +1,6 @@
 /*
- * Jobs as their users know them, and their tasks on machines. Times are seconds of the stand-ins'
- * clock.
+ * Jobs: what their users have sent and been answered, and the attempts of their tasks on machines.
+ * Times are seconds of the stand-ins' clock.
  */
 #ifndef PLOVERLOFT_STANDINS_JOBS_H
 #define PLOVERLOFT_STANDINS_JOBS_H
@@ -15,43 +15,45 @@
 struct standin;
 struct standin_machine;
 
-/* A job. Who adds one allocates it and `done`, and fills in what is of the scenario. */
+/*
+ * A job. The test that adds it to standin->jobs allocates it and its `done`, sets the fields of the
+ * scenario, and sets every time that may be < 0 to -1.
+ */
 struct standin_job {
-	/* Of the scenario. */
+	/* Set by the scenario. */
 	struct job_spec spec;
-	double run_s; /* that each task takes */
-	bool bad;     /* submitted with a mistake: its tasks fail everywhere */
-	/* A service: why its tasks end once run_s is over; END_NONE: they go on. */
+	double run_s; /* seconds that each task runs */
+	bool bad;     /* its description has a mistake: its tasks fail on every machine */
+	/* Why the tasks of a service end after run_s seconds; END_NONE: they run on. */
 	enum task_end_reason ends;
 
-	/* What its user did and was answered. */
-	bool submitted;
+	/* What its users have done and been answered. */
+	bool submitted; /* a user has sent its description */
 	bool accepted;
 	bool cancel_requested;
-	bool known_cancelled;
-	bool known_done;
+	bool known_cancelled; /* an answer has shown it as cancelled */
+	bool known_done;      /* an answer has shown it as done */
 	double accepted_at;   /* < 0: not yet */
-	double answered_at;   /* of the newest answer to a lookup; < 0: none */
-	double cancelled_at;  /* a user first learned of the cancellation */
-	double done_at;	      /* a user first learned of the end */
-	int answered_running; /* tasks that run, by the newest answer */
-
-	/* Its tasks. */
-	struct standin_task
-	    *tasks;    /* on all machines, in any state; in the order of their starts */
-	uint8_t *done; /* one bit for each task that has completed; owned */
-	uint32_t done_count;
-	uint32_t starts;
-	uint32_t starts_seen; /* until it began */
-	double began_at;      /* first start, of a gang's all tasks; < 0: not yet */
-
-	/* A service: replica time from STANDIN_SERVED_AFTER_S after its acceptance; of it, run. */
-	double replica_s;
-	double served_s;
-
-	/* Of the check for idle room. */
-	uint32_t bound_tasks; /* tasks on machines, at the last check */
-	double room_since;    /* it waits though there is room; < 0: it does not */
+	double answered_at;   /* when a lookup was last answered; < 0: never */
+	double cancelled_at;  /* when an answer first showed it as cancelled */
+	double done_at;	      /* when an answer first showed it as done */
+	int answered_running; /* running tasks that the newest answer shows */
+
+	/* Its tasks and their attempts. */
+	struct standin_task *tasks; /* attempts on all machines, in any state, the oldest first */
+	uint8_t *done;		    /* owned; one bit for each task, set when it has completed */
+	uint32_t done_count;	    /* completed tasks */
+	uint32_t starts;	    /* started attempts */
+	uint32_t starts_seen;	    /* started attempts until the job began */
+	double began_at;	    /* when it began, see update_began_at; < 0: not yet */
+
+	/* Replica time of a service, from STANDIN_SERVED_AFTER_S after its acceptance. */
+	double replica_s; /* that its replicas should have run */
+	double served_s;  /* that they have run */
+
+	/* State of the rule idle_room, as of its last check. */
+	uint32_t bound_tasks; /* attempts on all machines, in any state */
+	double room_since;    /* since when it waits though it could start; < 0: it does not */
 
 	UT_hash_handle hh;
 };
@@ -59,50 +61,60 @@
 /* One attempt of a task on a machine. */
 struct standin_task {
 	char job_id[ID_MAX];
-	uint32_t index; /* in its job */
+	uint32_t index; /* of the task in its job */
 	uint64_t attempt;
 	enum task_state state;
 	enum task_end_reason end_reason;
-	bool saved;	   /* a checkpoint was written when it was stopped */
-	double fetched_at; /* its image is there */
-	double since;	   /* its creation, then its start */
+	bool saved;	   /* its state was saved when it was stopped */
+	double fetched_at; /* when its image is fetched */
+	double since;	   /* when it was created, later when it started */
 	double progress;   /* seconds that it has run */
-	double save_until;
-	double peers_missed_at;	   /* the other tasks of its gang were first missed; 0: never */
+	double save_until; /* when its state is saved */
+	/* When another task of its gang was first found missing; 0: never. */
+	double peers_missed_at;
 	struct standin_task *next; /* on its machine */
 	struct standin_job *job;
 	struct standin_machine *machine;
-	struct standin_task *job_prev, *job_next; /* of its job, on all machines */
+	struct standin_task *job_prev, *job_next; /* in the list of its job */
 };
 
-#define AMOUNT_TOLERANCE 1e-6	   /* CPUs, GPUs, GB: sums of decimal amounts */
-#define STANDIN_SERVED_AFTER_S 5.0 /* seconds from a service's acceptance until its time counts */
+#define AMOUNT_TOLERANCE 1e-6	   /* in CPUs, GPUs or GB, for sums of decimal amounts */
+#define STANDIN_SERVED_AFTER_S 5.0 /* seconds after a service's acceptance that do not count */
 
-/* NULL if no job has this id. */
+/* The job with this id, or NULL. */
 struct standin_job *standin_job_find(struct standin *standin, const char *id);
 
-/* Frees all jobs; their tasks are gone by then. */
+/* Frees all jobs. The caller has freed their tasks before. */
 void jobs_free(struct standin *standin);
 
-/* Counts replica time that services should have had in `elapsed_s` seconds, and what ran of it. */
+/*
+ * Adds to each service's replica time what its replicas should have run, and what they have run, in
+ * the last `elapsed_s` seconds.
+ */
 void jobs_count_served(struct standin *standin, double elapsed_s);
 
-/* Whether the task of this index has completed, on whatever machine. */
+/* True if the task with this index has completed on any machine. */
 bool job_task_is_done(const struct standin_job *job, uint32_t index);
 
-/* Notes that it has; nothing changes if it had before. */
+/* Records that the task has completed. A second call for a task has no effect. */
 void job_mark_done(struct standin_job *job, uint32_t index);
 
-/* Tasks that start together: all of a gang or a service, one of an array. */
+/* Number of tasks that start together: all of a gang or a service, one of an array. */
 uint32_t job_unit_tasks(const struct standin_job *job);
 
-/* Whether a user was told of the cancellation longer ago than a task may run on. */
+/*
+ * True if an answer first showed the job as cancelled more than conf->cancel_s ago: no task may run
+ * any more.
+ */
 bool job_cancel_overdue(const struct standin *standin, const struct standin_job *job);
 
-/* Whether the task takes room on its machine as one that was started, and not yet ended. */
+/*
+ * True if the task has started, which is when its image has been fetched, and has not exited, on a
+ * machine that is up.
+ */
 bool task_holds_room(const struct standin_task *task);
 
-/* Takes the task off its job's list and frees it; the machine's list is the caller's. */
+/* Removes the task from its job's list, not from its machine's, and frees it. */
 void task_free(struct standin_task *task);
 
 #endif
--- a/tests/standins/machines.c
+++ b/tests/standins/machines.c
@@ -1,4 +1,4 @@
-/* Stand-ins for rented machines: from their rental to their end. */
+/* Stand-ins for the rented machines: rental, boot, restart, loss and deletion. */
 #include "standins/machines.h"
 
 #include <stdio.h>
@@ -8,14 +8,14 @@
 #include "standins/agents.h"
 #include "standins/standin.h"
 
-/* Most machines have the address that their number gives them. */
+/* The address that a machine gets from its number. A test may replace it. */
 #define ADDRESS_FORMAT "10.1.%d.%d:9000"
 #define ADDRESS_PATTERN "10.1.%d.%d:"
 #define ADDRESSES_PER_NET 250
 
 #define FIRST_INCARNATION 1
-#define RESTART_REPORT_S 0.2 /* seconds from a restart to the first report */
-#define NO_NOTICE (-1.0)
+#define RESTART_REPORT_S 0.2 /* seconds from a restart to the agent's first heartbeat */
+#define NO_NOTICE (-1.0)     /* notice_until of a machine without a notice */
 
 struct standin_machine *standin_machine_at(struct standin *standin, const char *addr)
 {
@@ -34,7 +34,7 @@
 	return NULL;
 }
 
-/* The type in the catalog, which has to hold it. */
+/* The machine type of this name. If the catalog lacks it, the test is aborted. */
 static const struct machine_type *find_type(const struct standin_cloud *cloud, const char *name)
 {
 	for (size_t i = 0; i < cloud->type_count; i++)
@@ -94,8 +94,9 @@
 	machine->next_report_at = standin->now + RESTART_REPORT_S;
 }
 
-/* --- time --- */
+/* --- ticks --- */
 
+/* The machine is up, and its agent sends its first heartbeat. */
 static void finish_boot(struct standin *standin, struct standin_machine *machine)
 {
 	int number = (int)(machine - standin->machines);
@@ -107,6 +108,10 @@
 	machine->controller = number % standin->controller_count;
 }
 
+/*
+ * Ends the agent's lease: the agent drops its tasks and begins a new incarnation. It does not wait
+ * for the answer to its last heartbeat any more.
+ */
 static void expire_agent_lease(struct standin *standin, struct standin_machine *machine)
 {
 	machine_drop_tasks(machine);
--- a/tests/standins/rule_answers.c
+++ b/tests/standins/rule_answers.c
@@ -1,4 +1,7 @@
-/* Rules about what users are answered. */
+/*
+ * Rules about the answers to users: a job that was accepted can run, is not forgotten, is not shown
+ * as done too early, and keeps a final state; no answer shows a job that nobody submitted.
+ */
 #include <math.h>
 #include <string.h>
 
@@ -8,16 +11,22 @@
 #include "standins/standin.h"
 #include "wire/names.h"
 
-#define UNANSWERED_MAX_S 75.0 /* seconds without an answer once faults are over */
+/* Time that a user may be without an answer about an accepted job once all faults are over. */
+#define UNANSWERED_MAX_S 75.0
 
 /* --- submissions --- */
 
+/* Rule wrong_job: no job is accepted that can never run. */
 static void check_can_run(struct standin *standin, const struct standin_job *job)
 {
 	if (!job_can_ever_run(standin, job))
-		standin_rule_broken(standin, RULE_WRONG_JOB, "%s can't run", job->spec.id);
+		standin_rule_broken(standin, RULE_WRONG_JOB,
+				    "job %s of team %s was accepted though it can never run",
+				    job->spec.id, job->spec.team);
 }
 
+/* Checks the rules wrong_job and forgotten: a job that was accepted is not refused when it is
+ * submitted again. */
 void standin_submission_answered(struct standin *standin, const char *id, int status)
 {
 	struct standin_job *job = standin_job_find(standin, id);
@@ -29,31 +38,40 @@
 		job->accepted = true;
 		check_can_run(standin, job);
 	} else if (refused && job->accepted) {
-		standin_rule_broken(standin, RULE_FORGOTTEN, "%s submitted again: %d", id, status);
+		standin_rule_broken(
+		    standin, RULE_FORGOTTEN,
+		    "job %s was accepted before, its submission got status %d, expected "
+		    "200 or 201",
+		    id, status);
 	}
 }
 
 /* --- lookups and cancellations --- */
 
-/* A job's state as a user was shown it. */
+/* The state of a job in the answer to a user. */
 struct shown_state {
 	const char *name;
 	bool done;
 	bool cancelled;
-	double sent_at;
+	double sent_at; /* when the user's request was sent */
 };
 
+/* Rule not_done: a job is shown as done only when all its tasks have completed. */
 static void check_done(struct standin *standin, const struct standin_job *job,
 		       const struct shown_state *state)
 {
 	if (state->done && job->done_count < job->spec.task_count)
-		standin_rule_broken(standin, RULE_NOT_DONE, "%s has %u of %u", job->spec.id,
-				    job->done_count, job->spec.task_count);
+		standin_rule_broken(standin, RULE_NOT_DONE,
+				    "job %s is shown as %s with %u completed tasks, expected %u",
+				    job->spec.id, state->name, job->done_count,
+				    job->spec.task_count);
 }
 
 /*
- * No answer to a lookup sent after an end or a cancellation was learned of may be older. An answer
- * to one sent before that may have overtaken, or been overtaken on the way.
+ * Rule went_back: a job that was shown as done or cancelled is shown so from then on, and a job is
+ * not shown as cancelled unless that was requested. The answer to a request that was sent before a
+ * user learned of the final state is no fault: it may be older, as messages overtake each other on
+ * the way.
  */
 static void check_went_back(struct standin *standin, const struct standin_job *job,
 			    const struct shown_state *state)
@@ -64,7 +82,12 @@
 	bool unrequested = state->cancelled && !job->cancel_requested;
 
 	if (undone || revived || unrequested)
-		standin_rule_broken(standin, RULE_WENT_BACK, "%s is %s", job->spec.id, state->name);
+		standin_rule_broken(
+		    standin, RULE_WENT_BACK,
+		    "job %s is shown as %s; it was shown as done: %s, as cancelled: %s, its "
+		    "cancellation was requested: %s",
+		    job->spec.id, state->name, job->known_done ? "yes" : "no",
+		    job->known_cancelled ? "yes" : "no", job->cancel_requested ? "yes" : "no");
 }
 
 typedef void state_check(struct standin *standin, const struct standin_job *job,
@@ -72,9 +95,9 @@
 
 static state_check *const state_checks[] = {check_done, check_went_back};
 
-/* The first user learns of the job's end or cancellation. */
-static void note_final_state(const struct standin *standin, struct standin_job *job,
-			     const struct shown_state *state)
+/* Records when an answer first shows the job as done or cancelled. */
+static void record_final_state(const struct standin *standin, struct standin_job *job,
+			       const struct shown_state *state)
 {
 	if (state->done && !job->known_done) {
 		job->known_done = true;
@@ -86,8 +109,9 @@
 	}
 }
 
-static void take_state(struct standin *standin, struct standin_job *job, const json_t *body,
-		       double sent_at)
+/* Checks the state in an answer, and records it. */
+static void handle_shown_state(struct standin *standin, struct standin_job *job, const json_t *body,
+			       double sent_at)
 {
 	const char *name = json_string_value(json_object_get(body, W_STATE));
 	struct shown_state state = {
@@ -101,9 +125,15 @@
 	job->answered_running = (int)json_integer_value(json_object_get(body, W_RUNNING));
 	for (size_t i = 0; i < sizeof(state_checks) / sizeof(*state_checks); i++)
 		state_checks[i](standin, job, &state);
-	note_final_state(standin, job, &state);
+	record_final_state(standin, job, &state);
 }
 
+/*
+ * Checks the rules forgotten and invented: the lookup of an accepted job is not answered with
+ * status 404, and no state is shown of a job that nobody submitted. Status 404 for a job that is
+ * not accepted is no fault, and neither are other statuses, such as 429 and 503: they show no
+ * state.
+ */
 void standin_lookup_answered(struct standin *standin, const char *id, int status, const char *body,
 			     double sent_at)
 {
@@ -111,15 +141,21 @@
 	json_t *parsed;
 
 	if (status == STATUS_NOT_FOUND && job && job->accepted)
-		standin_rule_broken(standin, RULE_FORGOTTEN, "%s polled: 404", id);
+		standin_rule_broken(
+		    standin, RULE_FORGOTTEN,
+		    "the lookup of job %s, which was accepted, got status %d, expected 200", id,
+		    status);
 	if (status != STATUS_OK)
 		return;
 	if (!job || !job->submitted) {
-		standin_rule_broken(standin, RULE_INVENTED, "%s", id);
+		standin_rule_broken(
+		    standin, RULE_INVENTED,
+		    "the lookup of job %s, which nobody submitted, got status %d, expected 404", id,
+		    status);
 		return;
 	}
 	parsed = wire_parse(body, strlen(body));
-	take_state(standin, job, parsed, sent_at);
+	handle_shown_state(standin, job, parsed, sent_at);
 	json_decref(parsed);
 }
 
@@ -130,8 +166,13 @@
 		standin_lookup_answered(standin, id, status, body, sent_at);
 }
 
-/* --- all the time --- */
+/* --- jobs without answers --- */
 
+/*
+ * Rule forgotten: a user is not left without answers about an accepted job. The time counts from
+ * the newest answer, the acceptance or the end of all faults, whichever is latest: during faults
+ * users may wait.
+ */
 void standin_check_answers(struct standin *standin, double quiet_since)
 {
 	const struct standin_job *job;
@@ -141,7 +182,9 @@
 		double unanswered_s = standin->now - since;
 
 		if (job->accepted && unanswered_s > UNANSWERED_MAX_S)
-			standin_rule_broken(standin, RULE_FORGOTTEN, "%s unanswered for %.0f s",
-					    job->spec.id, unanswered_s);
+			standin_rule_broken(
+			    standin, RULE_FORGOTTEN,
+			    "job %s: no lookup was answered for %.0f s, expected at most %.0f s",
+			    job->spec.id, unanswered_s, UNANSWERED_MAX_S);
 	}
 }
--- a/tests/standins/rule_idle_room.c
+++ b/tests/standins/rule_idle_room.c
@@ -1,4 +1,11 @@
-/* The rule that no job waits beside room for it. */
+/*
+ * The rule idle_room: once all faults are over, no job waits for long though its team's quota and
+ * the free capacity of the machines allow it to start.
+ *
+ * Free capacity counts only on machines that are up, neither hang nor are faulty, are not about to
+ * be reclaimed, and on which no task has started recently: capacity that the next start takes is
+ * in use, not idle.
+ */
 #include <string.h>
 
 #include "standins/job_fit.h"
@@ -6,13 +13,17 @@
 #include "standins/standin.h"
 
 #define CHECK_INTERVAL_S 4.0 /* seconds between checks */
-#define WAIT_MAX_S 90.0	     /* seconds a job may wait beside room once faults are over */
-/* seconds without a start on a machine: room that the next start takes is in use */
-#define ROOM_STEADY_S 10.0
+/* Time that a job may wait though it could start, once all faults are over. */
+#define WAIT_MAX_S 90.0
+/* Time since the last start on a machine from which its free capacity counts as idle: capacity that
+ * is freed and soon taken by the next start is in use. */
+#define IDLE_AFTER_S 10.0
 
-/* --- what is in use --- */
+/* --- use and free capacity --- */
 
-static void count_bound_tasks(struct standin *standin)
+/* Counts each job's attempts on machines. Exited ones count until their agent is told to forget
+ * them. */
+static void count_tasks_on_machines(struct standin *standin)
 {
 	struct standin_job *job;
 
@@ -26,7 +37,7 @@
 	}
 }
 
-static void count_free(struct standin_machine *machine)
+static void count_free_capacity(struct standin_machine *machine)
 {
 	machine->free_cpus = machine->type->cpus;
 	machine->free_gpus = machine->type->gpus;
@@ -40,6 +51,7 @@
 	}
 }
 
+/* The use of all attempts of the team on machines, also of exited ones until they are forgotten. */
 static struct team_use count_team_use(const struct standin *standin, const struct conf_team *team)
 {
 	struct team_use use = {0};
@@ -54,9 +66,9 @@
 	return use;
 }
 
-/* --- room --- */
+/* --- free capacity for a job --- */
 
-/* Whether the machine is there, answers, and may run tasks of the job. */
+/* True if the machine is up, works, is not about to be reclaimed, and may run tasks of the job. */
 static bool is_usable(const struct standin_machine *machine, const struct standin_job *job)
 {
 	if (machine->power != POWER_UP || machine->hanging || machine->faulty ||
@@ -69,70 +81,82 @@
 	return job_fits_type(job, machine->type);
 }
 
-/* Whether so many tasks of the job fit beside what is there. */
-static bool has_room_for(const struct standin_machine *machine, const struct standin_job *job,
-			 uint32_t tasks)
+/* True if this number of tasks of the job fits into the machine's free capacity. */
+static bool has_capacity_for(const struct standin_machine *machine, const struct standin_job *job,
+			     uint32_t tasks)
 {
 	return machine->free_cpus + AMOUNT_TOLERANCE >= tasks * job->spec.cpus &&
 	       machine->free_gpus + AMOUNT_TOLERANCE >= tasks * job->spec.gpus &&
 	       machine->free_mem_gb + AMOUNT_TOLERANCE >= tasks * job->spec.mem_gb;
 }
 
-/* Tasks of the job that fit on the machine now. */
+/* The number of the job's tasks that fit on the machine now. */
 static uint32_t count_slots(const struct standin_machine *machine, const struct standin_job *job)
 {
 	uint32_t slots = 0;
 
-	if (!has_room_for(machine, job, 1) || !is_usable(machine, job))
+	if (!has_capacity_for(machine, job, 1) || !is_usable(machine, job))
 		return 0;
-	while (slots < job->spec.task_count && has_room_for(machine, job, slots + 1))
+	while (slots < job->spec.task_count && has_capacity_for(machine, job, slots + 1))
 		slots++;
 	return slots;
 }
 
-/* Whether nothing was started of late: elsewhere room comes and goes. */
-static bool is_steady(const struct standin *standin, const struct standin_machine *machine)
+/*
+ * True if no task has started on the machine recently. On other machines capacity is freed and
+ * taken all the time.
+ */
+static bool had_no_recent_start(const struct standin *standin,
+				const struct standin_machine *machine)
 {
-	return standin->now - machine->last_start_at > ROOM_STEADY_S;
+	return standin->now - machine->last_start_at > IDLE_AFTER_S;
 }
 
-/* Tasks of the job that fit on steady machines of the zone, or of all if it is NULL. */
-static uint32_t count_room(const struct standin *standin, const struct standin_job *job,
-			   const char *zone)
+/* The number of the job's tasks that fit on machines without a recent start: of the zone, or of all
+ * if NULL. */
+static uint32_t count_idle_slots(const struct standin *standin, const struct standin_job *job,
+				 const char *zone)
 {
 	uint32_t slots = 0;
 
 	for (int i = 0; i < standin->machine_count; i++) {
 		const struct standin_machine *machine = &standin->machines[i];
 
-		if (is_steady(standin, machine) && (!zone || !strcmp(zone, machine->zone)))
+		if (had_no_recent_start(standin, machine) &&
+		    (!zone || !strcmp(zone, machine->zone)))
 			slots += count_slots(machine, job);
 	}
 	return slots;
 }
 
-static bool has_room(const struct standin *standin, const struct standin_job *job)
+/* True if idle capacity allows the job to start, for a job that wants one zone within a zone. */
+static bool has_idle_capacity(const struct standin *standin, const struct standin_job *job)
 {
 	uint32_t needed = job_unit_tasks(job);
 
 	if (!job->spec.one_zone || needed == 1)
-		return count_room(standin, job, NULL) >= needed;
+		return count_idle_slots(standin, job, NULL) >= needed;
 	for (int i = 0; i < standin->machine_count; i++)
-		if (count_room(standin, job, standin->machines[i].zone) >= needed)
+		if (count_idle_slots(standin, job, standin->machines[i].zone) >= needed)
 			return true;
 	return false;
 }
 
 /* --- the rule --- */
 
+/*
+ * True if the job should start: it is accepted and not complete, and has no attempt on a machine.
+ * A job whose tasks always fail may wait, since it is in backoff, and so may one whose cancellation
+ * was requested.
+ */
 static bool is_waiting(const struct standin_job *job)
 {
 	return job->accepted && !job->cancel_requested && !job->bad && !job->bound_tasks &&
 	       job->done_count < job->spec.task_count;
 }
 
-/* Whether the job waits though its team's limit and the machines allow it to start. */
-static bool waits_beside_room(const struct standin *standin, const struct standin_job *job)
+/* True if the job waits though its team's quota and idle capacity allow it to start. */
+static bool waits_despite_capacity(const struct standin *standin, const struct standin_job *job)
 {
 	const struct conf_team *team = job_team(standin, job);
 	struct team_use use;
@@ -140,14 +164,15 @@
 	if (!team || !is_waiting(job))
 		return false;
 	use = count_team_use(standin, team);
-	return team_allows_start(team, job, &use) && has_room(standin, job);
+	return team_allows_start(team, job, &use) && has_idle_capacity(standin, job);
 }
 
+/* Breaks the rule if the job has waited too long, in all checks in a row, though it could start. */
 static void check_job(struct standin *standin, struct standin_job *job)
 {
 	double waited_s;
 
-	if (!waits_beside_room(standin, job)) {
+	if (!waits_despite_capacity(standin, job)) {
 		job->room_since = -1;
 		return;
 	}
@@ -155,8 +180,11 @@
 		job->room_since = standin->now;
 	waited_s = standin->now - job->room_since;
 	if (waited_s > WAIT_MAX_S)
-		standin_rule_broken(standin, RULE_IDLE_ROOM, "%s waits beside room for %.0f s",
-				    job->spec.id, waited_s);
+		standin_rule_broken(
+		    standin, RULE_IDLE_ROOM,
+		    "job %s (tasks: %u, team: %s) has waited for %.0f s though it could "
+		    "start, expected at most %.0f s",
+		    job->spec.id, job->spec.task_count, job->spec.team, waited_s, WAIT_MAX_S);
 }
 
 void standin_check_room(struct standin *standin, double quiet_since)
@@ -166,9 +194,9 @@
 	if (standin->now < quiet_since || standin->now < standin->next_room_check_at)
 		return;
 	standin->next_room_check_at = standin->now + CHECK_INTERVAL_S;
-	count_bound_tasks(standin);
+	count_tasks_on_machines(standin);
 	for (int i = 0; i < standin->machine_count; i++)
-		count_free(&standin->machines[i]);
+		count_free_capacity(&standin->machines[i]);
 	for (job = standin->jobs; job; job = job->hh.next)
 		check_job(standin, job);
 }
--- a/tests/standins/rule_served.c
+++ b/tests/standins/rule_served.c
@@ -1,18 +1,23 @@
-/* Rules about which jobs began over a whole scenario. */
+/*
+ * Rules about the jobs that began in a scenario, checked at its end. A job counts as served once it
+ * has begun, see update_began_at. Jobs that were not accepted, whose cancellation was requested or
+ * whose tasks always fail need not begin.
+ */
 #include <string.h>
 
 #include "standins/rules.h"
 #include "standins/standin.h"
 
-#define LARGEST_WAIT_MAX_S 240.0 /* seconds within which the largest jobs of a class must begin */
+/* Time from the acceptance within which each of the largest jobs of a class must begin. */
+#define LARGEST_WAIT_MAX_S 240.0
 
-/* Whether the job should have begun. */
+/* True if the job should begin. */
 static bool is_expected(const struct standin_job *job)
 {
 	return job->accepted && !job->cancel_requested && !job->bad;
 }
 
-/* --- groups of jobs, of which half have to begin --- */
+/* --- groups of jobs of which half must begin --- */
 
 static bool same_class(const struct standin_job *left, const struct standin_job *right)
 {
@@ -31,7 +36,10 @@
 
 typedef bool same_group(const struct standin_job *left, const struct standin_job *right);
 
-/* `group` names it in the message. */
+/*
+ * Rule unserved: at least half of the jobs that should begin have begun, among those in the same
+ * group as `member`. `group` names in the message what these jobs share.
+ */
 static void check_group(struct standin *standin, const struct standin_job *member,
 			const char *group, same_group *is_same)
 {
@@ -45,11 +53,13 @@
 		served += job->began_at >= 0;
 	}
 	if (2 * served < expected)
-		standin_rule_broken(standin, RULE_UNSERVED, "%d of %d like %s served (%s)", served,
-				    expected, member->spec.id, group);
+		standin_rule_broken(
+		    standin, RULE_UNSERVED,
+		    "%d of the %d jobs of the same %s as job %s began, expected at least half",
+		    served, expected, group, member->spec.id);
 }
 
-/* Whether no job of its class has more tasks. */
+/* True if no job of its class that should begin has more tasks. */
 static bool is_largest(const struct standin *standin, const struct standin_job *job)
 {
 	const struct standin_job *other;
@@ -76,17 +86,26 @@
 static void check_largest_served(struct standin *standin, const struct standin_job *job)
 {
 	if (is_largest(standin, job))
-		check_group(standin, job, "largest", same_class_and_size);
+		check_group(standin, job, "class and task count (the class's largest)",
+			    same_class_and_size);
 }
 
+/*
+ * Rule late_large: each of the largest jobs of a class begins in time. One that has not begun
+ * counts as waiting until now.
+ */
 static void check_largest_in_time(struct standin *standin, const struct standin_job *job)
 {
 	double began_at = job->began_at >= 0 ? job->began_at : standin->now;
 	double waited_s = began_at - job->accepted_at;
 
 	if (waited_s > LARGEST_WAIT_MAX_S && is_largest(standin, job))
-		standin_rule_broken(standin, RULE_LATE_LARGE, "%s began after %.0f s", job->spec.id,
-				    waited_s);
+		standin_rule_broken(standin, RULE_LATE_LARGE,
+				    "job %s (tasks: %u, the most in class %s) %s %.0f s after its "
+				    "acceptance, expected at most %.0f s",
+				    job->spec.id, job->spec.task_count, job->spec.class_name,
+				    job->began_at >= 0 ? "began" : "had not begun", waited_s,
+				    LARGEST_WAIT_MAX_S);
 }
 
 typedef void served_check(struct standin *standin, const struct standin_job *job);
--- a/tests/standins/rules.c
+++ b/tests/standins/rules.c
@@ -1,4 +1,4 @@
-/* Names of the rules, and the record of those that were broken. */
+/* The names of the rules, and the record of those that were broken. */
 #include "standins/rules.h"
 
 #include <stdarg.h>
@@ -19,14 +19,17 @@
 void standin_rule_broken(struct standin *standin, enum rule rule, const char *format, ...)
 {
 	va_list arguments;
+	int length;
 
 	standin->rules_broken[rule]++;
 	if (standin->rules_broken[rule] > 1)
 		return;
+	length =
+	    snprintf(standin->broken_why, sizeof(standin->broken_why), "%s: ", rule_names[rule]);
 	va_start(arguments, format);
-	vsnprintf(standin->broken_why, sizeof(standin->broken_why), format, arguments);
+	vsnprintf(standin->broken_why + length, sizeof(standin->broken_why) - (size_t)length,
+		  format, arguments);
 	va_end(arguments);
 	if (standin->verbose)
-		fprintf(stderr, "%8.3f RULE %s: %s\n", standin->now, rule_names[rule],
-			standin->broken_why);
+		fprintf(stderr, "%8.3f RULE %s\n", standin->now, standin->broken_why);
 }
--- a/tests/standins/rules.h
+++ b/tests/standins/rules.h
@@ -1,7 +1,7 @@
 /*
- * The checker of the protocol's rules, and of those that users added. It sees all that the machines
- * do and all that users are answered. A broken rule is counted and printed once; what follows from
- * it is up to the test.
+ * The checker of the rules that the controllers must keep: those of the protocol, and those that
+ * users asked for. It sees everything that the machines do and every answer to a user. It counts
+ * how often each rule was broken, and reports the first time. The test decides what follows.
  */
 #ifndef PLOVERLOFT_STANDINS_RULES_H
 #define PLOVERLOFT_STANDINS_RULES_H
@@ -11,55 +11,70 @@
 struct standin;
 
 enum rule {
-	RULE_RAN_TWICE,	    /* a task on two machines at once */
-	RULE_QUOTA,	    /* a team beyond its limit */
-	RULE_WRONG_PLACE,   /* a task on a machine that its job does not allow */
-	RULE_RAN_CANCELLED, /* a task that runs on after its user was told of the cancellation */
-	RULE_FORGOTTEN,	    /* an accepted job that is not known, or gets no answers */
-	RULE_INVENTED,	    /* a job that nobody submitted */
-	RULE_NOT_DONE,	    /* shown as done with tasks that are not */
-	RULE_WENT_BACK,	    /* a final state that changed */
-	RULE_NOTHING_RAN,   /* no start in a whole scenario */
-	RULE_UNSERVED,	    /* less than half of a class, a team or the largest jobs begun */
-	RULE_LATE_LARGE,    /* a largest job that began late */
-	RULE_IDLE_ROOM,	    /* a job that waits beside room for it */
-	RULE_WRONG_JOB,	    /* accepted though it can never run */
+	RULE_RAN_TWICE,	    /* two attempts of a task ran at the same time */
+	RULE_QUOTA,	    /* a team's tasks used more than its quota */
+	RULE_WRONG_PLACE,   /* a task ran on a machine or in a zone that its job does not allow */
+	RULE_RAN_CANCELLED, /* a task ran conf->cancel_s after its job was shown as cancelled */
+	RULE_FORGOTTEN,	    /* a user got no answer about an accepted job, or that there is none */
+	RULE_INVENTED,	    /* a user got an answer about a job that nobody submitted */
+	RULE_NOT_DONE,	    /* a job was shown as done before all its tasks had completed */
+	RULE_WENT_BACK,	    /* a job left a final state, or was cancelled without a request */
+	RULE_NOTHING_RAN,   /* no task started in a whole scenario */
+	RULE_UNSERVED,	    /* less than half of a class, a team or the largest jobs began */
+	RULE_LATE_LARGE,    /* one of the largest jobs of its class began late */
+	RULE_IDLE_ROOM,	    /* a job waited though there was free capacity for it */
+	RULE_WRONG_JOB,	    /* a job was accepted though it can never run */
 	RULE_COUNT
 };
 
-/* As scenarios name them. */
+/* The names of the rules in scenarios. */
 extern const char *const rule_names[RULE_COUNT];
 
-/* Counts a broken rule; the first time its message is kept, and printed if standin->verbose. */
+/*
+ * Records that a rule was broken. The first time for each rule, the message is kept with the rule's
+ * name in standin->broken_why, and printed to stderr if standin->verbose.
+ */
 void standin_rule_broken(struct standin *standin, enum rule rule, const char *format, ...)
     __attribute__((format(printf, 3, 4)));
 
-/* --- on machines: rule_starts.c --- */
+/* --- tasks on machines: rule_starts.c --- */
 
-/* Counts a task's start, and checks the rules about it. */
+/* Counts the start of a task, and checks the rules on which tasks may run where. */
 void check_start(struct standin *standin, const struct standin_task *task);
 
-/* Checks that tasks of cancelled jobs have ended in time. */
+/* Checks that the tasks of cancelled jobs have ended in time (rule ran_cancelled). */
 void check_cancelled_tasks(struct standin *standin);
 
-/* --- what users are answered: rule_answers.c --- */
+/* --- answers to users: rule_answers.c --- */
 
-/* A user was answered; `sent_at` is when the request was, `status` as HTTP has it. */
+/*
+ * Check the answer to a user's request. `status` is the HTTP status; `sent_at` is when the request
+ * was sent.
+ */
 void standin_submission_answered(struct standin *standin, const char *id, int status);
 void standin_lookup_answered(struct standin *standin, const char *id, int status, const char *body,
 			     double sent_at);
 void standin_cancellation_answered(struct standin *standin, const char *id, int status,
 				   const char *body, double sent_at);
 
-/* Checks that no user waits too long for answers; faults ended at `quiet_since`. */
+/*
+ * Checks that users get answers about their jobs (rule forgotten). The scenario's faults end at
+ * `quiet_since`; time before that does not count.
+ */
 void standin_check_answers(struct standin *standin, double quiet_since);
 
-/* --- over a whole scenario --- */
+/* --- waiting jobs: rule_idle_room.c, rule_served.c --- */
 
-/* Checks for jobs that wait beside room for them; faults ended at `quiet_since`. */
+/*
+ * Checks that no job waits though there is free capacity for it (rule idle_room). The scenario's
+ * faults end at `quiet_since`; nothing is checked before that.
+ */
 void standin_check_room(struct standin *standin, double quiet_since);
 
-/* Checks, at the end of a scenario, that enough of all kinds of jobs began in time. */
+/*
+ * Checks, at the end of a scenario, that enough jobs of each class and team and of the largest ones
+ * began, and the largest in time (rules unserved and late_large).
+ */
 void standin_check_served(struct standin *standin);
 
 #endif
--- a/tests/standins/standin.c
+++ b/tests/standins/standin.c
@@ -1,4 +1,4 @@
-/* The stand-ins together: their start, time and end. */
+/* All stand-ins of a deployment: initialisation, ticks and release. */
 #include "standins/standin.h"
 
 #include <stdlib.h>
@@ -20,7 +20,7 @@
 
 void standin_tick(struct standin *standin, double now)
 {
-	/* Not from standin->now, which moves on with each message in between. */
+	/* Not from standin->now, which the caller also sets for each message between ticks. */
 	double elapsed_s = now - standin->ticked_at;
 
 	standin->now = now;
--- a/tests/standins/standin.h
+++ b/tests/standins/standin.h
@@ -1,7 +1,7 @@
 /*
- * Stand-ins for the systems around the controllers, after their published protocol: the state
- * service, the cloud, the machines with their agents. They keep no clock, so that the same code
- * serves simulated time and loopback. The checker of the rules watches what they do.
+ * Stand-ins for the systems around the controllers, which follow the published protocol: the state
+ * service, the cloud, and the machines with their agents. They have no clock of their own, so the
+ * same code works in simulated time and over loopback. The checker of the rules watches them.
  */
 #ifndef PLOVERLOFT_STANDINS_STANDIN_H
 #define PLOVERLOFT_STANDINS_STANDIN_H
@@ -17,55 +17,56 @@
 #include "standins/rules.h"
 #include "standins/state_service.h"
 
-#define STANDIN_WHY_MAX 256 /* bytes of a broken rule's message, with its NUL */
+#define STANDIN_WHY_MAX 256 /* bytes of the message on a broken rule, with its NUL */
 
-/* How the stand-ins send; the texts are valid during the call only. */
+/* How the stand-ins send messages. The texts are valid only during the call. */
 struct standin_callbacks {
-	/* Answers the request known by `handle`. */
+	/* Sends the answer to the request with this handle; `status` is the HTTP status. */
 	void (*reply)(void *context, uint64_t handle, int status, const char *body);
-	/* Sends an agent's heartbeat to a controller. */
+	/* Sends the heartbeat of a machine's agent to a controller; both are indices. */
 	void (*report)(void *context, int machine, int controller, const char *body);
 };
 
 /* All stand-ins of one deployment. */
 struct standin {
 	const struct standin_callbacks *callbacks;
-	void *context;		 /* of the callbacks */
+	void *context;		 /* first argument of the callbacks */
 	const struct conf *conf; /* the caller's, valid until standin_free */
-	double now;		 /* seconds; set by the caller before each request, and by ticks */
-	double ticked_at;	 /* up to here the tasks' progress is counted */
+	double now;	  /* seconds; set by the caller before each request, and by standin_tick */
+	double ticked_at; /* time of the last tick, up to which tasks have progressed */
 
 	struct standin_state_service state_service;
 	struct standin_cloud cloud;
-	struct standin_machine *machines; /* owned; their places stay */
+	struct standin_machine *machines; /* owned; STANDIN_MACHINES_MAX that are not moved */
 	int machine_count;
-	struct standin_job *jobs; /* owned, by their ids */
+	struct standin_job *jobs; /* owned; hash table by id */
 
-	/* The controllers that agents report to. */
+	/* The controllers that agents send heartbeats to. */
 	int controller_count;
 	char controller_names[STANDIN_CONTROLLERS_MAX][NAME_MAX_LEN];
 
 	/* The checker of the rules. */
-	int rules_broken[RULE_COUNT];	  /* how often */
-	char broken_why[STANDIN_WHY_MAX]; /* of the newest rule that was broken */
-	bool verbose;			  /* broken rules are printed to stderr */
-	double next_room_check_at;
+	int rules_broken[RULE_COUNT]; /* how often each rule was broken */
+	/* Name and message of the rule that was last broken for the first time. */
+	char broken_why[STANDIN_WHY_MAX];
+	bool verbose;		   /* messages on broken rules are also printed to stderr */
+	double next_room_check_at; /* next check of the rule idle_room */
 
 	/* Counts since the start. */
 	uint64_t starts_total;
-	uint64_t starts_after_cancellation; /* after a user was told of it */
-	uint64_t probes;		    /* that reached machines */
-	uint64_t direct_commands;	    /* the same */
+	uint64_t starts_after_cancellation; /* after the job was shown as cancelled */
+	uint64_t probes;		    /* requests that reached machines */
+	uint64_t direct_commands;	    /* requests that reached machines */
 };
 
-/* Empty stand-ins with the limits that the settings state. */
+/* Initialises stand-ins without machines or jobs. The settings give the state service's limits. */
 void standin_init(struct standin *standin, const struct standin_callbacks *callbacks, void *context,
 		  const struct conf *conf);
 
-/* Frees all that they own, not `standin` itself. */
+/* Frees all that the stand-ins own, not `standin` itself. */
 void standin_free(struct standin *standin);
 
-/* Moves all stand-ins on to the time `now`. */
+/* Advances all stand-ins to the time `now`. */
 void standin_tick(struct standin *standin, double now);
 
 #endif
--- a/tests/standins/state_keys.c
+++ b/tests/standins/state_keys.c
@@ -1,4 +1,4 @@
-/* The state service's keys: changes of one, and reads of one or of a page. */
+/* The state service's keys: writes and deletions of one, and reads of one or of a page. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -9,7 +9,7 @@
 #include "util/xalloc.h"
 #include "wire/names.h"
 
-#define LIMIT_DIGITS 16 /* bytes of a page's limit as text */
+#define LIMIT_DIGITS 16 /* bytes of the limit of a page as text, with its NUL */
 
 struct standin_key *state_key_find(struct standin_state_service *state_service, const char *name)
 {
@@ -97,7 +97,7 @@
 	return strcmp((*left_key)->key, (*right_key)->key);
 }
 
-/* All keys in their order; the caller frees the array. */
+/* All keys, sorted by name. The caller frees the array. */
 static struct standin_key **sorted_keys(const struct standin_state_service *state_service)
 {
 	size_t count = HASH_COUNT(state_service->keys);
@@ -111,7 +111,8 @@
 	return sorted;
 }
 
-/* The page's keys; *more tells whether others follow. */
+/* Up to `limit` keys with the prefix, from the first one behind the key `after`, if that is not
+ * empty. *more is true if others follow. */
 static json_t *encode_page(const struct standin_state_service *state_service, const char *prefix,
 			   const char *after, size_t limit, bool *more)
 {
--- a/tests/standins/state_leases.c
+++ b/tests/standins/state_leases.c
@@ -1,4 +1,4 @@
-/* The state service's leases. */
+/* The state service's leases: grant, renewal, revocation and expiry. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -34,8 +34,8 @@
 	*link = lease->next;
 }
 
-/* All keys of a lease are dropped in one revision. */
-static void drop_keys(struct standin_state_service *state_service, uint64_t lease)
+/* Deletes all keys of a lease, in one revision. */
+static void delete_lease_keys(struct standin_state_service *state_service, uint64_t lease)
 {
 	struct standin_key *key, *next;
 	bool any = false;
@@ -50,12 +50,13 @@
 	}
 }
 
+/* Ends a lease that has expired or is revoked: its keys are deleted, and it is freed. */
 static void end_lease(struct standin *standin, struct standin_lease *lease)
 {
 	struct standin_state_service *state_service = &standin->state_service;
 
 	unlink_lease(state_service, lease);
-	drop_keys(state_service, lease->id);
+	delete_lease_keys(state_service, lease->id);
 	free(lease);
 	state_watches_answer(standin);
 }
--- a/tests/standins/state_service.c
+++ b/tests/standins/state_service.c
@@ -1,4 +1,6 @@
-/* The state service's stand-in: start and end, limits of requests, and which part serves a request.
+/*
+ * The state service's stand-in: initialisation and release, the limits on the rate of requests, and
+ * the dispatch of requests.
  */
 #include "standins/state_service.h"
 
@@ -71,8 +73,9 @@
 	free_changes(state_service);
 }
 
-/* --- limits of requests --- */
+/* --- limits on the rate of requests --- */
 
+/* Refills the allowances up to standin->now. */
 static void refill_allowances(struct standin *standin)
 {
 	struct standin_state_service *state_service = &standin->state_service;
@@ -86,7 +89,7 @@
 		 state_service->put_allowance + elapsed_s * state_service->write_rps);
 }
 
-/* The puts and deletes that a request asks for. */
+/* The number of puts and deletes that a request asks for. */
 static double count_puts(const char *path, const char *body)
 {
 	json_t *transaction;
@@ -100,7 +103,10 @@
 	return puts;
 }
 
-/* Whether the request is within the limits; then it is counted, and taken off the allowances. */
+/*
+ * True if the rates allow the request; then it is counted and subtracted from the allowances. Else
+ * it counts as refused.
+ */
 static bool limits_allow(struct standin *standin, const char *path, const char *body)
 {
 	struct standin_state_service *state_service = &standin->state_service;
@@ -127,8 +133,8 @@
 	return !strncmp(text, prefix, strlen(prefix));
 }
 
-static void serve_request(struct standin *standin, int controller, uint64_t handle,
-			  const char *method, const char *path, const char *body)
+static void dispatch_request(struct standin *standin, int controller, uint64_t handle,
+			     const char *method, const char *path, const char *body)
 {
 	if (!strcmp(path, W_PATH_TXN))
 		state_transaction(standin, handle, body);
@@ -152,7 +158,7 @@
 	else if (!limits_allow(standin, path, body))
 		standin_answer_error(standin, handle, STATUS_TOO_MANY_REQUESTS, "limit");
 	else
-		serve_request(standin, controller, handle, method, path, body);
+		dispatch_request(standin, controller, handle, method, path, body);
 }
 
 void standin_state_outage(struct standin *standin, bool down)
--- a/tests/standins/state_service.h
+++ b/tests/standins/state_service.h
@@ -1,6 +1,7 @@
 /*
- * Stand-in for the state service: keys with versions, leases, transactions and watches, within the
- * limits of requests and sizes that it promises. Times are seconds of the stand-ins' clock.
+ * Stand-in for the state service: keys with versions, leases, transactions and watches. It enforces
+ * the service's limits on the rate of requests and on sizes. Times are seconds of the stand-ins'
+ * clock.
  */
 #ifndef PLOVERLOFT_STANDINS_STATE_SERVICE_H
 #define PLOVERLOFT_STANDINS_STATE_SERVICE_H
@@ -24,11 +25,11 @@
 	char key[STANDIN_KEY_MAX];
 	json_t *value;	  /* owned */
 	uint64_t version; /* revision of its last change */
-	uint64_t lease;	  /* the key ends with it; 0: none */
+	uint64_t lease;	  /* id of the lease whose end deletes the key; 0: none */
 	UT_hash_handle hh;
 };
 
-/* A lease, which ends by itself unless it is renewed. */
+/* A lease. It expires unless it is renewed. */
 struct standin_lease {
 	uint64_t id;
 	int ttl_ms;
@@ -40,69 +41,77 @@
 struct standin_change {
 	uint64_t revision;
 	char key[STANDIN_KEY_MAX];
-	json_t *value; /* owned; NULL: the key was dropped */
+	json_t *value; /* owned; NULL: the key was deleted */
 };
 
-/* A request for changes that has no answer yet. */
+/* A watch: a request for changes that has not been answered yet. */
 struct standin_watch {
 	uint64_t handle;
-	uint64_t after_revision;
-	char prefix[STANDIN_KEY_MAX];
-	double expires_at; /* it is answered by then, with no changes if there are none */
-	int controller;
+	uint64_t after_revision;      /* it asks for the changes after this revision */
+	char prefix[STANDIN_KEY_MAX]; /* of the keys that it asks for */
+	double expires_at;	      /* when it is answered even if there are no changes */
+	int controller;		      /* index of the controller that asks */
 	struct standin_watch *next;
 };
 
 struct standin_state_service {
-	struct standin_key *keys;
-	struct standin_lease *leases; /* the newest first */
-	struct standin_change *changes;
+	struct standin_key *keys;	/* owned; hash table by name */
+	struct standin_lease *leases;	/* owned, the newest first */
+	struct standin_change *changes; /* owned; the history, the oldest first */
 	size_t change_count;
 	size_t change_capacity;
-	size_t changes_kept; /* changes that can still be read; 0: all */
-	struct standin_watch *watches;
-	uint64_t revision;
-	uint64_t next_lease;
+	size_t changes_kept;	       /* newest changes that watches can still read; 0: all */
+	struct standin_watch *watches; /* owned */
+	uint64_t revision;	       /* of the last change */
+	uint64_t next_lease;	       /* id of the next lease */
 
 	/* Faults. */
-	bool down;
-	bool refuses[STANDIN_CONTROLLERS_MAX]; /* its requests get 503 */
-	bool stalls[STANDIN_CONTROLLERS_MAX];  /* its watches get no answer, all else does */
+	bool down;			       /* every request gets 503 */
+	bool refuses[STANDIN_CONTROLLERS_MAX]; /* all requests of the controller get 503 */
+	bool stalls[STANDIN_CONTROLLERS_MAX];  /* only watches of the controller get no answer */
 
 	/* Limits. */
 	int txn_ops;	    /* changes in one transaction */
-	size_t value_bytes; /* of one value */
+	size_t value_bytes; /* size of one value */
 	double rps;	    /* requests a second */
 	double write_rps;   /* puts and deletes a second */
-	/* What the limits still allow: a second's worth at most. */
+	/* Token buckets: the requests, and the puts and deletes, that the rates allow now. Each
+	 * holds what its rate allows in a second at most. */
 	double request_allowance;
 	double put_allowance;
-	double allowance_at; /* when both were last refilled */
+	double allowance_at; /* when both allowances were last refilled */
 
 	/* Counts since the start. */
-	uint64_t requests; /* within the limits */
-	uint64_t puts;	   /* puts and deletes of these */
-	uint64_t refused;  /* requests beyond the limits */
-	uint64_t
-	    too_large; /* transactions that can't be carried out: too large, or no such lease */
-	uint64_t takeovers; /* transactions in which a controller became or remained leader */
+	uint64_t requests; /* requests within the rates */
+	uint64_t puts;	   /* puts and deletes in these requests */
+	uint64_t refused;  /* requests beyond the rates */
+	/* Transactions that are invalid whatever the guards: too large, or of an unknown lease. */
+	uint64_t too_large;
+	/* Transactions that wrote the leader's key, see writes_leader_key. */
+	uint64_t takeovers;
 };
 
-/* An empty state service with these limits; `state_service` is all zero. */
+/*
+ * Initialises an empty state service with these limits. The caller has set `state_service` to all
+ * zeros.
+ */
 void state_service_init(struct standin_state_service *state_service,
 			const struct conf_limits *limits);
 
-/* Frees all that it owns. Watches are not answered. */
+/* Frees all that the state service owns. Open watches are not answered. */
 void state_service_free(struct standin_state_service *state_service);
 
-/* Lets leases expire, and answers watches. */
+/* Ends the leases that have expired, and answers the watches that are due. */
 void state_service_tick(struct standin *standin);
 
-/* Answers a request of a controller, by standin->callbacks: now, or a watch when it is due. */
+/*
+ * Handles a request of a controller and answers through standin->callbacks: at once, or a watch
+ * when there are changes for it or its time is over.
+ */
 void standin_state_request(struct standin *standin, int controller, uint64_t handle,
 			   const char *method, const char *path, const char *body);
 
-/* Begins or ends an outage. After one, every lease has its full time again. */
+/* Begins or ends an outage. The end of an outage renews every lease. */
 void standin_state_outage(struct standin *standin, bool down);
 
 #endif
--- a/tests/standins/state_transactions.c
+++ b/tests/standins/state_transactions.c
@@ -1,4 +1,7 @@
-/* The state service's transactions: versions that keys must have, then changes of keys. */
+/*
+ * The state service's transactions. A transaction has guards, which are versions that keys must
+ * have, and changes, which are applied only if all guards hold.
+ */
 #include <stdlib.h>
 #include <string.h>
 
@@ -9,17 +12,20 @@
 #include "wire/names.h"
 #include "wire/wire.h"
 
-#define GUARDS_PER_CHANGE 4   /* guards for each change that a transaction may have */
-#define FORMAT_FIELD "format" /* in the leader's record, from the second format on */
+/* A transaction may have this many guards for each change that the limit allows. */
+#define GUARDS_PER_CHANGE 4
+/* Field with the version of the records' format in the value of LEADER_KEY, from the second version
+ * on. */
+#define FORMAT_FIELD "format"
 
 static uint64_t integer_field(const json_t *object, const char *name)
 {
 	return (uint64_t)json_integer_value(json_object_get(object, name));
 }
 
-/* --- whether it may be applied --- */
+/* --- guards and limits --- */
 
-/* The keys whose versions are not those of the guards. */
+/* The names of the keys whose version is not the one in the guard. A missing key has version 0. */
 static json_t *failed_guards(struct standin_state_service *state_service, const json_t *guards)
 {
 	json_t *failed = json_array();
@@ -37,7 +43,7 @@
 	return failed;
 }
 
-/* Bytes of the value as it is sent; 0 for none. */
+/* Size of a value as JSON text in bytes; 0 without a value. */
 static size_t value_size(const json_t *value)
 {
 	char *text = json_dumps(value, JSON_COMPACT | JSON_ENCODE_ANY);
@@ -47,7 +53,7 @@
 	return size;
 }
 
-/* Why a change can't be applied; NULL if it can. */
+/* The reason for which a change is invalid, or NULL. */
 static const char *change_error(struct standin_state_service *state_service, const json_t *change)
 {
 	const json_t *lease = json_object_get(change, W_LEASE);
@@ -59,7 +65,10 @@
 	return NULL;
 }
 
-/* Why the transaction can't be applied whatever the versions are; NULL if it can. */
+/*
+ * The reason for which a transaction is invalid whatever the versions of the keys are, or NULL: it
+ * exceeds a limit, or names an unknown lease.
+ */
 static const char *transaction_error(struct standin_state_service *state_service,
 				     const json_t *guards, const json_t *changes)
 {
@@ -80,13 +89,15 @@
 	return error;
 }
 
-/* --- its changes --- */
+/* --- changes --- */
 
-/* Whether the leader's key is written, but for the one time at which the records' format is raised.
+/*
+ * True if the transaction writes the leader's key: a controller becomes leader, or renews its
+ * token. The transaction that raises the version of the records' format does not count.
  */
-static bool is_takeover(const json_t *changes)
+static bool writes_leader_key(const json_t *changes)
 {
-	bool leads = false, raises_format = false;
+	bool writes_key = false, raises_format = false;
 	json_t *change;
 	size_t i;
 
@@ -96,10 +107,10 @@
 
 		if (!name || strncmp(name, LEADER_KEY, strlen(LEADER_KEY)))
 			continue;
-		leads = true;
+		writes_key = true;
 		raises_format |= json_object_get(value, FORMAT_FIELD) != NULL;
 	}
-	return leads && !raises_format;
+	return writes_key && !raises_format;
 }
 
 static void apply_change(struct standin_state_service *state_service, const json_t *change)
@@ -115,6 +126,7 @@
 		state_key_drop(state_service, dropped);
 }
 
+/* Applies all changes in one new revision. */
 static void apply_changes(struct standin_state_service *state_service, const json_t *changes)
 {
 	json_t *change;
@@ -122,14 +134,14 @@
 
 	if (json_array_size(changes))
 		state_service->revision++;
-	state_service->takeovers += is_takeover(changes);
+	state_service->takeovers += writes_leader_key(changes);
 	json_array_foreach (changes, i, change)
 		apply_change(state_service, change);
 }
 
-/* --- the request --- */
+/* --- requests --- */
 
-/* Carries it out if all guards hold. */
+/* Applies a valid transaction if all its guards hold, and answers it. */
 static void commit(struct standin *standin, uint64_t handle, const json_t *guards,
 		   const json_t *changes)
 {
--- a/tests/standins/state_watches.c
+++ b/tests/standins/state_watches.c
@@ -1,4 +1,4 @@
-/* The state service's history of changes, and the watches that read it. */
+/* The state service's history of changes, and the watches that wait for changes. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -9,15 +9,15 @@
 #include "util/xalloc.h"
 #include "wire/names.h"
 
-#define FIRST_CHANGES 256 /* room for so many changes at first */
+#define INITIAL_CHANGE_CAPACITY 256
 #define MS_PER_S 1000.0
-#define NUMBER_DIGITS 32 /* bytes of a number as text */
+#define NUMBER_DIGITS 32 /* bytes of a number as text, with its NUL */
 
 static void grow_changes(struct standin_state_service *state_service)
 {
 	size_t capacity = state_service->change_capacity;
 
-	state_service->change_capacity = capacity ? capacity * 2 : FIRST_CHANGES;
+	state_service->change_capacity = capacity ? capacity * 2 : INITIAL_CHANGE_CAPACITY;
 	state_service->changes =
 	    xreallocarray(state_service->changes, state_service->change_capacity,
 			  sizeof(*state_service->changes));
@@ -45,7 +45,7 @@
 			 revision);
 }
 
-/* The changes that the watch has not been answered with yet. */
+/* The changes after the watch's revision, of keys with its prefix. */
 static json_t *encode_events(const struct standin_state_service *state_service,
 			     const struct standin_watch *watch)
 {
@@ -62,7 +62,11 @@
 	return events;
 }
 
-/* Whether the watch was answered; then it is to be unlinked and freed. */
+/*
+ * Answers the watch if there are changes for it or its time is over. Returns true if it was
+ * answered; the caller then unlinks and frees it. During an outage, or while the controller's
+ * requests or watches get no answers, it stays open.
+ */
 static bool answer_watch(struct standin *standin, const struct standin_watch *watch)
 {
 	const struct standin_state_service *state_service = &standin->state_service;
@@ -98,9 +102,9 @@
 	}
 }
 
-/* Whether changes behind the watch's revision are kept no more. */
-static bool begins_too_far_back(const struct standin_state_service *state_service,
-				const struct standin_watch *watch)
+/* True if some of the changes after the watch's revision are no longer kept. */
+static bool is_too_old(const struct standin_state_service *state_service,
+		       const struct standin_watch *watch)
 {
 	size_t count = state_service->change_count;
 	size_t kept = state_service->changes_kept;
@@ -120,7 +124,7 @@
 	query_parameter(path, W_PREFIX, watch->prefix, sizeof(watch->prefix));
 	query_parameter(path, W_AFTER, number, sizeof(number));
 	watch->after_revision = strtoull(number, NULL, 10);
-	if (begins_too_far_back(state_service, watch)) {
+	if (is_too_old(state_service, watch)) {
 		free(watch);
 		standin_answer_error(standin, handle, STATUS_GONE, "too old");
 		return;
