--- a/tests/loopback/clients.c
+++ b/tests/loopback/clients.c
@@ -63,9 +63,9 @@
 
 	if (machine->report_sequence != (id & CALL_SEQUENCE_MASK))
 		return;
-	standin_agent_answer(&loopback->standin, index, machine->report_incarnation,
-			     machine->report_sequence, status > 0 ? status : STATUS_UNAVAILABLE,
-			     *body ? body : "{}");
+	standin_agent_handle_answer(&loopback->standin, index, machine->report_incarnation,
+				    machine->report_sequence,
+				    status > 0 ? status : STATUS_UNAVAILABLE, *body ? body : "{}");
 }
 
 /* --- users --- */
--- a/tests/loopback/loopback.c
+++ b/tests/loopback/loopback.c
@@ -81,14 +81,14 @@
 	(void)side;
 	(void)len;
 	if (server->index == SERVER_STATE) {
-		standin_state_request(standin, 0, handle, method, path, body);
+		standin_state_handle_request(standin, 0, handle, method, path, body);
 	} else if (server->index == SERVER_CLOUD) {
-		standin_cloud_request(standin, handle, method, path, body);
+		standin_cloud_handle_request(standin, handle, method, path, body);
 	} else {
 		struct standin_machine *machine =
 		    &standin->machines[server->index - SERVER_MACHINES];
 
-		standin_agent_request(standin, machine, handle, path, body);
+		standin_agent_handle_request(standin, machine, handle, path, body);
 	}
 }
 
@@ -126,7 +126,7 @@
 	};
 
 	name_list_add(&type.zones, ZONE);
-	standin_type_add(standin, &type, 0, false);
+	standin_machine_type_add(standin, &type, 0, false);
 }
 
 static void start_standins(struct loopback *loopback)
@@ -221,7 +221,8 @@
 	for (int rule = 0; rule < RULE_COUNT; rule++) {
 		if (!standin->rules_broken[rule])
 			continue;
-		fprintf(stderr, "rule broken: %s: %s\n", rule_names[rule], standin->broken_why);
+		fprintf(stderr, "rule broken: %s: %s\n", rule_names[rule],
+			standin->broken_rule_message);
 		broken = true;
 	}
 	return broken;
--- a/tests/loopback/rollout.c
+++ b/tests/loopback/rollout.c
@@ -38,7 +38,7 @@
 
 int rollout_end(struct loopback *loopback, bool ok)
 {
-	uint64_t too_large = loopback->standin.state_service.too_large;
+	uint64_t too_large = loopback->standin.state_service.invalid_transactions;
 
 	if (too_large) {
 		fprintf(stderr, "%llu transactions beyond the limits\n",
--- a/tests/runner/delivery.c
+++ b/tests/runner/delivery.c
@@ -94,8 +94,8 @@
 		wait_for_machine(world, message);
 		return;
 	}
-	standin_agent_request(&world->standin, machine, service_request_new(message), message->path,
-			      message->body);
+	standin_agent_handle_request(&world->standin, machine, service_request_new(message),
+				     message->path, message->body);
 }
 
 static void deliver_request(struct world *world, const struct message *message)
@@ -103,11 +103,12 @@
 	if (message->to < HOST_STATE)
 		deliver_peer_request(world, message);
 	else if (message->to == HOST_STATE)
-		standin_state_request(&world->standin, message->from, service_request_new(message),
-				      message->method, message->path, message->body);
+		standin_state_handle_request(&world->standin, message->from,
+					     service_request_new(message), message->method,
+					     message->path, message->body);
 	else if (message->to == HOST_CLOUD)
-		standin_cloud_request(&world->standin, service_request_new(message),
-				      message->method, message->path, message->body);
+		standin_cloud_handle_request(&world->standin, service_request_new(message),
+					     message->method, message->path, message->body);
 	else
 		deliver_machine_request(world, message);
 }
@@ -192,8 +193,9 @@
 	const struct standin_machine *machine = &world->standin.machines[index];
 
 	if (report_connection_is(message->id, machine->report_sequence))
-		standin_agent_answer(&world->standin, index, machine->report_incarnation,
-				     machine->report_sequence, message->status, message->body);
+		standin_agent_handle_answer(&world->standin, index, machine->report_incarnation,
+					    machine->report_sequence, message->status,
+					    message->body);
 }
 
 /* --- replies to controllers and clients --- */
--- a/tests/runner/expectations.c
+++ b/tests/runner/expectations.c
@@ -59,7 +59,7 @@
 {
 	const struct standin_job *job = job_numbered(world, argument);
 
-	return job ? job->answered_running : NO_SUCH_JOB;
+	return job ? job->known_running : NO_SUCH_JOB;
 }
 
 /* Share of a service's replica time in which a replica ran. */
@@ -67,7 +67,8 @@
 {
 	const struct standin_job *job = job_numbered(world, argument);
 
-	return job && job->replica_s > 0 ? job->served_s / job->replica_s : 0;
+	return job && job->required_replica_s > 0 ? job->running_replica_s / job->required_replica_s
+						  : 0;
 }
 
 /* Seconds from its acceptance until it began. */
@@ -139,7 +140,7 @@
 static double leader_key_writes(struct world *world, const char *argument)
 {
 	(void)argument;
-	return (double)world->standin.state_service.takeovers;
+	return (double)world->standin.state_service.leader_key_writes;
 }
 
 /* puts, toolarge, requests or refused */
@@ -148,12 +149,12 @@
 	const struct standin_state_service *state = &world->standin.state_service;
 
 	if (!strcmp(argument, "puts"))
-		return (double)state->puts;
+		return (double)state->writes;
 	if (!strcmp(argument, "toolarge"))
-		return (double)state->too_large;
+		return (double)state->invalid_transactions;
 	if (!strcmp(argument, "requests"))
 		return (double)state->requests;
-	return (double)state->refused;
+	return (double)state->requests_over_limit;
 }
 
 /* Records whose key begins with the argument. */
@@ -294,5 +295,5 @@
 		standin_rule_broken(standin, RULE_NOTHING_RAN, "no start");
 	for (int rule = 0; rule < RULE_COUNT; rule++)
 		if (standin->rules_broken[rule] && !strstr(permitted, rule_names[rule]))
-			world_fail(world, "rule broken: %s", standin->broken_why);
+			world_fail(world, "rule broken: %s", standin->broken_rule_message);
 }
--- a/tests/runner/faults.c
+++ b/tests/runner/faults.c
@@ -105,7 +105,7 @@
 		world->standin.cloud.down = begins(line);
 		return;
 	}
-	standin_state_outage(&world->standin, true);
+	standin_state_set_outage(&world->standin, true);
 	world->state_outage_until_s = end_time(world, line);
 }
 
@@ -297,7 +297,7 @@
 		     struct standin_machine *machine)
 {
 	(void)line;
-	standin_machine_off(&world->standin, machine, false);
+	standin_machine_power_off(&world->standin, machine, false);
 }
 
 /* kill K: it loses its power */
@@ -310,7 +310,7 @@
 		     struct standin_machine *machine)
 {
 	(void)line;
-	standin_machine_off(&world->standin, machine, true);
+	standin_machine_power_off(&world->standin, machine, true);
 }
 
 /* reclaim K: the cloud takes it back */
@@ -336,7 +336,7 @@
 		       struct standin_machine *machine)
 {
 	machine->notice_until = world->now_s + line_option_number(line, "for", DEFAULT_NOTICE_S);
-	machine->changed = true;
+	machine->changed_since_report = true;
 }
 
 /* preemption_notice K for=S: it learns that it will be taken away */
--- a/tests/runner/outbox.c
+++ b/tests/runner/outbox.c
@@ -27,7 +27,7 @@
 	for (int i = 0; i < world->controller_count; i++)
 		if (!strcmp(address, world->controllers[i].conf.back_addr))
 			return i;
-	machine = standin_machine_at(&world->standin, address);
+	machine = standin_machine_find_by_addr(&world->standin, address);
 	return machine ? HOST_MACHINES + (int)(machine - world->standin.machines) : HOST_ANY;
 }
 
--- a/tests/runner/requests.c
+++ b/tests/runner/requests.c
@@ -84,9 +84,9 @@
 	job->accepted_at = -1;
 	job->answered_at = -1;
 	job->began_at = -1;
-	job->room_since = -1;
-	job->bad = line_option_set(line, "bad");
-	job->ends = task_end(line_option(line, "ends", ""));
+	job->idle_room_since = -1;
+	job->always_fails = line_option_set(line, "bad");
+	job->run_end_reason = task_end(line_option(line, "ends", ""));
 	job->done = xcalloc(1, job->spec.task_count / 8 + 1);
 	HASH_ADD_STR(world->standin.jobs, spec.id, job);
 }
--- a/tests/runner/setup.c
+++ b/tests/runner/setup.c
@@ -146,7 +146,7 @@
 	type.spot_price = line_option_number(line, "spotprice", type.price / 3);
 	type.boot_s = line_option_number(line, "boot", 5);
 	add_zones(&type.zones, line_option(line, "zones", "a"));
-	standin_type_add(&world->standin, &type, capacity, line_option_set(line, "reuse"));
+	standin_machine_type_add(&world->standin, &type, capacity, line_option_set(line, "reuse"));
 }
 
 /* team NAME cpus= cpus_max= gpus= gpus_max= */
--- a/tests/runner/world.c
+++ b/tests/runner/world.c
@@ -132,12 +132,12 @@
 		network_deliver_until(world, next_s);
 		world->now_s = next_s;
 		if (world->standin.state_service.down && next_s >= world->state_outage_until_s)
-			standin_state_outage(&world->standin, false);
+			standin_state_set_outage(&world->standin, false);
 		standin_tick(&world->standin, next_s);
 		controllers_tick(world);
 		if (second_began(next_s)) {
 			clients_tick(world);
-			standin_check_room(&world->standin, world->quiet_since_s);
+			standin_check_idle_room(&world->standin, world->quiet_since_s);
 		}
 		clients_cancel_at_end(world);
 		standin_check_answers(&world->standin, world->quiet_since_s);
--- a/tests/standins/agent_commands.c
+++ b/tests/standins/agent_commands.c
@@ -92,7 +92,7 @@
 	machine->tasks = task;
 	task->job = job;
 	DL_APPEND2(job->tasks, task, job_prev, job_next);
-	machine->changed = true;
+	machine->changed_since_report = true;
 	return task;
 }
 
@@ -130,7 +130,7 @@
 	snprintf(target.job, sizeof(target.job), "%s", job);
 	start_task(standin, machine, &target);
 	machine->tasks->state = TASK_RUNNING;
-	check_start(standin, machine->tasks);
+	check_task_start(standin, machine->tasks);
 }
 
 /* --- stops --- */
@@ -140,7 +140,7 @@
 {
 	task->state = TASK_SAVING;
 	task->save_until = standin->now + task->job->spec.save_s;
-	task->machine->changed = true;
+	task->machine->changed_since_report = true;
 }
 
 /* True if the task can save its state within `grace_s` seconds. */
@@ -187,7 +187,7 @@
 			continue;
 		*link = task->next;
 		task_free(task);
-		machine->changed = true;
+		machine->changed_since_report = true;
 		return;
 	}
 }
@@ -231,7 +231,7 @@
 
 	if (token > machine->token) {
 		machine->token = token;
-		machine->changed = true;
+		machine->changed_since_report = true;
 	}
 	json_array_foreach (json_object_get(body, W_COMMANDS), i, command)
 		run_command(standin, machine, command);
--- a/tests/standins/agent_messages.c
+++ b/tests/standins/agent_messages.c
@@ -113,8 +113,8 @@
 	return STATUS_OK;
 }
 
-void standin_agent_request(struct standin *standin, struct standin_machine *machine,
-			   uint64_t handle, const char *path, const char *body)
+void standin_agent_handle_request(struct standin *standin, struct standin_machine *machine,
+				  uint64_t handle, const char *path, const char *body)
 {
 	enum http_status status;
 	json_t *request;
@@ -184,8 +184,8 @@
 	machine->next_report_at = standin->now + HEARTBEAT_REDIRECT_S;
 }
 
-void standin_agent_answer(struct standin *standin, int machine_index, uint64_t incarnation,
-			  uint64_t sequence, int status, const char *body)
+void standin_agent_handle_answer(struct standin *standin, int machine_index, uint64_t incarnation,
+				 uint64_t sequence, int status, const char *body)
 {
 	struct standin_machine *machine = &standin->machines[machine_index];
 	json_t *parsed;
@@ -209,7 +209,7 @@
 {
 	char *text;
 
-	machine->changed = false;
+	machine->changed_since_report = false;
 	machine->report_unanswered = true;
 	machine->report_sent_at = standin->now;
 	machine->next_report_at = standin->now + standin->conf->report_s;
@@ -226,7 +226,7 @@
 {
 	double age_s = standin->now - machine->report_sent_at;
 	bool due = standin->now >= machine->next_report_at;
-	bool early = machine->changed && age_s >= HEARTBEAT_MIN_INTERVAL_S;
+	bool early = machine->changed_since_report && age_s >= HEARTBEAT_MIN_INTERVAL_S;
 
 	if (machine->report_unanswered) {
 		if (age_s > HEARTBEAT_TIMEOUT_S) {
--- a/tests/standins/agent_tasks.c
+++ b/tests/standins/agent_tasks.c
@@ -9,7 +9,7 @@
 {
 	task->state = TASK_EXITED;
 	task->end_reason = reason;
-	task->machine->changed = true;
+	task->machine->changed_since_report = true;
 }
 
 /*
@@ -46,9 +46,9 @@
 
 	task->state = job->spec.kind == JOB_GANG ? TASK_WAITING : TASK_RUNNING;
 	task->since = standin->now;
-	check_start(standin, task);
-	task->machine->changed = true;
-	if (task->machine->faulty || job->bad)
+	check_task_start(standin, task);
+	task->machine->changed_since_report = true;
+	if (task->machine->faulty || job->always_fails)
 		task_exit(task, END_ERROR);
 	else if (job->spec.kind != JOB_SERVICE && job_task_is_done(job, task->index))
 		task_exit(task, END_DONE);
@@ -59,7 +59,7 @@
 {
 	if (is_gang_complete(task->job, task->attempt, TASK_WAITING)) {
 		task->state = TASK_RUNNING;
-		task->machine->changed = true;
+		task->machine->changed_since_report = true;
 	} else if (standin->now - task->since > standin->conf->gang_wait_s) {
 		task_exit(task, END_ALONE);
 	}
@@ -78,7 +78,7 @@
 static void mark_gang_done(struct standin_job *job)
 {
 	for (uint32_t i = 0; i < job->spec.task_count; i++)
-		job_mark_done(job, i);
+		job_mark_task_done(job, i);
 }
 
 /* The task has run for job->run_s seconds: it exits, unless it is a replica that runs on. */
@@ -87,14 +87,14 @@
 	struct standin_job *job = task->job;
 
 	if (job->spec.kind == JOB_SERVICE) {
-		if (job->ends != END_NONE)
-			task_exit(task, job->ends);
+		if (job->run_end_reason != END_NONE)
+			task_exit(task, job->run_end_reason);
 		return;
 	}
 	if (job->spec.kind == JOB_GANG)
 		mark_gang_done(job);
 	else
-		job_mark_done(job, task->index);
+		job_mark_task_done(job, task->index);
 	task_exit(task, END_DONE);
 }
 
--- a/tests/standins/agents.h
+++ b/tests/standins/agents.h
@@ -17,15 +17,15 @@
  * Handles a probe or direct commands and answers through standin->callbacks. A machine that is not
  * up sends no answer.
  */
-void standin_agent_request(struct standin *standin, struct standin_machine *machine,
-			   uint64_t handle, const char *path, const char *body);
+void standin_agent_handle_request(struct standin *standin, struct standin_machine *machine,
+				  uint64_t handle, const char *path, const char *body);
 
 /*
  * Handles the answer to the heartbeat with this incarnation and sequence number. The answer is
  * ignored unless the agent still waits for it. `status` is the HTTP status, `body` may be NULL.
  */
-void standin_agent_answer(struct standin *standin, int machine, uint64_t incarnation,
-			  uint64_t sequence, int status, const char *body);
+void standin_agent_handle_answer(struct standin *standin, int machine, uint64_t incarnation,
+				 uint64_t sequence, int status, const char *body);
 
 /*
  * Sends a heartbeat if one is due or the machine has changed since the last one. While a heartbeat
--- a/tests/standins/cloud.c
+++ b/tests/standins/cloud.c
@@ -13,7 +13,7 @@
 
 void cloud_init(struct standin_cloud *cloud)
 {
-	cloud->types = xcalloc(STANDIN_TYPES_MAX, sizeof(*cloud->types));
+	cloud->types = xcalloc(STANDIN_MACHINE_TYPES_MAX, sizeof(*cloud->types));
 }
 
 void cloud_free(struct standin_cloud *cloud)
@@ -24,8 +24,8 @@
 	wire_types_free(cloud->types, cloud->type_count);
 }
 
-void standin_type_add(struct standin *standin, const struct machine_type *type, int capacity,
-		      bool reuse)
+void standin_machine_type_add(struct standin *standin, const struct machine_type *type,
+			      int capacity, bool reuse)
 {
 	struct standin_cloud *cloud = &standin->cloud;
 	size_t i = cloud->type_count++;
@@ -139,7 +139,7 @@
 
 		if (machine->power == POWER_DELETED || strcmp(machine->id, id))
 			continue;
-		standin_machine_off(standin, machine, true);
+		standin_machine_power_off(standin, machine, true);
 		return_capacity(&standin->cloud, machine->type);
 	}
 }
@@ -204,8 +204,8 @@
 		       json_pack("{s:o,s:b}", W_MACHINES_LIST, list, W_MORE, 0));
 }
 
-void standin_cloud_request(struct standin *standin, uint64_t handle, const char *method,
-			   const char *path, const char *body)
+void standin_cloud_handle_request(struct standin *standin, uint64_t handle, const char *method,
+				  const char *path, const char *body)
 {
 	const struct standin_cloud *cloud = &standin->cloud;
 
--- a/tests/standins/cloud.h
+++ b/tests/standins/cloud.h
@@ -11,7 +11,7 @@
 
 #include "wire/wire.h"
 
-#define STANDIN_TYPES_MAX 32 /* machine types of one scenario */
+#define STANDIN_MACHINE_TYPES_MAX 32 /* machine types of one scenario */
 
 struct standin;
 
@@ -22,13 +22,16 @@
 };
 
 struct standin_cloud {
-	struct machine_type *types; /* owned; an array of STANDIN_TYPES_MAX that is not moved */
+	struct machine_type
+	    *types; /* owned; an array of STANDIN_MACHINE_TYPES_MAX that is not moved */
 	size_t type_count;
-	int capacity[STANDIN_TYPES_MAX]; /* of each type: machines that can still be rented */
-	bool reuse[STANDIN_TYPES_MAX];	 /* of each type: a deleted machine adds to the capacity */
-	bool down;			 /* every request gets 503 */
-	int never_boot;			 /* number of the next rented machines that never come up */
-	struct standin_rental *rentals;	 /* owned */
+	int capacity[STANDIN_MACHINE_TYPES_MAX]; /* of each type: machines that can still be rented
+						  */
+	bool reuse[STANDIN_MACHINE_TYPES_MAX];	 /* of each type: a deleted machine adds to the
+						    capacity */
+	bool down;				 /* every request gets 503 */
+	int never_boot;			/* number of the next rented machines that never come up */
+	struct standin_rental *rentals; /* owned */
 	size_t rental_count;
 };
 
@@ -42,11 +45,11 @@
  * Adds a machine type to the catalog, and takes ownership of what the type owns. `capacity`
  * machines of it can be rented; with `reuse`, deleted ones can be rented again.
  */
-void standin_type_add(struct standin *standin, const struct machine_type *type, int capacity,
-		      bool reuse);
+void standin_machine_type_add(struct standin *standin, const struct machine_type *type,
+			      int capacity, bool reuse);
 
 /* Handles a request from a controller and answers through standin->callbacks. */
-void standin_cloud_request(struct standin *standin, uint64_t handle, const char *method,
-			   const char *path, const char *body);
+void standin_cloud_handle_request(struct standin *standin, uint64_t handle, const char *method,
+				  const char *path, const char *body);
 
 #endif
--- a/tests/standins/job_fit.c
+++ b/tests/standins/job_fit.c
@@ -22,7 +22,7 @@
 bool team_allows_start(const struct conf_team *team, const struct standin_job *job,
 		       const struct team_use *use)
 {
-	uint32_t tasks = job_unit_tasks(job);
+	uint32_t tasks = job_tasks_started_together(job);
 	struct team_use with_start = {
 	    .cpus = use->cpus + tasks * job->spec.cpus,
 	    .gpus = use->gpus + tasks * job->spec.gpus,
--- a/tests/standins/jobs.c
+++ b/tests/standins/jobs.c
@@ -35,7 +35,7 @@
 	return job->done[index / BITS_PER_BYTE] >> (index % BITS_PER_BYTE) & 1;
 }
 
-void job_mark_done(struct standin_job *job, uint32_t index)
+void job_mark_task_done(struct standin_job *job, uint32_t index)
 {
 	if (job_task_is_done(job, index))
 		return;
@@ -43,7 +43,7 @@
 	job->done_count++;
 }
 
-uint32_t job_unit_tasks(const struct standin_job *job)
+uint32_t job_tasks_started_together(const struct standin_job *job)
 {
 	return job->spec.kind == JOB_ARRAY ? 1 : job->spec.task_count;
 }
@@ -53,7 +53,7 @@
 	return job->known_cancelled && standin->now > job->cancelled_at + standin->conf->cancel_s;
 }
 
-bool task_holds_room(const struct standin_task *task)
+bool task_uses_capacity(const struct standin_task *task)
 {
 	return task->machine->power == POWER_UP && task->state != TASK_EXITED &&
 	       task->state != TASK_FETCHING;
@@ -68,13 +68,13 @@
 /* --- services --- */
 
 /*
- * True if the service should have all its replicas now. It has STANDIN_SERVED_AFTER_S to start
+ * True if the service should have all its replicas now. It has STANDIN_SERVICE_GRACE_S to start
  * them, and need not run any more once its cancellation was requested.
  */
 static bool replica_time_counts(const struct standin *standin, const struct standin_job *job)
 {
 	return job->spec.kind == JOB_SERVICE && job->accepted && !job->cancel_requested &&
-	       standin->now - job->accepted_at > STANDIN_SERVED_AFTER_S;
+	       standin->now - job->accepted_at > STANDIN_SERVICE_GRACE_S;
 }
 
 /* Adds the last `elapsed_s` seconds to a service's replica time. A replica on a hanging machine
@@ -83,13 +83,13 @@
 {
 	const struct standin_task *task;
 
-	job->replica_s += job->spec.task_count * elapsed_s;
+	job->required_replica_s += job->spec.task_count * elapsed_s;
 	DL_FOREACH2 (job->tasks, task, job_next)
 		if (task->state == TASK_RUNNING && !task->machine->hanging)
-			job->served_s += elapsed_s;
+			job->running_replica_s += elapsed_s;
 }
 
-void jobs_count_served(struct standin *standin, double elapsed_s)
+void jobs_count_replica_time(struct standin *standin, double elapsed_s)
 {
 	struct standin_job *job, *next;
 
--- a/tests/standins/jobs.h
+++ b/tests/standins/jobs.h
@@ -22,10 +22,10 @@
 struct standin_job {
 	/* Set by the scenario. */
 	struct job_spec spec;
-	double run_s; /* seconds that each task runs */
-	bool bad;     /* its description has a mistake: its tasks fail on every machine */
+	double run_s;	   /* seconds that each task runs */
+	bool always_fails; /* its description has a mistake: its tasks fail on every machine */
 	/* Why the tasks of a service end after run_s seconds; END_NONE: they run on. */
-	enum task_end_reason ends;
+	enum task_end_reason run_end_reason;
 
 	/* What its users have done and been answered. */
 	bool submitted; /* a user has sent its description */
@@ -37,7 +37,7 @@
 	double answered_at;   /* when a lookup was last answered; < 0: never */
 	double cancelled_at;  /* when an answer first showed it as cancelled */
 	double done_at;	      /* when an answer first showed it as done */
-	int answered_running; /* running tasks that the newest answer shows */
+	int known_running;    /* running tasks that the newest answer shows */
 
 	/* Its tasks and their attempts. */
 	struct standin_task *tasks; /* attempts on all machines, in any state, the oldest first */
@@ -47,13 +47,13 @@
 	uint32_t starts_seen;	    /* started attempts until the job began */
 	double began_at;	    /* when it began, see update_began_at; < 0: not yet */
 
-	/* Replica time of a service, from STANDIN_SERVED_AFTER_S after its acceptance. */
-	double replica_s; /* that its replicas should have run */
-	double served_s;  /* that they have run */
+	/* Replica time of a service, from STANDIN_SERVICE_GRACE_S after its acceptance. */
+	double required_replica_s; /* that its replicas should have run */
+	double running_replica_s;  /* that they have run */
 
 	/* State of the rule idle_room, as of its last check. */
-	uint32_t bound_tasks; /* attempts on all machines, in any state */
-	double room_since;    /* since when it waits though it could start; < 0: it does not */
+	uint32_t bound_tasks;	/* attempts on all machines, in any state */
+	double idle_room_since; /* since when it waits though it could start; < 0: it does not */
 
 	UT_hash_handle hh;
 };
@@ -78,8 +78,8 @@
 	struct standin_task *job_prev, *job_next; /* in the list of its job */
 };
 
-#define AMOUNT_TOLERANCE 1e-6	   /* in CPUs, GPUs or GB, for sums of decimal amounts */
-#define STANDIN_SERVED_AFTER_S 5.0 /* seconds after a service's acceptance that do not count */
+#define AMOUNT_TOLERANCE 1e-6	    /* in CPUs, GPUs or GB, for sums of decimal amounts */
+#define STANDIN_SERVICE_GRACE_S 5.0 /* seconds after a service's acceptance that do not count */
 
 /* The job with this id, or NULL. */
 struct standin_job *standin_job_find(struct standin *standin, const char *id);
@@ -91,16 +91,16 @@
  * Adds to each service's replica time what its replicas should have run, and what they have run, in
  * the last `elapsed_s` seconds.
  */
-void jobs_count_served(struct standin *standin, double elapsed_s);
+void jobs_count_replica_time(struct standin *standin, double elapsed_s);
 
 /* True if the task with this index has completed on any machine. */
 bool job_task_is_done(const struct standin_job *job, uint32_t index);
 
 /* Records that the task has completed. A second call for a task has no effect. */
-void job_mark_done(struct standin_job *job, uint32_t index);
+void job_mark_task_done(struct standin_job *job, uint32_t index);
 
 /* Number of tasks that start together: all of a gang or a service, one of an array. */
-uint32_t job_unit_tasks(const struct standin_job *job);
+uint32_t job_tasks_started_together(const struct standin_job *job);
 
 /*
  * True if an answer first showed the job as cancelled more than conf->cancel_s ago: no task may run
@@ -112,7 +112,7 @@
  * True if the task has started, which is when its image has been fetched, and has not exited, on a
  * machine that is up.
  */
-bool task_holds_room(const struct standin_task *task);
+bool task_uses_capacity(const struct standin_task *task);
 
 /* Removes the task from its job's list, not from its machine's, and frees it. */
 void task_free(struct standin_task *task);
--- a/tests/standins/machines.c
+++ b/tests/standins/machines.c
@@ -17,7 +17,7 @@
 #define RESTART_REPORT_S 0.2 /* seconds from a restart to the agent's first heartbeat */
 #define NO_NOTICE (-1.0)     /* notice_until of a machine without a notice */
 
-struct standin_machine *standin_machine_at(struct standin *standin, const char *addr)
+struct standin_machine *standin_machine_find_by_addr(struct standin *standin, const char *addr)
 {
 	int net, host;
 
@@ -66,7 +66,7 @@
 	return machine;
 }
 
-void machine_drop_tasks(struct standin_machine *machine)
+void machine_free_tasks(struct standin_machine *machine)
 {
 	while (machine->tasks) {
 		struct standin_task *task = machine->tasks;
@@ -76,16 +76,17 @@
 	}
 }
 
-void standin_machine_off(struct standin *standin, struct standin_machine *machine, bool deleted)
+void standin_machine_power_off(struct standin *standin, struct standin_machine *machine,
+			       bool deleted)
 {
 	machine->power = deleted ? POWER_DELETED : POWER_OFF;
 	machine->off_at = standin->now;
-	machine_drop_tasks(machine);
+	machine_free_tasks(machine);
 }
 
 void standin_machine_restart(struct standin *standin, struct standin_machine *machine)
 {
-	machine_drop_tasks(machine);
+	machine_free_tasks(machine);
 	machine->incarnation = FIRST_INCARNATION;
 	machine->sequence = 0;
 	machine->token = 0;
@@ -114,11 +115,11 @@
  */
 static void expire_agent_lease(struct standin *standin, struct standin_machine *machine)
 {
-	machine_drop_tasks(machine);
+	machine_free_tasks(machine);
 	machine->incarnation++;
 	machine->lease_renewed_at = standin->now;
 	machine->report_unanswered = false;
-	machine->changed = true;
+	machine->changed_since_report = true;
 }
 
 void machine_tick(struct standin *standin, struct standin_machine *machine, double elapsed_s)
@@ -128,7 +129,7 @@
 	if (machine->power != POWER_UP || machine->hanging)
 		return;
 	if (machine->notice_until >= 0 && standin->now >= machine->notice_until) {
-		standin_machine_off(standin, machine, true);
+		standin_machine_power_off(standin, machine, true);
 		return;
 	}
 	if (standin->now - machine->lease_renewed_at > standin->conf->lease_s)
--- a/tests/standins/machines.h
+++ b/tests/standins/machines.h
@@ -47,8 +47,8 @@
 
 	/* Its heartbeats. The fields report_... are those of the newest one. */
 	double next_report_at;
-	bool report_unanswered; /* the agent waits for the answer */
-	bool changed;		/* the machine has changed since the newest heartbeat */
+	bool report_unanswered;	   /* the agent waits for the answer */
+	bool changed_since_report; /* the machine has changed since the newest heartbeat */
 	uint64_t report_sequence;
 	uint64_t report_incarnation;
 	double report_sent_at;
@@ -68,13 +68,14 @@
 					    const char *zone, bool spot);
 
 /* The machine whose agent has this address, or NULL. */
-struct standin_machine *standin_machine_at(struct standin *standin, const char *addr);
+struct standin_machine *standin_machine_find_by_addr(struct standin *standin, const char *addr);
 
 /*
  * Powers a machine off, and frees its tasks. `deleted`: the cloud no longer has it; else it failed
  * and stays listed.
  */
-void standin_machine_off(struct standin *standin, struct standin_machine *machine, bool deleted);
+void standin_machine_power_off(struct standin *standin, struct standin_machine *machine,
+			       bool deleted);
 
 /*
  * Restarts a machine under the same id. Its tasks are lost, and its agent begins again with the
@@ -83,7 +84,7 @@
 void standin_machine_restart(struct standin *standin, struct standin_machine *machine);
 
 /* Frees the machine's tasks, whatever their state. */
-void machine_drop_tasks(struct standin_machine *machine);
+void machine_free_tasks(struct standin_machine *machine);
 
 /* Advances a machine by the `elapsed_s` seconds up to standin->now. */
 void machine_tick(struct standin *standin, struct standin_machine *machine, double elapsed_s);
--- a/tests/standins/rule_answers.c
+++ b/tests/standins/rule_answers.c
@@ -122,7 +122,7 @@
 	};
 
 	job->answered_at = standin->now;
-	job->answered_running = (int)json_integer_value(json_object_get(body, W_RUNNING));
+	job->known_running = (int)json_integer_value(json_object_get(body, W_RUNNING));
 	for (size_t i = 0; i < sizeof(state_checks) / sizeof(*state_checks); i++)
 		state_checks[i](standin, job, &state);
 	record_final_state(standin, job, &state);
--- a/tests/standins/rule_idle_room.c
+++ b/tests/standins/rule_idle_room.c
@@ -132,7 +132,7 @@
 /* True if idle capacity allows the job to start, for a job that wants one zone within a zone. */
 static bool has_idle_capacity(const struct standin *standin, const struct standin_job *job)
 {
-	uint32_t needed = job_unit_tasks(job);
+	uint32_t needed = job_tasks_started_together(job);
 
 	if (!job->spec.one_zone || needed == 1)
 		return count_idle_slots(standin, job, NULL) >= needed;
@@ -151,7 +151,7 @@
  */
 static bool is_waiting(const struct standin_job *job)
 {
-	return job->accepted && !job->cancel_requested && !job->bad && !job->bound_tasks &&
+	return job->accepted && !job->cancel_requested && !job->always_fails && !job->bound_tasks &&
 	       job->done_count < job->spec.task_count;
 }
 
@@ -173,12 +173,12 @@
 	double waited_s;
 
 	if (!waits_despite_capacity(standin, job)) {
-		job->room_since = -1;
+		job->idle_room_since = -1;
 		return;
 	}
-	if (job->room_since < 0)
-		job->room_since = standin->now;
-	waited_s = standin->now - job->room_since;
+	if (job->idle_room_since < 0)
+		job->idle_room_since = standin->now;
+	waited_s = standin->now - job->idle_room_since;
 	if (waited_s > WAIT_MAX_S)
 		standin_rule_broken(
 		    standin, RULE_IDLE_ROOM,
@@ -187,7 +187,7 @@
 		    job->spec.id, job->spec.task_count, job->spec.team, waited_s, WAIT_MAX_S);
 }
 
-void standin_check_room(struct standin *standin, double quiet_since)
+void standin_check_idle_room(struct standin *standin, double quiet_since)
 {
 	struct standin_job *job;
 
--- a/tests/standins/rule_served.c
+++ b/tests/standins/rule_served.c
@@ -14,7 +14,7 @@
 /* True if the job should begin. */
 static bool is_expected(const struct standin_job *job)
 {
-	return job->accepted && !job->cancel_requested && !job->bad;
+	return job->accepted && !job->cancel_requested && !job->always_fails;
 }
 
 /* --- groups of jobs of which half must begin --- */
--- a/tests/standins/rule_starts.c
+++ b/tests/standins/rule_starts.c
@@ -18,7 +18,7 @@
 	const struct standin_task *other;
 
 	DL_FOREACH2 (task->job->tasks, other, job_next)
-		if (other != task && other->index == task->index && task_holds_room(other))
+		if (other != task && other->index == task->index && task_uses_capacity(other))
 			standin_rule_broken(
 			    standin, RULE_RAN_TWICE,
 			    "task %s/%u started on machine %s (attempt %llu) while it "
@@ -72,7 +72,7 @@
 	if (!spec->one_zone)
 		return;
 	DL_FOREACH2 (task->job->tasks, other, job_next)
-		if (task_holds_room(other) && strcmp(other->machine->zone, task->machine->zone))
+		if (task_uses_capacity(other) && strcmp(other->machine->zone, task->machine->zone))
 			standin_rule_broken(
 			    standin, RULE_WRONG_PLACE,
 			    "task %s/%u started in zone %s while task %u runs in zone "
@@ -93,7 +93,7 @@
 		return;
 	DL_FOREACH2 (task->job->tasks, other, job_next)
 		in_zone +=
-		    task_holds_room(other) && !strcmp(other->machine->zone, task->machine->zone);
+		    task_uses_capacity(other) && !strcmp(other->machine->zone, task->machine->zone);
 	if (in_zone > most)
 		standin_rule_broken(
 		    standin, RULE_WRONG_PLACE,
@@ -113,7 +113,7 @@
 		if (strcmp(job->spec.team, team))
 			continue;
 		DL_FOREACH2 (job->tasks, task, job_next) {
-			if (!task_holds_room(task))
+			if (!task_uses_capacity(task))
 				continue;
 			use.cpus += job->spec.cpus;
 			use.gpus += job->spec.gpus;
@@ -173,7 +173,7 @@
 	task->machine->last_start_at = standin->now;
 }
 
-void check_start(struct standin *standin, const struct standin_task *task)
+void check_task_start(struct standin *standin, const struct standin_task *task)
 {
 	count_start(standin, task);
 	for (size_t i = 0; i < sizeof(start_checks) / sizeof(*start_checks); i++)
@@ -188,7 +188,7 @@
  */
 static void check_ran_on(struct standin *standin, const struct standin_task *task)
 {
-	if (task_holds_room(task) && job_cancel_overdue(standin, task->job))
+	if (task_uses_capacity(task) && job_cancel_overdue(standin, task->job))
 		standin_rule_broken(
 		    standin, RULE_RAN_CANCELLED,
 		    "task %s/%u runs on machine %s %.1f s after its job was shown as "
--- a/tests/standins/rules.c
+++ b/tests/standins/rules.c
@@ -24,12 +24,12 @@
 	standin->rules_broken[rule]++;
 	if (standin->rules_broken[rule] > 1)
 		return;
-	length =
-	    snprintf(standin->broken_why, sizeof(standin->broken_why), "%s: ", rule_names[rule]);
+	length = snprintf(standin->broken_rule_message, sizeof(standin->broken_rule_message),
+			  "%s: ", rule_names[rule]);
 	va_start(arguments, format);
-	vsnprintf(standin->broken_why + length, sizeof(standin->broken_why) - (size_t)length,
-		  format, arguments);
+	vsnprintf(standin->broken_rule_message + length,
+		  sizeof(standin->broken_rule_message) - (size_t)length, format, arguments);
 	va_end(arguments);
 	if (standin->verbose)
-		fprintf(stderr, "%8.3f RULE %s\n", standin->now, standin->broken_why);
+		fprintf(stderr, "%8.3f RULE %s\n", standin->now, standin->broken_rule_message);
 }
--- a/tests/standins/rules.h
+++ b/tests/standins/rules.h
@@ -32,7 +32,7 @@
 
 /*
  * Records that a rule was broken. The first time for each rule, the message is kept with the rule's
- * name in standin->broken_why, and printed to stderr if standin->verbose.
+ * name in standin->broken_rule_message, and printed to stderr if standin->verbose.
  */
 void standin_rule_broken(struct standin *standin, enum rule rule, const char *format, ...)
     __attribute__((format(printf, 3, 4)));
@@ -40,7 +40,7 @@
 /* --- tasks on machines: rule_starts.c --- */
 
 /* Counts the start of a task, and checks the rules on which tasks may run where. */
-void check_start(struct standin *standin, const struct standin_task *task);
+void check_task_start(struct standin *standin, const struct standin_task *task);
 
 /* Checks that the tasks of cancelled jobs have ended in time (rule ran_cancelled). */
 void check_cancelled_tasks(struct standin *standin);
@@ -69,7 +69,7 @@
  * Checks that no job waits though there is free capacity for it (rule idle_room). The scenario's
  * faults end at `quiet_since`; nothing is checked before that.
  */
-void standin_check_room(struct standin *standin, double quiet_since);
+void standin_check_idle_room(struct standin *standin, double quiet_since);
 
 /*
  * Checks, at the end of a scenario, that enough jobs of each class and team and of the largest ones
--- a/tests/standins/standin.c
+++ b/tests/standins/standin.c
@@ -28,14 +28,14 @@
 	state_service_tick(standin);
 	for (int i = 0; i < standin->machine_count; i++)
 		machine_tick(standin, &standin->machines[i], elapsed_s);
-	jobs_count_served(standin, elapsed_s);
+	jobs_count_replica_time(standin, elapsed_s);
 	check_cancelled_tasks(standin);
 }
 
 void standin_free(struct standin *standin)
 {
 	for (int i = 0; i < standin->machine_count; i++) {
-		machine_drop_tasks(&standin->machines[i]);
+		machine_free_tasks(&standin->machines[i]);
 		free(standin->machines[i].report_text);
 	}
 	free(standin->machines);
--- a/tests/standins/standin.h
+++ b/tests/standins/standin.h
@@ -17,7 +17,7 @@
 #include "standins/rules.h"
 #include "standins/state_service.h"
 
-#define STANDIN_WHY_MAX 256 /* bytes of the message on a broken rule, with its NUL */
+#define STANDIN_RULE_MESSAGE_MAX 256 /* bytes of the message on a broken rule, with its NUL */
 
 /* How the stand-ins send messages. The texts are valid only during the call. */
 struct standin_callbacks {
@@ -48,7 +48,7 @@
 	/* The checker of the rules. */
 	int rules_broken[RULE_COUNT]; /* how often each rule was broken */
 	/* Name and message of the rule that was last broken for the first time. */
-	char broken_why[STANDIN_WHY_MAX];
+	char broken_rule_message[STANDIN_RULE_MESSAGE_MAX];
 	bool verbose;		   /* messages on broken rules are also printed to stderr */
 	double next_room_check_at; /* next check of the rule idle_room */
 
--- a/tests/standins/state_keys.c
+++ b/tests/standins/state_keys.c
@@ -19,9 +19,9 @@
 	return key;
 }
 
-void state_key_drop(struct standin_state_service *state_service, struct standin_key *key)
+void state_key_delete(struct standin_state_service *state_service, struct standin_key *key)
 {
-	state_note_change(state_service, key->key, NULL);
+	state_record_change(state_service, key->key, NULL);
 	HASH_DEL(state_service->keys, key);
 	json_decref(key->value);
 	free(key);
@@ -47,7 +47,7 @@
 	key->value = json_incref(value);
 	key->version = state_service->revision;
 	key->lease = lease;
-	state_note_change(state_service, name, value);
+	state_record_change(state_service, name, value);
 }
 
 /* --- reads --- */
--- a/tests/standins/state_leases.c
+++ b/tests/standins/state_leases.c
@@ -46,7 +46,7 @@
 		if (!any)
 			state_service->revision++;
 		any = true;
-		state_key_drop(state_service, key);
+		state_key_delete(state_service, key);
 	}
 }
 
@@ -113,7 +113,7 @@
 	}
 }
 
-void state_leases_extend(struct standin *standin)
+void state_leases_renew_all(struct standin *standin)
 {
 	struct standin_lease *lease = standin->state_service.leases;
 
--- a/tests/standins/state_private.h
+++ b/tests/standins/state_private.h
@@ -18,7 +18,7 @@
 void state_key_put(struct standin_state_service *state_service, const char *key, json_t *value,
 		   uint64_t lease);
 /* Deletes a key at the present revision, and records the change. */
-void state_key_drop(struct standin_state_service *state_service, struct standin_key *key);
+void state_key_delete(struct standin_state_service *state_service, struct standin_key *key);
 
 /* Answers a request for one key. */
 void state_get(struct standin *standin, uint64_t handle, const char *path);
@@ -44,7 +44,7 @@
 void state_leases_expire(struct standin *standin);
 
 /* Renews every lease. */
-void state_leases_extend(struct standin *standin);
+void state_leases_renew_all(struct standin *standin);
 
 /* --- state_transactions.c --- */
 
@@ -54,7 +54,8 @@
 /* --- state_watches.c --- */
 
 /* Records a change at the present revision. `value` is NULL if the key was deleted. */
-void state_note_change(struct standin_state_service *state_service, const char *key, json_t *value);
+void state_record_change(struct standin_state_service *state_service, const char *key,
+			 json_t *value);
 
 /*
  * Registers a watch. It is answered at once if there are changes for it, or if the changes since
--- a/tests/standins/state_service.c
+++ b/tests/standins/state_service.c
@@ -116,13 +116,13 @@
 	puts = count_puts(path, body);
 	if (state_service->request_allowance < 1 ||
 	    (puts > 0 && state_service->put_allowance < puts)) {
-		state_service->refused++;
+		state_service->requests_over_limit++;
 		return false;
 	}
 	state_service->request_allowance -= 1;
 	state_service->put_allowance -= puts;
 	state_service->requests++;
-	state_service->puts += (uint64_t)puts;
+	state_service->writes += (uint64_t)puts;
 	return true;
 }
 
@@ -148,8 +148,8 @@
 		state_get(standin, handle, path);
 }
 
-void standin_state_request(struct standin *standin, int controller, uint64_t handle,
-			   const char *method, const char *path, const char *body)
+void standin_state_handle_request(struct standin *standin, int controller, uint64_t handle,
+				  const char *method, const char *path, const char *body)
 {
 	const struct standin_state_service *state_service = &standin->state_service;
 
@@ -161,12 +161,12 @@
 		dispatch_request(standin, controller, handle, method, path, body);
 }
 
-void standin_state_outage(struct standin *standin, bool down)
+void standin_state_set_outage(struct standin *standin, bool down)
 {
 	struct standin_state_service *state_service = &standin->state_service;
 
 	if (state_service->down && !down)
-		state_leases_extend(standin);
+		state_leases_renew_all(standin);
 	state_service->down = down;
 	state_watches_answer(standin);
 }
--- a/tests/standins/state_service.h
+++ b/tests/standins/state_service.h
@@ -82,13 +82,13 @@
 	double allowance_at; /* when both allowances were last refilled */
 
 	/* Counts since the start. */
-	uint64_t requests; /* requests within the rates */
-	uint64_t puts;	   /* puts and deletes in these requests */
-	uint64_t refused;  /* requests beyond the rates */
+	uint64_t requests;	      /* requests within the rates */
+	uint64_t writes;	      /* puts and deletes in these requests */
+	uint64_t requests_over_limit; /* requests beyond the rates */
 	/* Transactions that are invalid whatever the guards: too large, or of an unknown lease. */
-	uint64_t too_large;
+	uint64_t invalid_transactions;
 	/* Transactions that wrote the leader's key, see writes_leader_key. */
-	uint64_t takeovers;
+	uint64_t leader_key_writes;
 };
 
 /*
@@ -108,10 +108,10 @@
  * Handles a request of a controller and answers through standin->callbacks: at once, or a watch
  * when there are changes for it or its time is over.
  */
-void standin_state_request(struct standin *standin, int controller, uint64_t handle,
-			   const char *method, const char *path, const char *body);
+void standin_state_handle_request(struct standin *standin, int controller, uint64_t handle,
+				  const char *method, const char *path, const char *body);
 
 /* Begins or ends an outage. The end of an outage renews every lease. */
-void standin_state_outage(struct standin *standin, bool down);
+void standin_state_set_outage(struct standin *standin, bool down);
 
 #endif
--- a/tests/standins/state_transactions.c
+++ b/tests/standins/state_transactions.c
@@ -123,7 +123,7 @@
 		state_key_put(state_service, put, json_object_get(change, W_VALUE),
 			      integer_field(change, W_LEASE));
 	else if (dropped)
-		state_key_drop(state_service, dropped);
+		state_key_delete(state_service, dropped);
 }
 
 /* Applies all changes in one new revision. */
@@ -134,7 +134,7 @@
 
 	if (json_array_size(changes))
 		state_service->revision++;
-	state_service->takeovers += writes_leader_key(changes);
+	state_service->leader_key_writes += writes_leader_key(changes);
 	json_array_foreach (changes, i, change)
 		apply_change(state_service, change);
 }
@@ -170,7 +170,7 @@
 	const char *error = transaction_error(state_service, guards, changes);
 
 	if (error) {
-		state_service->too_large++;
+		state_service->invalid_transactions++;
 		standin_answer_error(standin, handle, STATUS_BAD_REQUEST, error);
 	} else {
 		commit(standin, handle, guards, changes);
--- a/tests/standins/state_watches.c
+++ b/tests/standins/state_watches.c
@@ -23,7 +23,8 @@
 			  sizeof(*state_service->changes));
 }
 
-void state_note_change(struct standin_state_service *state_service, const char *key, json_t *value)
+void state_record_change(struct standin_state_service *state_service, const char *key,
+			 json_t *value)
 {
 	struct standin_change *change;
 
