--- a/tests/standins/agent_commands.c
+++ b/tests/standins/agent_commands.c
@@ -85,8 +85,8 @@
 	snprintf(task->job_id, sizeof(task->job_id), "%s", target->job);
 	task->index = target->index;
 	task->attempt = target->attempt;
-	task->since = standin->now;
-	task->fetched_at = standin->now + job->spec.image_gb / machine->type->fetch_gb_per_s;
+	task->started_at = standin->now;
+	task->image_ready_at = standin->now + job->spec.image_gb / machine->type->fetch_gb_per_s;
 	task->machine = machine;
 	task->next = machine->tasks;
 	machine->tasks = task;
--- a/tests/standins/agent_tasks.c
+++ b/tests/standins/agent_tasks.c
@@ -45,7 +45,7 @@
 	const struct standin_job *job = task->job;
 
 	task->state = job->spec.kind == JOB_GANG ? TASK_WAITING : TASK_RUNNING;
-	task->since = standin->now;
+	task->started_at = standin->now;
 	check_task_start(standin, task);
 	task->machine->changed_since_report = true;
 	if (task->machine->faulty || job->always_fails)
@@ -60,7 +60,7 @@
 	if (is_gang_complete(task->job, task->attempt, TASK_WAITING)) {
 		task->state = TASK_RUNNING;
 		task->machine->changed_since_report = true;
-	} else if (standin->now - task->since > standin->conf->gang_wait_s) {
+	} else if (standin->now - task->started_at > standin->conf->gang_wait_s) {
 		task_exit(task, END_ALONE);
 	}
 }
@@ -68,9 +68,9 @@
 /* The task makes no progress while its gang is incomplete; it gives up after conf->gang_peer_s. */
 static void wait_for_lost_peers(struct standin *standin, struct standin_task *task)
 {
-	if (task->peers_missed_at <= 0)
-		task->peers_missed_at = standin->now;
-	if (standin->now - task->peers_missed_at > standin->conf->gang_peer_s)
+	if (task->gang_incomplete_since <= 0)
+		task->gang_incomplete_since = standin->now;
+	if (standin->now - task->gang_incomplete_since > standin->conf->gang_peer_s)
 		task_exit(task, END_PEERS_LOST);
 }
 
@@ -122,7 +122,7 @@
 {
 	switch (task->state) {
 	case TASK_FETCHING:
-		if (standin->now >= task->fetched_at)
+		if (standin->now >= task->image_ready_at)
 			finish_fetch(standin, task);
 		break;
 	case TASK_WAITING:
--- a/tests/standins/cloud.c
+++ b/tests/standins/cloud.c
@@ -66,8 +66,8 @@
 	bool spot = json_is_true(json_object_get(request, W_SPOT));
 	struct standin_machine *machine = standin_machine_add(standin, type, zone, spot);
 
-	if (standin->cloud.never_boot > 0) {
-		standin->cloud.never_boot--;
+	if (standin->cloud.never_boot_count > 0) {
+		standin->cloud.never_boot_count--;
 		machine->up_at = INFINITY;
 	}
 	return json_string(machine->id);
@@ -209,6 +209,7 @@
 {
 	const struct standin_cloud *cloud = &standin->cloud;
 
+	/* The text "trouble" stands for an outage. */
 	if (cloud->down)
 		standin_answer_error(standin, handle, STATUS_UNAVAILABLE, "trouble");
 	else if (!strcmp(path, W_PATH_TYPES))
--- a/tests/standins/cloud.h
+++ b/tests/standins/cloud.h
@@ -30,7 +30,7 @@
 	bool reuse[STANDIN_MACHINE_TYPES_MAX];	 /* of each type: a deleted machine adds to the
 						    capacity */
 	bool down;				 /* every request gets 503 */
-	int never_boot;			/* number of the next rented machines that never come up */
+	int never_boot_count;		/* number of the next rented machines that never come up */
 	struct standin_rental *rentals; /* owned */
 	size_t rental_count;
 };
--- a/tests/standins/jobs.c
+++ b/tests/standins/jobs.c
@@ -50,7 +50,8 @@
 
 bool job_cancel_overdue(const struct standin *standin, const struct standin_job *job)
 {
-	return job->known_cancelled && standin->now > job->cancelled_at + standin->conf->cancel_s;
+	return job->known_cancelled &&
+	       standin->now > job->known_cancelled_at + standin->conf->cancel_s;
 }
 
 bool task_uses_capacity(const struct standin_task *task)
--- a/tests/standins/jobs.h
+++ b/tests/standins/jobs.h
@@ -31,28 +31,28 @@
 	bool submitted; /* a user has sent its description */
 	bool accepted;
 	bool cancel_requested;
-	bool known_cancelled; /* an answer has shown it as cancelled */
-	bool known_done;      /* an answer has shown it as done */
-	double accepted_at;   /* < 0: not yet */
-	double answered_at;   /* when a lookup was last answered; < 0: never */
-	double cancelled_at;  /* when an answer first showed it as cancelled */
-	double done_at;	      /* when an answer first showed it as done */
-	int known_running;    /* running tasks that the newest answer shows */
+	bool known_cancelled;	   /* an answer has shown it as cancelled */
+	bool known_done;	   /* an answer has shown it as done */
+	double accepted_at;	   /* < 0: not yet */
+	double answered_at;	   /* when a lookup was last answered; < 0: never */
+	double known_cancelled_at; /* when an answer first showed it as cancelled */
+	double known_done_at;	   /* when an answer first showed it as done */
+	int known_running;	   /* running tasks that the newest answer shows */
 
 	/* Its tasks and their attempts. */
-	struct standin_task *tasks; /* attempts on all machines, in any state, the oldest first */
-	uint8_t *done;		    /* owned; one bit for each task, set when it has completed */
-	uint32_t done_count;	    /* completed tasks */
-	uint32_t starts;	    /* started attempts */
-	uint32_t starts_seen;	    /* started attempts until the job began */
-	double began_at;	    /* when it began, see update_began_at; < 0: not yet */
+	struct standin_task *tasks;  /* attempts on all machines, in any state, the oldest first */
+	uint8_t *done;		     /* owned; one bit for each task, set when it has completed */
+	uint32_t done_count;	     /* completed tasks */
+	uint32_t starts;	     /* started attempts */
+	uint32_t starts_until_begin; /* started attempts until the job began */
+	double began_at;	     /* when it began, see update_began_at; < 0: not yet */
 
 	/* Replica time of a service, from STANDIN_SERVICE_GRACE_S after its acceptance. */
 	double required_replica_s; /* that its replicas should have run */
 	double running_replica_s;  /* that they have run */
 
 	/* State of the rule idle_room, as of its last check. */
-	uint32_t bound_tasks;	/* attempts on all machines, in any state */
+	uint32_t tasks_on_machines; /* attempts on all machines, in any state */
 	double idle_room_since; /* since when it waits though it could start; < 0: it does not */
 
 	UT_hash_handle hh;
@@ -65,13 +65,13 @@
 	uint64_t attempt;
 	enum task_state state;
 	enum task_end_reason end_reason;
-	bool saved;	   /* its state was saved when it was stopped */
-	double fetched_at; /* when its image is fetched */
-	double since;	   /* when it was created, later when it started */
-	double progress;   /* seconds that it has run */
-	double save_until; /* when its state is saved */
+	bool saved;	       /* its state was saved when it was stopped */
+	double image_ready_at; /* when the fetch of its image ends */
+	double started_at;     /* when its image was fetched; before that, when it was added */
+	double progress;       /* seconds that it has run */
+	double save_until;     /* when the save of its state ends */
 	/* When another task of its gang was first found missing; 0: never. */
-	double peers_missed_at;
+	double gang_incomplete_since;
 	struct standin_task *next; /* on its machine */
 	struct standin_job *job;
 	struct standin_machine *machine;
--- a/tests/standins/rule_answers.c
+++ b/tests/standins/rule_answers.c
@@ -76,9 +76,9 @@
 static void check_went_back(struct standin *standin, const struct standin_job *job,
 			    const struct shown_state *state)
 {
-	bool undone = job->known_done && !state->done && state->sent_at >= job->done_at;
+	bool undone = job->known_done && !state->done && state->sent_at >= job->known_done_at;
 	bool revived =
-	    job->known_cancelled && !state->cancelled && state->sent_at >= job->cancelled_at;
+	    job->known_cancelled && !state->cancelled && state->sent_at >= job->known_cancelled_at;
 	bool unrequested = state->cancelled && !job->cancel_requested;
 
 	if (undone || revived || unrequested)
@@ -101,11 +101,11 @@
 {
 	if (state->done && !job->known_done) {
 		job->known_done = true;
-		job->done_at = standin->now;
+		job->known_done_at = standin->now;
 	}
 	if (state->cancelled && !job->known_cancelled) {
 		job->known_cancelled = true;
-		job->cancelled_at = standin->now;
+		job->known_cancelled_at = standin->now;
 	}
 }
 
--- a/tests/standins/rule_idle_room.c
+++ b/tests/standins/rule_idle_room.c
@@ -28,12 +28,12 @@
 	struct standin_job *job;
 
 	for (job = standin->jobs; job; job = job->hh.next)
-		job->bound_tasks = 0;
+		job->tasks_on_machines = 0;
 	for (int i = 0; i < standin->machine_count; i++) {
 		const struct standin_task *task = standin->machines[i].tasks;
 
 		for (; task; task = task->next)
-			task->job->bound_tasks++;
+			task->job->tasks_on_machines++;
 	}
 }
 
@@ -58,10 +58,10 @@
 	const struct standin_job *job;
 
 	for (job = standin->jobs; job; job = job->hh.next) {
-		if (!job->bound_tasks || strcmp(job->spec.team, team->name))
+		if (!job->tasks_on_machines || strcmp(job->spec.team, team->name))
 			continue;
-		use.cpus += job->bound_tasks * job->spec.cpus;
-		use.gpus += job->bound_tasks * job->spec.gpus;
+		use.cpus += job->tasks_on_machines * job->spec.cpus;
+		use.gpus += job->tasks_on_machines * job->spec.gpus;
 	}
 	return use;
 }
@@ -151,8 +151,8 @@
  */
 static bool is_waiting(const struct standin_job *job)
 {
-	return job->accepted && !job->cancel_requested && !job->always_fails && !job->bound_tasks &&
-	       job->done_count < job->spec.task_count;
+	return job->accepted && !job->cancel_requested && !job->always_fails &&
+	       !job->tasks_on_machines && job->done_count < job->spec.task_count;
 }
 
 /* True if the job waits though its team's quota and idle capacity allow it to start. */
@@ -167,7 +167,10 @@
 	return team_allows_start(team, job, &use) && has_idle_capacity(standin, job);
 }
 
-/* Breaks the rule if the job has waited too long, in all checks in a row, though it could start. */
+/*
+ * Breaks the rule if the job has waited too long. The time counts only while each check finds that
+ * the job could start.
+ */
 static void check_job(struct standin *standin, struct standin_job *job)
 {
 	double waited_s;
@@ -191,9 +194,9 @@
 {
 	struct standin_job *job;
 
-	if (standin->now < quiet_since || standin->now < standin->next_room_check_at)
+	if (standin->now < quiet_since || standin->now < standin->next_idle_room_check_at)
 		return;
-	standin->next_room_check_at = standin->now + CHECK_INTERVAL_S;
+	standin->next_idle_room_check_at = standin->now + CHECK_INTERVAL_S;
 	count_tasks_on_machines(standin);
 	for (int i = 0; i < standin->machine_count; i++)
 		count_free_capacity(&standin->machines[i]);
--- a/tests/standins/rule_starts.c
+++ b/tests/standins/rule_starts.c
@@ -40,7 +40,7 @@
 		    "task %s/%u started on machine %s %.1f s after its job was shown as "
 		    "cancelled, expected at most %.1f s",
 		    task->job_id, task->index, task->machine->id,
-		    standin->now - task->job->cancelled_at, standin->conf->cancel_s);
+		    standin->now - task->job->known_cancelled_at, standin->conf->cancel_s);
 }
 
 /* Rule wrong_place: a task starts only on a machine type, in a zone and on a spot machine if its
@@ -85,7 +85,7 @@
 static void check_spread(struct standin *standin, const struct standin_task *task)
 {
 	const struct job_spec *spec = &task->job->spec;
-	uint32_t most = (spec->task_count + 1) / 2;
+	uint32_t max_in_zone = (spec->task_count + 1) / 2;
 	uint32_t in_zone = 0;
 	const struct standin_task *other;
 
@@ -94,12 +94,12 @@
 	DL_FOREACH2 (task->job->tasks, other, job_next)
 		in_zone +=
 		    task_uses_capacity(other) && !strcmp(other->machine->zone, task->machine->zone);
-	if (in_zone > most)
+	if (in_zone > max_in_zone)
 		standin_rule_broken(
 		    standin, RULE_WRONG_PLACE,
 		    "job %s is not spread: %u of its %u tasks run in zone %s, expected "
 		    "at most %u",
-		    spec->id, in_zone, spec->task_count, task->machine->zone, most);
+		    spec->id, in_zone, spec->task_count, task->machine->zone, max_in_zone);
 }
 
 /* The use of a team's tasks that have started and not exited. */
@@ -153,12 +153,12 @@
  */
 static void update_began_at(const struct standin *standin, struct standin_job *job)
 {
-	uint32_t least = job->spec.kind == JOB_GANG ? job->spec.task_count : 1;
+	uint32_t needed = job->spec.kind == JOB_GANG ? job->spec.task_count : 1;
 
 	if (job->began_at >= 0)
 		return;
-	job->starts_seen++;
-	if (job->starts_seen >= least)
+	job->starts_until_begin++;
+	if (job->starts_until_begin >= needed)
 		job->began_at = standin->now;
 }
 
@@ -194,7 +194,7 @@
 		    "task %s/%u runs on machine %s %.1f s after its job was shown as "
 		    "cancelled, expected at most %.1f s",
 		    task->job_id, task->index, task->machine->id,
-		    standin->now - task->job->cancelled_at, standin->conf->cancel_s);
+		    standin->now - task->job->known_cancelled_at, standin->conf->cancel_s);
 }
 
 void check_cancelled_tasks(struct standin *standin)
--- a/tests/standins/rules.h
+++ b/tests/standins/rules.h
@@ -47,13 +47,16 @@
 
 /* --- answers to users: rule_answers.c --- */
 
+/* Checks the answer to a submission, and records its acceptance. `status` is the HTTP status. */
+void standin_submission_answered(struct standin *standin, const char *id, int status);
 /*
- * Check the answer to a user's request. `status` is the HTTP status; `sent_at` is when the request
- * was sent.
+ * Checks the answer to a lookup, and records the state that it shows. `status` is the HTTP status,
+ * `sent_at` is when the lookup was sent.
  */
-void standin_submission_answered(struct standin *standin, const char *id, int status);
 void standin_lookup_answered(struct standin *standin, const char *id, int status, const char *body,
 			     double sent_at);
+/* The same for the answer to a cancellation. Only one with status 200 shows a state and is checked.
+ */
 void standin_cancellation_answered(struct standin *standin, const char *id, int status,
 				   const char *body, double sent_at);
 
--- a/tests/standins/standin.c
+++ b/tests/standins/standin.c
@@ -21,10 +21,10 @@
 void standin_tick(struct standin *standin, double now)
 {
 	/* Not from standin->now, which the caller also sets for each message between ticks. */
-	double elapsed_s = now - standin->ticked_at;
+	double elapsed_s = now - standin->last_tick_at;
 
 	standin->now = now;
-	standin->ticked_at = now;
+	standin->last_tick_at = now;
 	state_service_tick(standin);
 	for (int i = 0; i < standin->machine_count; i++)
 		machine_tick(standin, &standin->machines[i], elapsed_s);
--- a/tests/standins/standin.h
+++ b/tests/standins/standin.h
@@ -32,8 +32,8 @@
 	const struct standin_callbacks *callbacks;
 	void *context;		 /* first argument of the callbacks */
 	const struct conf *conf; /* the caller's, valid until standin_free */
-	double now;	  /* seconds; set by the caller before each request, and by standin_tick */
-	double ticked_at; /* time of the last tick, up to which tasks have progressed */
+	double now; /* seconds; set by the caller before each request, and by standin_tick */
+	double last_tick_at; /* time of the last tick, up to which tasks have progressed */
 
 	struct standin_state_service state_service;
 	struct standin_cloud cloud;
@@ -49,8 +49,8 @@
 	int rules_broken[RULE_COUNT]; /* how often each rule was broken */
 	/* Name and message of the rule that was last broken for the first time. */
 	char broken_rule_message[STANDIN_RULE_MESSAGE_MAX];
-	bool verbose;		   /* messages on broken rules are also printed to stderr */
-	double next_room_check_at; /* next check of the rule idle_room */
+	bool verbose;			/* messages on broken rules are also printed to stderr */
+	double next_idle_room_check_at; /* next check of the rule idle_room */
 
 	/* Counts since the start. */
 	uint64_t starts_total;
--- a/tests/standins/state_leases.c
+++ b/tests/standins/state_leases.c
@@ -67,7 +67,7 @@
 	struct standin_lease *lease = xcalloc(1, sizeof(*lease));
 	json_t *request = wire_parse(body, strlen(body));
 
-	lease->id = state_service->next_lease++;
+	lease->id = state_service->next_lease_id++;
 	lease->ttl_ms = (int)json_integer_value(json_object_get(request, W_TTL));
 	renew_lease(standin, lease);
 	lease->next = state_service->leases;
--- a/tests/standins/state_service.c
+++ b/tests/standins/state_service.c
@@ -20,7 +20,7 @@
 			const struct conf_limits *limits)
 {
 	state_service->revision = 1;
-	state_service->next_lease = 1;
+	state_service->next_lease_id = 1;
 	state_service->txn_ops = limits->txn_ops;
 	state_service->value_bytes = (size_t)(limits->value_kb * BYTES_PER_KB);
 	state_service->rps = limits->rps;
@@ -84,9 +84,9 @@
 	state_service->allowance_at = standin->now;
 	state_service->request_allowance = fmin(
 	    state_service->rps, state_service->request_allowance + elapsed_s * state_service->rps);
-	state_service->put_allowance =
+	state_service->write_allowance =
 	    fmin(state_service->write_rps,
-		 state_service->put_allowance + elapsed_s * state_service->write_rps);
+		 state_service->write_allowance + elapsed_s * state_service->write_rps);
 }
 
 /* The number of puts and deletes that a request asks for. */
@@ -105,7 +105,7 @@
 
 /*
  * True if the rates allow the request; then it is counted and subtracted from the allowances. Else
- * it counts as refused.
+ * it counts in requests_over_limit.
  */
 static bool limits_allow(struct standin *standin, const char *path, const char *body)
 {
@@ -115,12 +115,12 @@
 	refill_allowances(standin);
 	puts = count_puts(path, body);
 	if (state_service->request_allowance < 1 ||
-	    (puts > 0 && state_service->put_allowance < puts)) {
+	    (puts > 0 && state_service->write_allowance < puts)) {
 		state_service->requests_over_limit++;
 		return false;
 	}
 	state_service->request_allowance -= 1;
-	state_service->put_allowance -= puts;
+	state_service->write_allowance -= puts;
 	state_service->requests++;
 	state_service->writes += (uint64_t)puts;
 	return true;
@@ -153,6 +153,8 @@
 {
 	const struct standin_state_service *state_service = &standin->state_service;
 
+	/* The text "trouble" stands for an outage, "limit" for a rate of requests beyond the
+	 * limits. */
 	if (state_service->down || state_service->refuses[controller])
 		standin_answer_error(standin, handle, STATUS_UNAVAILABLE, "trouble");
 	else if (!limits_allow(standin, path, body))
--- a/tests/standins/state_service.h
+++ b/tests/standins/state_service.h
@@ -63,7 +63,7 @@
 	size_t changes_kept;	       /* newest changes that watches can still read; 0: all */
 	struct standin_watch *watches; /* owned */
 	uint64_t revision;	       /* of the last change */
-	uint64_t next_lease;	       /* id of the next lease */
+	uint64_t next_lease_id;	       /* id of the next lease */
 
 	/* Faults. */
 	bool down;			       /* every request gets 503 */
@@ -78,7 +78,7 @@
 	/* Token buckets: the requests, and the puts and deletes, that the rates allow now. Each
 	 * holds what its rate allows in a second at most. */
 	double request_allowance;
-	double put_allowance;
+	double write_allowance;
 	double allowance_at; /* when both allowances were last refilled */
 
 	/* Counts since the start. */
--- a/tests/standins/state_transactions.c
+++ b/tests/standins/state_transactions.c
@@ -72,14 +72,14 @@
 static const char *transaction_error(struct standin_state_service *state_service,
 				     const json_t *guards, const json_t *changes)
 {
-	size_t most = (size_t)state_service->txn_ops;
+	size_t max_changes = (size_t)state_service->txn_ops;
 	const char *error = NULL;
 	json_t *change;
 	size_t i;
 
-	if (json_array_size(guards) > GUARDS_PER_CHANGE * most)
+	if (json_array_size(guards) > GUARDS_PER_CHANGE * max_changes)
 		return "too many conditions";
-	if (json_array_size(changes) > most)
+	if (json_array_size(changes) > max_changes)
 		error = "too many operations";
 	json_array_foreach (changes, i, change) {
 		const char *why = change_error(state_service, change);
@@ -116,14 +116,14 @@
 static void apply_change(struct standin_state_service *state_service, const json_t *change)
 {
 	const char *put = json_string_value(json_object_get(change, W_PUT));
-	const char *drop = json_string_value(json_object_get(change, W_DROP));
-	struct standin_key *dropped = drop ? state_key_find(state_service, drop) : NULL;
+	const char *name = json_string_value(json_object_get(change, W_DROP));
+	struct standin_key *deleted = name ? state_key_find(state_service, name) : NULL;
 
 	if (put)
 		state_key_put(state_service, put, json_object_get(change, W_VALUE),
 			      integer_field(change, W_LEASE));
-	else if (dropped)
-		state_key_delete(state_service, dropped);
+	else if (deleted)
+		state_key_delete(state_service, deleted);
 }
 
 /* Applies all changes in one new revision. */
