--- a/tests/runner/faults.c
+++ b/tests/runner/faults.c
@@ -112,7 +112,7 @@
 		world->standin.cloud.down = begins_fault(line);
 		return;
 	}
-	standin_state_outage(&world->standin, true);
+	standin_state_set_outage(&world->standin, true);
 	world->state_outage_until_s = end_time(world, line);
 }
 
@@ -307,7 +307,7 @@
 		     struct standin_machine *machine)
 {
 	(void)line;
-	standin_machine_off(&world->standin, machine, false);
+	standin_machine_power_off(&world->standin, machine, false);
 }
 
 /* kill K: the machine fails without notice */
@@ -320,7 +320,7 @@
 			struct standin_machine *machine)
 {
 	(void)line;
-	standin_machine_off(&world->standin, machine, true);
+	standin_machine_power_off(&world->standin, machine, true);
 }
 
 /* reclaim K: the cloud takes the machine back */
@@ -346,7 +346,7 @@
 		       struct standin_machine *machine)
 {
 	machine->notice_until = world->now_s + line_option_number(line, "for", DEFAULT_NOTICE_S);
-	machine->changed = true;
+	machine->changed_since_report = true;
 }
 
 /* preemption_notice K for=S: the machine gets the notice that it is taken back after S seconds */
--- a/tests/standins/machines.c
+++ b/tests/standins/machines.c
@@ -1,4 +1,4 @@
-/* Stand-ins for rented machines: from their rental to their end. */
+/* Stand-ins for the rented machines: rental, boot, restart, loss and deletion. */
 #include "standins/machines.h"
 
 #include <stdio.h>
@@ -8,16 +8,16 @@
 #include "standins/agents.h"
 #include "standins/standin.h"
 
-/* Most machines have the address that their number gives them. */
+/* The address that a machine gets from its number. A test may replace it. */
 #define ADDRESS_FORMAT "10.1.%d.%d:9000"
 #define ADDRESS_PATTERN "10.1.%d.%d:"
 #define ADDRESSES_PER_NET 250
 
 #define FIRST_INCARNATION 1
-#define RESTART_REPORT_S 0.2 /* seconds from a restart to the first report */
-#define NO_NOTICE (-1.0)
+#define RESTART_REPORT_S 0.2 /* seconds from a restart to the agent's first heartbeat */
+#define NO_NOTICE (-1.0)     /* notice_until of a machine without a notice */
 
-struct standin_machine *standin_machine_at(struct standin *standin, const char *addr)
+struct standin_machine *standin_machine_find_by_addr(struct standin *standin, const char *addr)
 {
 	int net, host;
 
@@ -34,7 +34,7 @@
 	return NULL;
 }
 
-/* The type in the catalog, which has to hold it. */
+/* The machine type of this name. If the catalog lacks it, the test is aborted. */
 static const struct machine_type *find_type(const struct standin_cloud *cloud, const char *name)
 {
 	for (size_t i = 0; i < cloud->type_count; i++)
@@ -66,7 +66,7 @@
 	return machine;
 }
 
-void machine_drop_tasks(struct standin_machine *machine)
+void machine_free_tasks(struct standin_machine *machine)
 {
 	while (machine->tasks) {
 		struct standin_task *task = machine->tasks;
@@ -76,16 +76,17 @@
 	}
 }
 
-void standin_machine_off(struct standin *standin, struct standin_machine *machine, bool deleted)
+void standin_machine_power_off(struct standin *standin, struct standin_machine *machine,
+			       bool deleted)
 {
 	machine->power = deleted ? POWER_DELETED : POWER_OFF;
 	machine->off_at = standin->now;
-	machine_drop_tasks(machine);
+	machine_free_tasks(machine);
 }
 
 void standin_machine_restart(struct standin *standin, struct standin_machine *machine)
 {
-	machine_drop_tasks(machine);
+	machine_free_tasks(machine);
 	machine->incarnation = FIRST_INCARNATION;
 	machine->sequence = 0;
 	machine->token = 0;
@@ -94,8 +95,9 @@
 	machine->next_report_at = standin->now + RESTART_REPORT_S;
 }
 
-/* --- time --- */
+/* --- ticks --- */
 
+/* The machine is up, and its agent sends its first heartbeat. */
 static void finish_boot(struct standin *standin, struct standin_machine *machine)
 {
 	int number = (int)(machine - standin->machines);
@@ -107,13 +109,17 @@
 	machine->controller = number % standin->controller_count;
 }
 
+/*
+ * Ends the agent's lease: the agent drops its tasks and begins a new incarnation. It does not wait
+ * for the answer to its last heartbeat any more.
+ */
 static void expire_agent_lease(struct standin *standin, struct standin_machine *machine)
 {
-	machine_drop_tasks(machine);
+	machine_free_tasks(machine);
 	machine->incarnation++;
 	machine->lease_renewed_at = standin->now;
 	machine->report_unanswered = false;
-	machine->changed = true;
+	machine->changed_since_report = true;
 }
 
 void machine_tick(struct standin *standin, struct standin_machine *machine, double elapsed_s)
@@ -123,7 +129,7 @@
 	if (machine->power != POWER_UP || machine->hanging)
 		return;
 	if (machine->notice_until >= 0 && standin->now >= machine->notice_until) {
-		standin_machine_off(standin, machine, true);
+		standin_machine_power_off(standin, machine, true);
 		return;
 	}
 	if (standin->now - machine->lease_renewed_at > standin->conf->lease_s)
--- a/tests/standins/standin.c
+++ b/tests/standins/standin.c
@@ -1,4 +1,4 @@
-/* The stand-ins together: their start, time and end. */
+/* All stand-ins of a deployment: initialisation, ticks and release. */
 #include "standins/standin.h"
 
 #include <stdlib.h>
@@ -20,22 +20,22 @@
 
 void standin_tick(struct standin *standin, double now)
 {
-	/* Not from standin->now, which moves on with each message in between. */
-	double elapsed_s = now - standin->ticked_at;
+	/* Not from standin->now, which the caller also sets for each message between ticks. */
+	double elapsed_s = now - standin->last_tick_at;
 
 	standin->now = now;
-	standin->ticked_at = now;
+	standin->last_tick_at = now;
 	state_service_tick(standin);
 	for (int i = 0; i < standin->machine_count; i++)
 		machine_tick(standin, &standin->machines[i], elapsed_s);
-	jobs_count_served(standin, elapsed_s);
+	jobs_count_replica_time(standin, elapsed_s);
 	check_cancelled_tasks(standin);
 }
 
 void standin_free(struct standin *standin)
 {
 	for (int i = 0; i < standin->machine_count; i++) {
-		machine_drop_tasks(&standin->machines[i]);
+		machine_free_tasks(&standin->machines[i]);
 		free(standin->machines[i].report_text);
 	}
 	free(standin->machines);
--- a/tests/standins/state_leases.c
+++ b/tests/standins/state_leases.c
@@ -1,4 +1,4 @@
-/* The state service's leases. */
+/* The state service's leases: grant, renewal, revocation and expiry. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -34,8 +34,8 @@
 	*link = lease->next;
 }
 
-/* All keys of a lease are dropped in one revision. */
-static void drop_keys(struct standin_state_service *state_service, uint64_t lease)
+/* Deletes all keys of a lease, in one revision. */
+static void delete_lease_keys(struct standin_state_service *state_service, uint64_t lease)
 {
 	struct standin_key *key, *next;
 	bool any = false;
@@ -46,16 +46,17 @@
 		if (!any)
 			state_service->revision++;
 		any = true;
-		state_key_drop(state_service, key);
+		state_key_delete(state_service, key);
 	}
 }
 
+/* Ends a lease that has expired or is revoked: its keys are deleted, and it is freed. */
 static void end_lease(struct standin *standin, struct standin_lease *lease)
 {
 	struct standin_state_service *state_service = &standin->state_service;
 
 	unlink_lease(state_service, lease);
-	drop_keys(state_service, lease->id);
+	delete_lease_keys(state_service, lease->id);
 	free(lease);
 	state_watches_answer(standin);
 }
@@ -66,7 +67,7 @@
 	struct standin_lease *lease = xcalloc(1, sizeof(*lease));
 	json_t *request = wire_parse(body, strlen(body));
 
-	lease->id = state_service->next_lease++;
+	lease->id = state_service->next_lease_id++;
 	lease->ttl_ms = (int)json_integer_value(json_object_get(request, W_TTL));
 	renew_lease(standin, lease);
 	lease->next = state_service->leases;
@@ -112,7 +113,7 @@
 	}
 }
 
-void state_leases_extend(struct standin *standin)
+void state_leases_renew_all(struct standin *standin)
 {
 	struct standin_lease *lease = standin->state_service.leases;
 
--- a/tests/standins/state_service.c
+++ b/tests/standins/state_service.c
@@ -1,4 +1,6 @@
-/* The state service's stand-in: start and end, limits of requests, and which part serves a request.
+/*
+ * The state service's stand-in: initialisation and release, the limits on the rate of requests, and
+ * the dispatch of requests.
  */
 #include "standins/state_service.h"
 
@@ -18,7 +20,7 @@
 			const struct conf_limits *limits)
 {
 	state_service->revision = 1;
-	state_service->next_lease = 1;
+	state_service->next_lease_id = 1;
 	state_service->txn_ops = limits->txn_ops;
 	state_service->value_bytes = (size_t)(limits->value_kb * BYTES_PER_KB);
 	state_service->rps = limits->rps;
@@ -71,8 +73,9 @@
 	free_changes(state_service);
 }
 
-/* --- limits of requests --- */
+/* --- limits on the rate of requests --- */
 
+/* Refills the allowances up to standin->now. */
 static void refill_allowances(struct standin *standin)
 {
 	struct standin_state_service *state_service = &standin->state_service;
@@ -81,12 +84,12 @@
 	state_service->allowance_at = standin->now;
 	state_service->request_allowance = fmin(
 	    state_service->rps, state_service->request_allowance + elapsed_s * state_service->rps);
-	state_service->put_allowance =
+	state_service->write_allowance =
 	    fmin(state_service->write_rps,
-		 state_service->put_allowance + elapsed_s * state_service->write_rps);
+		 state_service->write_allowance + elapsed_s * state_service->write_rps);
 }
 
-/* The puts and deletes that a request asks for. */
+/* The number of puts and deletes that a request asks for. */
 static double count_puts(const char *path, const char *body)
 {
 	json_t *transaction;
@@ -100,7 +103,10 @@
 	return puts;
 }
 
-/* Whether the request is within the limits; then it is counted, and taken off the allowances. */
+/*
+ * True if the rates allow the request; then it is counted and subtracted from the allowances. Else
+ * it counts in requests_over_limit.
+ */
 static bool limits_allow(struct standin *standin, const char *path, const char *body)
 {
 	struct standin_state_service *state_service = &standin->state_service;
@@ -109,14 +115,14 @@
 	refill_allowances(standin);
 	puts = count_puts(path, body);
 	if (state_service->request_allowance < 1 ||
-	    (puts > 0 && state_service->put_allowance < puts)) {
-		state_service->refused++;
+	    (puts > 0 && state_service->write_allowance < puts)) {
+		state_service->requests_over_limit++;
 		return false;
 	}
 	state_service->request_allowance -= 1;
-	state_service->put_allowance -= puts;
+	state_service->write_allowance -= puts;
 	state_service->requests++;
-	state_service->puts += (uint64_t)puts;
+	state_service->writes += (uint64_t)puts;
 	return true;
 }
 
@@ -127,8 +133,8 @@
 	return !strncmp(text, prefix, strlen(prefix));
 }
 
-static void serve_request(struct standin *standin, int controller, uint64_t handle,
-			  const char *method, const char *path, const char *body)
+static void dispatch_request(struct standin *standin, int controller, uint64_t handle,
+			     const char *method, const char *path, const char *body)
 {
 	if (!strcmp(path, W_PATH_TXN))
 		state_transaction(standin, handle, body);
@@ -142,25 +148,27 @@
 		state_get(standin, handle, path);
 }
 
-void standin_state_request(struct standin *standin, int controller, uint64_t handle,
-			   const char *method, const char *path, const char *body)
+void standin_state_handle_request(struct standin *standin, int controller, uint64_t handle,
+				  const char *method, const char *path, const char *body)
 {
 	const struct standin_state_service *state_service = &standin->state_service;
 
+	/* The text "trouble" stands for an outage, "limit" for a rate of requests beyond the
+	 * limits. */
 	if (state_service->down || state_service->refuses[controller])
 		standin_answer_error(standin, handle, STATUS_UNAVAILABLE, "trouble");
 	else if (!limits_allow(standin, path, body))
 		standin_answer_error(standin, handle, STATUS_TOO_MANY_REQUESTS, "limit");
 	else
-		serve_request(standin, controller, handle, method, path, body);
+		dispatch_request(standin, controller, handle, method, path, body);
 }
 
-void standin_state_outage(struct standin *standin, bool down)
+void standin_state_set_outage(struct standin *standin, bool down)
 {
 	struct standin_state_service *state_service = &standin->state_service;
 
 	if (state_service->down && !down)
-		state_leases_extend(standin);
+		state_leases_renew_all(standin);
 	state_service->down = down;
 	state_watches_answer(standin);
 }
