--- a/src/core/core.c
+++ b/src/core/core.c
@@ -171,7 +171,7 @@
 	core_tick(core, now);
 }
 
-/* Splits the status of core.h into outcome and HTTP status. */
+/* Splits `status` of struct core_answer into the outcome of the call and the HTTP status. */
 static struct call_answer to_call_answer(const struct core_answer *answer)
 {
 	struct call_answer result = {CALL_ANSWERED, answer->status, answer->body, answer->len};
--- a/src/core/election/election.h
+++ b/src/core/election/election.h
@@ -66,8 +66,8 @@
 	uint64_t min_report_token;    /* see election_min_report_token */
 	uint64_t token;		      /* 0: this controller does not hold the leader's key */
 	uint64_t lease;		      /* id of the lease of the leader's key; 0: none */
-	double renewed_at;	      /* when the last successful renewal, or the request that the
-				       * lease was granted on, was sent */
+	double renewed_at;	      /* when the last successful renewal of the lease was sent;
+				       * before the first, when the lease was requested */
 	double next_renewal_at;
 	double retry_at;	   /* the keys are not read and not claimed before this time */
 	double no_claim_before;	   /* set when this controller resigns: no claim before then */
@@ -86,8 +86,8 @@
 /* The fencing token under which this controller acts; 0 if it does not hold the leader's key. */
 uint64_t election_token(const struct core *core);
 /*
- * The lowest token that a report must show to count. It proves that the agent was running in this
- * term.
+ * Reports that show a lower token than this one do not count. A report that shows this token, or a
+ * newer one, proves that its agent was running in this term.
  */
 uint64_t election_min_report_token(const struct core *core);
 /* The id of the lease of the leader's key; 0 if there is none. */
@@ -95,8 +95,8 @@
 /* The version of the records' format, as last read from the state service or raised here. */
 int election_format(const struct core *core);
 /*
- * Seconds since the last successful renewal of the lease, or else the request that it was granted
- * on, was sent.
+ * Seconds since the last successful renewal of the lease was sent; before the first, since the
+ * lease was requested.
  */
 double election_renewal_age(const struct core *core);
 /*
--- a/src/core/election/election_tick.c
+++ b/src/core/election/election_tick.c
@@ -1,4 +1,5 @@
-/* The periodic work of the election. No other file of this folder calls all of its parts. */
+/* The periodic work of the election: calls the parts that read the keys, hold the lease and check
+ * the serving deadline. */
 #include "core/election/election.h"
 
 #include "core/election/leader_key.h"
--- a/src/core/election/format_gate.h
+++ b/src/core/election/format_gate.h
@@ -11,10 +11,10 @@
 
 /* State of the registration and of the leader's scans. Times are in seconds of the steady clock. */
 struct format_gate {
-	bool registered; /* this controller's version is committed */
+	bool registered; /* the format that this controller registers is committed */
 	bool register_in_flight;
 	double next_register_at;
-	bool scan_in_flight; /* the leader's read of all controllers' versions */
+	bool scan_in_flight; /* the leader's read of what all controllers have registered */
 	double next_scan_at;
 	bool all_read_newest; /* all controllers read the newest format, by the last scan */
 };
--- a/src/core/election/leader_key.c
+++ b/src/core/election/leader_key.c
@@ -34,8 +34,8 @@
 /* --- applying the entries of the keys --- */
 
 /*
- * Updates the leader from the entry of the leader's key; an entry without a value: nobody leads. A
- * controller that holds the key steps down if the key's revision is not its token.
+ * Updates the leader from the entry of the leader's key. An entry without a value means that there
+ * is no leader. A controller that holds the key steps down if the key's revision is not its token.
  */
 static void apply_leader_key(struct core *core, const struct kv_item *entry)
 {
@@ -59,7 +59,8 @@
 }
 
 /*
- * Updates the format from the entry of LEADER_KEY; without a number in it, it is the first format.
+ * Updates the format from the entry of LEADER_KEY. An entry without a number means the first
+ * format.
  *
  * A controller whose program version does not support the format stays a follower. claim_is_due
  * checks this; for versions that take LEADER_KEY for the leader's key, that key is never free,
--- a/src/core/election/leader_lease.c
+++ b/src/core/election/leader_lease.c
@@ -70,7 +70,8 @@
 	begin_term(core, token);
 }
 
-/* Writes the leader's key, on condition that both keys still have the revisions last read. */
+/* Writes the leader's key, on condition that this key, and LEADER_KEY if it is another one, still
+ * have the revisions last read. */
 static void send_claim(struct core *core)
 {
 	const struct election *election = &core->election;
@@ -100,8 +101,9 @@
 	election->lease = wire_lease(answer_json);
 	json_decref(answer_json);
 	/*
-	 * Another controller claimed the key while the lease was requested. Its claim must not be
-	 * overwritten, and the guard would not prevent that, since it has the revision last read.
+	 * If there is a leader now, another controller claimed the key while the lease was
+	 * requested. Its claim must not be overwritten, and the guard would not prevent that, since
+	 * the revision last read is that of the other's claim.
 	 */
 	if (*election->leader) {
 		election->claim_in_flight = false;
--- a/src/core/election/leader_lease.h
+++ b/src/core/election/leader_lease.h
@@ -7,8 +7,9 @@
 struct core;
 
 /*
- * Requests a lease and then claims the leader's key under it, if there is no leader, this program
- * version supports the records' format, and no delay after a failure or a resignation is running.
+ * Requests a lease and then claims the leader's key under it, if the keys as last read show no
+ * leader, this program version supports the records' format, and the delays after a failure and
+ * after a resignation are over.
  */
 void leader_lease_claim_if_due(struct core *core);
 /* Renews the lease if the renewal is due. */
--- a/src/core/election/serving_deadline.c
+++ b/src/core/election/serving_deadline.c
@@ -13,8 +13,8 @@
  *   leader's lease was sent earlier, the time of the renewal counts instead. A renewal alone
  *   proves less: that the leader's key is held, not that the changes were read.
  * - The time up to which all other controllers have listed the cancellations that they confirmed.
- *   This serves in an outage of the state service for all controllers: only the other controllers
- *   can have confirmed a cancellation that this leader does not know.
+ *   This time counts in an outage of the state service that concerns all controllers: only the
+ *   other controllers can have confirmed a cancellation that this leader does not know.
  */
 #include <math.h>
 
@@ -48,7 +48,7 @@
 	/*
 	 * The span is never shorter than the lease of the leader's key, else a slow answer of the
 	 * state service would end a term. If cancel_s leaves less than that after the margin, the
-	 * margin is used as well.
+	 * margin is used as well; if it leaves still less, a cancellation may be carried out late.
 	 */
 	return fmax(cancel_budget_s - CANCEL_MARGIN_S, LEADER_TTL_MS / 1000.0);
 }
--- a/src/core/records/job_record.h
+++ b/src/core/records/job_record.h
@@ -28,7 +28,8 @@
 json_t *job_record_cancelled_value(json_t *value);
 /* Removes the list of allowed machine types from an open record's value, to make it smaller. */
 void job_record_remove_machine_types(json_t *value);
-/* Returns the largest size of the job's open record in bytes, that of the cancelled record. */
+/* Returns the largest size in bytes that the value of the job's open record may get: its size once
+ * it is marked as cancelled. */
 size_t job_record_max_bytes(const struct job_spec *spec, double submitted_at);
 /*
  * Decodes the job description in an open record's value. Returns 0, or -1 and the name of the
--- a/src/core/records/jobs_watch.h
+++ b/src/core/records/jobs_watch.h
@@ -12,7 +12,7 @@
 
 struct core;
 
-/* Times are steady. */
+/* State of the watch. Times are steady. */
 struct jobs_watch {
 	uint64_t revision; /* all changes up to this revision are loaded */
 	bool in_flight;	   /* a watch request has no answer yet */
--- a/src/core/records/limits.h
+++ b/src/core/records/limits.h
@@ -34,8 +34,9 @@
  * Learns a lower limit from a transaction that the state service answered with 400. `op_count` is
  * the number of its changes, `largest_value` the size of its largest value in bytes. A transaction
  * of more than LIMITS_TXN_OPS_MIN changes counts as having too many, and half of them become the
- * limit. In a smaller one the largest value counts as too large, if it is larger than
- * LIMITS_VALUE_MIN_BYTES.
+ * limit, but at least LIMITS_TXN_OPS_MIN. In a smaller one the largest value counts as too large,
+ * if it is larger than LIMITS_VALUE_MIN_BYTES, and a learned limit of changes is dropped. In any
+ * case, the learned limits count for LIMITS_LEARNED_TTL_S from now on.
  */
 void limits_learn_from_refusal(struct core *core, int op_count, size_t largest_value);
 
--- a/src/core/records/task_record_load.c
+++ b/src/core/records/task_record_load.c
@@ -117,8 +117,8 @@
 
 /*
  * Returns the job that the record belongs to, or NULL if the record is of no use: it covers no task
- * of the job, or its job is not open and it has no bindings. Bindings of a job that is not open
- * belong to an orphaned job, which is added.
+ * of the job, or its job is not open and it has no bindings. In the second case its delete is
+ * queued. Bindings of a job that is not open belong to an orphaned job, which is added.
  */
 static struct job *job_of_record(struct core *core, const struct task_record *record)
 {
--- a/src/core/records/task_record_migration.c
+++ b/src/core/records/task_record_migration.c
@@ -68,8 +68,9 @@
 	const struct chunk *chunk = &job->records.chunks[chunk_index];
 
 	/*
-	 * For an orphaned job only bindings count. Its chunks are not written in the newer format:
-	 * the older record stays until the ends of all its bindings are proved.
+	 * For an orphaned job only bindings count, and their chunks are not written in the newer
+	 * format just to migrate them. The older record stays until each of these chunks has no
+	 * bindings any more, or is written for another reason, as when a binding has ended.
 	 */
 	if (chunk->binding_count || job->orphan)
 		return chunk->binding_count > 0;
--- a/src/core/records/task_records.h
+++ b/src/core/records/task_records.h
@@ -42,8 +42,8 @@
 
 /*
  * Loads a record that recovery has read into its job. If the job has no open record any more, it is
- * added as an orphaned job, which only keeps the bindings. Keys that do not have the form of a
- * task record's key are ignored.
+ * added as an orphaned job, which only keeps the bindings; a record without bindings is deleted
+ * instead. Keys that do not have the form of a task record's key are ignored.
  */
 void task_record_load(struct core *core, const struct kv_item *entry);
 
@@ -51,7 +51,8 @@
 void task_record_set_old_version(struct job *job, uint32_t old_index, uint64_t version);
 /*
  * Ends the migration of a chunk, if it is being migrated: its newer record is committed, or none is
- * needed. The older record is deleted once this holds for all chunks that wait for it.
+ * needed. Once the migration of all chunks that the older record covers has ended, that record is
+ * deleted.
  */
 void task_record_finish_migration(struct core *core, struct job *job, uint32_t chunk_index);
 /* Switches the records of all jobs' tasks from the first format to the newest. */
--- a/src/core/records/transaction.h
+++ b/src/core/records/transaction.h
@@ -18,7 +18,8 @@
 struct job;
 struct pending_write;
 
-/* The transaction that has no definite answer yet. All fields are zero if there is none. */
+/* The transaction that has no definite answer yet, or whose conflict is being resolved. All fields
+ * are zero if there is none. */
 struct transaction {
 	bool in_flight;
 	struct pending_write *writes; /* owned */
--- a/src/core/records/transaction_build.c
+++ b/src/core/records/transaction_build.c
@@ -14,7 +14,8 @@
 #include "core/state.h"
 #include "util/log.h"
 
-/* Returns a binding that is neither on record nor part of a transaction; NULL: there is none. */
+/* Returns a binding that is not on record and whose start was never sent, so that it may be ended;
+ * NULL if there is none. */
 static struct binding *find_unrecorded_binding(const struct chunk *chunk)
 {
 	struct binding *binding;
@@ -28,7 +29,8 @@
 /*
  * Handles a chunk whose value is over the limit, as happens when the limit is lowered. Bindings
  * that are not on record yet are ended, so that their tasks wait again. If there are none, the
- * write is delayed: the value shrinks when tasks end.
+ * write is delayed: the value shrinks when tasks end. Either way, no task of the job is placed for
+ * LIMITS_VALUE_RETRY_S.
  */
 static void shrink_chunk(struct core *core, struct pending_write *write)
 {
@@ -76,7 +78,7 @@
 static enum batch_result batch_add(struct core *core, struct txn *txn, struct pending_write *write)
 {
 	const int max_ops = limits_txn_ops(core);
-	const struct txn_savepoint mark = txn_savepoint(txn);
+	const struct txn_savepoint savepoint = txn_savepoint(txn);
 	size_t value_bytes;
 
 	if (core->now < write->blocked_until)
@@ -84,14 +86,14 @@
 	if (!fits_batch(core, txn, write_ops_count(write, max_ops), max_ops))
 		return BATCH_FULL;
 	value_bytes = write_ops_add(txn, write, max_ops);
-	if (mark.op_count && txn_bytes(txn) > COMMIT_MAX_BYTES) {
-		txn_rollback(txn, &mark);
+	if (savepoint.op_count && txn_bytes(txn) > COMMIT_MAX_BYTES) {
+		txn_rollback(txn, &savepoint);
 		if (write->kind == WRITE_FINAL)
 			final_record_unmark_chunks(write->job);
 		return BATCH_FULL;
 	}
 	if (value_bytes > limits_value_bytes(core)) {
-		txn_rollback(txn, &mark);
+		txn_rollback(txn, &savepoint);
 		shrink_chunk(core, write);
 		return BATCH_FULL; /* ended bindings may have changed the queues */
 	}
--- a/src/core/records/transaction_commit.c
+++ b/src/core/records/transaction_commit.c
@@ -78,9 +78,9 @@
 }
 
 /*
- * From now on only reports that show the new token count, so tombstones of machines that were
- * deleted before it are not needed any more. An agent that shows the token was running after the
- * token was written; no copy of a message from a machine that was deleted before can show it.
+ * From now on, reports that show an older token do not count. Only an agent that was running after
+ * the new token was written can show it; a late copy of a report from a machine that was deleted
+ * before cannot. So no tombstone is needed against late reports of such a machine.
  */
 static void expire_tombstones(struct core *core)
 {
--- a/src/core/records/transaction_conflict.c
+++ b/src/core/records/transaction_conflict.c
@@ -33,8 +33,8 @@
 
 static void update_final_write(struct core *core, struct job *job, json_t *value, uint64_t version)
 {
-	/* The open record is deleted only by the transaction that writes the final one. So an
-	 * earlier copy of our own transaction was applied. */
+	/* Only the transaction that writes the final record deletes the open one. So if the open
+	 * record is absent, an earlier copy of our own transaction was applied. */
 	job->final_committed = !value;
 	if (!value)
 		return;
@@ -137,9 +137,9 @@
 
 /*
  * Handles the value of the leader's key. A renewal whose answer was lost may have been committed;
- * the retry then failed since it found the new version. The key shows this by our own name at a
- * version above this term's token: only our own renewal, which is guarded by that token, writes it.
- * Any other value ends the term.
+ * the retry then failed since it found the new version. This is so if the key has our own name and
+ * a version above this term's token: only our own renewal, which is guarded by that token, can have
+ * written both. Any other value ends the term.
  */
 static void on_leader_key_read(struct core *core, struct call *call,
 			       const struct call_answer *answer)
--- a/src/core/records/write_ops.c
+++ b/src/core/records/write_ops.c
@@ -28,9 +28,9 @@
 	txn_drop(txn, key);
 }
 
-/* Deletes the records of idle chunks with their job. Those that exceed `max_ops` are deleted one by
- * one after the final record is committed. */
-static void add_idle_chunks(struct txn *txn, const struct job *job, int max_ops)
+/* Adds deletes of the records of the job's idle chunks. Those for which `max_ops` leaves no place
+ * are deleted by writes of their own after the final record is committed. */
+static void add_idle_chunk_deletes(struct txn *txn, const struct job *job, int max_ops)
 {
 	int op_count = FINAL_OPS;
 	char key[KEY_MAX];
@@ -59,7 +59,7 @@
 	txn_guard(txn, final_key, 0);
 	txn_drop(txn, open_key);
 	txn_put(txn, final_key, job_record_final_value(&outcome), 0);
-	add_idle_chunks(txn, job, max_ops);
+	add_idle_chunk_deletes(txn, job, max_ops);
 }
 
 /* Returns the size of the chunk's value in bytes, or 0 if its record is deleted. */
--- a/src/core/records/write_queue.c
+++ b/src/core/records/write_queue.c
@@ -176,7 +176,8 @@
 	core->write_queue.token_renewal_requested = true;
 }
 
-/* Migrations and deletes have no deadline: they are sent while half of the rate is unused. */
+/* Migrations and deletes have no deadline: they are sent while more than half of the changes that
+ * are allowed in one second are unused. */
 static bool background_write_is_due(const struct core *core)
 {
 	const struct write_queue *queue = &core->write_queue;
--- a/src/core/records/write_queue.h
+++ b/src/core/records/write_queue.h
@@ -22,7 +22,7 @@
 	struct job *job;      /* NULL for WRITE_DELETE */
 	uint32_t chunk_index; /* WRITE_CHUNK */
 	double due_at;	      /* WRITE_CHUNK; steady; sent earlier only along with due writes */
-	double blocked_until; /* WRITE_CHUNK; steady; its value was too large, not sent before */
+	double blocked_until; /* WRITE_CHUNK; steady; its value was too large: not sent till then */
 	char key[KEY_MAX];    /* WRITE_DELETE */
 	uint64_t version;     /* WRITE_DELETE; of the key */
 	struct pending_write **queue; /* the queue that holds it; NULL: none */
--- a/src/core/runtime/call.h
+++ b/src/core/runtime/call.h
@@ -45,7 +45,7 @@
 	void *arg; /* for on_answer, which owns it if free_arg is set */
 	/* Frees `arg` if the core is freed before the call ends; NULL: nothing to free. */
 	void (*free_arg)(void *arg);
-	uint64_t term;	/* of struct core when the call was made, see core_call_is_current */
+	uint64_t term;	/* core->term when the call was made, see core_call_is_current */
 	double sent_at; /* steady time */
 	double timeout_s;
 	/* Calls to agents: incarnation and sequence of the agent's newest message when the call
@@ -76,9 +76,11 @@
 /* True if no term of this controller began or ended since the call was made. */
 bool core_call_is_current(const struct core *core, const struct call *call);
 
-/* Answers a request and takes ownership of `body`. retry_after: in seconds; 0: no such header. */
+/* Answers a request and takes ownership of `body`; NULL: no body. retry_after: in seconds; 0: no
+ * such header. */
 void core_reply(struct core *core, uint64_t connection, int status, int retry_after, char *body);
-/* Answers a request with the JSON body {"error": text}. */
+/* Answers a request with the JSON body {"error": text}. `text` is short and needs no JSON escapes.
+ */
 void core_reply_error(struct core *core, uint64_t connection, int status, int retry_after,
 		      const char *text);
 /* Answers another controller with an encoded message and takes ownership of `packed`. */
--- a/src/core/state.h
+++ b/src/core/state.h
@@ -56,13 +56,13 @@
 	struct format_gate format;
 	struct learned_limits limits;
 	bool store_unavailable;	  /* the last call to the state service got no answer or a 503 */
-	double store_answered_at; /* steady time of its last answer that was no 503 */
+	double store_answered_at; /* steady; last answer other than 503, or the core's start */
 	struct catalog catalog;
 	struct job_api api;
 	struct peers peers;
 
 	/* Used by the leader only; see leader_state_clear in core.c. */
-	double leading_since; /* steady time at which it had read the records */
+	double leading_since; /* steady time at which this term's recovery was complete */
 	struct jobs_watch jobs_watch;
 	struct job *jobs;
 	double next_job_scan_at; /* steady time at which job_tick checks all jobs next */
--- a/src/core/store/store_client.h
+++ b/src/core/store/store_client.h
@@ -29,9 +29,10 @@
 struct call *store_watch(struct core *core, const char *prefix, uint64_t after_revision,
 			 int wait_ms, answer_fn on_answer, void *arg);
 
-/* Returns true if the last call to the state service got no answer, or a 503. */
+/* Returns true if the last answer passed to store_update_availability is missing, or a 503. */
 bool store_is_unavailable(const struct core *core);
-/* Returns the seconds since the last answer of the state service that was not a 503. */
+/* Returns the seconds since an answer other than a 503 was last passed to
+ * store_update_availability; before the first, since the core was made. */
 double store_silence_s(const struct core *core);
 /* Updates whether the state service is available, by the outcome of a call to it. */
 void store_update_availability(struct core *core, const struct call_answer *answer);
