--- a/src/core/agents/agent_restart.c
+++ b/src/core/agents/agent_restart.c
@@ -6,8 +6,8 @@
 
 /*
  * All tasks of a restarted agent have ended, but a start that was sent before the restart may still
- * arrive. A new token is therefore requested, and no report under an older one counts, whether the
- * agent sent it after the restart or it is a late copy.
+ * arrive. A new token is therefore requested, and no heartbeat that shows an older one is applied,
+ * whether the agent sent it after the restart or it is a late copy.
  */
 void agent_mark_restarted(struct core *core, struct machine *machine)
 {
--- a/src/core/agents/agent_restart.h
+++ b/src/core/agents/agent_restart.h
@@ -10,12 +10,12 @@
 
 /*
  * Marks the agent as restarted and requests a new fencing token. Until that token is held, the
- * machine gets no work and the agent's reports do not count.
+ * machine gets no work and the agent's reports are not applied.
  */
 void agent_mark_restarted(struct core *core, struct machine *machine);
 /*
- * Called when a new fencing token is held: from now on the reports of restarted agents count, if
- * they show this token.
+ * Called when a new fencing token is held: from now on the reports of restarted agents are applied
+ * again, if they are heartbeats that show this token or answers to calls made under it.
  */
 void agents_on_token_renewed(struct core *core);
 
--- a/src/core/agents/direct_commands.c
+++ b/src/core/agents/direct_commands.c
@@ -79,8 +79,9 @@
 	while (binding) {
 		if (binding->stopping && binding_start_never_sent(binding)) {
 			binding_end(core, binding, END_STOPPED);
-			/* The end of a gang's task stops the gang's other tasks, also those whose
-			 * bindings come earlier in the list. */
+			/* This has ended no other binding. But the end of a gang's task requests
+			 * stops of the gang's other tasks, so that bindings earlier in the list may
+			 * now have to end as well. */
 			binding = machine->bindings;
 		} else {
 			binding = binding->machine_next;
--- a/src/core/agents/heartbeats.c
+++ b/src/core/agents/heartbeats.c
@@ -19,10 +19,10 @@
 }
 
 /*
- * Decides whether to probe an agent whose report does not count. An agent that was just started or
- * restarted has seen no token and is probed at once. Any other agent shows the current token in its
- * next heartbeat, so its first such report calls for no probe. Later ones do if no heartbeat that
- * counts has come for long.
+ * Decides whether to probe an agent whose report is stale (see reports.h). An agent that was just
+ * started or restarted has seen no token and is probed at once. Any other agent shows the current
+ * token in its next heartbeat, so its first stale report calls for no probe. Later ones do if no
+ * heartbeat has been applied for long.
  */
 static void handle_stale_report(struct core *core, struct machine *machine,
 				const struct report *report)
@@ -56,7 +56,7 @@
 
 /*
  * Returns the machine if the report was applied, so that the answer may contain commands. Returns
- * NULL if the report does not count or is not newer than the machine's newest message.
+ * NULL if the report is stale or not newer than the machine's newest message.
  */
 static struct machine *apply_heartbeat(struct core *core, const struct report *report)
 {
--- a/src/core/agents/machine_health.c
+++ b/src/core/agents/machine_health.c
@@ -57,8 +57,8 @@
 }
 
 /*
- * All agents report to a new leader by themselves within LEADER_DISCOVERY_REPORTS intervals. To
- * probe each of them before that would double the cost.
+ * All agents report to a new leader by themselves within LEADER_DISCOVERY_REPORTS report intervals.
+ * To probe each of them before that would double the cost.
  */
 void probe_unseen_machine(struct core *core, struct machine *machine)
 {
@@ -139,8 +139,8 @@
 }
 
 /*
- * Recomputes the state about all machines together: the histogram of ages, and whether replicas
- * have to move. Machines that are being deleted are left out.
+ * Recomputes the state about all machines together: the histogram of the times since their last
+ * messages, and whether replicas have to move. Machines that are being deleted are left out.
  */
 static struct contact_summary scan_machines(struct core *core)
 {
--- a/src/core/agents/machine_health.h
+++ b/src/core/agents/machine_health.h
@@ -10,7 +10,8 @@
 
 /* Histogram of the times since the machines' last messages, as of the last scan. */
 struct contact_histogram {
-	int expected;		      /* machines that should have sent a message in this term */
+	int expected;		      /* machines that have sent a message in this term, or have
+					bindings and so should have sent one */
 	int buckets[CONTACT_BUCKETS]; /* those of them that have sent one; each bucket spans
 					CONTACT_BUCKET_S */
 };
@@ -19,7 +20,7 @@
 void machine_give_up(struct core *core, struct machine *machine);
 /*
  * Probes the machine if it has sent no message in this term and a probe is due. In the first
- * LEADER_DISCOVERY_REPORTS intervals of a term no such probe is due.
+ * LEADER_DISCOVERY_REPORTS report intervals of a term no such probe is due.
  */
 void probe_unseen_machine(struct core *core, struct machine *machine);
 /*
--- a/src/core/agents/reconciliation.c
+++ b/src/core/agents/reconciliation.c
@@ -140,8 +140,9 @@
 
 /*
  * Ends the first binding that is not listed and whose end is proved. Returns true if there was one.
- * The caller then starts again from the head of the list: the end of a gang's task also stops the
- * gang's other tasks, so that bindings earlier in the list may now be ended as well.
+ * The caller then starts again from the head of the list. The end of a binding ends no other one,
+ * but the end of a gang's task requests stops of the gang's other tasks. So a binding earlier in
+ * the list, which was kept because its start was to be sent again, may now have to end.
  */
 static bool end_first_unlisted_binding(struct core *core, struct machine *machine,
 				       enum report_origin origin)
--- a/src/core/agents/reconciliation.h
+++ b/src/core/agents/reconciliation.h
@@ -4,8 +4,9 @@
  * A report proves the end of a binding in three cases only:
  * - It lists the task as ended.
  * - The agent's incarnation is newer than the one that was sent the start.
- * - It is a heartbeat that does not list the task, and the agent has shown the newest token under
- *   which the task can have been started.
+ * - It is a heartbeat that does not list the task, the agent has shown the newest token under which
+ *   the task can have been started, and the heartbeat is newer than the one whose answer last
+ *   carried the start.
  *
  * A direct start that was sent under the newest token and not answered may still arrive. Until a
  * new token fences it off, the agent must not forget any ended task, and a report that does not
--- a/src/core/agents/reports.c
+++ b/src/core/agents/reports.c
@@ -118,7 +118,7 @@
 /*
  * An answer to our own message cannot be a late copy. If the report in it is not newer than the
  * agent's newest message was when the call was made, the agent was restarted. An answer to a call
- * made before the token that marks the last restart does not count.
+ * that was made under an older token than that of the agent's last restart is ignored.
  */
 static void apply_answer(struct core *core, struct machine *machine, const struct call *call,
 			 const struct report *report)
--- a/src/core/agents/reports.h
+++ b/src/core/agents/reports.h
@@ -1,10 +1,14 @@
 /*
- * Decides which reports of agents count, and applies those to the state of their machine.
+ * Decides which reports of agents are current, and applies those to the state of their machine.
  *
- * A report may be a late copy: from seconds or minutes ago, from before a failover, or of a machine
- * that was deleted. A report that shows a token of this term was made in this term. Within the
- * term, (incarnation, sequence) orders the messages of an agent. An agent that has not seen the
- * token yet learns it from the answer to its report, and its reports count from then on.
+ * A heartbeat may be a late copy: from seconds or minutes ago, from before a failover, or of a
+ * machine that was deleted. A heartbeat is current if it shows election_min_report_token or a newer
+ * token, and so was made in this term, and if it was made after any known restart of its agent. Any
+ * other heartbeat is stale: it is answered, but only the machine's identity is taken from it. An
+ * agent that has not seen the token yet learns it from that answer, and its heartbeats are current
+ * from then on. A report in the answer to a call of this controller cannot be a late copy, and is
+ * applied whatever token it shows. Within the term, (incarnation, sequence) orders the messages of
+ * an agent.
  */
 #ifndef PLOVERLOFT_REPORTS_H
 #define PLOVERLOFT_REPORTS_H
@@ -21,16 +25,17 @@
 };
 
 /*
- * True if the report counts: its token shows that it was made in this term and after any known
- * restart of its agent. No report counts while a restarted agent awaits a new token.
+ * True if the heartbeat is current: its token shows that it was made in this term and after any
+ * known restart of its agent. After a restart, no heartbeat of the agent is current until this
+ * controller holds a new token.
  */
 bool report_is_current(const struct core *core, const struct machine *machine,
 		       const struct report *report);
 /* True if the report is newer than the message with this incarnation and sequence number. */
 bool report_is_newer(const struct report *report, uint64_t incarnation, uint64_t sequence);
 /*
- * Applies a report that counts. Returns false if it is not newer than the newest message of its
- * machine.
+ * Applies a current heartbeat, or the report in an answer to a call. Returns false if it is not
+ * newer than the machine's newest message.
  */
 bool report_apply(struct core *core, struct machine *machine, const struct report *report,
 		  enum report_origin origin);
--- a/src/core/api/cancellations.h
+++ b/src/core/api/cancellations.h
@@ -1,8 +1,9 @@
 /*
- * Messages between controllers about cancellations. A leader must learn of each cancellation in
- * time, even while it can't read the records. So a committed cancellation is announced to all
- * controllers at once. In addition, while the state service is unavailable to a controller, it
- * requests from all others the cancellations that they have confirmed to users.
+ * Messages between controllers about cancellations. A leader must learn of each cancellation early
+ * enough to end the job within `cancel_s` of its confirmation, even while it can't read the
+ * records. So a committed cancellation is announced to all controllers at once. In addition, while
+ * the state service is unavailable to a controller, it requests from all others the cancellations
+ * that they have confirmed to users.
  */
 #ifndef PLOVERLOFT_CANCELLATIONS_H
 #define PLOVERLOFT_CANCELLATIONS_H
--- a/src/core/api/lookups.h
+++ b/src/core/api/lookups.h
@@ -49,8 +49,8 @@
 void lookups_begin_batch(struct core *core);
 /* Answers the batch from the index, to which the changes have been applied. */
 void lookups_answer_batch(struct core *core);
-/* True if the oldest lookup of the batch has not waited too long for another read, which may
- * succeed after this one was refused. */
+/* True if the oldest lookup of the batch has waited for less than LOOKUP_MAX_WAIT_S. The batch may
+ * then wait for another read, which may succeed after this one was refused. */
 bool lookups_batch_may_retry(const struct core *core);
 /* Lets the batch wait for the next read, ahead of the lookups that came later. */
 void lookups_requeue_batch(struct core *core);
--- a/src/core/model/binding.c
+++ b/src/core/model/binding.c
@@ -42,8 +42,8 @@
 }
 
 /*
- * Keeps a freed slot for FREED_SLOT_HOLD_S for the array that it was freed by, or for the one that
- * share switching gave it to. Other kinds of jobs have no slots.
+ * Keeps the slot of an array's task that ended for FREED_SLOT_HOLD_S: for the same array, or for
+ * the one that share switching gave the slot to. Other kinds of jobs have no slots.
  */
 static void keep_freed_slot(const struct core *core, const struct binding *binding)
 {
@@ -99,9 +99,9 @@
 
 /*
  * Handles a replica that exited by itself, although it is to run until its job is cancelled. A
- * replica that exits soon after its start, with whatever reason, is started again after a backoff
- * that grows, so that its restarts don't displace the starts of other tasks. One that has run for
- * REPLICA_MIN_UPTIME_S is started again at once.
+ * replica that exits soon after its start, whether in success or failure, is started again after a
+ * backoff that grows, so that its restarts don't displace the starts of other tasks. One that has
+ * run for REPLICA_MIN_UPTIME_S is started again at once.
  */
 static void handle_replica_exit(struct core *core, const struct binding *binding,
 				enum task_end_reason reason)
--- a/src/core/model/binding.h
+++ b/src/core/model/binding.h
@@ -4,9 +4,9 @@
  *
  * A binding is on record before the command to start its task is sent. Once that command may have
  * been sent, the binding ends only when it is proved that the attempt does not run and cannot start
- * any more: the agent reports its end, a heartbeat that counts as proof does not list it, the agent
- * has begun a newer incarnation, or the machine is deleted. A binding whose start was never sent
- * may end at once. docs/failure-model.md has the proofs.
+ * any more: the agent reports its end, a heartbeat proves its end by not listing it (see
+ * reconciliation.h), the agent has begun a newer incarnation, or the machine is deleted. A binding
+ * whose start was never sent may end at once. docs/failure-model.md has the proofs.
  */
 #ifndef PLOVERLOFT_BINDING_H
 #define PLOVERLOFT_BINDING_H
@@ -36,20 +36,25 @@
 	uint64_t start_incarnation;
 	/* The sequence number of the heartbeat whose answer last carried the start; 0: none. */
 	uint64_t start_sequence;
-	uint64_t listed_sequence; /* sequence number of the newest report that lists the task */
-	double start_sent_at;	  /* when the start was last sent; 0: never */
-	double stop_sent_at;	  /* when the stop with this grace_s was last sent; 0: never */
-	double grace_s;		  /* seconds that the task has to save its work when stopped */
-	double running_since;	  /* when a report first showed the task running; 0: none has */
-	uint32_t record_bytes;	  /* its size in the chunk's record, at most */
-	bool committed;		  /* the binding is on record */
-	bool in_flight;		  /* the transaction in flight writes the binding */
+	/* The sequence number of the newest report that lists the task; 0: none has since this term
+	 * began or the agent was restarted. */
+	uint64_t listed_sequence;
+	double start_sent_at;  /* when the start was last sent; 0: never */
+	double stop_sent_at;   /* when the stop with this grace_s was last sent; 0: never */
+	double grace_s;	       /* seconds that the task has to save its work when stopped */
+	double running_since;  /* when a report first showed the task running; 0: none has */
+	uint32_t record_bytes; /* its size in the chunk's record, at most */
+	bool committed;	       /* the binding is on record */
+	bool in_flight;	       /* the transaction in flight writes the binding */
 	/* The start may have been sent by an earlier leader, or before the agent was restarted. */
 	bool recovered;
-	bool observed; /* the agent has listed the task since this term began or it was restarted */
-	bool stopping; /* the task is to be stopped */
-	char switched_to[ID_MAX]; /* id of the array that gets its slot next; empty: its own job */
-	enum task_state state;	  /* by the newest report that lists the task */
+	/* The agent has listed the task since this term began or the agent was restarted. */
+	bool observed;
+	bool stopping; /* a stop of the task is requested */
+	/* Id of the array that gets the slot, the capacity that the task uses, once the binding has
+	 * ended, because share switching gave it the slot; empty: the task's own job. */
+	char switched_to[ID_MAX];
+	enum task_state state;			     /* by the newest report that lists the task */
 	struct binding *machine_prev, *machine_next; /* in the list of its machine */
 	struct binding *job_prev, *job_next;	     /* in the list of its job */
 	struct binding *chunk_prev, *chunk_next;     /* in the list of its chunk */
@@ -71,8 +76,9 @@
 /*
  * Ends the binding, whose attempt is proved to have ended or was never started. `reason` decides on
  * backoffs and on whether the task is done. Returns the resources, requests a write of the chunk's
- * record, and frees the binding, and the job too if it is over. If a task of a gang ends for
- * another reason than END_DONE, it requests stops of the gang's other tasks.
+ * record, and frees the binding. Also frees the job if it is an orphan that nothing needs any more,
+ * see job_free_if_unused. If a task of a gang ends for another reason than END_DONE, requests stops
+ * of the gang's other tasks, unless the gang is done or cancelled. Ends no other binding.
  */
 void binding_end(struct core *core, struct binding *binding, enum task_end_reason reason);
 
--- a/src/core/model/chunk.h
+++ b/src/core/model/chunk.h
@@ -26,8 +26,8 @@
 };
 
 /*
- * A record of LARGE_CHUNK_TASKS tasks that is left of the older format FORMAT_LARGE_CHUNKS. It
- * counts for those tasks whose chunk has no record of the newer format.
+ * A record of LARGE_CHUNK_TASKS tasks that is left of the older format FORMAT_LARGE_CHUNKS. It is
+ * valid for those tasks whose chunk has no record of the newer format.
  */
 struct old_chunk {
 	uint64_t version;	 /* version of its key; 0: it has no record */
--- a/src/core/model/job.h
+++ b/src/core/model/job.h
@@ -27,25 +27,28 @@
 struct job_scheduling {
 	double retry_at;      /* end of a backoff: no task is placed before */
 	double waiting_since; /* when the job was added or one of its bindings last ended */
-	double order_key;     /* sort key in its priority, of the newest cycle; lowest first */
-	/* Failures since a task last succeeded or a replica last ran for REPLICA_MIN_UPTIME_S. */
+	/* Sort key among the jobs of its priority, from the newest cycle; the lowest goes first. */
+	double order_key;
+	/* Failures of tasks since one last succeeded or a replica last ran for
+	 * REPLICA_MIN_UPTIME_S. */
 	int consecutive_failures;
-	/* Ids of the machines of its latest failures, as a ring. */
+	/* Ids of the machines on which its tasks failed last, as a ring. */
 	char failed_machines[JOB_FAILED_MACHINES_MAX][ID_MAX];
-	/* Failures in this term; modulo JOB_FAILED_MACHINES_MAX, the next index of the ring. */
+	/* Failures of its tasks in this term; modulo JOB_FAILED_MACHINES_MAX, the next index in
+	 * `failed_machines`. */
 	int failed_machine_count;
 	double reserved_until; /* end of its reservation of capacity; 0: it has none */
 	/* Its reservation grows: each cycle adds capacity that has fallen free. */
 	bool has_growing_reservation;
 	/* The zone to which a growing reservation is limited; empty: all zones. */
 	char reserved_zone[NAME_MAX_LEN];
-	double next_preemption_at; /* no other work is stopped for it before */
+	double next_preemption_at; /* no tasks of other jobs are stopped for it before */
 };
 
 /* A job whose record was read, or of which only records of tasks are left. */
 struct job {
 	struct job_spec spec;	 /* only `id` and `task_count` if its record was not read */
-	uint64_t record_version; /* version of its record's key, as last read */
+	uint64_t record_version; /* newest known version of its record's key */
 	double submitted_at;	 /* seconds since 1970 on the wall clock */
 	bool cancelled;		 /* its cancellation is on record */
 	/* It has no open record any more. It is kept only until its last bindings have ended and
@@ -76,7 +79,8 @@
 unsigned job_count(const struct core *core);
 /* The job with this id; NULL if there is none. */
 struct job *job_find(const struct core *core, const char *id);
-/* Adds a job with a copy of the description, and owns the memory that the description refers to. */
+/* Adds a job with a copy of the description. The job then owns the memory that the description
+ * refers to. */
 struct job *job_add(struct core *core, const struct job_spec *spec);
 /*
  * Raises the number of tasks of a job whose description was not read, and with it the sizes of its
--- a/src/core/model/job_failures.c
+++ b/src/core/model/job_failures.c
@@ -62,8 +62,8 @@
 
 	if (has_failed_job(machine, job))
 		return;
-	/* A job that failed before on another machine is probably faulty itself: its failure says
-	 * nothing about this machine. */
+	/* A job that failed before, mostly on another machine, is probably faulty itself: its
+	 * failure says nothing about this machine. */
 	if (job->scheduling.failed_machine_count > 1)
 		return;
 	if (scheduling->failed_job_count < MACHINE_FAILED_JOBS_MAX) {
--- a/src/core/model/job_failures.h
+++ b/src/core/model/job_failures.h
@@ -12,7 +12,7 @@
 /*
  * Handles a failure of one of the job's tasks on the machine. After the first failure, its tasks
  * may be placed again at once; from the second consecutive one on, the job gets a backoff that
- * doubles. The job also remembers the machine.
+ * doubles, up to ERROR_BACKOFF_MAX_S. The job also remembers the machine.
  */
 void job_handle_task_failure(const struct core *core, struct job *job,
 			     const struct machine *machine);
@@ -26,8 +26,8 @@
  */
 void machine_handle_refused_start(const struct core *core, struct machine *machine);
 /*
- * Adds the job to those that failed on the machine, unless it also failed on another one. The
- * machine is drained once MACHINE_FAILED_JOBS_MAX jobs have failed on it.
+ * Adds the job to those that failed on the machine, unless the job has failed before in this term.
+ * The machine is drained once MACHINE_FAILED_JOBS_MAX jobs have failed on it.
  */
 void machine_add_failed_job(struct machine *machine, const struct job *job);
 /* Forgets the jobs that failed on the machine, since a task has succeeded there. */
--- a/src/core/model/machine.h
+++ b/src/core/model/machine.h
@@ -18,7 +18,8 @@
 struct job;
 struct report_cache_entry;
 
-/* A task that the agent lists without a binding to it: it is to be stopped, or forgotten. */
+/* An attempt that the agent lists although no binding places it on the machine. The agent is to
+ * stop it, or to forget it if it has ended. */
 struct unbound_task {
 	char job[ID_MAX];
 	uint32_t task;	  /* index in the job */
@@ -28,34 +29,44 @@
 
 /*
  * The agent on the machine, as its messages show it: its heartbeats, and its answers to probes and
- * direct commands. Times are seconds on the steady clock, as core->now. Those named `last_..._at`
- * are negative while there was no such message in this term, or since the agent's restart.
+ * direct commands. reports.h says which messages are applied and which heartbeats are stale. Times
+ * are seconds on the steady clock, as core->now. Those named `last_..._at` are negative while there
+ * was no such message in this term, or since the agent's restart.
  */
 struct machine_agent {
-	/* The incarnation in its newest message; 0: no message in this term, or since it was
-	 * restarted. It rises when the agent's lease expires or the agent is restarted; only a
-	 * restart within a fraction of a second may lower it. */
+	/* The incarnation in the newest message that was applied; 0: no message was applied in this
+	 * term, or since the agent's restart. It rises when the agent's lease expires or the agent
+	 * is restarted; only a restart within a fraction of a second may lower it. */
 	uint64_t incarnation;
-	uint64_t sequence; /* sequence number of its newest message in the incarnation */
-	uint64_t token;	   /* newest fencing token that it has shown */
-	/* Reports with a lower fencing token may be copies from before its restart, and don't
-	 * count; 0: it was not restarted in this term. */
+	uint64_t sequence; /* sequence number of the newest message that was applied */
+	uint64_t token;	   /* newest fencing token that the agent has shown */
+	/* Heartbeats with a lower fencing token may be copies from before the agent's restart, and
+	 * are stale; 0: it was not restarted in this term. */
 	uint64_t min_token;
-	bool restarted; /* it was restarted: no report counts until a new fencing token is held */
-	bool reachable; /* false: an outbound partition; our messages do not reach the agent */
-	int stale_reports;  /* heartbeats that did not count since it was last found reachable */
-	int ignored_starts; /* consecutive heartbeats that lack a start sent before them */
-	double unreachable_since; /* when `reachable` last became false; 0: never */
-	double last_heartbeat_at; /* its newest heartbeat that counted */
-	double last_message_at;	  /* its newest message that counted, of any kind */
-	double last_report_at;	  /* its last heartbeat, even if that did not count */
-	double up_at;		  /* its first message in this term, or its restart; 0: neither */
-	/* The preemption notice of its newest message: seconds until the cloud takes the machine
-	 * back, counted from `notice_received_at`; < 0: no notice. */
+	/* The agent was restarted: no report of it is applied until a new fencing token is held. */
+	bool restarted;
+	/* False: our messages do not reach the agent (an outbound partition), or it was restarted
+	 * and no message was applied since. */
+	bool reachable;
+	int stale_reports; /* stale heartbeats since the agent was last found reachable */
+	/* Consecutive heartbeats that lack a task whose start was sent in the answer to an earlier
+	 * heartbeat. */
+	int ignored_starts;
+	/* When the agent last became unreachable, or its last restart was detected; 0: neither. */
+	double unreachable_since;
+	double last_heartbeat_at; /* when the newest heartbeat was applied */
+	double last_message_at;	  /* when the newest message of any kind was applied */
+	double last_report_at;	  /* when the last heartbeat came, even a stale one */
+	/* When the first message in this term was applied, or the first one since the agent's
+	 * restart; until that one, when the token that followed the restart was held; 0: none of
+	 * these. */
+	double up_at;
+	/* The preemption notice in the newest message that was applied: seconds until the cloud
+	 * takes the machine back, counted from `notice_received_at`; < 0: no notice. */
 	double notice_s;
 	double notice_received_at;		  /* when `notice_s` was last set; 0: never */
 	struct report_cache_entry *cached_report; /* owned by agents.report_cache; NULL: none */
-	struct unbound_task *unbound_tasks;	  /* owned; listed in its newest report */
+	struct unbound_task *unbound_tasks;	  /* owned; from the newest report applied */
 	size_t unbound_task_count;
 };
 
@@ -90,7 +101,7 @@
 	bool expected;
 	bool failed;		   /* an inventory says that it has failed */
 	uint64_t inventory_number; /* number of the newest inventory that named it */
-	int missed_inventories;	   /* complete inventories that lacked it since then */
+	int missed_inventories;	   /* complete inventories since that one, which lacked it */
 	/* Steady seconds; when it was rented, as far as is known, or its agent was restarted. The
 	 * limit of its boot time counts from then. */
 	double rented_at;
@@ -154,7 +165,7 @@
 /*
  * Sets what a report, an inventory or a grant says of the machine. An empty address does not
  * replace a known one. Once the machine has a type of the catalog, type, zone and `spot` are set
- * only if the type is another.
+ * only if the type differs.
  */
 void machine_set_identity(struct core *core, struct machine *machine, const char *addr,
 			  const char *type, const char *zone, bool spot);
@@ -163,13 +174,13 @@
 /* Points all machines to the types of a new catalog, and computes their free capacity again. */
 void machines_apply_catalog(const struct core *core);
 
-/* True if its agent has sent a message that counted within MACHINE_FRESH_REPORTS intervals. */
+/* True if a message of its agent was applied within MACHINE_FRESH_REPORTS report intervals. */
 bool machine_is_responsive(const struct core *core, const struct machine *machine);
 /* True if it has a preemption notice or is drained, and its deletion is not decided yet. */
 bool machine_is_leaving(const struct machine *machine);
 /*
- * True if tasks may be placed on it now: its type is known, its agent reports and is reachable, and
- * it has neither failed nor a backoff, a preemption notice, a drain or a delete ahead.
+ * True if tasks may be placed on it now: its type is known, its agent reports and is reachable, it
+ * has not failed, is neither drained nor being deleted, and has no preemption notice or backoff.
  */
 bool machine_is_usable(const struct core *core, const struct machine *machine);
 /* True if the job allows machines of this type and zone, spot or not. Sizes are not compared. */
--- a/src/core/model/team.h
+++ b/src/core/model/team.h
@@ -11,8 +11,8 @@
 struct core;
 
 /*
- * A team and what it uses. A task counts from its binding on until the end of the binding, which
- * needs a proof.
+ * A team and what it uses. A task's resources count as used from the time that it is bound until
+ * the end of its binding, which has to be proved (see binding.h).
  */
 struct team {
 	const struct conf_team *conf; /* its name and quotas in the settings */
--- a/src/core/model/tombstones.c
+++ b/src/core/model/tombstones.c
@@ -27,7 +27,7 @@
 	HASH_ADD_STR(core->tombstones.list, id, tombstone);
 }
 
-/* The steady time before which a machine must have been deleted for no inventory to name it now. */
+/* A steady time. No inventory names a machine any more that was deleted before it. */
 static double inventory_cutoff(const struct core *core)
 {
 	return core->now - TOMBSTONE_INVENTORY_MARGIN_S - 2 * core->conf->inventory_lag_s;
--- a/src/core/model/tombstones.h
+++ b/src/core/model/tombstones.h
@@ -39,7 +39,7 @@
 /*
  * Removes the tombstones that are not needed under a new fencing token, whose write was sent at
  * `fenced_at` (steady seconds). Late copies of reports of machines that were deleted before then
- * show an older token and do not count any more. The tombstone of such a machine is needed only
+ * show an older token and are stale (see reports.h). The tombstone of such a machine is needed only
  * while an inventory may still name it.
  */
 void tombstones_trim(struct core *core, double fenced_at);
