--- a/src/core/api/submissions.c
+++ b/src/core/api/submissions.c
@@ -86,8 +86,10 @@
 
 /*
  * After a 400, nothing was or will be committed. Either the transaction has too many changes, and
- * the submissions are sent again in smaller ones, or a record is too large. A single submission
- * whose record is not too large was refused for an unknown reason and is not sent again.
+ * the submissions are sent again in smaller ones, or a record is too large. A record is refused
+ * only after a transaction of at most LIMITS_TXN_OPS_MIN changes: so many are assumed to be
+ * allowed. A single submission whose record is not too large was refused for an unknown reason and
+ * is not sent again.
  */
 static void on_batch_too_large(struct core *core, struct user_request *batch)
 {
@@ -215,7 +217,7 @@
 /* --- arriving submissions --- */
 
 /* The capacity of the queue: as many submissions as can be committed within SUBMIT_QUEUE_S, since
- * users who wait longer give up. */
+ * users who wait longer give up, but at least SUBMIT_QUEUE_MIN. */
 static int queue_capacity(const struct core *core)
 {
 	return (int)fmax(SUBMIT_QUEUE_MIN, SUBMIT_QUEUE_S * limits_write_rps(core));
--- a/src/core/model/job.h
+++ b/src/core/model/job.h
@@ -111,7 +111,9 @@
 
 /*
  * Requests the final record of a job that is over. To be called whenever a task is done, a binding
- * has ended or the job is cancelled. Once a gang has no bindings, it may also be started again.
+ * has ended or the job is cancelled. If all tasks are done but bindings are left, the final record
+ * waits for their ends, up to FINAL_RECORD_DELAY_S. Once a gang has no bindings, it may also be
+ * started again.
  */
 void job_check_end(struct core *core, struct job *job);
 /*
--- a/src/core/model/job_failures.h
+++ b/src/core/model/job_failures.h
@@ -12,7 +12,8 @@
 /*
  * Handles a failure of one of the job's tasks on the machine. After the first failure, its tasks
  * may be placed again at once; from the second consecutive one on, the job gets a backoff that
- * doubles, up to ERROR_BACKOFF_MAX_S. The job also remembers the machine.
+ * doubles, up to ERROR_BACKOFF_MAX_S. Also adds the machine to those on which the job's tasks
+ * failed.
  */
 void job_handle_task_failure(const struct core *core, struct job *job,
 			     const struct machine *machine);
--- a/src/core/model/machine.h
+++ b/src/core/model/machine.h
@@ -103,7 +103,7 @@
 	uint64_t inventory_number; /* number of the newest inventory that named it */
 	int missed_inventories;	   /* complete inventories since that one, which lacked it */
 	/* Steady seconds; when it was rented, as far as is known, or its agent was restarted. The
-	 * limit of its boot time counts from then. */
+	 * time allowed for its boot runs from then. */
 	double rented_at;
 	double idle_since; /* steady seconds; when its last binding ended or it came up */
 	bool draining;	   /* it gets no new tasks, and is deleted once it has no bindings */
--- a/src/core/model/task_bitmap.h
+++ b/src/core/model/task_bitmap.h
@@ -1,7 +1,7 @@
 /*
  * Bitmaps with one bit per task of a job, and their text form in the records. The text has six bits
- * per character, the first as the lowest, in the alphabet of base64url, without padding. It ends
- * with the last byte that is not zero.
+ * per character, of which the first task's is the lowest, in the alphabet of base64url, without
+ * padding. It ends with the last byte that is not zero.
  */
 #ifndef PLOVERLOFT_TASK_BITMAP_H
 #define PLOVERLOFT_TASK_BITMAP_H
