--- a/src/constants.h
+++ b/src/constants.h
@@ -30,7 +30,8 @@
 #define NET_SPARE_CONNS_DIVISOR 50
 /* Sockets kept for our own calls to the state service, the cloud and agents. */
 #define NET_CONNS_RESERVED 64
-/* Time that a half-received request, or a response that is not taken, may hold a socket. */
+/* Time for which a partly received request, or a response that the caller does not read, may hold a
+ * socket. */
 #define NET_MESSAGE_TIMEOUT_S 10.0
 /* Time that an idle connection of our own is kept open, since to connect again costs more. */
 #define NET_CLIENT_IDLE_MAX_S 40.0
@@ -101,7 +102,8 @@
 /* Time beyond its blocking time until a watch counts as unanswered. For the watch of the leader's
  * key the sum is below READY_SILENCE_MAX_S. */
 #define STORE_WATCH_MARGIN_S 1.0
-/* Delay before the leader's key or the changes of jobs are read again after a failure. */
+/* Delay after a failure before the leader's key is read or claimed again, or the changes of jobs
+ * are read again. */
 #define STORE_READ_RETRY_S 0.4
 /* Time for which a leader that resigned, because most agents were silent, does not claim leadership
  * again. */
@@ -116,8 +118,8 @@
 /* Lookups that may wait for reads of records, as a share of `max_connections`; beyond that users
  * get 429. */
 #define LOOKUP_CONNS_SHARE 0.25
-/* Age of a request from which its cancellation is not committed any more: a user gives up after
- * 5 s, and the answer has to travel. */
+/* Age from which a request to cancel a job is not committed any more: a user gives up after 5 s,
+ * and the answer has to travel. */
 #define CANCEL_REQUEST_MAX_AGE_S 3.5
 /* Least capacity of the queue of submissions; users get 429 when it is full. */
 #define SUBMIT_QUEUE_MIN 400
@@ -132,9 +134,9 @@
 #define INDEX_CHANGES_MAX 4000
 /* Least interval between reads of changes, in which lookups gather for the next read. */
 #define INDEX_BATCH_S 0.05
-/* Delay before a read of changes that was refused is tried again. */
+/* Delay before a refused read of changes, or a failed read of a page of jobs, is tried again. */
 #define INDEX_RETRY_S 0.2
-/* Time that a lookup may wait for such a retry: users give up a poll after 2 s. */
+/* Time that a lookup may wait for a refused read to be repeated: users give up a poll after 2 s. */
 #define LOOKUP_MAX_WAIT_S 1.0
 /* Interval between requests to the leader for task counts: what users see may lag by 3 s. */
 #define COUNTS_INTERVAL_S 2.0
@@ -152,7 +154,8 @@
 /* Time without an answer from the state service and from any other controller after which /ready
  * answers that this controller is not ready. */
 #define READY_SILENCE_MAX_S 4.0
-/* Time for which no request is forwarded to a controller that could not serve one either. */
+/* Time for which no request is forwarded to a controller that did not answer a forwarded one, or
+ * could not serve it. */
 #define PEER_FORWARD_BACKOFF_S 2.0
 /* Retry-After of most refusals, in seconds: the least that a user waits anyway. */
 #define RETRY_AFTER_S 1
@@ -189,8 +192,8 @@
 
 /* --- limits of the state service --- */
 
-/* Changes that a transaction must be able to hold: a job's end and the version of the format need
- * two. */
+/* Changes that a transaction must be able to hold: the end of a job needs two, and so does the step
+ * to a newer format. */
 #define LIMITS_TXN_OPS_MIN 2
 /* Size of a value from which the state service may refuse it, and so the least `value_kb`: a
  * smaller value is not refused for its size. */
@@ -226,24 +229,24 @@
 
 /* --- machines --- */
 
-/* Age of an agent's last report from which its machine gets no new tasks: the reports that may be
- * missed. The same age of its last message of any kind makes the machine silent. */
+/* Age of an agent's last heartbeat from which its machine gets no new tasks: two heartbeats have
+ * been missed by then. The same age of its last message of any kind makes the machine silent. */
 #define MACHINE_FRESH_REPORTS 2.5
-/* Time beyond the agent's lease after which a silent machine is given up: its tasks are lost
- * anyway. */
+/* Time without a heartbeat, beyond the agent's lease, after which a machine is given up: its tasks
+ * are lost anyway. */
 #define MACHINE_LEASE_MARGIN_S 1.0
 /* Least interval between probes of one machine. */
 #define PROBE_INTERVAL_S 1.0
-/* Probes per second that are allowed at least: each costs as much as a report. */
+/* Least allowed rate of probes, per second: each costs as much as a report. */
 #define PROBES_MIN_PER_S 40.0
 /* Time in which the rate of probes must allow one to each machine. */
 #define PROBE_ALL_LEASES 0.5
 /* Share of the sockets that direct commands and probes may use. */
 #define AGENT_CALL_CONNS_SHARE 0.125
-/* Reports in a row that ignore a start before a machine counts as unreachable: one answer may be
- * lost. */
+/* Consecutive heartbeats that lack a start which was sent before them, from which a machine counts
+ * as unreachable: one answer may be lost. */
 #define MACHINE_IGNORED_STARTS 2
-/* Time without a newer report from which an agent's heartbeat is overdue: one may be a quarter of
+/* Time since an agent's newest heartbeat from which the next one is overdue: it may be a quarter of
  * an interval late. */
 #define HEARTBEAT_OVERDUE_REPORTS 1.5
 /* Time that a machine which our messages do not reach, and which has no tasks, is kept. */
@@ -266,7 +269,8 @@
 #define COMMAND_RESEND_S 1.5
 /* Commands in one message: a line is limited to 64 KiB. */
 #define COMMANDS_MAX 300
-/* Least interval between new fencing tokens that are requested, mostly for unanswered commands. */
+/* Least interval between two renewals of the fencing token on request. Most are requested because
+ * commands were not answered. */
 #define TOKEN_RENEW_INTERVAL_S 2.0
 /* Interval between inventories of the cloud's machines: what they show is older than that. */
 #define INVENTORY_INTERVAL_S 3.0
@@ -291,13 +295,13 @@
 /* Probes in a row without an answer before a machine with replicas may be given up: one may get
  * lost. */
 #define REPLICA_UNANSWERED_PROBES 2
-/* Probes of machines with replicas per second that are allowed at least. */
+/* Least allowed rate, per second, of probes of machines with replicas. */
 #define REPLICA_PROBES_MIN_PER_S 10.0
 /* Allowed rate of these probes, if that is more, as a share of the rate of the agents' reports. */
 #define REPLICA_PROBE_SHARE 0.34
 /* Delay of the supervision of replicas from which an event-loop iteration sends no probes. */
 #define REPLICA_SUPERVISION_LATE_S 0.5
-/* Time without a report after which replicas are moved off a machine that answers probes. */
+/* Time without a heartbeat after which replicas are moved off a machine that answers probes. */
 #define REPLICA_MOVE_LEASES 0.5
 /* Time since a machine's last message from which new replicas rather go elsewhere. */
 #define REPLICA_OVERDUE_REPORTS 1.25
@@ -322,13 +326,15 @@
 #define ERROR_BACKOFF_MAX_S 60.0
 /* Machines remembered per job on which its tasks failed. */
 #define JOB_FAILED_MACHINES_MAX 4
-/* Backoff after a refused start: the job's description may be on its way to the machine. */
+/* Backoff of a job after a refused start: its description may be on its way to the machine. Also
+ * the backoff of the machine, if it lacks free capacity or runs another attempt of the task. */
 #define START_REFUSED_BACKOFF_S 1.0
 /* Mean interval between rounds of share switching: the quantum of its design. */
 #define SWITCH_QUANTUM_S 5.0
 /* Jitter as a share of the quantum, so that the controllers' load spreads. */
 #define SWITCH_JITTER 0.4
-/* Time that a freed slot is kept for its job: a scheduling cycle or two. */
+/* Time that a freed slot is kept for the array that used it, or to which it was switched: a
+ * scheduling cycle or two. */
 #define FREED_SLOT_HOLD_S 2.0
 /* Cost, in seconds of waiting, of a task without GPUs on a machine with GPUs. */
 #define GPU_WASTE_COST_S 3.0
@@ -342,13 +348,14 @@
 /* Time that capacity is reserved for a job after other work, or its own replica that moves, was
  * stopped. */
 #define PREEMPT_RESERVE_S 20.0
-/* Interval between tries to make room for one job. */
+/* Interval between tries to free capacity for one job by preemption. */
 #define PREEMPT_RETRY_S 2.0
 /* Time that a gang waits before it gets a growing reservation, of capacity that falls free: it has
  * to begin within four minutes, and other jobs are to be served too. */
 #define RESERVE_AFTER_S 45.0
 /* Time before the gang's next wait objective at which a growing reservation begins, if that is
- * later: large gangs took up to 40 s to get all of their capacity. */
+ * later, but no later than ORDER_FIRST_AFTER_S: large gangs took up to 40 s to get all of their
+ * capacity. */
 #define RESERVE_LEAD_S 60.0
 /* Gangs that have a growing reservation at once: reserved capacity idles. */
 #define RESERVE_MAX_GANGS 2
@@ -363,7 +370,8 @@
 /* Time beyond the last scheduling cycle for which a growing reservation stands: cycles come twice a
  * second. */
 #define RESERVE_EXTEND_S 2.0
-/* Share of the capacity in use that is expected to fall free soon enough. */
+/* Share of a machine's whole capacity that is expected to fall free soon enough, in addition to its
+ * free capacity. */
 #define RESERVE_USED_SHARE 0.05
 /* Time that a stopped task needs to find capacity, start and fetch its image again. */
 #define RESTART_OVERHEAD_S 15.0
@@ -371,13 +379,13 @@
 #define RESTART_ESTIMATE_FACTOR 1.5
 /* Time to start tasks and fetch the image, taken off the time that an array has left. */
 #define ARRAY_START_OVERHEAD_S 10.0
-/* Time of waiting after which a gang goes before all others of its priority. */
+/* Time of waiting after which a gang or service goes before all others of its priority. */
 #define ORDER_FIRST_AFTER_S 140.0
 /* Order key that places a gang or service after all that are ordered by a wait objective; its
  * negative places one before them. */
 #define ORDER_KEY_EXTREME_S 1e6
 /* Cost, in seconds of waiting, of an on-demand machine for a task that may use spot machines, while
- * jobs wait that may not. */
+ * there are open jobs that may not. */
 #define ON_DEMAND_COST_S 4.0
 /* Cost, in seconds of waiting, of a second replica of a service on one machine, against a fetch of
  * the image elsewhere. The same for each job that failed on the machine. */
@@ -394,11 +402,11 @@
 #define REPLICA_SPOT_COST_S 20.0
 /* Tolerance when capacity is compared, in CPUs, GPUs or GB: decimal amounts are summed up. */
 #define ROOM_SLACK 1e-6
-/* Machines that the search for places of single tasks visits in one cycle, per core of the
- * controller's: 0.2 s of work on a whole core. */
+/* Machines that the search for places of single tasks visits in one cycle, per core that the
+ * controller may use: 0.2 s of work on a whole core. */
 #define CYCLE_VISITS_PER_CORE 2e7
-/* Shapes of waiting gangs whose capacity is left to them in a cycle: one bit each of a pool's
- * `gang_shapes`. */
+/* Shapes (see same_shape) of waiting gangs whose capacity is left to them in a cycle: one bit each
+ * of a pool's `gang_shapes`. */
 #define CYCLE_GANG_SHAPES_MAX 32
 /* Shapes remembered in a cycle for which no capacity was found. */
 #define CYCLE_NO_ROOM_SHAPES_MAX 32
@@ -417,26 +425,27 @@
 /* Share of the cloud's allowed rate of requests that is used: clocks differ, and after a late
  * event-loop iteration requests are sent at once. */
 #define CLOUD_RATE_SHARE 0.9
-/* Time for which a rental request without an answer is repeated. */
+/* Time for which a rental request without a definite answer is repeated. */
 #define SCALE_OUT_GIVE_UP_S 30.0
 /* Cost, in seconds of waiting, of a new spot machine: it may be taken back. */
 #define SCALE_OUT_SPOT_COST_S 5.0
 /* Cost, in seconds of waiting, of a new machine with GPUs for a job without: GPUs are rented for
  * jobs that use them. */
 #define SCALE_OUT_GPU_WASTE_COST_S 100.0
-/* Factor on a job's estimate: owners are often wrong by half. */
+/* Factor on a job's estimated run time when it is decided whether the job can wait for a spot
+ * machine: owners are often wrong by half. */
 #define SCALE_OUT_ESTIMATE_FACTOR 1.5
 /* Time to rent and boot a machine and fetch the image before a task can start. */
 #define SCALE_OUT_LEAD_S 60.0
 /* Random share added to an offer's cost, so that equal offers are spread over zones. */
 #define SCALE_OUT_JITTER 0.02
-/* Deleted machines that are remembered; beyond them a new fencing token makes the older entries
- * needless. Some 1 MB. */
+/* Tombstones of deleted machines, some 1 MB, beyond which a new fencing token is requested: it
+ * makes the older ones needless. */
 #define TOMBSTONES_MAX 8192
-/* Time, beyond twice the inventory's lag, until an inventory is read and applied: so long a deleted
- * machine may still be named. */
+/* Time, beyond twice the inventory's lag, for which an inventory that is being read and applied may
+ * still name a deleted machine. */
 #define TOMBSTONE_INVENTORY_MARGIN_S 60.0
-/* Time, beyond what a task needs to save its work, at which it is stopped before its machine is
+/* Time, added to what a task needs to save its work, by which it is stopped before its machine is
  * taken back: the stop has to arrive. */
 #define NOTICE_MARGIN_S 2.0
 /* First backoff, which doubles, before a refused machine type, zone and kind is requested again. */
@@ -447,7 +456,7 @@
 #define SCALE_OUT_BATCH_MAX 50
 /* Names in one request to delete machines, as the protocol limits them. */
 #define DELETE_BATCH_MAX 100
-/* Backoff after the cloud answered 429 or 503, or not at all. */
+/* Backoff after the cloud answered with an error, such as 429 or 503, or not at all. */
 #define CLOUD_BACKOFF_S 1.5
 /* Interval between the leader's reads of the catalog, for its prices. */
 #define CATALOG_INTERVAL_S 60.0
@@ -459,11 +468,11 @@
 #define IDLE_MAX_GPU_S 12.0
 /* Time that a machine may be idle which no open job could use. */
 #define IDLE_MAX_UNUSABLE_S 60.0
-/* Time that any machine may be idle where the objectives guarantee capacity and ask for nothing in
- * money. */
+/* Time that any machine may be idle where the objectives guarantee capacity and do not ask for low
+ * cost. */
 #define IDLE_MAX_GUARANTEE_S 3600.0
 /* Free capacity for each class of jobs, as a share of its use, where the objectives guarantee
- * capacity, ask for nothing in money, and the operators set no `headroom`. */
+ * capacity and do not ask for low cost, and the operators set no `headroom`. */
 #define HEADROOM_GUARANTEE_SHARE 0.6
 /* Tasks for which each class has free capacity on top of that share. */
 #define HEADROOM_MIN_TASKS 6
