--- a/daemon/controller.c
+++ b/daemon/controller.c
@@ -113,7 +113,8 @@
  * logged. */
 static struct net *open_network(const struct conf *conf, struct controller *controller)
 {
-	static const struct net_callbacks ops = {.request = handle_request, .reply = handle_reply};
+	static const struct net_callbacks callbacks = {.request = handle_request,
+						       .reply = handle_reply};
 	/* If the process may open fewer files than the settings allow, the limit on connections is
 	 * lower and idle connections are closed sooner. */
 	int connections_max = open_files_raise(conf->max_connections) - NET_FILES_RESERVED;
@@ -123,12 +124,13 @@
 	 * their idle connections, so that the calling controller closes them first.
 	 */
 	double idle_max_s = fmax(conf->lease_s, NET_CLIENT_IDLE_MAX_S) + NET_MESSAGE_TIMEOUT_S;
-	struct net *net = net_new(&ops, controller, connections_max, idle_max_s);
+	struct net *net = net_new(&callbacks, controller, connections_max, idle_max_s);
 
 	/* An address that is not a numeric IPv4 address and a port leaves errno at 0. */
 	errno = 0;
 	if (net_listen(net, NET_FRONT, conf->front_addr) ||
 	    net_listen(net, NET_BACK, conf->back_addr)) {
+		/* `reason` stays the last field, since its value may contain spaces. */
 		log_error("listen", "front=%s back=%s reason=%s", conf->front_addr, conf->back_addr,
 			  errno ? strerror(errno) : "invalid address");
 		net_free(net);
--- a/daemon/open_files.h
+++ b/daemon/open_files.h
@@ -4,7 +4,8 @@
 
 /*
  * Raises the limit on open files to `wanted`, or to the hard limit if that is lower. Returns the
- * number of files, up to `wanted`, that the process may have open. Fewer than `wanted` is logged.
+ * number of files, up to `wanted`, that the process may have open. If they are fewer than
+ * `wanted`, this is logged.
  */
 int open_files_raise(int wanted);
 
--- a/src/net/client_pool.h
+++ b/src/net/client_pool.h
@@ -25,7 +25,7 @@
 struct endpoint {
 	char address[NET_ADDR_MAX];
 	struct client_connection *idle; /* list, the most recently used first */
-	int references;	   /* one for each connection and client_pool_acquire_endpoint() */
+	int references;	   /* of its connections and from client_pool_acquire_endpoint() */
 	UT_hash_handle hh; /* of the pool's `endpoints` */
 };
 
@@ -35,7 +35,7 @@
 	enum client_state state;
 	uint64_t call_id;   /* id of the call under way */
 	double deadline_at; /* when that call ends without a reply */
-	double idle_since;  /* when the last call ended; set while idle */
+	double idle_since;  /* when the last call ended; valid while idle */
 	struct endpoint *endpoint;
 	/* Links of the pool's `calls`, the endpoint's `idle`, or the pool's `closed`. */
 	struct client_connection *prev, *next;
--- a/src/net/connection.c
+++ b/src/net/connection.c
@@ -60,14 +60,14 @@
 {
 	/* One byte more, for the NUL: without it, bytes that an earlier, longer message left in
 	 * memory would follow this one. */
-	char *room = buf_reserve(&connection->input, NET_READ_CHUNK_BYTES + 1);
+	char *space = buf_reserve(&connection->input, NET_READ_CHUNK_BYTES + 1);
 	ssize_t received;
 
 	do {
-		received = recv(connection->fd, room, NET_READ_CHUNK_BYTES, 0);
+		received = recv(connection->fd, space, NET_READ_CHUNK_BYTES, 0);
 	} while (received < 0 && errno == EINTR);
 	if (received > 0) {
-		room[received] = 0;
+		space[received] = 0;
 		connection->input.len += (size_t)received;
 	}
 	return received;
--- a/src/net/http.c
+++ b/src/net/http.c
@@ -16,7 +16,8 @@
 #define ASCII_DELETE 0x7f
 #define STATUS_DIGITS 3
 #define STATUS_LINE_LEN_MIN (VERSION_LEN + 1 + STATUS_DIGITS)
-/* Digits of a Content-Length: far above each limit, and far below an overflow of size_t. */
+/* Maximum number of digits of a Content-Length: it allows lengths far above each limit on bodies,
+ * but far below an overflow of size_t. */
 #define CONTENT_LENGTH_DIGITS_MAX 12
 
 /* A part of the message: `len` bytes from `at`, without a NUL. */
@@ -202,8 +203,8 @@
 
 /*
  * Removes the next line from the front of `rest`, and sets `line` to it without its LF or CR LF.
- * Returns HTTP_INCOMPLETE if the line is incomplete, and HTTP_BAD if it exceeds HTTP_HEAD_MAX,
- * counted from `head`.
+ * Returns HTTP_INCOMPLETE if the line is incomplete, and HTTP_BAD if it ends more than
+ * HTTP_HEAD_MAX bytes after `head`, where the message starts.
  */
 static enum http_result next_line(const char *head, struct span *rest, struct span *line)
 {
--- a/src/net/http_client.c
+++ b/src/net/http_client.c
@@ -54,8 +54,8 @@
 /* Returns an idle connection to the address, or starts a new one; NULL if that is not possible. */
 static struct client_connection *obtain_connection(struct http_client *client, const char *address)
 {
-	/* This reference keeps the endpoint meanwhile: it may be new, and making way for a new
-	 * connection may close the only other one to it. */
+	/* This reference keeps the endpoint, which may be new, until a connection refers to it. If
+	 * there is none in the end, the endpoint is freed again. */
 	struct endpoint *endpoint = client_pool_acquire_endpoint(client->pool, address);
 	struct client_connection *connection = client_pool_pop_idle(client->pool, endpoint);
 
