--- a/src/conf/conf.h
+++ b/src/conf/conf.h
@@ -21,8 +21,8 @@
 	OBJECTIVE_WAIT,
 	OBJECTIVE_FINISHED,
 	OBJECTIVE_DEADLINE,
-	OBJECTIVE_GUARANTEE,
-	OBJECTIVE_USEFUL,
+	OBJECTIVE_GUARANTEE, /* capacity is available at any time */
+	OBJECTIVE_USEFUL,    /* about money, like OBJECTIVE_PRICE */
 	OBJECTIVE_MAKESPAN,
 	OBJECTIVE_PRICE,
 	OBJECTIVE_REPLICA_TIME, /* `up`: share of the time in which a service's replicas run */
@@ -48,9 +48,9 @@
 	enum objective_kind kind;
 	char class_name[CONF_NAME_MAX]; /* empty: not stated */
 	double within_s;		/* OBJECTIVE_WAIT: the longest wait */
-	double share;
+	double share;			/* only logged */
 	double times; /* OBJECTIVE_DEADLINE: factor by which the job's deadline is multiplied */
-	double most;
+	double most;  /* only logged */
 };
 
 /* Limits of the state service; 0: not stated. */
@@ -105,9 +105,10 @@
 	int max_connections;
 
 	/* The operators' own settings. */
-	double idle_patience_s; /* time for which an idle machine is kept; < 0: by objectives */
-	double headroom;	/* free capacity, as a share of the use, that is kept unless
-				 * cost is minimised; < 0: the default */
+	double idle_patience_s; /* time for which an idle machine is kept; < 0: not set, and the
+				 * objectives decide */
+	double headroom;	/* free capacity to keep, as a share of the use; < 0: not set, and
+				 * HEADROOM_GUARANTEE_SHARE is kept unless cost is minimised */
 	int hold_format;	/* keep the records readable by the previous version */
 };
 
--- a/src/wire/job_codec.h
+++ b/src/wire/job_codec.h
@@ -48,8 +48,9 @@
 
 /*
  * Decodes a description, from a user or from wire_job_encode. Returns 0, or -1 with a static text
- * in `*why`: the key of the first field that is missing or invalid, or "not an object". In both
- * cases the caller frees what the description owns with wire_job_free.
+ * in `*why`: the key of the first field that is missing or invalid, as in names.h, or "not an
+ * object". A user whose description is invalid gets this text as the answer. In both cases the
+ * caller frees what the description owns with wire_job_free.
  */
 int wire_job_decode(json_t *object, struct job_spec *spec, const char **why);
 
--- a/src/wire/names.h
+++ b/src/wire/names.h
@@ -29,43 +29,43 @@
 #define W_JOB_PREFIX "job-"
 
 /* Job descriptions and states. */
-#define W_ID "uid"	/* id of a job or a machine */
-#define W_CLASS "naipe" /* class of the job, for which the settings may state objectives */
-#define W_TEAM "grupo"
-#define W_KIND "feitio" /* kind of the job: W_KIND_... */
-#define W_KIND_ARRAY "array"
-#define W_KIND_GANG "group"
-#define W_KIND_SERVICE "standing"
-#define W_PRIORITY "vez" /* W_PRIO_... */
+#define W_ID "uid"	     /* id of a job or a machine */
+#define W_CLASS "naipe"	     /* class of the job, for which the settings may state objectives */
+#define W_TEAM "grupo"	     /* team that the job belongs to */
+#define W_KIND "feitio"	     /* kind of the job: W_KIND_... */
+#define W_KIND_ARRAY "array" /* tasks that run independently of each other */
+#define W_KIND_GANG "group"  /* tasks that run at the same time or not at all */
+#define W_KIND_SERVICE "standing" /* tasks that run until the user cancels the job */
+#define W_PRIORITY "vez"	  /* priority of the job: W_PRIO_..., listed from the most urgent */
 #define W_PRIO_PRODUCTION "production"
 #define W_PRIO_HIGH "urgent"
 #define W_PRIO_NORMAL "normal"
 #define W_PRIO_LOW "best_effort"
-#define W_TASKS "partes" /* in a job the number of tasks, in a report the list of attempts */
-#define W_TASK "parte"	 /* a task's name, "JOB/INDEX" */
-#define W_CPUS "cores"	 /* number of CPUs, of a task or a machine type */
-#define W_GPUS "gpus"	 /* number of GPUs, of a task or a machine type */
-#define W_MEMORY "memGb" /* memory in GB, of a task or a machine type */
-#define W_IMAGE "molde"
-#define W_IMAGE_GB "pullGb"		 /* size of the image in GB */
+#define W_TASKS "partes"    /* in a job the number of tasks, in a report the list of attempts */
+#define W_TASK "parte"	    /* a task's name, "JOB/INDEX" */
+#define W_CPUS "cores"	    /* number of CPUs, of a task or a machine type */
+#define W_GPUS "gpus"	    /* number of GPUs, of a task or a machine type */
+#define W_MEMORY "memGb"    /* memory in GB, of a task or a machine type */
+#define W_IMAGE "molde"	    /* name of the image that the tasks run */
+#define W_IMAGE_GB "pullGb" /* size of the image in GB */
 #define W_MACHINE_TYPES "feitiosMaquina" /* machine types: names in a job, objects in a catalog */
 #define W_MACHINE_TYPE "feitioMaquina"	 /* name of a machine's type */
-#define W_ZONE "praca"	       /* in a job the only zone allowed, or the zone of a machine */
-#define W_ZONES "pracas"       /* zones that offer a machine type */
-#define W_ONE_ZONE "together"  /* boolean: all tasks must run in the same zone */
-#define W_SPREAD "scatter"     /* boolean: at most half of the tasks may run in one zone */
-#define W_SPOT "avulsas"       /* boolean: a job may use spot machines, or a machine is one */
-#define W_ESTIMATE "previstoS" /* estimated run time of a task in seconds */
-#define W_CHECKPOINT "marcoS"  /* seconds between checkpoints */
-#define W_SAVE "gravarS"       /* seconds that a stopped task takes to save its state */
-#define W_DEADLINE "prazoS"    /* seconds from submission to the end of the job */
-#define W_STATE "estado"       /* of a job, an attempt or a machine */
-#define W_JOB_QUEUED "pending"
-#define W_JOB_RUNNING "running"
-#define W_JOB_DONE "done"
-#define W_JOB_CANCELLED "withdrawn"
-#define W_DONE "done"	    /* number of tasks that are done */
-#define W_RUNNING "running" /* number of tasks that are running */
+#define W_ZONE "praca"		/* in a job the only zone allowed, or the zone of a machine */
+#define W_ZONES "pracas"	/* zones that offer a machine type */
+#define W_ONE_ZONE "together"	/* boolean: all tasks must run in the same zone */
+#define W_SPREAD "scatter"	/* boolean: at most half of the tasks may run in one zone */
+#define W_SPOT "avulsas"	/* boolean: a job may use spot machines, or a machine is one */
+#define W_ESTIMATE "previstoS"	/* estimated run time of a task in seconds */
+#define W_CHECKPOINT "marcoS"	/* seconds between checkpoints */
+#define W_SAVE "gravarS"	/* seconds that a stopped task takes to save its state */
+#define W_DEADLINE "prazoS"	/* seconds from submission to the end of the job */
+#define W_STATE "estado"	/* W_JOB_..., of an attempt W_TASK_..., of a machine W_CLOUD_... */
+#define W_JOB_QUEUED "pending"	/* no task is known to run */
+#define W_JOB_RUNNING "running" /* at least one task runs */
+#define W_JOB_DONE "done"	/* all tasks are done */
+#define W_JOB_CANCELLED "withdrawn" /* cancelled by the user */
+#define W_DONE "done"		    /* number of tasks that are done */
+#define W_RUNNING "running"	    /* number of tasks that are running */
 
 /* Reports of agents and commands to them. */
 #define W_MACHINE "poleiro"	     /* id of a machine */
@@ -78,26 +78,26 @@
 #define W_ATTEMPT "entrada"	     /* number of a task's attempt */
 #define W_END_REASON "motivo"	     /* why a task exited or was refused: W_END_... */
 #define W_SAVED "kept"		     /* boolean: the task's state was saved */
-#define W_COMMANDS "ordens"
-#define W_OP "gesto" /* what a command does: W_OP_... */
-#define W_OP_START "start"
-#define W_OP_STOP "stop"
-#define W_OP_FORGET "forget"
-#define W_GRACE "folgaS"      /* seconds that a stopped task is given to save its state */
-#define W_REPORT_TO "regente" /* address of the leader, to which the agent should report */
-#define W_TASK_FETCHING "pulling"
-#define W_TASK_WAITING "waiting"
-#define W_TASK_RUNNING "running"
-#define W_TASK_SAVING "flushing"
-#define W_TASK_EXITED "ended"
-#define W_END_DONE "done"
-#define W_END_STOPPED "stopped"
-#define W_END_PEERS_LOST "peers"   /* another task of its gang stopped running */
-#define W_END_GANG_TIMEOUT "alone" /* the other tasks of its gang did not start in time */
-#define W_END_ERROR "error"
-#define W_END_NO_ROOM "full"	    /* too little free capacity */
-#define W_END_BUSY "busy"	    /* the machine runs another attempt of the task */
-#define W_END_UNKNOWN_JOB "unknown" /* the agent does not know the job's description */
+#define W_COMMANDS "ordens"	     /* list of commands to an agent */
+#define W_OP "gesto"		     /* what a command does: W_OP_... */
+#define W_OP_START "start"	     /* start the attempt */
+#define W_OP_STOP "stop"	     /* stop the attempt */
+#define W_OP_FORGET "forget"	     /* stop reporting an attempt that has exited */
+#define W_GRACE "folgaS"	     /* seconds that a stopped task is given to save its state */
+#define W_REPORT_TO "regente"	     /* address of the leader, to which the agent should report */
+#define W_TASK_FETCHING "pulling"    /* the machine fetches the image */
+#define W_TASK_WAITING "waiting"     /* waits until the other tasks of its gang can start */
+#define W_TASK_RUNNING "running"     /* the attempt runs */
+#define W_TASK_SAVING "flushing"     /* stopped; it saves its state */
+#define W_TASK_EXITED "ended"	     /* the attempt has exited, see W_END_REASON */
+#define W_END_DONE "done"	     /* the task is done */
+#define W_END_STOPPED "stopped"	     /* stopped by a command */
+#define W_END_PEERS_LOST "peers"     /* another task of its gang stopped running */
+#define W_END_GANG_TIMEOUT "alone"   /* the other tasks of its gang did not start in time */
+#define W_END_ERROR "error"	     /* the task failed */
+#define W_END_NO_ROOM "full"	     /* too little free capacity */
+#define W_END_BUSY "busy"	     /* the machine runs another attempt of the task */
+#define W_END_UNKNOWN_JOB "unknown"  /* the agent does not know the job's description */
 
 /* The cloud: machine types, the list of machines, rental requests. */
 #define W_TYPE_NAME "label"	   /* name of a machine type */
@@ -112,9 +112,9 @@
 #define W_LIMIT "limit"	   /* maximum number of entries in a page */
 #define W_AGE "ageS"	   /* seconds since the machine was rented */
 #define W_MORE "truncated" /* boolean: another page follows */
-#define W_CLOUD_BOOTING "starting"
-#define W_CLOUD_RUNNING "running"
-#define W_CLOUD_FAILED "failed"
+#define W_CLOUD_BOOTING "starting" /* rented; it boots */
+#define W_CLOUD_RUNNING "running"  /* it has booted */
+#define W_CLOUD_FAILED "failed"	   /* it has failed and is of no use */
 
 /* The state service: items, transactions, leases, watches. */
 #define W_KEY "k"	    /* key of an item or a guard */
--- a/src/wire/report_codec.h
+++ b/src/wire/report_codec.h
@@ -46,11 +46,13 @@
 	char addr[NAME_MAX_LEN]; /* address at which the agent takes commands and probes */
 	char type[NAME_MAX_LEN];
 	char zone[NAME_MAX_LEN];
-	bool spot;	      /* true if the cloud may take the machine back */
-	uint64_t incarnation; /* increases each time the agent's lease ends */
-	uint64_t sequence;    /* increases with each report of an incarnation */
-	uint64_t token;	      /* newest fencing token that the agent has seen */
-	double notice_s;      /* seconds until the cloud takes the machine back; < 0: no notice */
+	bool spot; /* true if the cloud may take the machine back */
+	/* Increases when the agent's lease ends or the agent is restarted. For an exception see
+	 * struct machine_agent. */
+	uint64_t incarnation;
+	uint64_t sequence; /* increases with each report of the incarnation */
+	uint64_t token;	   /* newest fencing token that the agent has seen */
+	double notice_s;   /* seconds until the cloud takes the machine back; < 0: no notice */
 	struct report_task *tasks; /* owned */
 	size_t task_count;
 };
--- a/src/wire/store_codec.h
+++ b/src/wire/store_codec.h
@@ -8,7 +8,8 @@
 
 #include <jansson.h>
 
-/* An item: a key with its value, or a change of one. Key and value belong to the decoded JSON. */
+/* An item (a key with its value), or an event (the change of a key). Key and value belong to the
+ * decoded JSON. */
 struct kv_item {
 	const char *key;
 	json_t *value; /* NULL: the key was deleted */
--- a/src/wire/wire.h
+++ b/src/wire/wire.h
@@ -1,4 +1,4 @@
-/* Includes all codecs: between JSON messages and the structs that the core uses. */
+/* Includes all codecs, which convert between JSON messages and the structs that the core uses. */
 #ifndef PLOVERLOFT_WIRE_H
 #define PLOVERLOFT_WIRE_H
 
