--- a/src/constants.h
+++ b/src/constants.h
@@ -77,7 +77,7 @@
 /* Timeout of a call to the cloud, which answers rental requests in some hundred milliseconds. */
 #define CALL_CLOUD_TIMEOUT_S 8.0
 /* Timeout of a call to an agent. With a shorter one a retry, in the answer to the agent's next
- * report, would come no sooner. */
+ * heartbeat, would come no sooner. */
 #define CALL_AGENT_TIMEOUT_S 2.5
 /* Timeout of a call to another controller: a user waits 2 s for the answer to a poll. */
 #define CALL_PEER_TIMEOUT_S 1.5
