--- a/src/core/autoscale/autoscale.c
+++ b/src/core/autoscale/autoscale.c
@@ -1,4 +1,4 @@
-/* The periodic scan, which calls scale-in and scale-out, and the end of autoscaling with a term. */
+/* Runs the periodic scan, which calls scale-in and scale-out, and clears the state after a term. */
 #include "core/autoscale/autoscale.h"
 
 #include "core/autoscale/scale_in.h"
--- a/src/core/autoscale/cloud_link.h
+++ b/src/core/autoscale/cloud_link.h
@@ -8,8 +8,9 @@
 struct core;
 
 /*
- * Returns true if the rate limit allows a request to the cloud now, and subtracts it: the caller
- * must send one. All requests to the cloud share this limit, except reads of the catalog.
+ * Returns true if the rate limit allows a request to the cloud now. That request then counts as
+ * sent, so the caller must send it. All requests to the cloud share this limit, except reads of the
+ * catalog.
  */
 bool cloud_rate_limit_acquire(struct core *core);
 /*
--- a/src/core/autoscale/cost_policy.c
+++ b/src/core/autoscale/cost_policy.c
@@ -4,8 +4,7 @@
 
 /*
  * A guarantee promises capacity at any time, so capacity is kept ready for it. If there is no such
- * objective, or if there also is one about money (price, useful), machines are rented only for
- * work and deleted after it.
+ * objective, or if there also is one about money (price, useful), low cost is an aim.
  */
 bool autoscale_minimises_cost(const struct core *core)
 {
--- a/src/core/autoscale/scale_out.h
+++ b/src/core/autoscale/scale_out.h
@@ -16,8 +16,8 @@
 
 /*
  * Adds the machine of the cheapest offer for the demand to the plan, and allocates capacity for one
- * task on it. Returns false if no offer meets the demand, or if the plan already has as many
- * machines as can be requested in a second.
+ * task on a pending machine. Returns false if no offer meets the demand, or if the plan already
+ * requests as many machines as can be requested in a second.
  */
 bool scale_out_plan_machine(struct core *core, struct capacity_plan *plan,
 			    const struct machine_demand *demand);
--- a/src/core/autoscale/scale_out_jobs.c
+++ b/src/core/autoscale/scale_out_jobs.c
@@ -10,7 +10,7 @@
  * allows spot machines and has a deadline waits for a spot machine or for capacity that falls free.
  * On-demand machines are requested for it only when it might miss its deadline otherwise.
  */
-static bool can_wait(const struct core *core, const struct job *job)
+static bool can_wait_for_spot(const struct core *core, const struct job *job)
 {
 	const struct job_spec *spec = &job->spec;
 	double remaining_s = job->submitted_at + spec->deadline_s - core->wall;
@@ -90,7 +90,7 @@
 	struct machine_demand demand = {
 	    .spec = spec,
 	    .zone = initial_zone(core, plan, spec),
-	    .choice = can_wait(core, job) ? SPOT_ONLY : ANY_KIND,
+	    .choice = can_wait_for_spot(core, job) ? SPOT_ONLY : ANY_KIND,
 	};
 
 	for (uint32_t i = 0; i < waiting && team_quota_allows(core, spec, i + 1); i++) {
--- a/src/core/scheduling/array_placement.c
+++ b/src/core/scheduling/array_placement.c
@@ -1,7 +1,7 @@
 /*
- * Places job arrays, one task at a time. The steps go from the slots that an array must have to
- * those that it may have in addition. The last step shares the other capacity equally: the next
- * task is always of an array that has the fewest slots (max-min fairness).
+ * Places job arrays, one task at a time. The slots that an array needs most are placed first. The
+ * last step shares the other capacity equally, except what waiting gangs of higher priority could
+ * use: the next task is always of an array that has the fewest slots (max-min fairness).
  */
 #include "core/scheduling/array_placement.h"
 
@@ -75,7 +75,8 @@
 }
 
 /* Whether one more task of the job may be placed on the machine: the job has not failed there, the
- * machine suits it, and neither reservations, zones nor waiting gangs are against it. */
+ * machine suits it, the job's rules on zones allow it, and the capacity is neither reserved for
+ * another job nor left to a waiting gang. */
 static bool may_use_machine(struct scheduling_cycle *cycle, const struct job *job,
 			    const struct machine *machine)
 {
@@ -105,6 +106,7 @@
 	return may_start_now(core, job) && may_use_machine(cycle, job, machine) ? job : NULL;
 }
 
+/* Places tasks in the freed slots that are kept for an array, of whatever priority. */
 static void place_in_freed_slots(struct scheduling_cycle *cycle)
 {
 	for (size_t i = 0; i < cycle->room_count; i++) {
--- a/src/core/scheduling/candidates.h
+++ b/src/core/scheduling/candidates.h
@@ -26,8 +26,8 @@
 				uint32_t needed);
 /*
  * Returns the cheapest zone in which so many tasks of the job fit. A job that need not run in one
- * zone, or a single task, may use machines of all zones. The candidates must be sorted by cost, and
- * the pools must be evaluated for the job with cycle_evaluate_pools.
+ * zone, or a single task, may use machines of all zones. The candidates must be sorted, by cost or
+ * by cost per slot, and the pools must be evaluated for the job with cycle_evaluate_pools.
  */
 struct zone_choice candidates_choose_zone(const struct scheduling_cycle *cycle,
 					  const struct job_spec *spec, uint32_t tasks,
--- a/src/core/scheduling/cycle.c
+++ b/src/core/scheduling/cycle.c
@@ -39,6 +39,8 @@
 	cycle->room_count++;
 }
 
+/* Whether a waiting task may fit in the room. Compares only CPUs and memory, each with the smallest
+ * demand of all waiting tasks. */
 static bool room_is_open(const struct scheduling_cycle *cycle, const struct machine_room *room)
 {
 	return room->free.cpus + ROOM_SLACK >= cycle->least_cpus &&
@@ -63,7 +65,7 @@
 			cycle->open_rooms[cycle->open_count++] = (uint32_t)i;
 }
 
-/* Removes the room from the open ones, if it is there: it is too small for all waiting tasks. */
+/* Removes a room that is too small for all waiting tasks from `open_rooms`, if it is there. */
 static void close_room(struct scheduling_cycle *cycle, uint32_t room_index)
 {
 	size_t low = 0, high = cycle->open_count;
--- a/src/core/scheduling/cycle_trigger.c
+++ b/src/core/scheduling/cycle_trigger.c
@@ -1,4 +1,5 @@
-/* Runs scheduling cycles when they are due: places the waiting jobs, one priority after another. */
+/* Runs scheduling cycles when they are due. A cycle places the waiting jobs, one priority after
+ * another, and then moves replicas off machines that they have to leave. */
 #include "core/scheduling/cycle_trigger.h"
 
 #include <stdlib.h>
@@ -26,7 +27,8 @@
 	return job->spec.kind == JOB_GANG ? place_gang(cycle, job) : place_service(cycle, job);
 }
 
-/* Places the jobs of one priority: gangs and services in their order, then all arrays together. */
+/* Places the jobs of one priority: gangs and services in the order of the list, each with
+ * preemption if it does not fit, then all arrays together. */
 static void place_jobs(struct scheduling_cycle *cycle, const struct job_list *jobs)
 {
 	struct job_list arrays = {.jobs = xcalloc(jobs->count, sizeof(*arrays.jobs))};
@@ -81,9 +83,10 @@
 	struct job_list jobs;
 
 	if (core->now >= core->cycles.next_periodic_at)
-		cycle_request(core); /* backoffs end and reports age without an event */
+		cycle_request(core); /* without an event backoffs end and reports get too old */
 	if (!core->cycles.requested || core->now < core->cycles.next_at)
 		return;
+	/* Before the cycle runs, since it may request the next one. */
 	core->cycles.requested = false;
 	core->cycles.next_periodic_at = core->now + CYCLE_PERIOD_S;
 	if (election_renewal_age(core) > LEADER_TTL_MS / 1000.0 * 2)
--- a/src/core/scheduling/cycle_trigger.h
+++ b/src/core/scheduling/cycle_trigger.h
@@ -14,7 +14,7 @@
 struct cycle_trigger {
 	bool requested;		  /* a cycle is to run at next_at */
 	double next_at;		  /* when the requested cycle runs */
-	double next_periodic_at;  /* when a cycle is requested without an event */
+	double next_periodic_at;  /* when the next cycle is requested even without an event */
 	uint32_t attempt_counter; /* attempts numbered under the current fencing token */
 };
 
--- a/src/core/scheduling/free_room.h
+++ b/src/core/scheduling/free_room.h
@@ -1,4 +1,8 @@
-/* Amounts of free capacity, and how many tasks of a job fit in them. */
+/*
+ * Amounts of free capacity, and how many tasks of a job fit in them. "Room" in names means free
+ * capacity, and a slot is the capacity for one task of a job, be it free or in use. A struct
+ * machine_room (cycle.h) is the free capacity of one machine in a scheduling cycle.
+ */
 #ifndef PLOVERLOFT_FREE_ROOM_H
 #define PLOVERLOFT_FREE_ROOM_H
 
@@ -10,13 +14,14 @@
 
 struct machine;
 
-/* An amount of free capacity. */
+/* An amount of free capacity. Negative if more is in use than there is. */
 struct free_room {
 	double cpus, gpus, mem_gb;
 };
 
-/* How many tasks of the job fit in this capacity. ROOM_SLACK is tolerated, since the amounts are
- * sums of decimal numbers, which binary floating point rounds. */
+/* Returns the number of slots for the job in this capacity: how many of its tasks fit. ROOM_SLACK
+ * is tolerated, since the amounts are sums of decimal numbers, which binary floating point rounds.
+ */
 uint32_t room_slots(double cpus, double gpus, double mem_gb, const struct job_spec *spec);
 /* The same as room_slots, for a struct free_room. */
 uint32_t free_room_slots(const struct free_room *room, const struct job_spec *spec);
@@ -30,7 +35,7 @@
 }
 /* Subtracts the demand of so many tasks; the result may be negative. */
 void free_room_subtract(struct free_room *room, const struct job_spec *spec, double tasks);
-/* Adds the demand of one task, which it frees when it ends. */
+/* Adds the demand of one task, as if the task had ended. */
 void free_room_add(struct free_room *room, const struct job_spec *spec);
 
 /* Whether two jobs have the same shape, that is the same demands and rules on machines for each of
--- a/src/core/scheduling/gang_placement.c
+++ b/src/core/scheduling/gang_placement.c
@@ -1,6 +1,6 @@
 /*
- * Places gangs. In the order of the jobs, each gang that fits is placed at once, with all its
- * tasks, on the machines where they start soonest.
+ * Places gangs. A gang that fits is placed with all its tasks at once, on the machines where they
+ * start soonest.
  */
 #include "core/scheduling/gang_placement.h"
 
@@ -67,7 +67,7 @@
 		if (zone_is_in_earlier_pool(cycle, i))
 			continue;
 		zone_slots = candidates_count_slots(cycle, zone, task_count);
-		zone_max = job_zone_capacity_left(job, zone);
+		zone_max = job_zone_tasks_allowed(job, zone);
 		slots += zone_slots < zone_max ? zone_slots : zone_max;
 	}
 	return slots >= task_count;
@@ -82,7 +82,7 @@
 	struct machine *machine = candidate->room->machine;
 
 	for (uint32_t i = 0; i < candidate->slots && task < job->spec.task_count; i++)
-		if (job_zone_capacity_left(job, machine->zone))
+		if (job_zone_tasks_allowed(job, machine->zone))
 			bind_task(cycle, job, machine, task++, attempt);
 	return task;
 }
--- a/src/core/scheduling/job_counts.c
+++ b/src/core/scheduling/job_counts.c
@@ -6,9 +6,9 @@
 
 #include "util/xalloc.h"
 
-struct job_count *job_counts_get(struct job_count **counts, const char *id)
+struct job_slot_count *job_counts_get(struct job_slot_count **counts, const char *id)
 {
-	struct job_count *count;
+	struct job_slot_count *count;
 
 	HASH_FIND_STR(*counts, id, count);
 	if (count)
@@ -19,24 +19,24 @@
 	return count;
 }
 
-void job_counts_remove(struct job_count **counts, struct job_count *count)
+void job_counts_remove(struct job_slot_count **counts, struct job_slot_count *count)
 {
 	HASH_DEL(*counts, count);
 	free(count);
 }
 
-double job_counts_total(const struct job_count *counts)
+double job_counts_total(const struct job_slot_count *counts)
 {
 	double total = 0;
 
-	for (const struct job_count *count = counts; count; count = count->hh.next)
+	for (const struct job_slot_count *count = counts; count; count = count->hh.next)
 		total += count->slots;
 	return total;
 }
 
-void job_counts_free(struct job_count **counts)
+void job_counts_free(struct job_slot_count **counts)
 {
-	struct job_count *count, *next;
+	struct job_slot_count *count, *next;
 
 	HASH_ITER (hh, *counts, count, next)
 		job_counts_remove(counts, count);
--- a/src/core/scheduling/job_counts.h
+++ b/src/core/scheduling/job_counts.h
@@ -10,7 +10,7 @@
 #include "wire/wire.h"
 
 /* An entry: the slots of one job. The table owns its entries; an empty table is NULL. */
-struct job_count {
+struct job_slot_count {
 	char id[ID_MAX];
 	double slots;
 	bool accepts_slots; /* slots of other jobs may be switched to this one */
@@ -18,12 +18,12 @@
 };
 
 /* Returns the job's entry, which the table owns; adds one without slots if there is none. */
-struct job_count *job_counts_get(struct job_count **counts, const char *id);
+struct job_slot_count *job_counts_get(struct job_slot_count **counts, const char *id);
 /* Removes the entry from the table and frees it. */
-void job_counts_remove(struct job_count **counts, struct job_count *count);
+void job_counts_remove(struct job_slot_count **counts, struct job_slot_count *count);
 /* Returns the sum of the slots of all jobs. */
-double job_counts_total(const struct job_count *counts);
+double job_counts_total(const struct job_slot_count *counts);
 /* Frees all entries and leaves the table empty. */
-void job_counts_free(struct job_count **counts);
+void job_counts_free(struct job_slot_count **counts);
 
 #endif
--- a/src/core/scheduling/job_order.h
+++ b/src/core/scheduling/job_order.h
@@ -6,8 +6,8 @@
 
 struct core;
 
-/* Returns all jobs that have waiting tasks and are not in backoff, in this order. The caller frees
- * the array. */
+/* Returns all jobs that have waiting tasks and are not in backoff, in this order: the highest
+ * priority, which has the lowest number, comes first. The caller frees the array. */
 struct job_list waiting_jobs(struct core *core);
 
 #endif
--- a/src/core/scheduling/placement.c
+++ b/src/core/scheduling/placement.c
@@ -46,7 +46,7 @@
 			continue;
 		cost += placement_cost(room->machine, job) +
 			replica_cost(cycle->core, job, room->machine);
-		if (cost < best_cost && job_zone_capacity_left(job, pool->zone)) {
+		if (cost < best_cost && job_zone_tasks_allowed(job, pool->zone)) {
 			best_cost = cost;
 			best = room->machine;
 		}
--- a/src/core/scheduling/placement.h
+++ b/src/core/scheduling/placement.h
@@ -6,8 +6,8 @@
 
 /* The free capacity that a search may use. */
 enum room_scope {
-	ROOM_ANY,  /* all */
-	ROOM_SPARE /* all but what a waiting gang of higher priority could use */
+	ROOM_ANY,  /* all that is not reserved for another job */
+	ROOM_SPARE /* the same without what a waiting gang of higher priority could use */
 };
 
 /* How many tasks of the job fit in the room, less what is reserved there for another job. */
@@ -19,21 +19,23 @@
  * there is none. */
 uint32_t next_placeable_task(const struct core *core, struct job *job);
 
-/* Returns a number that no earlier attempt of a task of the job has: the fencing token, followed by
- * a counter of ATTEMPT_COUNTER_BITS. */
+/* Returns a number that no earlier attempt of any task has: the fencing token, followed by a
+ * counter of ATTEMPT_COUNTER_BITS. */
 uint64_t new_attempt(struct core *core);
 /*
  * Returns the attempt of all array tasks and replicas that the cycle places. A task starts at most
  * once in a cycle, so one number is enough, and a record names it only once.
  */
 uint64_t cycle_attempt(struct scheduling_cycle *cycle);
-/* Binds the task to the machine, updates the free capacity in the cycle, consumes the job's
- * reservation and queues the write of the task's record. */
+/* Binds the task to the machine, updates the free capacity in the cycle, and queues the write of
+ * the task's record. Ends the reservation of a gang or array; that of a service on this machine is
+ * reduced by one task. */
 void bind_task(struct scheduling_cycle *cycle, struct job *job, struct machine *machine,
 	       uint32_t task, uint64_t attempt);
 
 /* Places one task of an array or a service. False: none can be placed now, because none waits, the
- * team is at its quota, no machine fits, or the cycle's budget is exhausted. */
+ * team is at its quota, no machine fits, the records of the waiting tasks are full, or the cycle's
+ * budget is exhausted. */
 bool place_next_task(struct scheduling_cycle *cycle, struct job *job, enum room_scope scope);
 
 #endif
--- a/src/core/scheduling/placement_cost.c
+++ b/src/core/scheduling/placement_cost.c
@@ -51,8 +51,8 @@
 /*
  * Spreads the replicas of a service over machines and zones, so that the loss of one does not stop
  * several of them. Also avoids spot machines, which may be taken back, machines on which jobs
- * failed, and machines whose agent is late with its messages. Each cost is the time for which it is
- * better to fetch the image on another machine.
+ * failed, and machines whose agent is late with its messages. Each cost is in seconds: another
+ * machine is preferred if it fetches the image in less time.
  */
 double replica_cost(const struct core *core, const struct job *job, const struct machine *machine)
 {
--- a/src/core/scheduling/preemption.c
+++ b/src/core/scheduling/preemption.c
@@ -23,19 +23,19 @@
 {
 	const struct machine *machine = candidate->room->machine;
 	const struct job_spec *spec = &demand->job->spec;
-	struct free_room room = free_room_of(machine);
-	uint32_t free_slots = free_room_slots(&room, spec);
+	struct free_room free_after = free_room_of(machine);
+	uint32_t free_slots = free_room_slots(&free_after, spec);
 	const struct binding *binding;
 	double cost = 0;
 
 	DL_FOREACH2 (machine->bindings, binding, machine_next) {
 		if (!preemption_may_reclaim(demand, binding))
 			continue;
-		free_room_add(&room, &binding->job->spec);
+		free_room_add(&free_after, &binding->job->spec);
 		if (!binding->stopping)
 			cost += stop_cost_s(demand->core, binding);
 	}
-	candidate->slots = free_room_slots(&room, spec);
+	candidate->slots = free_room_slots(&free_after, spec);
 	candidate->cost = candidate->slots > free_slots ? cost : 0;
 }
 
@@ -84,15 +84,15 @@
 }
 
 /* Returns the machine's free capacity once all tasks that are stopping will have ended. */
-static struct free_room room_after_stops(const struct machine *machine)
+static struct free_room free_room_after_stops(const struct machine *machine)
 {
-	struct free_room room = free_room_of(machine);
+	struct free_room free_after = free_room_of(machine);
 	const struct binding *binding;
 
 	DL_FOREACH2 (machine->bindings, binding, machine_next)
 		if (binding->stopping)
-			free_room_add(&room, &binding->job->spec);
-	return room;
+			free_room_add(&free_after, &binding->job->spec);
+	return free_after;
 }
 
 static void stop_victim(const struct preemption_demand *demand, struct binding *victim)
@@ -106,14 +106,14 @@
 static void stop_victims(const struct preemption_demand *demand, struct machine *machine,
 			 uint32_t slots)
 {
-	struct free_room room = room_after_stops(machine);
+	struct free_room free_after = free_room_after_stops(machine);
 
-	while (free_room_slots(&room, &demand->job->spec) < slots) {
+	while (free_room_slots(&free_after, &demand->job->spec) < slots) {
 		struct binding *victim = cheapest_victim(demand, machine);
 
 		if (!victim)
 			return;
-		free_room_add(&room, &victim->job->spec);
+		free_room_add(&free_after, &victim->job->spec);
 		stop_victim(demand, victim);
 	}
 }
@@ -171,8 +171,8 @@
 
 /*
  * Whether preemption can free capacity for the job. It can't for a gang with tasks of an earlier
- * attempt, which stay where they are, nor for a spread gang, since the choice of machines does not
- * distribute tasks over zones.
+ * attempt, which use capacity and restrict the zones until they have ended, nor for a spread gang
+ * or array, since the choice of machines does not distribute tasks over zones.
  */
 static bool preemption_is_supported(const struct job *job)
 {
@@ -184,7 +184,7 @@
 	const struct core *core = cycle->core;
 	double waited_s = core->now - job->scheduling.waiting_since;
 
-	/* Capacity may be free that the search has not visited. */
+	/* There may be enough free capacity in rooms that the search has not visited. */
 	if (cycle->budget_exhausted && job->spec.kind != JOB_GANG)
 		return false;
 	return preemption_is_supported(job) && !job->scheduling.reserved_until &&
@@ -220,7 +220,7 @@
 	if (preempt(cycle, &demand))
 		return;
 	if (job->spec.kind == JOB_SERVICE) {
-		/* Not all replicas fit even then: one is better than none. */
+		/* Not all waiting replicas fit even with preemption: one is better than none. */
 		demand.tasks = 1;
 		preempt(cycle, &demand);
 	} else if (job->spec.kind == JOB_GANG && demand.scope == VICTIMS_OF_ANY_TEAM &&
--- a/src/core/scheduling/preemption_victims.c
+++ b/src/core/scheduling/preemption_victims.c
@@ -17,7 +17,7 @@
 	return job->spec.kind == JOB_ARRAY ? 1 : job->spec.task_count;
 }
 
-/* --- quotas of teams --- */
+/* --- guarantees of teams --- */
 
 /* Whether the team would use all its guaranteed CPUs, or all its guaranteed GPUs, even without one
  * task of the job. */
@@ -40,7 +40,8 @@
 /*
  * Whether the binding uses borrowed capacity that has to be returned to the job's team. What a team
  * uses beyond its guarantee is borrowed. It is returned to a team that stays within its own
- * guarantee with all tasks of the job for which capacity is to be freed.
+ * guarantee with all tasks of the job for which capacity is to be freed. A team without guaranteed
+ * CPUs neither borrows nor lends.
  */
 static bool is_borrowed_capacity(struct core *core, const struct binding *binding,
 				 const struct job *job)
@@ -84,8 +85,8 @@
 {
 	if (victim->spec.priority <= job->spec.priority)
 		return false;
-	/* A gang that has missed all its wait objectives does not make an array miss its deadline:
-	 * it gets a reservation instead. */
+	/* A gang or array that can't meet a wait objective, or has none, does not make another
+	 * array miss its deadline. A gang may get a growing reservation instead. */
 	return job->spec.kind == JOB_SERVICE || wait_objective_s(core, job) > 0 ||
 	       !needs_all_slots(core, victim);
 }
--- a/src/core/scheduling/preemption_victims.h
+++ b/src/core/scheduling/preemption_victims.h
@@ -20,7 +20,7 @@
 	struct core *core;
 	struct job *job;
 	enum victim_scope scope;
-	uint32_t tasks; /* of the job for which capacity is needed */
+	uint32_t tasks; /* number of the job's tasks for which capacity is to be freed */
 };
 
 /*
--- a/src/core/scheduling/reservation.c
+++ b/src/core/scheduling/reservation.c
@@ -78,17 +78,17 @@
 }
 
 /*
- * Limits growing reservations, since reserved capacity idles. The candidate gets one if few gangs
- * have one, or if its CPUs and theirs are a small share of the fleet. The limits are wider for a
- * candidate that has waited long.
+ * Limits growing reservations, since reserved capacity idles. The gang gets one if few others have
+ * one, or if its CPUs and theirs are a small share of the fleet. The limits are wider for a gang
+ * that has waited long.
  */
-static bool is_within_limits(struct core *core, const struct job *candidate, double waited_s)
+static bool is_within_limits(struct core *core, const struct job *gang, double waited_s)
 {
 	bool waited_long = waited_s >= RESERVE_LONG_WAIT_S;
 	uint32_t gangs_max = waited_long ? RESERVE_MAX_GANGS_LONG_WAIT : RESERVE_MAX_GANGS;
 	double share_max = waited_long ? RESERVE_CPU_SHARE_LONG_WAIT : RESERVE_CPU_SHARE;
 	uint32_t gangs = 0;
-	double cpus = total_cpus(candidate);
+	double cpus = total_cpus(gang);
 	struct job *job, *next;
 
 	JOBS_FOR_EACH (core, job, next) {
@@ -132,8 +132,8 @@
 	       !machine_is_reserved_for_other(room->machine, job);
 }
 
-/* Returns the number of slots for the job in the zone that are free, plus a share of all its slots,
- * since some of those in use are expected to fall free soon enough. */
+/* Returns the zone's free slots for the job, plus a share of the slots that its machines would have
+ * if they were empty: some of those in use are expected to fall free soon enough. */
 static double expected_slots(const struct scheduling_cycle *cycle, const struct job *job,
 			     const char *zone)
 {
@@ -152,8 +152,8 @@
 	return slots;
 }
 
-/* Returns the zone with the most expected slots for the job, which probably are free soonest; NULL:
- * there is none. */
+/* Returns the zone with the most expected slots for the job, where enough of them are probably free
+ * soonest; NULL: no zone has any. */
 static const char *zone_with_most_slots(const struct scheduling_cycle *cycle, const struct job *job)
 {
 	const char *best = NULL;
--- a/src/core/scheduling/reservation.h
+++ b/src/core/scheduling/reservation.h
@@ -30,7 +30,7 @@
 /* Whether the gang may get a growing reservation: it has waited long enough, and few other gangs
  * have one. */
 bool reservation_may_begin(struct core *core, const struct job *job);
-/* Begins a growing reservation for the gang, if some zone has capacity for it. */
+/* Begins a growing reservation for the gang, if some zone has slots for it, free or in use. */
 void reservation_begin(struct scheduling_cycle *cycle, struct job *job);
 /* Reserves the capacity that is free now, up to the gang's demand. It is called in each cycle, so
  * that capacity that is not free or not needed any more does not stay reserved. */
--- a/src/core/scheduling/service_placement.h
+++ b/src/core/scheduling/service_placement.h
@@ -1,4 +1,4 @@
-/* Placement of services: each running replica is of use, so replicas are placed one by one. */
+/* Placement of services: each replica is useful by itself, so replicas are placed one by one. */
 #ifndef PLOVERLOFT_SERVICE_PLACEMENT_H
 #define PLOVERLOFT_SERVICE_PLACEMENT_H
 
--- a/src/core/scheduling/share_switching.c
+++ b/src/core/scheduling/share_switching.c
@@ -2,8 +2,8 @@
  * Decides which slots of a controller's part are switched in a quantum of share switching. The
  * controller writes the number of slots of each job in its part to the state service, and reads and
  * sums the counts of all controllers. For each slot it draws a job with probability proportional to
- * the job's count, and it answers with the slots that are switched. A switched slot serves its new
- * job when its task has ended; until then it is in no part.
+ * the job's count, and it answers with the slots that are switched. A switched slot goes to its new
+ * job when its task has ended; until then no part contains it.
  */
 #include <math.h>
 #include <stdio.h>
@@ -29,11 +29,11 @@
 struct part_decision {
 	uint64_t connection; /* of the leader's request; 0: this controller is the leader */
 	Peer__Part *part;
-	struct job_count *own_counts; /* of the part: those that are still to be written */
-	int values_written;	      /* values of own counts written so far */
-	uint64_t own_quantum;	      /* the quantum of the own counts */
-	struct job_count *counts;     /* of all controllers, and the jobs that accept slots */
-	json_int_t newest_quantum;    /* of the controller whose values are being read */
+	struct job_slot_count *own_counts; /* slots by job in the part, until they are written */
+	int values_written;		   /* values of own counts written so far */
+	uint64_t own_quantum;		   /* the quantum of the own counts */
+	struct job_slot_count *counts;	   /* slots by job in all parts; jobs that accept slots */
+	json_int_t newest_quantum;	   /* of the controller whose values are being read */
 };
 
 static void part_decision_free(void *arg)
@@ -64,10 +64,11 @@
 }
 
 /* Draws a job with probability proportional to its slots; NULL if there are no slots. */
-static struct job_count *draw_job(struct core *core, struct job_count *counts, double total)
+static struct job_slot_count *draw_job(struct core *core, struct job_slot_count *counts,
+				       double total)
 {
 	double position = core_random(core) * total;
-	struct job_count *count;
+	struct job_slot_count *count;
 
 	for (count = counts; count; count = count->hh.next) {
 		position -= count->slots;
@@ -79,11 +80,11 @@
 
 /* Draws whether a slot of the job `id` is switched. Returns the job that gets it; NULL if it is not
  * switched. */
-static struct job_count *draw_switch_target(struct core *core, struct part_decision *decision,
-					    const char *id, double total)
+static struct job_slot_count *draw_switch_target(struct core *core, struct part_decision *decision,
+						 const char *id, double total)
 {
-	const struct job_count *current = job_counts_get(&decision->counts, id);
-	struct job_count *drawn = draw_job(core, decision->counts, total);
+	const struct job_slot_count *current = job_counts_get(&decision->counts, id);
+	struct job_slot_count *drawn = draw_job(core, decision->counts, total);
 	double probability;
 
 	if (!drawn || drawn == current || !drawn->accepts_slots)
@@ -116,7 +117,8 @@
 
 	for (size_t i = 0; i < slot_count; i++) {
 		Peer__Slot *slot = decision->part->slots[i];
-		struct job_count *target = draw_switch_target(core, decision, slot->job, total);
+		struct job_slot_count *target =
+		    draw_switch_target(core, decision, slot->job, total);
 
 		if (!target)
 			continue;
@@ -138,7 +140,7 @@
 /*
  * Whether the value is of an earlier quantum: a controller that wrote more values then does not
  * delete the additional ones. The quantum of its first value, which is read before the others, is
- * its newest.
+ * its newest; it is kept in `newest_quantum`.
  */
 static bool counts_are_outdated(struct part_decision *decision, const struct kv_item *item)
 {
@@ -160,7 +162,7 @@
 	const char *id;
 	json_t *slots;
 
-	/* Counts of another leader's quantum do not count in this one. */
+	/* A value with another fencing token is of a quantum of another leader. */
 	if ((uint64_t)token != decision->part->token)
 		return;
 	if (counts_are_outdated(decision, item))
@@ -216,7 +218,7 @@
 	size_t bytes_max = limits_job_record_bytes(core);
 	size_t bytes = COUNTS_OVERHEAD_BYTES;
 	json_t *counts = json_object();
-	struct job_count *count, *next;
+	struct job_slot_count *count, *next;
 
 	HASH_ITER (hh, decision->own_counts, count, next) {
 		bytes += strlen(count->id) + COUNT_OVERHEAD_BYTES;
--- a/src/core/scheduling/share_switching.h
+++ b/src/core/scheduling/share_switching.h
@@ -4,9 +4,10 @@
  *
  * Where the thesis switches machines, this switches slots, because there are more jobs than
  * machines here. A slot is the part of a machine that one array task uses. Once each quantum the
- * leader divides all slots among the live controllers (share_switching_leader.c). Each controller
- * sums the slots of every job, compares the count of each slot's job with that of a job drawn at
- * random, and answers with the slots that are to be switched to another job (share_switching.c).
+ * leader divides all slots into parts, one for each live controller (share_switching_leader.c). The
+ * controllers exchange through the state service how many slots each job has in their parts. For
+ * each slot of its part, a controller draws a job at random and compares that job's slots with
+ * those of the slot's job. It answers with the slots that are to be switched (share_switching.c).
  */
 #ifndef PLOVERLOFT_SHARE_SWITCHING_H
 #define PLOVERLOFT_SHARE_SWITCHING_H
@@ -22,19 +23,20 @@
 
 /* The state of share switching in this controller. */
 struct share_switching {
-	bool *peer_live;   /* whether its last answer was a success; indexed as in the settings */
+	bool *peer_live;   /* by peer, as in the settings: it answered its last part with success */
 	double next_at;	   /* steady seconds; when the leader begins the next quantum */
 	uint64_t quantum;  /* quanta for which this controller has written its counts */
 	uint64_t switches; /* slots switched since this process started */
 };
 
 /*
- * Returns the probability that a slot is switched from a job with m_b slots to a job with m_a
- * slots: (m_b^2 - m_a^2) / (2 m_a m_b), at most 1; 0 unless 0 < m_a < m_b.
+ * Returns the probability that a slot of a job with m_b slots is switched to a job with m_a slots
+ * that was drawn for it: (m_b^2 - m_a^2) / (2 m_a m_b), at most 1; 0 unless 0 < m_a < m_b. Jobs are
+ * drawn with a probability proportional to their slots.
  */
 double share_switch_probability(double m_a, double m_b);
 
-/* Handles a request of the leader with the slots that this controller decides on in a quantum. */
+/* Handles a request of the leader with the part that this controller decides on in a quantum. */
 void share_switching_request(struct core *core, const struct core_request *request);
 
 /*
--- a/src/core/scheduling/share_switching_leader.c
+++ b/src/core/scheduling/share_switching_leader.c
@@ -1,8 +1,8 @@
 /*
  * What the leader does in share switching: each quantum it sends every controller a part with the
- * slots of the machines that hash to that controller, and it applies the switches that are
- * answered. A controller that did not answer its last part with success is sent one without slots:
- * its answer shows that it is live again.
+ * slots of the machines that hash to that controller, and it applies the switches in the answers. A
+ * controller that did not answer its last part with success is sent one without slots: its answer
+ * shows that it is live again.
  */
 #include <stdio.h>
 #include <stdlib.h>
--- a/src/core/scheduling/waiting_shapes.c
+++ b/src/core/scheduling/waiting_shapes.c
@@ -1,5 +1,6 @@
 /* Records the shapes of jobs that do not fit. Free capacity only shrinks during a cycle, so a
- * record stays valid until its end. */
+ * record is kept until the cycle ends. Capacity whose reservation ends meanwhile is found by the
+ * next cycle. */
 #include "core/scheduling/waiting_shapes.h"
 
 /* Whether the job's shape alone decides which capacity it can use. It does not if the job has
--- a/src/core/scheduling/zones.c
+++ b/src/core/scheduling/zones.c
@@ -18,7 +18,7 @@
 	return count;
 }
 
-uint32_t job_zone_capacity_left(const struct job *job, const char *zone)
+uint32_t job_zone_tasks_allowed(const struct job *job, const char *zone)
 {
 	uint32_t zone_max = (job->spec.task_count + 1) / 2;
 	uint32_t zone_tasks;
@@ -31,5 +31,5 @@
 
 bool job_may_use_zone(const struct job *job, const char *zone)
 {
-	return zone_matches(job_bound_zone(job), zone) && job_zone_capacity_left(job, zone) > 0;
+	return zone_matches(job_bound_zone(job), zone) && job_zone_tasks_allowed(job, zone) > 0;
 }
--- a/src/core/scheduling/zones.h
+++ b/src/core/scheduling/zones.h
@@ -21,8 +21,8 @@
  */
 const char *job_bound_zone(const struct job *job);
 /* How many more tasks of the job may run in the zone. A spread job may have at most half of all its
- * tasks there, rounded up. */
-uint32_t job_zone_capacity_left(const struct job *job, const char *zone);
+ * tasks there, rounded up. For other jobs this returns the number of all their tasks. */
+uint32_t job_zone_tasks_allowed(const struct job *job, const char *zone);
 /* Whether the job's rules on zones allow one more task in the zone. */
 bool job_may_use_zone(const struct job *job, const char *zone);
 
