--- a/src/core/scheduling/cycle_trigger.c
+++ b/src/core/scheduling/cycle_trigger.c
@@ -83,7 +83,7 @@
 	struct job_list jobs;
 
 	if (core->now >= core->cycles.next_periodic_at)
-		cycle_request(core); /* without an event backoffs end and reports get too old */
+		cycle_request(core); /* no event shows that a backoff or report has expired */
 	if (!core->cycles.requested || core->now < core->cycles.next_at)
 		return;
 	/* Before the cycle runs, since it may request the next one. */
--- a/src/core/scheduling/share_switching.c
+++ b/src/core/scheduling/share_switching.c
@@ -162,7 +162,7 @@
 	const char *id;
 	json_t *slots;
 
-	/* A value with another fencing token is of a quantum of another leader. */
+	/* Counts written under another fencing token are of another quantum. */
 	if ((uint64_t)token != decision->part->token)
 		return;
 	if (counts_are_outdated(decision, item))
