--- a/tests/loopback/clients.c
+++ b/tests/loopback/clients.c
@@ -93,6 +93,7 @@
 	net_send(loopback->net, &call);
 }
 
+/* The job's times that may be < 0 stay 0: the checks that read them do not run in these tests. */
 void loopback_add_job(struct loopback *loopback, int number, enum job_kind kind, uint32_t tasks,
 		      double run_s)
 {
@@ -142,7 +143,7 @@
 	send_user_call(loopback, CALL_CANCEL, number, controller, "POST", path, "");
 }
 
-/* Whether the text of an answer shows the job as done. */
+/* True if the text of an answer shows the job as done. */
 static bool shows_done(const char *text)
 {
 	return strstr(text, "\"" W_JOB_DONE "\"}") || strstr(text, ":\"" W_JOB_DONE "\"");
@@ -169,7 +170,7 @@
 		standin_cancellation_answered(standin, id, status, text, standin->now);
 		break;
 	case CALL_POLL:
-		standin_lookup_answered(standin, id, status, text, standin->now);
+		standin_poll_answered(standin, id, status, text, standin->now);
 		loopback->known_done[number] |= shows_done(text);
 		break;
 	case CALL_REPORT:
--- a/tests/loopback/loopback.c
+++ b/tests/loopback/loopback.c
@@ -227,11 +227,13 @@
 	for (int rule = 0; rule < RULE_COUNT; rule++) {
 		if (!standin->rules_broken[rule])
 			continue;
-		fprintf(
-		    stderr, "rule %s broken %d times, expected 0; the newest break of a rule: %s\n",
-		    rule_names[rule], standin->rules_broken[rule], standin->broken_rule_message);
+		fprintf(stderr, "rule %s broken %d times, expected 0\n", rule_names[rule],
+			standin->rules_broken[rule]);
 		broken = true;
 	}
+	if (broken)
+		fprintf(stderr, "newest message of the checker, on rule %s\n",
+			standin->broken_rule_message);
 	return broken;
 }
 
--- a/tests/loopback/loopback.h
+++ b/tests/loopback/loopback.h
@@ -76,7 +76,10 @@
 /* Runs the stand-ins and the calls of users and agents for this many seconds of real time. */
 void loopback_run(struct loopback *loopback, double seconds);
 
-/* Returns whether the checker found a broken rule. Prints each such rule to stderr. */
+/*
+ * Returns whether the checker found a broken rule. Prints each such rule, and the checker's newest
+ * message, to stderr.
+ */
 bool loopback_rule_broken(const struct loopback *loopback);
 
 /*
@@ -96,7 +99,7 @@
 /* --- calls of users and agents: clients.c --- */
 
 /*
- * Callback `report` of the stand-ins: sends an agent's heartbeat to a controller. `context` is the
+ * Callback `report` of the stand-ins: sends an agent's report to a controller. `context` is the
  * struct loopback.
  */
 void loopback_send_report(void *context, int machine, int controller, const char *body);
--- a/tests/loopback/rollout.c
+++ b/tests/loopback/rollout.c
@@ -39,12 +39,13 @@
 
 int rollout_end(struct loopback *loopback, bool ok)
 {
-	uint64_t too_large = loopback->standin.state_service.invalid_transactions;
+	uint64_t invalid = loopback->standin.state_service.invalid_transactions;
 
-	if (too_large) {
+	if (invalid) {
 		fprintf(stderr,
-			"%llu transactions exceeded the limits of the state service, expected 0\n",
-			(unsigned long long)too_large);
+			"%llu transactions exceeded a limit of the state service or named an "
+			"unknown lease, expected 0\n",
+			(unsigned long long)invalid);
 		ok = false;
 	}
 	if (loopback_rule_broken(loopback))
@@ -88,24 +89,24 @@
 
 /* --- conditions --- */
 
-bool rollout_first_work_runs(struct loopback *loopback)
+bool rollout_first_jobs_run(struct loopback *loopback)
 {
 	return rollout_running(loopback, ARRAY) == ARRAY_TASKS &&
 	       rollout_running(loopback, SERVICE) == SERVICE_TASKS &&
 	       rollout_running(loopback, GANG) == GANG_TASKS;
 }
 
-bool rollout_cancelled_ended(struct loopback *loopback)
+bool rollout_cancelled_array_ended(struct loopback *loopback)
 {
 	return rollout_running(loopback, CANCELLED_ARRAY) == 0;
 }
 
-bool rollout_cancelled_runs(struct loopback *loopback)
+bool rollout_cancelled_array_runs(struct loopback *loopback)
 {
 	return rollout_running(loopback, CANCELLED_ARRAY) > 0;
 }
 
-bool rollout_late_work_runs(struct loopback *loopback)
+bool rollout_late_jobs_run(struct loopback *loopback)
 {
 	return rollout_running(loopback, LATE_ARRAY) == LATE_ARRAY_TASKS &&
 	       rollout_running(loopback, LATE_GANG) == LATE_GANG_TASKS;
--- a/tests/loopback/rollout.h
+++ b/tests/loopback/rollout.h
@@ -18,7 +18,8 @@
 
 /*
  * Kills the controllers and frees `loopback`. Returns the test's exit status: 0, or 1 if `ok` is
- * false, a rule is broken, or a transaction exceeded the limits of the state service.
+ * false, a rule is broken, or a transaction exceeded the limits of the state service or named an
+ * unknown lease.
  */
 int rollout_end(struct loopback *loopback, bool ok);
 
@@ -62,15 +63,15 @@
 /* --- conditions; "format" is that of the records, see docs/design.md --- */
 
 /* All tasks of ARRAY, SERVICE and GANG run. */
-bool rollout_first_work_runs(struct loopback *loopback);
+bool rollout_first_jobs_run(struct loopback *loopback);
 
 /* Some task of CANCELLED_ARRAY runs. */
-bool rollout_cancelled_runs(struct loopback *loopback);
+bool rollout_cancelled_array_runs(struct loopback *loopback);
 /* No task of CANCELLED_ARRAY runs. */
-bool rollout_cancelled_ended(struct loopback *loopback);
+bool rollout_cancelled_array_ended(struct loopback *loopback);
 
 /* All tasks of LATE_ARRAY and LATE_GANG run. */
-bool rollout_late_work_runs(struct loopback *loopback);
+bool rollout_late_jobs_run(struct loopback *loopback);
 
 /*
  * Users saw all jobs but SERVICE and CANCELLED_ARRAY as done, and all tasks of SERVICE run. Polls
--- a/tests/runner/behaviour_trace.c
+++ b/tests/runner/behaviour_trace.c
@@ -68,10 +68,10 @@
 	trace_bytes(trace, text, (size_t)len);
 }
 
-void behaviour_trace_add(struct behaviour_trace *trace, double at_s, int node,
+void behaviour_trace_add(struct behaviour_trace *trace, double at_s, int controller,
 			 const struct core_action *action)
 {
-	trace_text(trace, "%.6f node=%d ", at_s, node);
+	trace_text(trace, "%.6f node=%d ", at_s, controller);
 	if (action->kind == ACT_ANSWER)
 		trace_text(trace, "answer conn=%" PRIu64 " status=%d retry_after=%d ", action->id,
 			   action->status, action->retry_after);
--- a/tests/runner/behaviour_trace.h
+++ b/tests/runner/behaviour_trace.h
@@ -17,8 +17,8 @@
  * errno if the file cannot be opened. The caller frees the trace with behaviour_trace_free.
  */
 struct behaviour_trace *behaviour_trace_new(const char *path);
-/* Adds an action of the controller with the index `node`, at `at_s` seconds of simulated time. */
-void behaviour_trace_add(struct behaviour_trace *trace, double at_s, int node,
+/* Adds an action of the controller with this index, at `at_s` seconds of simulated time. */
+void behaviour_trace_add(struct behaviour_trace *trace, double at_s, int controller,
 			 const struct core_action *action);
 /* Returns the digest of all actions so far. */
 uint64_t behaviour_trace_digest(const struct behaviour_trace *trace);
--- a/tests/runner/clients.c
+++ b/tests/runner/clients.c
@@ -20,26 +20,26 @@
 static struct client_request *client_request_new(struct world *world, enum client_request_kind kind,
 						 const char *job, int controller)
 {
-	struct client_request *client = xcalloc(1, sizeof(*client));
+	struct client_request *request = xcalloc(1, sizeof(*request));
 
-	client->kind = kind;
-	snprintf(client->job, sizeof(client->job), "%s", job);
-	client->controller = controller;
-	DL_APPEND(world->clients, client);
-	return client;
+	request->kind = kind;
+	snprintf(request->job, sizeof(request->job), "%s", job);
+	request->controller = controller;
+	DL_APPEND(world->client_requests, request);
+	return request;
 }
 
-static void client_request_free(struct world *world, struct client_request *client)
+static void client_request_free(struct world *world, struct client_request *request)
 {
-	DL_DELETE(world->clients, client);
-	free(client);
+	DL_DELETE(world->client_requests, request);
+	free(request);
 }
 
 /* Opens a connection to a controller and sends a request on it; `body` may be NULL. */
-static void send_request(struct world *world, struct client_request *client, int controller,
+static void send_request(struct world *world, struct client_request *request, int controller,
 			 const char *method, const char *path, const char *body)
 {
-	struct core_request request = {
+	struct core_request delivered = {
 	    .side = CORE_FRONT,
 	    .method = method,
 	    .path = path,
@@ -47,41 +47,41 @@
 	    .len = body ? strlen(body) : 0,
 	};
 
-	client->connection = ++world->last_client_connection;
-	request.connection = client->connection;
-	controller_request(world, controller, &request);
+	request->connection = ++world->last_client_connection;
+	delivered.connection = request->connection;
+	controller_request(world, controller, &delivered);
 	outbox_send(world, controller);
 }
 
-static void send_submission(struct world *world, struct client_request *client, int controller)
+static void send_submission(struct world *world, struct client_request *request, int controller)
 {
-	struct standin_job *job = standin_job_find(&world->standin, client->job);
+	struct standin_job *job = standin_job_find(&world->standin, request->job);
 	json_t *spec = wire_job_encode(&job->spec);
 	char *body = json_dumps(spec, JSON_COMPACT);
 
 	json_decref(spec);
 	job->submitted = true;
-	send_request(world, client, controller, "POST", W_PATH_JOBS, body);
+	send_request(world, request, controller, "POST", W_PATH_JOBS, body);
 	free(body);
 }
 
-static void send_poll(struct world *world, struct client_request *client, int controller)
+static void send_poll(struct world *world, struct client_request *request, int controller)
 {
 	char path[HTTP_PATH_MAX];
 
-	snprintf(path, sizeof(path), W_PATH_JOBS "/%s", client->job);
-	send_request(world, client, controller, "GET", path, NULL);
+	snprintf(path, sizeof(path), W_PATH_JOBS "/%s", request->job);
+	send_request(world, request, controller, "GET", path, NULL);
 }
 
-static void send_cancellation(struct world *world, struct client_request *client, int controller)
+static void send_cancellation(struct world *world, struct client_request *request, int controller)
 {
-	struct standin_job *job = standin_job_find(&world->standin, client->job);
+	struct standin_job *job = standin_job_find(&world->standin, request->job);
 	char path[HTTP_PATH_MAX];
 
-	snprintf(path, sizeof(path), W_PATH_JOBS "/%s%s", client->job, W_PATH_CANCEL);
+	snprintf(path, sizeof(path), W_PATH_JOBS "/%s%s", request->job, W_PATH_CANCEL);
 	if (job)
 		job->cancel_requested = true;
-	send_request(world, client, controller, "POST", path, NULL);
+	send_request(world, request, controller, "POST", path, NULL);
 }
 
 static bool is_reachable(const struct world *world, int controller)
@@ -92,31 +92,31 @@
 	       !network_cut_between(world, HOST_CLIENTS, controller);
 }
 
-static int choose_controller(struct world *world, const struct client_request *client)
+static int choose_controller(struct world *world, const struct client_request *request)
 {
-	if (client->controller != HOST_ANY)
-		return client->controller;
+	if (request->controller != HOST_ANY)
+		return request->controller;
 	return (int)(world_random(world) * world->controller_count);
 }
 
 /* Sends the request, or marks it for a retry if the controller cannot be reached. */
-static void try_request(struct world *world, struct client_request *client)
+static void try_request(struct world *world, struct client_request *request)
 {
-	int controller = choose_controller(world, client);
+	int controller = choose_controller(world, request);
 
-	client->sent_at_s = world->now_s;
-	client->retry = !is_reachable(world, controller);
-	if (client->retry)
+	request->sent_at_s = world->now_s;
+	request->retry = !is_reachable(world, controller);
+	if (request->retry)
 		return;
-	switch (client->kind) {
+	switch (request->kind) {
 	case CLIENT_SUBMIT:
-		send_submission(world, client, controller);
+		send_submission(world, request, controller);
 		break;
 	case CLIENT_POLL:
-		send_poll(world, client, controller);
+		send_poll(world, request, controller);
 		break;
 	case CLIENT_CANCEL:
-		send_cancellation(world, client, controller);
+		send_cancellation(world, request, controller);
 		break;
 	case CLIENT_RAW: /* is never retried */
 		break;
@@ -132,33 +132,33 @@
 void client_request_raw(struct world *world, int controller, const char *method, const char *path,
 			const char *body)
 {
-	struct client_request *client = client_request_new(world, CLIENT_RAW, "", controller);
+	struct client_request *request = client_request_new(world, CLIENT_RAW, "", controller);
 
 	/* The first tick later than CLIENT_TIMEOUT_S drops the request: scenarios rely on that. */
-	client->sent_at_s = 0;
-	send_request(world, client, controller, method, path, body);
+	request->sent_at_s = 0;
+	send_request(world, request, controller, method, path, body);
 }
 
-static void notify_checker(struct world *world, const struct client_request *client,
+static void notify_checker(struct world *world, const struct client_request *request,
 			   const struct message *answer)
 {
 	struct standin *standin = &world->standin;
 	bool accepted = answer->status == ANSWER_OK || answer->status == ANSWER_CREATED;
 
-	switch (client->kind) {
+	switch (request->kind) {
 	case CLIENT_SUBMIT:
-		standin_submission_answered(standin, client->job, answer->status);
+		standin_submission_answered(standin, request->job, answer->status);
 		if (accepted)
-			standin_lookup_answered(standin, client->job, ANSWER_OK, answer->body,
-						client->sent_at_s);
+			standin_poll_answered(standin, request->job, ANSWER_OK, answer->body,
+					      request->sent_at_s);
 		break;
 	case CLIENT_POLL:
-		standin_lookup_answered(standin, client->job, answer->status, answer->body,
-					client->sent_at_s);
+		standin_poll_answered(standin, request->job, answer->status, answer->body,
+				      request->sent_at_s);
 		break;
 	case CLIENT_CANCEL:
-		standin_cancellation_answered(standin, client->job, answer->status, answer->body,
-					      client->sent_at_s);
+		standin_cancellation_answered(standin, request->job, answer->status, answer->body,
+					      request->sent_at_s);
 		break;
 	case CLIENT_RAW:
 		break;
@@ -166,50 +166,50 @@
 }
 
 /* True if the client retries the request after an answer with this status. */
-static bool is_retried(const struct client_request *client, int status)
+static bool is_retried(const struct client_request *request, int status)
 {
-	if (client->kind != CLIENT_SUBMIT && client->kind != CLIENT_CANCEL)
+	if (request->kind != CLIENT_SUBMIT && request->kind != CLIENT_CANCEL)
 		return false;
 	if (status == ANSWER_TOO_MANY_REQUESTS || status == ANSWER_UNAVAILABLE)
 		return true;
-	return client->kind == CLIENT_CANCEL && status == ANSWER_NOT_FOUND;
+	return request->kind == CLIENT_CANCEL && status == ANSWER_NOT_FOUND;
 }
 
 void client_answer(struct world *world, const struct message *answer)
 {
-	struct client_request *client;
+	struct client_request *request;
 
-	DL_SEARCH_SCALAR(world->clients, client, connection, answer->id);
-	if (!client)
+	DL_SEARCH_SCALAR(world->client_requests, request, connection, answer->id);
+	if (!request)
 		return;
 	if (answer->status > 0 && answer->status < STATUS_COUNT)
 		world->answer_counts[answer->status]++;
-	notify_checker(world, client, answer);
-	client->connection = 0;
-	client->retry = is_retried(client, answer->status);
-	if (!client->retry)
-		client_request_free(world, client);
+	notify_checker(world, request, answer);
+	request->connection = 0;
+	request->retry = is_retried(request, answer->status);
+	if (!request->retry)
+		client_request_free(world, request);
 }
 
 /* True for requests that are not retried: polls, which are sent anew each second, and raw ones. */
-static bool is_never_retried(const struct client_request *client)
+static bool is_never_retried(const struct client_request *request)
 {
-	return client->kind == CLIENT_POLL || client->kind == CLIENT_RAW;
+	return request->kind == CLIENT_POLL || request->kind == CLIENT_RAW;
 }
 
 static void retry_unanswered(struct world *world)
 {
-	struct client_request *client, *next;
+	struct client_request *request, *next;
 
-	DL_FOREACH_SAFE (world->clients, client, next) {
-		bool late = world->now_s - client->sent_at_s > CLIENT_TIMEOUT_S;
+	DL_FOREACH_SAFE (world->client_requests, request, next) {
+		bool late = world->now_s - request->sent_at_s > CLIENT_TIMEOUT_S;
 
-		if (!client->retry && !late)
+		if (!request->retry && !late)
 			continue;
-		if (is_never_retried(client))
-			client_request_free(world, client);
+		if (is_never_retried(request))
+			client_request_free(world, request);
 		else
-			try_request(world, client);
+			try_request(world, request);
 	}
 }
 
@@ -240,9 +240,9 @@
 
 void clients_free(struct world *world)
 {
-	struct client_request *client, *next;
+	struct client_request *request, *next;
 
-	DL_FOREACH_SAFE (world->clients, client, next)
-		free(client);
-	world->clients = NULL;
+	DL_FOREACH_SAFE (world->client_requests, request, next)
+		free(request);
+	world->client_requests = NULL;
 }
--- a/tests/runner/clients.h
+++ b/tests/runner/clients.h
@@ -1,6 +1,6 @@
 /*
- * Simulated clients. They submit, poll and cancel jobs. Submissions and cancellations are retried
- * until they are answered.
+ * Simulated clients, with which users submit, poll and cancel jobs. Submissions and cancellations
+ * are retried until they get a final answer: not 429 or 503, nor 404 for a cancellation.
  */
 #ifndef PLOVERLOFT_RUNNER_CLIENTS_H
 #define PLOVERLOFT_RUNNER_CLIENTS_H
--- a/tests/runner/connections.h
+++ b/tests/runner/connections.h
@@ -2,7 +2,7 @@
  * Numbers of the connections on which controllers receive requests. A controller passes the number
  * back with its answer, so the number can encode where the answer goes. Clients' connections are
  * numbered from 1, those of other controllers from PEER_CONNECTIONS. The number of a report's
- * connection contains the machine and the number of the report.
+ * connection contains the machine's index and the report's number, which is its sequence number.
  */
 #ifndef PLOVERLOFT_RUNNER_CONNECTIONS_H
 #define PLOVERLOFT_RUNNER_CONNECTIONS_H
--- a/tests/runner/controllers.c
+++ b/tests/runner/controllers.c
@@ -15,7 +15,7 @@
 /* Time after a freeze until the controller's next tick, before which it reads the messages that
  * wait for it. */
 #define WAKE_DELAY_S 1e-3
-/* Part of the time that a report waited during a freeze by which its reading is delayed after the
+/* A report that waited during a freeze is read this share of its waiting time after the end of the
  * freeze: the newest report is read first. */
 #define WAKE_REPORT_SHARE 1e-6
 
--- a/tests/runner/core_inspection.c
+++ b/tests/runner/core_inspection.c
@@ -13,7 +13,7 @@
 	switch (step) {
 	case CRASH_WITH_LEASE:
 		return core->election.claim_in_flight && core->election.lease;
-	case CRASH_LOADING:
+	case CRASH_RECOVERING:
 		return core->election.role == ROLE_RECOVERING;
 	case CRASH_LEADING:
 		return inspect_leads(core);
@@ -23,7 +23,7 @@
 	return false;
 }
 
-double inspect_direct_commands(const struct core *core)
+double inspect_agent_calls_in_flight(const struct core *core)
 {
 	return core->agents.calls_in_flight;
 }
--- a/tests/runner/core_inspection.h
+++ b/tests/runner/core_inspection.h
@@ -13,7 +13,7 @@
 enum crash_step {
 	CRASH_NEVER,
 	CRASH_WITH_LEASE, /* it holds a lease and claims the leader's key */
-	CRASH_LOADING,	  /* it holds the leader's key and reads the records */
+	CRASH_RECOVERING, /* it holds the leader's key and reads the records */
 	CRASH_LEADING	  /* it has read them and leads */
 };
 
@@ -21,8 +21,8 @@
 bool inspect_reached_step(const struct core *core, enum crash_step step);
 /* True if the controller considers itself the leader. */
 bool inspect_leads(const struct core *core);
-/* Returns the number of unanswered calls to agents: direct commands and probes. */
-double inspect_direct_commands(const struct core *core);
+/* Returns the number of direct commands and probes that agents have not answered yet. */
+double inspect_agent_calls_in_flight(const struct core *core);
 /* Returns the number of slots that the controller has switched from one job to another. */
 double inspect_share_switches(const struct core *core);
 
--- a/tests/runner/delivery.c
+++ b/tests/runner/delivery.c
@@ -18,9 +18,9 @@
 #define HANG_RETRY_S 0.25	  /* interval between tries to deliver to a hanging machine */
 
 /* A request to a stand-in that has no reply yet. The stand-in's handle is the address of this. */
-struct service_request {
+struct standin_request {
 	int controller;	      /* index of the controller that sent the request */
-	int service;	      /* number of the host that received it */
+	int host;	      /* number of the stand-in's host, which received it */
 	uint64_t call;	      /* id of the controller's call; 0: the reply is dropped */
 	uint64_t incarnation; /* of the controller's process that made the call */
 };
@@ -74,12 +74,12 @@
 }
 
 /* Returns the handle that the stand-in passes back with its reply. standin_reply frees it. */
-static uint64_t service_request_new(const struct message *message)
+static uint64_t standin_request_new(const struct message *message)
 {
-	struct service_request *pending = xcalloc(1, sizeof(*pending));
+	struct standin_request *pending = xcalloc(1, sizeof(*pending));
 
 	pending->controller = message->from;
-	pending->service = message->to;
+	pending->host = message->to;
 	pending->call = message->id;
 	pending->incarnation = message->incarnation;
 	return (uintptr_t)pending;
@@ -95,7 +95,7 @@
 		requeue_request(world, message);
 		return;
 	}
-	standin_agent_handle_request(&world->standin, machine, service_request_new(message),
+	standin_agent_handle_request(&world->standin, machine, standin_request_new(message),
 				     message->path, message->body);
 }
 
@@ -105,10 +105,10 @@
 		deliver_peer_request(world, message);
 	else if (message->to == HOST_STATE)
 		standin_state_handle_request(&world->standin, message->from,
-					     service_request_new(message), message->method,
+					     standin_request_new(message), message->method,
 					     message->path, message->body);
 	else if (message->to == HOST_CLOUD)
-		standin_cloud_handle_request(&world->standin, service_request_new(message),
+		standin_cloud_handle_request(&world->standin, standin_request_new(message),
 					     message->method, message->path, message->body);
 	else
 		deliver_machine_request(world, message);
@@ -117,14 +117,14 @@
 void standin_reply(void *context, uint64_t handle, int status, const char *body)
 {
 	struct world *world = context;
-	struct service_request *pending = (struct service_request *)(uintptr_t)handle;
+	struct standin_request *pending = (struct standin_request *)(uintptr_t)handle;
 
 	if (pending->call) {
-		bool slow = pending->service == HOST_STATE &&
+		bool slow = pending->host == HOST_STATE &&
 			    world_random(world) < world->network_faults.slow_state_replies;
 		double due_at_s = network_arrival_time(world) + (slow ? SLOW_REPLY_S : 0);
-		struct message *reply = message_new(world, MESSAGE_REPLY, pending->service,
-						    pending->controller, due_at_s);
+		struct message *reply =
+		    message_new(world, MESSAGE_REPLY, pending->host, pending->controller, due_at_s);
 
 		reply->id = pending->call;
 		reply->incarnation = pending->incarnation;
@@ -134,11 +134,11 @@
 	free(pending);
 }
 
-void service_requests_free(struct world *world)
+void watch_requests_free(struct world *world)
 {
 	for (struct standin_watch *watch = world->standin.state_service.watches; watch;
 	     watch = watch->next)
-		free((struct service_request *)(uintptr_t)watch->handle);
+		free((struct standin_request *)(uintptr_t)watch->handle);
 }
 
 /* --- reports from machines --- */
@@ -225,8 +225,8 @@
 	controller_answer(world, message->to, &no_answer);
 }
 
-/* False if the controller is down, or if the message is a reply to an earlier process of it. */
-static bool is_accepted(const struct controller *controller, const struct message *message)
+/* False if the controller is down, or if the message ends a call of an earlier process of it. */
+static bool can_be_delivered(const struct controller *controller, const struct message *message)
 {
 	bool is_reply = message->kind == MESSAGE_REPLY || message->kind == MESSAGE_TIMEOUT;
 
@@ -239,7 +239,7 @@
 {
 	const struct controller *controller = controller_of_host(world, message->to);
 
-	if (controller && !is_accepted(controller, message))
+	if (controller && !can_be_delivered(controller, message))
 		return;
 	switch (message->kind) {
 	case MESSAGE_REQUEST:
--- a/tests/runner/delivery.h
+++ b/tests/runner/delivery.h
@@ -14,11 +14,11 @@
  * freed. The body is copied.
  */
 void standin_reply(void *context, uint64_t handle, int status, const char *body);
-/* Sends a report from a machine's agent to a controller; both are indexes. The body is copied. */
+/* Sends a report of a machine's agent to a controller; both are indices. The body is copied. */
 void standin_report(void *context, int machine, int controller, const char *body);
 
-/* Frees the pending requests for the watches that the state service has not answered. */
-void service_requests_free(struct world *world);
+/* Frees the pending requests of the watches that the state service has not answered. */
+void watch_requests_free(struct world *world);
 /* Frees the pending requests between controllers. */
 void peer_requests_free(struct world *world);
 
--- a/tests/runner/expectations.c
+++ b/tests/runner/expectations.c
@@ -54,7 +54,7 @@
 	return job ? job->starts : NO_SUCH_JOB;
 }
 
-/* The number of running tasks that the newest answer to the job's client showed. */
+/* The number of running tasks that the newest answer to the job's user showed. */
 static double tasks_shown_running(struct world *world, const char *argument)
 {
 	const struct standin_job *job = job_numbered(world, argument);
@@ -107,6 +107,7 @@
 	return count;
 }
 
+/* The number of direct commands and probes that agents have not answered yet. */
 static double direct_commands(struct world *world, const char *argument)
 {
 	double count = 0;
@@ -114,7 +115,7 @@
 	(void)argument;
 	for (int i = 0; i < world->controller_count; i++)
 		if (world->controllers[i].up)
-			count += inspect_direct_commands(world->controllers[i].core);
+			count += inspect_agent_calls_in_flight(world->controllers[i].core);
 	return count;
 }
 
@@ -158,7 +159,7 @@
 	return (double)state->requests_over_limit;
 }
 
-/* The number of records whose key begins with the argument. */
+/* The number of keys in the state service that begin with the argument. */
 static double keys_with_prefix(struct world *world, const char *argument)
 {
 	const struct standin_key *key = world->standin.state_service.keys;
@@ -292,14 +293,17 @@
 void expect_rules_kept(struct world *world, const char *permitted)
 {
 	struct standin *standin = &world->standin;
+	int failures_before = world->failures;
 
 	standin_check_served(standin);
 	if (!standin->starts_total)
-		standin_rule_broken(standin, RULE_NOTHING_RAN, "no start");
+		standin_record_broken_rule(standin, RULE_NOTHING_RAN,
+					   "no task started in the whole scenario");
 	for (int rule = 0; rule < RULE_COUNT; rule++)
 		if (standin->rules_broken[rule] && !strstr(permitted, rule_names[rule]))
-			world_fail(world,
-				   "rule %s broken %d times; latest message of the checker: %s",
-				   rule_names[rule], standin->rules_broken[rule],
-				   standin->broken_rule_message);
+			world_fail(world, "rule %s broken %d times, expected 0", rule_names[rule],
+				   standin->rules_broken[rule]);
+	if (world->failures > failures_before)
+		fprintf(stderr, "%s: newest message of the checker, on rule %s\n",
+			world->scenario_path, standin->broken_rule_message);
 }
--- a/tests/runner/faults.c
+++ b/tests/runner/faults.c
@@ -16,8 +16,8 @@
 
 #define DEFAULT_DOWN_S 3      /* downtime of a controller that crashes */
 #define DEFAULT_DURATION_S 10 /* duration of a partition, a freeze or an outage */
-#define DEFAULT_NOTICE_S 8    /* time of a preemption notice, until the machine is taken back */
-/* Longest delay of the copies of reports, beyond the least one. */
+#define DEFAULT_NOTICE_S 8    /* time of a preemption notice, until the machine is reclaimed */
+/* Default of network_faults.duplicate_delay_s. */
 #define DEFAULT_DUPLICATE_DELAY_S 30
 #define MACHINE_PREFIX "machine:"
 
@@ -45,14 +45,16 @@
 	world->faults_end_s = fmax(world->faults_end_s, world->now_s + duration_s);
 }
 
-/* quiet: from now on the checker ignores faults that still last, so that its checks can fail */
-static void end_faults(struct world *world, const struct scenario_line *line)
+/* quiet: the checker treats the faults as ended, even those that still last, so that a scenario can
+ * show that its checks fail */
+static void treat_faults_as_ended(struct world *world, const struct scenario_line *line)
 {
 	(void)line;
 	world->faults_end_s = world->now_s;
 }
 
-/* cancel_at_end N: job N is cancelled when its last task ends */
+/* cancel_at_end N: job N is cancelled when its last task ends. It is no fault, but counts as one
+ * that lasts DEFAULT_DOWN_S. */
 static void cancel_at_end(struct world *world, const struct scenario_line *line)
 {
 	world->cancel_at_end = line_integer(line, 1);
@@ -78,10 +80,11 @@
 	if (!strcmp(word, "lease"))
 		return CRASH_WITH_LEASE;
 	if (!strcmp(word, "recovering"))
-		return CRASH_LOADING;
+		return CRASH_RECOVERING;
 	if (!strcmp(word, "leading"))
 		return CRASH_LEADING;
-	world_fail(world, "unknown step of an election \"%s\": not lease, recovering or leading",
+	world_fail(world,
+		   "unknown step of an election \"%s\", expected lease, recovering or leading",
 		   word);
 	return CRASH_NEVER;
 }
@@ -124,7 +127,7 @@
 	world->standin.state_service.refuses[index] = begins_fault(line);
 }
 
-/* stall NODE [end=1]: the state service does not answer this controller's reads of changes */
+/* stall NODE [end=1]: the state service does not answer this controller's watches */
 static void stall(struct world *world, const struct scenario_line *line)
 {
 	int index = controller_named(world, line_word(line, 1));
@@ -158,7 +161,8 @@
 	world->network_faults.late_transactions = line_number(line, 1);
 }
 
-/* late_reports P after=S: of this share of reports, a copy arrives up to about S seconds later */
+/* late_reports P after=S: each controller also gets a copy of this share of reports, up to about S
+ * seconds later */
 static void set_duplicate_reports(struct world *world, const struct scenario_line *line)
 {
 	world->network_faults.duplicate_reports = line_number(line, 1);
@@ -323,7 +327,7 @@
 	standin_machine_power_off(&world->standin, machine, true);
 }
 
-/* reclaim K: the cloud takes the machine back */
+/* reclaim K: the cloud reclaims the machine without notice */
 static void reclaim_machines(struct world *world, const struct scenario_line *line)
 {
 	for_machines(world, line, reclaim_one);
@@ -336,7 +340,7 @@
 	standin_machine_restart(&world->standin, machine);
 }
 
-/* restart K: the machine's agent is restarted at once and has lost its memory */
+/* restart K: the machine restarts at once; its tasks and its agent's state are lost */
 static void restart_machines(struct world *world, const struct scenario_line *line)
 {
 	for_machines(world, line, restart_one);
@@ -349,7 +353,7 @@
 	machine->changed_since_report = true;
 }
 
-/* preemption_notice K for=S: the machine gets the notice that it is taken back after S seconds */
+/* preemption_notice K for=S: the machine gets the notice that it is reclaimed after S seconds */
 static void notify_machines(struct world *world, const struct scenario_line *line)
 {
 	for_machines(world, line, notify_one);
@@ -369,7 +373,7 @@
 }
 
 const struct scenario_keyword fault_keywords[] = {
-    {"quiet", 0, end_faults},
+    {"quiet", 0, treat_faults_as_ended},
     {"cancel_at_end", 1, cancel_at_end},
     {"crash", 1, crash},
     {"crash_at_step", 1, crash_at_step},
--- a/tests/runner/faults.h
+++ b/tests/runner/faults.h
@@ -1,4 +1,5 @@
-/* Lines that cause faults: crashes, partitions, outages, lost messages, failing machines. */
+/* Lines that cause faults (crashes, partitions, outages, lost messages, failing machines), and the
+ * line that has the checker treat them as ended. */
 #ifndef PLOVERLOFT_RUNNER_FAULTS_H
 #define PLOVERLOFT_RUNNER_FAULTS_H
 
@@ -7,8 +8,8 @@
 /* The keywords of these lines; an entry with a NULL name ends the table. */
 extern const struct scenario_keyword fault_keywords[];
 
-/* Extends the time in which faults last by the fault of this line. Must be called before the line
- * is run. */
+/* Sets world->faults_end_s to the end of this line's fault if that is later. Must be called before
+ * the line is run: a line `quiet` then sets the present time. */
 void faults_extend_duration(struct world *world, const struct scenario_line *line);
 
 #endif
--- a/tests/runner/network.c
+++ b/tests/runner/network.c
@@ -10,7 +10,7 @@
 #include "message_queue.h"
 #include "util/xalloc.h"
 
-/* Mean latency of a message. It varies from half of this to one and a half. */
+/* Mean latency of a message. The latency is random, from half to one and a half times the mean. */
 #define LATENCY_S 0.004
 
 double network_arrival_time(struct world *world)
--- a/tests/runner/requests.c
+++ b/tests/runner/requests.c
@@ -151,8 +151,8 @@
 /*
  * Breaks a rule on purpose, to show that the check of the rule can fail.
  * break start JOB MACHINE TASK: the machine starts a task without a command
- * break accept JOB: the checker is informed that a client was told that the job is accepted
- * break answer JOB STATUS [BODY]: the checker is informed of this answer to a client's poll
+ * break accept JOB: the checker is informed that a user was told that the job is accepted
+ * break answer JOB STATUS [BODY]: the checker is informed of this answer to a user's poll
  */
 static void break_rule(struct world *world, const struct scenario_line *line)
 {
@@ -167,8 +167,8 @@
 	else if (!strcmp(what, "accept"))
 		standin_submission_answered(standin, id, ANSWER_CREATED);
 	else
-		standin_lookup_answered(standin, id, line_integer(line, 3), line_word(line, 4),
-					world->now_s);
+		standin_poll_answered(standin, id, line_integer(line, 3), line_word(line, 4),
+				      world->now_s);
 }
 
 const struct scenario_keyword request_keywords[] = {
--- a/tests/runner/scenario.c
+++ b/tests/runner/scenario.c
@@ -13,8 +13,8 @@
 #include "scenario_line.h"
 #include "setup.h"
 
-/* Time simulated after the last line and the last fault: longer than the 75 s for which a job may
- * get no answer. */
+/* Time simulated after the last line and the last fault: longer than the 75 s (UNANSWERED_MAX_S)
+ * for which users may get no answer about a job. */
 #define EPILOGUE_S 80.0
 #define BREAKS_PREFIX "breaks "
 
@@ -39,9 +39,8 @@
 	return NULL;
 }
 
-/* Returns the keyword with this name from the tables other than that of faults; NULL if they have
- * none. */
-static const struct scenario_keyword *find_other_than_fault(const char *name)
+/* Returns the keyword with this name from the tables without faults; NULL if they have none. */
+static const struct scenario_keyword *find_non_fault_keyword(const char *name)
 {
 	static const struct scenario_keyword *const tables[] = {
 	    time_keywords,
@@ -63,7 +62,7 @@
 {
 	const char *name = line_word(line, 0);
 	const struct scenario_keyword *fault = find_in_table(fault_keywords, name);
-	const struct scenario_keyword *keyword = fault ? fault : find_other_than_fault(name);
+	const struct scenario_keyword *keyword = fault ? fault : find_non_fault_keyword(name);
 
 	if (!keyword) {
 		world_fail(world, "unknown keyword \"%s\"", name);
--- a/tests/runner/world.c
+++ b/tests/runner/world.c
@@ -68,7 +68,7 @@
 	for (int i = 0; i < CAPTURED_REPORTS; i++)
 		free(world->captured_reports[i]);
 	peer_requests_free(world);
-	service_requests_free(world);
+	watch_requests_free(world);
 	standin_free(&world->standin);
 	conf_free(&world->conf);
 }
--- a/tests/runner/world.h
+++ b/tests/runner/world.h
@@ -1,8 +1,8 @@
 /*
  * The simulated world of one scenario: the controllers, stand-ins for the systems around them, the
- * messages between them, and the clients that submit jobs. Time is simulated; all times are seconds
- * since the scenario began. The simulation draws its random numbers from one generator with a fixed
- * seed, so that a scenario runs the same each time.
+ * messages between them, and the clients with which users submit jobs. Time is simulated; all times
+ * are seconds since the scenario began. The simulation draws its random numbers from one generator
+ * with a fixed seed, so that a scenario runs the same each time.
  */
 #ifndef PLOVERLOFT_RUNNER_WORLD_H
 #define PLOVERLOFT_RUNNER_WORLD_H
@@ -45,7 +45,7 @@
 	char *body;
 	size_t body_length; /* bytes, as a body between controllers may be binary; 0: up to NUL */
 	int status;	    /* of a reply */
-	uint64_t report_number; /* of a report, for its connection */
+	uint64_t report_number; /* of a report: its sequence number or DUPLICATE_REPORT_NUMBER */
 	struct message *prev, *next;
 };
 
@@ -93,8 +93,8 @@
 	double repeated;	   /* requests that are carried out twice */
 	double slow_state_replies; /* replies of the state service that arrive late */
 	double late_transactions;  /* transactions that get no reply and are carried out late */
-	double duplicate_reports;  /* reports of which a late copy arrives as well */
-	double duplicate_delay_s;  /* seconds; longest delay of the copy, beyond the least one */
+	double duplicate_reports;  /* reports of which a controller also gets a late copy */
+	double duplicate_delay_s;  /* seconds by which the copy may exceed its least delay */
 };
 
 /* A request from one controller to another that has not been answered yet. */
@@ -147,13 +147,13 @@
 	struct peer_request *peer_requests; /* unanswered; hash table, by connection */
 	uint64_t last_peer_connection;
 
-	struct client_request *clients;
+	struct client_request *client_requests; /* in flight, or to be retried */
 	uint64_t last_client_connection;
 	int answer_counts[STATUS_COUNT]; /* answers to clients, by status */
 	int cancel_at_end; /* number of the job to cancel when its last task ends; 0: none */
 
 	double state_outage_until_s;
-	double faults_end_s; /* time at which the last fault so far ends */
+	double faults_end_s; /* when the last fault so far ends, for the checker of the rules */
 	struct election_crash election_crash;
 	char *captured_reports[CAPTURED_REPORTS]; /* by machine; NULL: none */
 
--- a/tests/standins/agent_commands.c
+++ b/tests/standins/agent_commands.c
@@ -15,7 +15,7 @@
 /* Attempt number of a job's first task if it is started without a command. */
 #define FORCED_ATTEMPT 999999999u
 
-_Static_assert(ID_MAX == 48, "TASK_NAME_PATTERN has the length of an id in it");
+_Static_assert(ID_MAX == 48, "TASK_NAME_PATTERN contains ID_MAX - 1");
 
 /* The attempt of a task that a command is about. */
 struct command_target {
--- a/tests/standins/agent_messages.c
+++ b/tests/standins/agent_messages.c
@@ -1,5 +1,5 @@
 /*
- * The messages of agents: heartbeats and their answers, and the answers to probes and direct
+ * The messages of agents: reports and their answers, and the answers to probes and direct
  * commands.
  */
 #include <stdlib.h>
@@ -10,14 +10,14 @@
 #include "standins/standin.h"
 #include "wire/names.h"
 
-/* Time without an answer after which a heartbeat counts as lost. */
-#define HEARTBEAT_TIMEOUT_S 4.0
-/* Delay of the next heartbeat, to the next controller, after one was lost or refused. */
-#define HEARTBEAT_RETRY_S 1.0
-/* Delay of the next heartbeat, to the leader that the answer names, after a redirect. */
-#define HEARTBEAT_REDIRECT_S 0.1
-/* Least interval between heartbeats that are sent early because the machine has changed. */
-#define HEARTBEAT_MIN_INTERVAL_S 0.5
+/* Time without an answer after which a report counts as lost. */
+#define REPORT_TIMEOUT_S 4.0
+/* Delay of the next report, to the next controller, after one was lost or refused. */
+#define REPORT_RETRY_S 1.0
+/* Delay of the next report, to the leader that the answer names, after a redirect. */
+#define REPORT_REDIRECT_S 0.1
+/* Least time from one report to the next that is sent early because the machine has changed. */
+#define REPORT_MIN_INTERVAL_S 0.5
 
 static const char *const task_state_names[] = {
     [TASK_FETCHING] = W_TASK_FETCHING, [TASK_WAITING] = W_TASK_WAITING,
@@ -133,18 +133,18 @@
 	standin_answer(standin, handle, status, next_message(standin, machine));
 }
 
-/* --- answers to heartbeats --- */
+/* --- answers to reports --- */
 
 static void try_next_controller(struct standin *standin, struct standin_machine *machine)
 {
 	machine->controller = (machine->controller + 1) % standin->controller_count;
-	machine->next_report_at = standin->now + HEARTBEAT_RETRY_S;
+	machine->next_report_at = standin->now + REPORT_RETRY_S;
 }
 
 /*
  * Renews the agent's lease and carries out the commands. An answer without a fencing token, or with
  * an older one than the agent has seen, is ignored: it is not from the present leader. The lease
- * counts from when the heartbeat was sent.
+ * counts from when the report was sent.
  */
 static void apply_answer(struct standin *standin, struct standin_machine *machine,
 			 const json_t *body)
@@ -167,8 +167,8 @@
 }
 
 /*
- * Handles an answer with another status than 200: the next heartbeat goes to the leader that it
- * names, or else to the next controller.
+ * Handles an answer with another status than 200: the next report goes to the leader that a
+ * redirect names, or else to the next controller.
  */
 static void handle_refusal(struct standin *standin, struct standin_machine *machine, int status,
 			   const json_t *body)
@@ -181,7 +181,7 @@
 		return;
 	}
 	machine->controller = leader;
-	machine->next_report_at = standin->now + HEARTBEAT_REDIRECT_S;
+	machine->next_report_at = standin->now + REPORT_REDIRECT_S;
 }
 
 void standin_agent_handle_answer(struct standin *standin, int machine_index, uint64_t incarnation,
@@ -203,7 +203,7 @@
 	json_decref(parsed);
 }
 
-/* --- heartbeats --- */
+/* --- reports --- */
 
 static void send_report(struct standin *standin, struct standin_machine *machine)
 {
@@ -226,10 +226,10 @@
 {
 	double age_s = standin->now - machine->report_sent_at;
 	bool due = standin->now >= machine->next_report_at;
-	bool early = machine->changed_since_report && age_s >= HEARTBEAT_MIN_INTERVAL_S;
+	bool early = machine->changed_since_report && age_s >= REPORT_MIN_INTERVAL_S;
 
 	if (machine->report_unanswered) {
-		if (age_s > HEARTBEAT_TIMEOUT_S) {
+		if (age_s > REPORT_TIMEOUT_S) {
 			machine->report_unanswered = false;
 			try_next_controller(standin, machine);
 		}
--- a/tests/standins/agent_tasks.c
+++ b/tests/standins/agent_tasks.c
@@ -13,9 +13,9 @@
 }
 
 /*
- * True if the other tasks of the gang need not miss this one: it is in the state `least` or a later
- * one. It is not missed either if it is done or was stopped on a command: neither makes the rest of
- * the gang fail.
+ * True if the task does not count as missing in its gang: it is in the state `least` or a later
+ * one. A task that is done or was stopped on a command is not missing either: neither makes the
+ * rest of the gang fail.
  */
 static bool is_present(const struct standin_task *task, enum task_state least)
 {
--- a/tests/standins/agents.h
+++ b/tests/standins/agents.h
@@ -1,6 +1,7 @@
 /*
  * Stand-ins for the agents on the machines: the tasks that they run, the commands that they carry
- * out, and the reports that they send.
+ * out, and the reports that they send. In the tests, "report" also stands for the heartbeat that
+ * carries it.
  */
 #ifndef PLOVERLOFT_STANDINS_AGENTS_H
 #define PLOVERLOFT_STANDINS_AGENTS_H
@@ -21,15 +22,15 @@
 				  uint64_t handle, const char *path, const char *body);
 
 /*
- * Handles the answer to the heartbeat with this incarnation and sequence number. The answer is
+ * Handles the answer to the report with this incarnation and sequence number. The answer is
  * ignored unless the agent still waits for it. `status` is the HTTP status, `body` may be NULL.
  */
 void standin_agent_handle_answer(struct standin *standin, int machine, uint64_t incarnation,
 				 uint64_t sequence, int status, const char *body);
 
 /*
- * Sends a heartbeat if one is due or the machine has changed since the last one. While a heartbeat
- * is unanswered, none is sent; after a timeout it counts as lost.
+ * Sends a report if one is due or the machine has changed since the last one. While a report is
+ * unanswered, no other is sent; after a timeout it counts as lost.
  */
 void agent_report_if_due(struct standin *standin, struct standin_machine *machine);
 
@@ -37,7 +38,7 @@
 
 /*
  * Records the fencing token if it is newer than the agent's, and carries out the commands in
- * `body`, which is the answer to a heartbeat or a request with direct commands.
+ * `body`, which is the answer to a report or a request with direct commands.
  */
 void agent_run_commands(struct standin *standin, struct standin_machine *machine,
 			const json_t *body, uint64_t token);
--- a/tests/standins/jobs.c
+++ b/tests/standins/jobs.c
@@ -54,7 +54,7 @@
 	       standin->now > job->known_cancelled_at + standin->conf->cancel_s;
 }
 
-bool task_uses_capacity(const struct standin_task *task)
+bool task_counts_as_running(const struct standin_task *task)
 {
 	return task->machine->power == POWER_UP && task->state != TASK_EXITED &&
 	       task->state != TASK_FETCHING;
--- a/tests/standins/jobs.h
+++ b/tests/standins/jobs.h
@@ -34,7 +34,7 @@
 	bool known_cancelled;	   /* an answer has shown it as cancelled */
 	bool known_done;	   /* an answer has shown it as done */
 	double accepted_at;	   /* < 0: not yet */
-	double answered_at;	   /* when a lookup was last answered; < 0: never */
+	double answered_at;	   /* when a poll was last answered; < 0: never */
 	double known_cancelled_at; /* when an answer first showed it as cancelled */
 	double known_done_at;	   /* when an answer first showed it as done */
 	int known_running;	   /* running tasks that the newest answer shows */
@@ -44,11 +44,12 @@
 	uint8_t *done;		     /* owned; one bit for each task, set when it has completed */
 	uint32_t done_count;	     /* completed tasks */
 	uint32_t starts;	     /* started attempts */
-	uint32_t starts_until_begin; /* started attempts until the job began */
+	uint32_t starts_until_begin; /* started attempts up to the one with which it began */
 	double began_at;	     /* when it began, see update_began_at; < 0: not yet */
 
-	/* Replica time of a service, from STANDIN_SERVICE_GRACE_S after its acceptance. */
-	double required_replica_s; /* that its replicas should have run */
+	/* Replica time of a service: seconds, added up over its replicas, from
+	 * STANDIN_SERVICE_GRACE_S after its acceptance. */
+	double required_replica_s; /* that the replicas should have run */
 	double running_replica_s;  /* that they have run */
 
 	/* State of the rule idle_room, as of its last check. */
@@ -109,10 +110,10 @@
 bool job_cancel_overdue(const struct standin *standin, const struct standin_job *job);
 
 /*
- * True if the task has started, which is when its image has been fetched, and has not exited, on a
- * machine that is up.
+ * True if the rules count the task as running: it has started, which is when its image has been
+ * fetched, and has not exited, on a machine that is up.
  */
-bool task_uses_capacity(const struct standin_task *task);
+bool task_counts_as_running(const struct standin_task *task);
 
 /* Removes the task from its job's list, not from its machine's, and frees it. */
 void task_free(struct standin_task *task);
--- a/tests/standins/machines.c
+++ b/tests/standins/machines.c
@@ -14,7 +14,7 @@
 #define ADDRESSES_PER_NET 250
 
 #define FIRST_INCARNATION 1
-#define RESTART_REPORT_S 0.2 /* seconds from a restart to the agent's first heartbeat */
+#define RESTART_REPORT_S 0.2 /* seconds from a restart to the agent's first report */
 #define NO_NOTICE (-1.0)     /* notice_until of a machine without a notice */
 
 struct standin_machine *standin_machine_find_by_addr(struct standin *standin, const char *addr)
@@ -97,7 +97,7 @@
 
 /* --- ticks --- */
 
-/* The machine is up, and its agent sends its first heartbeat. */
+/* The machine is up, and its agent sends its first report. */
 static void finish_boot(struct standin *standin, struct standin_machine *machine)
 {
 	int number = (int)(machine - standin->machines);
@@ -111,7 +111,7 @@
 
 /*
  * Ends the agent's lease: the agent drops its tasks and begins a new incarnation. It does not wait
- * for the answer to its last heartbeat any more.
+ * for the answer to its last report any more.
  */
 static void expire_agent_lease(struct standin *standin, struct standin_machine *machine)
 {
--- a/tests/standins/machines.h
+++ b/tests/standins/machines.h
@@ -33,22 +33,22 @@
 	enum machine_power power;
 	double rented_at;
 	double up_at;	     /* when its boot ends */
-	double off_at;	     /* when it failed or was deleted */
+	double off_at;	     /* when it failed, was deleted or was reclaimed */
 	double notice_until; /* when the cloud reclaims it, after a notice; < 0: no notice */
 
 	/* The agent. */
 	uint64_t incarnation;
 	uint64_t sequence;	    /* of the agent's newest message */
 	uint64_t token;		    /* newest fencing token that the agent has seen */
-	int controller;		    /* index of the controller that the next heartbeat goes to */
+	int controller;		    /* index of the controller that the next report goes to */
 	struct standin_task *tasks; /* owned, the newest first */
 	double lease_renewed_at;    /* the agent's lease ends conf->lease_s later */
 	double last_start_at;	    /* when a task last started */
 
-	/* Its heartbeats. The fields report_... are those of the newest one. */
+	/* Its reports. The fields report_... are those of the newest one. */
 	double next_report_at;
 	bool report_unanswered;	   /* the agent waits for the answer */
-	bool changed_since_report; /* the machine has changed since the newest heartbeat */
+	bool changed_since_report; /* the machine has changed since the newest report */
 	uint64_t report_sequence;
 	uint64_t report_incarnation;
 	double report_sent_at;
--- a/tests/standins/rule_answers.c
+++ b/tests/standins/rule_answers.c
@@ -20,9 +20,9 @@
 static void check_can_run(struct standin *standin, const struct standin_job *job)
 {
 	if (!job_can_ever_run(standin, job))
-		standin_rule_broken(standin, RULE_WRONG_JOB,
-				    "job %s of team %s was accepted though it can never run",
-				    job->spec.id, job->spec.team);
+		standin_record_broken_rule(standin, RULE_WRONG_JOB,
+					   "job %s of team %s was accepted though it can never run",
+					   job->spec.id, job->spec.team);
 }
 
 /* Checks the rules wrong_job and forgotten: a job that was accepted is not refused when it is
@@ -38,7 +38,7 @@
 		job->accepted = true;
 		check_can_run(standin, job);
 	} else if (refused && job->accepted) {
-		standin_rule_broken(
+		standin_record_broken_rule(
 		    standin, RULE_FORGOTTEN,
 		    "job %s was accepted before, its submission got status %d, expected "
 		    "200 or 201",
@@ -46,7 +46,7 @@
 	}
 }
 
-/* --- lookups and cancellations --- */
+/* --- polls and cancellations --- */
 
 /* The state of a job in the answer to a user. */
 struct shown_state {
@@ -61,10 +61,10 @@
 		       const struct shown_state *state)
 {
 	if (state->done && job->done_count < job->spec.task_count)
-		standin_rule_broken(standin, RULE_NOT_DONE,
-				    "job %s is shown as %s with %u completed tasks, expected %u",
-				    job->spec.id, state->name, job->done_count,
-				    job->spec.task_count);
+		standin_record_broken_rule(
+		    standin, RULE_NOT_DONE,
+		    "job %s is shown as %s with %u completed tasks, expected %u", job->spec.id,
+		    state->name, job->done_count, job->spec.task_count);
 }
 
 /*
@@ -76,13 +76,14 @@
 static void check_went_back(struct standin *standin, const struct standin_job *job,
 			    const struct shown_state *state)
 {
-	bool undone = job->known_done && !state->done && state->sent_at >= job->known_done_at;
-	bool revived =
+	bool no_longer_done =
+	    job->known_done && !state->done && state->sent_at >= job->known_done_at;
+	bool no_longer_cancelled =
 	    job->known_cancelled && !state->cancelled && state->sent_at >= job->known_cancelled_at;
 	bool unrequested = state->cancelled && !job->cancel_requested;
 
-	if (undone || revived || unrequested)
-		standin_rule_broken(
+	if (no_longer_done || no_longer_cancelled || unrequested)
+		standin_record_broken_rule(
 		    standin, RULE_WENT_BACK,
 		    "job %s is shown as %s; it was shown as done: %s, as cancelled: %s, its "
 		    "cancellation was requested: %s",
@@ -129,28 +130,28 @@
 }
 
 /*
- * Checks the rules forgotten and invented: the lookup of an accepted job is not answered with
+ * Checks the rules forgotten and invented: the poll of an accepted job is not answered with
  * status 404, and no state is shown of a job that nobody submitted. Status 404 for a job that is
  * not accepted is no fault, and neither are other statuses, such as 429 and 503: they show no
  * state.
  */
-void standin_lookup_answered(struct standin *standin, const char *id, int status, const char *body,
-			     double sent_at)
+void standin_poll_answered(struct standin *standin, const char *id, int status, const char *body,
+			   double sent_at)
 {
 	struct standin_job *job = standin_job_find(standin, id);
 	json_t *parsed;
 
 	if (status == STATUS_NOT_FOUND && job && job->accepted)
-		standin_rule_broken(
+		standin_record_broken_rule(
 		    standin, RULE_FORGOTTEN,
-		    "the lookup of job %s, which was accepted, got status %d, expected 200", id,
+		    "the poll of job %s, which was accepted, got status %d, expected 200", id,
 		    status);
 	if (status != STATUS_OK)
 		return;
 	if (!job || !job->submitted) {
-		standin_rule_broken(
+		standin_record_broken_rule(
 		    standin, RULE_INVENTED,
-		    "the lookup of job %s, which nobody submitted, got status %d, expected 404", id,
+		    "the poll of job %s, which nobody submitted, got status %d, expected 404", id,
 		    status);
 		return;
 	}
@@ -163,7 +164,7 @@
 				   const char *body, double sent_at)
 {
 	if (status == STATUS_OK)
-		standin_lookup_answered(standin, id, status, body, sent_at);
+		standin_poll_answered(standin, id, status, body, sent_at);
 }
 
 /* --- jobs without answers --- */
@@ -173,18 +174,18 @@
  * the newest answer, the acceptance or the end of all faults, whichever is latest: during faults
  * users may wait.
  */
-void standin_check_answers(struct standin *standin, double quiet_since)
+void standin_check_answers(struct standin *standin, double faults_end_at)
 {
 	const struct standin_job *job;
 
 	for (job = standin->jobs; job; job = job->hh.next) {
-		double since = fmax(quiet_since, fmax(job->accepted_at, job->answered_at));
+		double since = fmax(faults_end_at, fmax(job->accepted_at, job->answered_at));
 		double unanswered_s = standin->now - since;
 
 		if (job->accepted && unanswered_s > UNANSWERED_MAX_S)
-			standin_rule_broken(
+			standin_record_broken_rule(
 			    standin, RULE_FORGOTTEN,
-			    "job %s: no lookup was answered for %.0f s, expected at most %.0f s",
+			    "job %s: no poll was answered for %.0f s, expected at most %.0f s",
 			    job->spec.id, unanswered_s, UNANSWERED_MAX_S);
 	}
 }
--- a/tests/standins/rule_idle_room.c
+++ b/tests/standins/rule_idle_room.c
@@ -15,8 +15,8 @@
 #define CHECK_INTERVAL_S 4.0 /* seconds between checks */
 /* Time that a job may wait though it could start, once all faults are over. */
 #define WAIT_MAX_S 90.0
-/* Time since the last start on a machine from which its free capacity counts as idle: capacity that
- * is freed and soon taken by the next start is in use. */
+/* Time after the last start on a machine before its free capacity counts as idle: capacity that is
+ * freed and soon taken by the next start is in use. */
 #define IDLE_AFTER_S 10.0
 
 /* --- use and free capacity --- */
@@ -129,7 +129,8 @@
 	return slots;
 }
 
-/* True if idle capacity allows the job to start, for a job that wants one zone within a zone. */
+/* True if the idle capacity allows the job to start. For a job that wants one zone, the idle
+ * capacity of one zone must suffice. */
 static bool has_idle_capacity(const struct standin *standin, const struct standin_job *job)
 {
 	uint32_t needed = job_tasks_started_together(job);
@@ -168,8 +169,8 @@
 }
 
 /*
- * Breaks the rule if the job has waited too long. The time counts only while each check finds that
- * the job could start.
+ * Checks the rule for one job. Its time of waiting counts only while each check finds that the job
+ * could start.
  */
 static void check_job(struct standin *standin, struct standin_job *job)
 {
@@ -183,18 +184,18 @@
 		job->idle_room_since = standin->now;
 	waited_s = standin->now - job->idle_room_since;
 	if (waited_s > WAIT_MAX_S)
-		standin_rule_broken(
+		standin_record_broken_rule(
 		    standin, RULE_IDLE_ROOM,
 		    "job %s (tasks: %u, team: %s) has waited for %.0f s though it could "
 		    "start, expected at most %.0f s",
 		    job->spec.id, job->spec.task_count, job->spec.team, waited_s, WAIT_MAX_S);
 }
 
-void standin_check_idle_room(struct standin *standin, double quiet_since)
+void standin_check_idle_room(struct standin *standin, double faults_end_at)
 {
 	struct standin_job *job;
 
-	if (standin->now < quiet_since || standin->now < standin->next_idle_room_check_at)
+	if (standin->now < faults_end_at || standin->now < standin->next_idle_room_check_at)
 		return;
 	standin->next_idle_room_check_at = standin->now + CHECK_INTERVAL_S;
 	count_tasks_on_machines(standin);
--- a/tests/standins/rule_served.c
+++ b/tests/standins/rule_served.c
@@ -11,8 +11,8 @@
 /* Time from the acceptance within which each of the largest jobs of a class must begin. */
 #define LARGEST_WAIT_MAX_S 240.0
 
-/* True if the job should begin. */
-static bool is_expected(const struct standin_job *job)
+/* True if the job should begin, see the head of this file. */
+static bool should_begin(const struct standin_job *job)
 {
 	return job->accepted && !job->cancel_requested && !job->always_fails;
 }
@@ -47,13 +47,13 @@
 	int expected = 0, served = 0;
 
 	for (job = standin->jobs; job; job = job->hh.next) {
-		if (!is_expected(job) || !is_same(member, job))
+		if (!should_begin(job) || !is_same(member, job))
 			continue;
 		expected++;
 		served += job->began_at >= 0;
 	}
 	if (2 * served < expected)
-		standin_rule_broken(
+		standin_record_broken_rule(
 		    standin, RULE_UNSERVED,
 		    "%d of the %d jobs of the same %s as job %s began, expected at least half",
 		    served, expected, group, member->spec.id);
@@ -65,7 +65,7 @@
 	const struct standin_job *other;
 
 	for (other = standin->jobs; other; other = other->hh.next)
-		if (is_expected(other) && same_class(other, job) &&
+		if (should_begin(other) && same_class(other, job) &&
 		    other->spec.task_count > job->spec.task_count)
 			return false;
 	return true;
@@ -100,12 +100,12 @@
 	double waited_s = began_at - job->accepted_at;
 
 	if (waited_s > LARGEST_WAIT_MAX_S && is_largest(standin, job))
-		standin_rule_broken(standin, RULE_LATE_LARGE,
-				    "job %s (tasks: %u, the most in class %s) %s %.0f s after its "
-				    "acceptance, expected at most %.0f s",
-				    job->spec.id, job->spec.task_count, job->spec.class_name,
-				    job->began_at >= 0 ? "began" : "had not begun", waited_s,
-				    LARGEST_WAIT_MAX_S);
+		standin_record_broken_rule(
+		    standin, RULE_LATE_LARGE,
+		    "job %s (tasks: %u, the most in class %s) %s %.0f s after its "
+		    "acceptance, expected at most %.0f s",
+		    job->spec.id, job->spec.task_count, job->spec.class_name,
+		    job->began_at >= 0 ? "began" : "had not begun", waited_s, LARGEST_WAIT_MAX_S);
 }
 
 typedef void served_check(struct standin *standin, const struct standin_job *job);
@@ -122,7 +122,7 @@
 	const struct standin_job *job;
 
 	for (job = standin->jobs; job; job = job->hh.next) {
-		if (!is_expected(job))
+		if (!should_begin(job))
 			continue;
 		for (size_t i = 0; i < sizeof(served_checks) / sizeof(*served_checks); i++)
 			served_checks[i](standin, job);
--- a/tests/standins/rule_starts.c
+++ b/tests/standins/rule_starts.c
@@ -18,8 +18,8 @@
 	const struct standin_task *other;
 
 	DL_FOREACH2 (task->job->tasks, other, job_next)
-		if (other != task && other->index == task->index && task_uses_capacity(other))
-			standin_rule_broken(
+		if (other != task && other->index == task->index && task_counts_as_running(other))
+			standin_record_broken_rule(
 			    standin, RULE_RAN_TWICE,
 			    "task %s/%u started on machine %s (attempt %llu) while it "
 			    "runs on machine %s (attempt %llu)",
@@ -35,7 +35,7 @@
 static void check_started_cancelled(struct standin *standin, const struct standin_task *task)
 {
 	if (job_cancel_overdue(standin, task->job))
-		standin_rule_broken(
+		standin_record_broken_rule(
 		    standin, RULE_RAN_CANCELLED,
 		    "task %s/%u started on machine %s %.1f s after its job was shown as "
 		    "cancelled, expected at most %.1f s",
@@ -54,7 +54,7 @@
 	bool spot_allowed = spec->spot || !machine->spot;
 
 	if (!type_allowed || !zone_allowed || !spot_allowed)
-		standin_rule_broken(
+		standin_record_broken_rule(
 		    standin, RULE_WRONG_PLACE,
 		    "task %s/%u started on machine %s, which its job does not allow: "
 		    "type %s (allowed: %s), zone %s (expected: %s), %s (allowed: %s)",
@@ -72,8 +72,9 @@
 	if (!spec->one_zone)
 		return;
 	DL_FOREACH2 (task->job->tasks, other, job_next)
-		if (task_uses_capacity(other) && strcmp(other->machine->zone, task->machine->zone))
-			standin_rule_broken(
+		if (task_counts_as_running(other) &&
+		    strcmp(other->machine->zone, task->machine->zone))
+			standin_record_broken_rule(
 			    standin, RULE_WRONG_PLACE,
 			    "task %s/%u started in zone %s while task %u runs in zone "
 			    "%s, expected one zone",
@@ -92,10 +93,10 @@
 	if (!spec->spread)
 		return;
 	DL_FOREACH2 (task->job->tasks, other, job_next)
-		in_zone +=
-		    task_uses_capacity(other) && !strcmp(other->machine->zone, task->machine->zone);
+		in_zone += task_counts_as_running(other) &&
+			   !strcmp(other->machine->zone, task->machine->zone);
 	if (in_zone > max_in_zone)
-		standin_rule_broken(
+		standin_record_broken_rule(
 		    standin, RULE_WRONG_PLACE,
 		    "job %s is not spread: %u of its %u tasks run in zone %s, expected "
 		    "at most %u",
@@ -113,7 +114,7 @@
 		if (strcmp(job->spec.team, team))
 			continue;
 		DL_FOREACH2 (job->tasks, task, job_next) {
-			if (!task_uses_capacity(task))
+			if (!task_counts_as_running(task))
 				continue;
 			use.cpus += job->spec.cpus;
 			use.gpus += job->spec.gpus;
@@ -132,7 +133,7 @@
 		return;
 	use = team_use_on_machines(standin, team->name);
 	if (!team_allows(team, &use))
-		standin_rule_broken(
+		standin_record_broken_rule(
 		    standin, RULE_QUOTA,
 		    "team %s uses %.1f CPUs and %.1f GPUs after the start of task %s/%u, "
 		    "expected at most %.1f CPUs and %.1f GPUs (0: no limit)",
@@ -186,10 +187,10 @@
  * Rule ran_cancelled: no task runs on when conf->cancel_s have passed since a user learned of its
  * job's cancellation.
  */
-static void check_ran_on(struct standin *standin, const struct standin_task *task)
+static void check_running_cancelled(struct standin *standin, const struct standin_task *task)
 {
-	if (task_uses_capacity(task) && job_cancel_overdue(standin, task->job))
-		standin_rule_broken(
+	if (task_counts_as_running(task) && job_cancel_overdue(standin, task->job))
+		standin_record_broken_rule(
 		    standin, RULE_RAN_CANCELLED,
 		    "task %s/%u runs on machine %s %.1f s after its job was shown as "
 		    "cancelled, expected at most %.1f s",
@@ -203,6 +204,6 @@
 		const struct standin_task *task = standin->machines[i].tasks;
 
 		for (; task; task = task->next)
-			check_ran_on(standin, task);
+			check_running_cancelled(standin, task);
 	}
 }
--- a/tests/standins/rules.c
+++ b/tests/standins/rules.c
@@ -16,7 +16,7 @@
     [RULE_WRONG_JOB] = "wrong_job",
 };
 
-void standin_rule_broken(struct standin *standin, enum rule rule, const char *format, ...)
+void standin_record_broken_rule(struct standin *standin, enum rule rule, const char *format, ...)
 {
 	va_list arguments;
 	int length;
@@ -31,5 +31,6 @@
 		  sizeof(standin->broken_rule_message) - (size_t)length, format, arguments);
 	va_end(arguments);
 	if (standin->verbose)
-		fprintf(stderr, "%8.3f RULE %s\n", standin->now, standin->broken_rule_message);
+		fprintf(stderr, "at %.3f s: broken rule %s\n", standin->now,
+			standin->broken_rule_message);
 }
--- a/tests/standins/rules.h
+++ b/tests/standins/rules.h
@@ -15,15 +15,15 @@
 	RULE_QUOTA,	    /* a team's tasks used more than its quota */
 	RULE_WRONG_PLACE,   /* a task ran on a machine or in a zone that its job does not allow */
 	RULE_RAN_CANCELLED, /* a task ran conf->cancel_s after its job was shown as cancelled */
-	RULE_FORGOTTEN,	    /* a user got no answer about an accepted job, or that there is none */
-	RULE_INVENTED,	    /* a user got an answer about a job that nobody submitted */
-	RULE_NOT_DONE,	    /* a job was shown as done before all its tasks had completed */
-	RULE_WENT_BACK,	    /* a job left a final state, or was cancelled without a request */
-	RULE_NOTHING_RAN,   /* no task started in a whole scenario */
-	RULE_UNSERVED,	    /* less than half of a class, a team or the largest jobs began */
-	RULE_LATE_LARGE,    /* one of the largest jobs of its class began late */
-	RULE_IDLE_ROOM,	    /* a job waited though there was free capacity for it */
-	RULE_WRONG_JOB,	    /* a job was accepted though it can never run */
+	RULE_FORGOTTEN,	  /* an accepted job is unknown, is refused, or polls of it get no answer */
+	RULE_INVENTED,	  /* a user got an answer about a job that nobody submitted */
+	RULE_NOT_DONE,	  /* a job was shown as done before all its tasks had completed */
+	RULE_WENT_BACK,	  /* a job left a final state, or was cancelled without a request */
+	RULE_NOTHING_RAN, /* no task started in a whole scenario */
+	RULE_UNSERVED,	  /* fewer than half of a class, a team or a class's largest jobs began */
+	RULE_LATE_LARGE,  /* one of the largest jobs of its class began late */
+	RULE_IDLE_ROOM,	  /* a job waited though there was free capacity for it */
+	RULE_WRONG_JOB,	  /* a job was accepted though it can never run */
 	RULE_COUNT
 };
 
@@ -34,7 +34,7 @@
  * Records that a rule was broken. The first time for each rule, the message is kept with the rule's
  * name in standin->broken_rule_message, and printed to stderr if standin->verbose.
  */
-void standin_rule_broken(struct standin *standin, enum rule rule, const char *format, ...)
+void standin_record_broken_rule(struct standin *standin, enum rule rule, const char *format, ...)
     __attribute__((format(printf, 3, 4)));
 
 /* --- tasks on machines: rule_starts.c --- */
@@ -47,14 +47,14 @@
 
 /* --- answers to users: rule_answers.c --- */
 
-/* Checks the answer to a submission, and records its acceptance. `status` is the HTTP status. */
+/* Checks the answer to a submission, and records the acceptance. `status` is the HTTP status. */
 void standin_submission_answered(struct standin *standin, const char *id, int status);
 /*
- * Checks the answer to a lookup, and records the state that it shows. `status` is the HTTP status,
- * `sent_at` is when the lookup was sent.
+ * Checks the answer to a poll, and records the state that it shows. `status` is the HTTP status,
+ * `sent_at` is when the poll was sent.
  */
-void standin_lookup_answered(struct standin *standin, const char *id, int status, const char *body,
-			     double sent_at);
+void standin_poll_answered(struct standin *standin, const char *id, int status, const char *body,
+			   double sent_at);
 /* The same for the answer to a cancellation. Only one with status 200 shows a state and is checked.
  */
 void standin_cancellation_answered(struct standin *standin, const char *id, int status,
@@ -62,17 +62,17 @@
 
 /*
  * Checks that users get answers about their jobs (rule forgotten). The scenario's faults end at
- * `quiet_since`; time before that does not count.
+ * `faults_end_at`; time before that does not count.
  */
-void standin_check_answers(struct standin *standin, double quiet_since);
+void standin_check_answers(struct standin *standin, double faults_end_at);
 
 /* --- waiting jobs: rule_idle_room.c, rule_served.c --- */
 
 /*
  * Checks that no job waits though there is free capacity for it (rule idle_room). The scenario's
- * faults end at `quiet_since`; nothing is checked before that.
+ * faults end at `faults_end_at`; nothing is checked before that.
  */
-void standin_check_idle_room(struct standin *standin, double quiet_since);
+void standin_check_idle_room(struct standin *standin, double faults_end_at);
 
 /*
  * Checks, at the end of a scenario, that enough jobs of each class and team and of the largest ones
--- a/tests/standins/standin.h
+++ b/tests/standins/standin.h
@@ -17,13 +17,13 @@
 #include "standins/rules.h"
 #include "standins/state_service.h"
 
-#define STANDIN_RULE_MESSAGE_MAX 256 /* bytes of the message on a broken rule, with its NUL */
+#define STANDIN_RULE_MESSAGE_MAX 256 /* bytes of a message of the checker, with its NUL */
 
 /* How the stand-ins send messages. The texts are valid only during the call. */
 struct standin_callbacks {
 	/* Sends the answer to the request with this handle; `status` is the HTTP status. */
 	void (*reply)(void *context, uint64_t handle, int status, const char *body);
-	/* Sends the heartbeat of a machine's agent to a controller; both are indices. */
+	/* Sends a report of a machine's agent to a controller; both are indices. */
 	void (*report)(void *context, int machine, int controller, const char *body);
 };
 
@@ -41,13 +41,14 @@
 	int machine_count;
 	struct standin_job *jobs; /* owned; hash table by id */
 
-	/* The controllers that agents send heartbeats to. */
+	/* The controllers that agents send reports to. */
 	int controller_count;
 	char controller_names[STANDIN_CONTROLLERS_MAX][NAME_MAX_LEN];
 
 	/* The checker of the rules. */
 	int rules_broken[RULE_COUNT]; /* how often each rule was broken */
-	/* Name and message of the rule that was last broken for the first time. */
+	/* The checker's newest message: the name of the rule that was last broken for the first
+	 * time, a colon, and what broke it. */
 	char broken_rule_message[STANDIN_RULE_MESSAGE_MAX];
 	bool verbose;			/* messages on broken rules are also printed to stderr */
 	double next_idle_room_check_at; /* next check of the rule idle_room */
@@ -55,8 +56,8 @@
 	/* Counts since the start. */
 	uint64_t starts_total;
 	uint64_t starts_after_cancellation; /* after the job was shown as cancelled */
-	uint64_t probes;		    /* requests that reached machines */
-	uint64_t direct_commands;	    /* requests that reached machines */
+	uint64_t probes;		    /* that reached machines */
+	uint64_t direct_commands;	    /* requests with them that reached machines */
 };
 
 /* Initialises stand-ins without machines or jobs. The settings give the state service's limits. */
--- a/tests/standins/state_private.h
+++ b/tests/standins/state_private.h
@@ -12,10 +12,11 @@
 /* --- state_keys.c --- */
 
 /* The key of this name, or NULL. */
-struct standin_key *state_key_find(struct standin_state_service *state_service, const char *key);
+struct standin_key *state_key_find(struct standin_state_service *state_service, const char *name);
 
-/* Writes a key at the present revision and records the change. The value is not taken over. */
-void state_key_put(struct standin_state_service *state_service, const char *key, json_t *value,
+/* Writes a key at the present revision and records the change. The caller keeps its reference to
+ * the value. */
+void state_key_put(struct standin_state_service *state_service, const char *name, json_t *value,
 		   uint64_t lease);
 /* Deletes a key at the present revision, and records the change. */
 void state_key_delete(struct standin_state_service *state_service, struct standin_key *key);
--- a/tests/standins/state_service.c
+++ b/tests/standins/state_service.c
@@ -89,18 +89,18 @@
 		 state_service->write_allowance + elapsed_s * state_service->write_rps);
 }
 
-/* The number of puts and deletes that a request asks for. */
-static double count_puts(const char *path, const char *body)
+/* The number of writes, which are puts and deletes, that a request asks for. */
+static double count_writes(const char *path, const char *body)
 {
 	json_t *transaction;
-	double puts;
+	double writes;
 
 	if (strcmp(path, W_PATH_TXN))
 		return 0;
 	transaction = wire_parse(body, strlen(body));
-	puts = (double)json_array_size(json_object_get(transaction, W_CHANGES));
+	writes = (double)json_array_size(json_object_get(transaction, W_CHANGES));
 	json_decref(transaction);
-	return puts;
+	return writes;
 }
 
 /*
@@ -110,19 +110,19 @@
 static bool limits_allow(struct standin *standin, const char *path, const char *body)
 {
 	struct standin_state_service *state_service = &standin->state_service;
-	double puts;
+	double writes;
 
 	refill_allowances(standin);
-	puts = count_puts(path, body);
+	writes = count_writes(path, body);
 	if (state_service->request_allowance < 1 ||
-	    (puts > 0 && state_service->write_allowance < puts)) {
+	    (writes > 0 && state_service->write_allowance < writes)) {
 		state_service->requests_over_limit++;
 		return false;
 	}
 	state_service->request_allowance -= 1;
-	state_service->write_allowance -= puts;
+	state_service->write_allowance -= writes;
 	state_service->requests++;
-	state_service->writes += (uint64_t)puts;
+	state_service->writes += (uint64_t)writes;
 	return true;
 }
 
--- a/tests/upgrade.c
+++ b/tests/upgrade.c
@@ -51,7 +51,7 @@
 	rollout_submit(loopback, ARRAY);
 	rollout_submit(loopback, SERVICE);
 	rollout_submit(loopback, GANG);
-	return rollout_wait(loopback, rollout_first_work_runs,
+	return rollout_wait(loopback, rollout_first_jobs_run,
 			    "waited for the first jobs to run under the old version");
 }
 
@@ -66,7 +66,7 @@
 			  "waited for the new version to lead with records of the old one"))
 		return false;
 	rollout_submit(loopback, CANCELLED_ARRAY);
-	return rollout_wait(loopback, rollout_cancelled_runs,
+	return rollout_wait(loopback, rollout_cancelled_array_runs,
 			    "waited for a job to run under the new version");
 }
 
@@ -82,7 +82,7 @@
 		return false;
 	loopback_start(loopback, 0, new_program);
 	rollout_cancel(loopback, CANCELLED_ARRAY);
-	return rollout_wait(loopback, rollout_cancelled_ended,
+	return rollout_wait(loopback, rollout_cancelled_array_ended,
 			    "waited until no task of the cancelled job runs");
 }
 
@@ -103,7 +103,7 @@
 	rollout_lower_limits(loopback);
 	rollout_submit(loopback, LATE_ARRAY);
 	rollout_submit(loopback, LATE_GANG);
-	return rollout_wait(loopback, rollout_late_work_runs,
+	return rollout_wait(loopback, rollout_late_jobs_run,
 			    "waited for jobs to run under the lowered limits");
 }
 
--- a/tests/upgrade_previous.c
+++ b/tests/upgrade_previous.c
@@ -38,7 +38,7 @@
 	rollout_submit(loopback, ARRAY);
 	rollout_submit(loopback, SERVICE);
 	rollout_submit(loopback, GANG);
-	return rollout_wait(loopback, rollout_first_work_runs,
+	return rollout_wait(loopback, rollout_first_jobs_run,
 			    "waited for the first jobs to run under the previous version");
 }
 
@@ -51,7 +51,7 @@
 		loopback, 0, "waited for the new version to lead with records of the previous one"))
 		return false;
 	rollout_submit(loopback, CANCELLED_ARRAY);
-	return rollout_wait(loopback, rollout_cancelled_runs,
+	return rollout_wait(loopback, rollout_cancelled_array_runs,
 			    "waited for a job to run under the new version");
 }
 
@@ -67,7 +67,7 @@
 	loopback_start(loopback, 0, new_program);
 	loopback_start(loopback, 2, previous_program);
 	rollout_cancel(loopback, CANCELLED_ARRAY);
-	return rollout_wait(loopback, rollout_cancelled_ended,
+	return rollout_wait(loopback, rollout_cancelled_array_ended,
 			    "waited until no task of the cancelled job runs");
 }
 
@@ -77,7 +77,7 @@
 	rollout_lower_limits(loopback);
 	rollout_submit(loopback, LATE_ARRAY);
 	rollout_submit(loopback, LATE_GANG);
-	return rollout_wait(loopback, rollout_late_work_runs,
+	return rollout_wait(loopback, rollout_late_jobs_run,
 			    "waited for jobs to run under the lowered limits");
 }
 
