--- a/tests/standins/rules.h
+++ b/tests/standins/rules.h
@@ -15,15 +15,15 @@
 	RULE_QUOTA,	    /* a team's tasks used more than its quota */
 	RULE_WRONG_PLACE,   /* a task ran on a machine or in a zone that its job does not allow */
 	RULE_RAN_CANCELLED, /* a task ran conf->cancel_s after its job was shown as cancelled */
-	RULE_FORGOTTEN,	  /* an accepted job is unknown, is refused, or polls of it get no answer */
-	RULE_INVENTED,	  /* a user got an answer about a job that nobody submitted */
-	RULE_NOT_DONE,	  /* a job was shown as done before all its tasks had completed */
-	RULE_WENT_BACK,	  /* a job left a final state, or was cancelled without a request */
-	RULE_NOTHING_RAN, /* no task started in a whole scenario */
-	RULE_UNSERVED,	  /* fewer than half of a class, a team or a class's largest jobs began */
-	RULE_LATE_LARGE,  /* one of the largest jobs of its class began late */
-	RULE_IDLE_ROOM,	  /* a job waited though there was free capacity for it */
-	RULE_WRONG_JOB,	  /* a job was accepted though it can never run */
+	RULE_FORGOTTEN,	    /* an accepted job is unknown or refused, or polls get no answer */
+	RULE_INVENTED,	    /* a user got an answer about a job that nobody submitted */
+	RULE_NOT_DONE,	    /* a job was shown as done before all its tasks had completed */
+	RULE_WENT_BACK,	    /* a job left a final state, or was cancelled without a request */
+	RULE_NOTHING_RAN,   /* no task started in a whole scenario */
+	RULE_UNSERVED,	    /* fewer than half of a class, a team or the largest jobs began */
+	RULE_LATE_LARGE,    /* one of the largest jobs of its class began late */
+	RULE_IDLE_ROOM,	    /* a job waited though there was free capacity for it */
+	RULE_WRONG_JOB,	    /* a job was accepted though it can never run */
 	RULE_COUNT
 };
 
