--- a/daemon/controller.h
+++ b/daemon/controller.h
@@ -4,8 +4,8 @@
 
 #include "conf/conf.h"
 
-/* Listens on the controller's addresses and serves forever. It returns only if it cannot listen,
- * which is logged. */
+/* Listens on the controller's addresses and serves forever. It returns only if it cannot listen;
+ * the reason is logged. */
 void controller_run(const struct conf *conf);
 
 #endif
--- a/src/conf/conf.h
+++ b/src/conf/conf.h
@@ -91,13 +91,14 @@
 	double gang_peer_s; /* time until a task of a gang notices that another has stopped */
 	double cancel_s;    /* time within which a job ends after its cancellation is confirmed */
 
-	/* Limits of the state service: those of today, and those announced for an unknown date. */
+	/* Limits of the state service: the limits of today, and the limits announced for an unknown
+	 * date. */
 	struct conf_limits limits;
 	struct conf_limits upcoming_limits;
 
 	/* The cloud. */
 	double cloud_rps;
-	double inventory_lag_s; /* time by which its list of machines may be out of date */
+	double inventory_lag_s; /* time by which the cloud's list of machines may be out of date */
 
 	/* Resources that this process may use. */
 	double cores;
@@ -117,8 +118,8 @@
  * and the reason in `error`. In both cases the caller frees the settings with conf_free().
  */
 int conf_load(struct conf *conf, const char *path, char error[CONF_ERR_MAX]);
-/* Reads the operators' own settings into `conf`, which conf_load() has set. Returns like
- * conf_load(). */
+/* Reads the operators' own settings into `conf`, which conf_load() has set. Returns 0 or -1, and
+ * sets `error`, like conf_load(). */
 int conf_load_operator(struct conf *conf, const char *path, char error[CONF_ERR_MAX]);
 
 /* Whether there is an objective of this kind for any class of jobs. */
--- a/src/conf/toml_reader.h
+++ b/src/conf/toml_reader.h
@@ -23,7 +23,7 @@
 /* Whether a field may be absent. */
 enum class presence { required, optional };
 
-/* Minimum values of number fields, and the maximum of all of them. */
+/* Minimum values of number fields, and the maximum of all number fields. */
 constexpr double not_negative = 0;
 constexpr double above_zero = 1e-9;
 constexpr double number_max = 1e12;
@@ -76,7 +76,7 @@
 			fail(field, "must be HOST:PORT, is " + value_text(node));
 	}
 
-	/* Reads a number from `min` to number_max. If an optional one is absent, `*out` is
+	/* Reads a number from `min` to number_max. If an optional number is absent, `*out` is
 	 * unchanged. */
 	void number(const node_view &node, const std::string &field, double *out, presence needed,
 		    double min)
@@ -95,7 +95,7 @@
 		*out = *value;
 	}
 
-	/* The value for a message; of a table or an array only the type. */
+	/* The text of a value for a message. For a table or an array, the text is only the type. */
 	static std::string value_text(const node_view &node)
 	{
 		std::ostringstream out;
@@ -210,8 +210,8 @@
 		}
 	}
 
-	/* Records an error if the key exists but is not a table. An absent table is no error here:
-	 * if it has required fields, these are reported as missing. */
+	/* Records an error if the key exists but is not a table. An absent table is no error: if it
+	 * has required fields, they are reported as missing. */
 	void require_table_if_present()
 	{
 		if (table_ && !table_.is_table())
--- a/src/constants.h
+++ b/src/constants.h
@@ -22,7 +22,8 @@
  * calls wait. */
 #define NET_CALLER_EVENTS_MAX 64
 /* Time between two event-loop iterations from which the loop is late: callers' streams are then
- * read to their end, to drop those that have given up. Callers give up after a few such delays. */
+ * read to their end, to drop callers that have given up. Callers give up after a few such delays.
+ */
 #define NET_LOOP_LAG_S 0.5
 /* Connections accepted in one event-loop iteration, so that answers are not starved. */
 #define NET_ACCEPT_BATCH 32
@@ -35,7 +36,7 @@
 #define NET_MESSAGE_TIMEOUT_S 10.0
 /* Time that an idle connection of our own is kept open, since to connect again costs more. */
 #define NET_CLIENT_IDLE_MAX_S 40.0
-/* Interval between checks of deadlines, which is their precision. */
+/* Interval between checks of deadlines, and so the precision of deadlines. */
 #define NET_SWEEP_MS 100
 
 /* Open files that are not connections: listening sockets, epoll, standard streams. */
@@ -43,24 +44,25 @@
 
 /* --- HTTP --- */
 
-/* Bytes of a request line with its headers. Ours have a few hundred. */
+/* Bytes of a request line with its headers. Our own requests have a few hundred. */
 #define HTTP_HEAD_MAX 8192
 /* Bytes of a path: the longest holds a key of 200 bytes and a query. */
 #define HTTP_PATH_MAX 512
 /* Bytes of a request's body from users and agents, as the protocol limits them. */
 #define HTTP_BODY_MAX ((size_t)64 * 1024)
-/* Bytes of an answer's body, and of requests between controllers: the state service does not limit
- * its answer to a watch. */
+/* Bytes of the body of an answer, or of a request between controllers: the state service does not
+ * limit its answer to a watch. */
 #define HTTP_REPLY_MAX ((size_t)8 * 1024 * 1024)
 
 /* --- messages --- */
 
 /* Tasks of one job, as the protocol limits them. */
 #define JOB_TASKS_MAX 100000
-/* Amounts from this one on are mistakes: it is 30 years in seconds, or a billion CPUs. */
+/* An amount of this size or more in a message is a mistake: 30 years in seconds, or a billion CPUs.
+ */
 #define WIRE_NUMBER_MAX 1e9
 
-/* Bytes of a report that is cached to recognise a repetition: one of some ten tasks. */
+/* Bytes of the longest report that is cached to recognise its repetition: it has some ten tasks. */
 #define REPORT_CACHE_TEXT_MAX 2048
 
 /* --- operators' settings --- */
@@ -100,7 +102,7 @@
  * answer from the state service. */
 #define LEADER_WATCH_MS 2000
 /* Time beyond its blocking time until a watch counts as unanswered. For the watch of the leader's
- * key the sum is below READY_SILENCE_MAX_S. */
+ * key, blocking time and margin together are below READY_SILENCE_MAX_S. */
 #define STORE_WATCH_MARGIN_S 1.0
 /* Delay after a failure before the leader's key is read or claimed again, or the changes of jobs
  * are read again. */
@@ -115,16 +117,16 @@
 
 /* --- users' requests --- */
 
-/* Lookups that may wait for reads of records, as a share of `max_connections`; beyond that users
- * get 429. */
+/* Lookups that may wait for reads of records, as a share of `max_connections`. Users whose lookups
+ * would exceed the share get 429. */
 #define LOOKUP_CONNS_SHARE 0.25
 /* Age from which a request to cancel a job is not committed any more: a user gives up after 5 s,
  * and the answer has to travel. */
 #define CANCEL_REQUEST_MAX_AGE_S 3.5
 /* Least capacity of the queue of submissions; users get 429 when it is full. */
 #define SUBMIT_QUEUE_MIN 400
-/* Capacity of the queue of submissions, if that is more, in seconds of writes at the allowed rate:
- * users who would wait longer have given up. */
+/* Capacity of the queue of submissions, if more than SUBMIT_QUEUE_MIN, in seconds of writes at the
+ * allowed rate: users who would wait longer have given up. */
 #define SUBMIT_QUEUE_S 5.0
 /* Time without lookups after which the changes of jobs are read all the same, before they are too
  * many for one answer. */
@@ -149,7 +151,7 @@
 /* Multiple of `cancel_s` for which a controller keeps the cancellations that it confirmed: a leader
  * asks for them sooner. */
 #define CONFIRMED_CANCELS_KEEP_FACTOR 2.0
-/* Confirmed cancellations kept so: some 0.5 MB. */
+/* Confirmed cancellations that a controller keeps at most: some 0.5 MB. */
 #define CONFIRMED_CANCELS_MAX 4096
 /* Time without an answer from the state service and from any other controller after which /ready
  * answers that this controller is not ready. */
@@ -159,7 +161,7 @@
 #define PEER_FORWARD_BACKOFF_S 2.0
 /* Retry-After of most refusals, in seconds: the least that a user waits anyway. */
 #define RETRY_AFTER_S 1
-/* Retry-After when a queue is full: it drains in about this time. */
+/* Retry-After when a queue is full, in seconds: the queue drains in about this time. */
 #define RETRY_AFTER_BUSY_S 2
 /* Final states of jobs that are cached: about 0.5 MB. The oldest are removed first. */
 #define FINAL_CACHE_MAX 4096
@@ -174,7 +176,8 @@
 #define COMMIT_RETRY_S 0.25
 /* Share of `write_rps` that the leader uses: the rest is for submissions. */
 #define WRITE_SHARE_LEADER 0.85
-/* Tasks whose bindings and done bits share one record, so that it stays below 8 KiB. */
+/* Tasks whose bindings and done bits share one record (a chunk, see core/model/chunk.h), so that
+ * the record stays below 8 KiB. */
 #define LARGE_CHUNK_TASKS 128
 /* Size of one more binding in a record, with long names of machine and zone. */
 #define CHUNK_BINDING_BYTES 100
@@ -216,28 +219,29 @@
 #define FORMAT_REGISTER_RETRY_S 1.0
 /* Interval between the leader's reads of the formats that the controllers have recorded. */
 #define FORMAT_SCAN_INTERVAL_S 1.0
-/* Tasks whose bindings fit a value of 2 KiB, even if each belongs to another attempt. */
+/* Tasks whose bindings fit a value of 2 KiB, even if each binding belongs to another attempt. */
 #define SMALL_CHUNK_TASKS 32
 
 /* --- lists and watches --- */
 
 /* Items on a page of a list: pages stay below 512 KiB. */
 #define PAGE_ITEMS_MAX 500
-/* Time that the watch of the open jobs blocks: the leader may serve for a limited time after its
- * last answer. */
+/* Time that the watch of the open jobs blocks: the leader may answer agents only for a limited time
+ * after it sent the newest watch that was answered (see core/election/serving_deadline.c). */
 #define JOBS_WATCH_MS 700
 
 /* --- machines --- */
 
 /* Age of an agent's last heartbeat from which its machine gets no new tasks: two heartbeats have
- * been missed by then. The same age of its last message of any kind makes the machine silent. */
+ * been missed by then. Also the age of the agent's last message of any kind from which the machine
+ * is silent. */
 #define MACHINE_FRESH_REPORTS 2.5
 /* Time without a heartbeat, beyond the agent's lease, after which a machine is given up: its tasks
  * are lost anyway. */
 #define MACHINE_LEASE_MARGIN_S 1.0
 /* Least interval between probes of one machine. */
 #define PROBE_INTERVAL_S 1.0
-/* Least allowed rate of probes, per second: each costs as much as a report. */
+/* Least allowed rate of probes, per second: each probe costs as much as a report. */
 #define PROBES_MIN_PER_S 40.0
 /* Time in which the rate of probes must allow one to each machine. */
 #define PROBE_ALL_LEASES 0.5
@@ -257,7 +261,7 @@
 #define LEADER_DISCOVERY_REPORTS 2.0
 /* Multiple of a type's boot time after which a machine counts as never coming up. */
 #define MACHINE_BOOT_FACTOR 3.0
-/* Time added to that multiple: short boots vary more. */
+/* Time added to MACHINE_BOOT_FACTOR times the boot time: short boots vary more. */
 #define MACHINE_BOOT_EXTRA_S 20.0
 /* Inventories that lack a machine, once listed and now silent, before it is deleted. */
 #define MACHINE_MISSED_INVENTORIES 2
@@ -272,7 +276,8 @@
 /* Least interval between two renewals of the fencing token on request. Most are requested because
  * commands were not answered. */
 #define TOKEN_RENEW_INTERVAL_S 2.0
-/* Interval between inventories of the cloud's machines: what they show is older than that. */
+/* Interval between inventories of the cloud's machines: what an inventory shows is older than this
+ * interval. */
 #define INVENTORY_INTERVAL_S 3.0
 /* Interval between health checks of all machines. */
 #define MACHINE_SCAN_INTERVAL_S 0.5
@@ -285,7 +290,7 @@
 /* Buckets of the histogram of times since the machines' last messages: together they span the
  * longest lease of an agent. */
 #define CONTACT_BUCKETS 80
-/* Time that one of these buckets spans. */
+/* Time that each of the CONTACT_BUCKETS buckets spans. */
 #define CONTACT_BUCKET_S 0.25
 /* Time without a message, and since the last probe, before a machine with replicas is probed. */
 #define REPLICA_PROBE_INTERVAL_S 0.8
@@ -297,7 +302,8 @@
 #define REPLICA_UNANSWERED_PROBES 2
 /* Least allowed rate, per second, of probes of machines with replicas. */
 #define REPLICA_PROBES_MIN_PER_S 10.0
-/* Allowed rate of these probes, if that is more, as a share of the rate of the agents' reports. */
+/* Allowed rate of probes of machines with replicas, if more than REPLICA_PROBES_MIN_PER_S, as a
+ * share of the rate of the agents' reports. */
 #define REPLICA_PROBE_SHARE 0.34
 /* Delay of the supervision of replicas from which an event-loop iteration sends no probes. */
 #define REPLICA_SUPERVISION_LATE_S 0.5
@@ -305,108 +311,120 @@
 #define REPLICA_MOVE_LEASES 0.5
 /* Time since a machine's last message from which new replicas rather go elsewhere. */
 #define REPLICA_OVERDUE_REPORTS 1.25
-/* Cost, in seconds of waiting for an image elsewhere, of a machine whose message is so overdue. */
+/* Cost, in seconds of waiting for an image elsewhere, of placing a replica on a machine without a
+ * message for REPLICA_OVERDUE_REPORTS. */
 #define REPLICA_OVERDUE_COST_S 20.0
-/* Machines that must have sent messages before a share of silent ones means anything. */
+/* Machines that must have sent messages before the share of silent machines means anything. */
 #define PARTITION_MACHINES_MIN 3
 
 /* --- scheduling --- */
 
-/* Time from the request for a scheduling cycle to the cycle, and so their least interval. */
+/* Time from the request for a scheduling cycle to the cycle, and so the least interval between
+ * cycles. */
 #define CYCLE_MIN_INTERVAL_S 0.004
 /* Interval between scheduling cycles without an event: backoffs end by time alone. */
 #define CYCLE_PERIOD_S 0.5
 /* Time added to CYCLE_MIN_INTERVAL_S for each job, so that cycles are rarer under load. */
 #define CYCLE_INTERVAL_PER_JOB_S 0.0002
-/* Base of the backoff of a job whose tasks fail: it doubles with each earlier failure in a row.
- * After the first failure the job is tried elsewhere at once. */
+/* Base of the backoff of a job whose tasks fail: the backoff doubles with each earlier failure in a
+ * row. After the first failure the job is tried elsewhere at once. */
 #define ERROR_BACKOFF_S 2.0
-/* Longest backoff: a job that fails everywhere costs one try a minute. Also the cost, in seconds of
- * waiting, of a machine on which the job failed. */
+/* Longest backoff of a job whose tasks fail: a job that fails everywhere costs one try a minute.
+ * Also the cost, in seconds of waiting, of a machine on which the job failed. */
 #define ERROR_BACKOFF_MAX_S 60.0
 /* Machines remembered per job on which its tasks failed. */
 #define JOB_FAILED_MACHINES_MAX 4
-/* Backoff of a job after a refused start: its description may be on its way to the machine. Also
- * the backoff of the machine, if it lacks free capacity or runs another attempt of the task. */
+/* Backoff of a job after a refused start: the job's description may be on its way to the machine.
+ * Also the backoff of the machine, if the machine lacks free capacity or runs another attempt of
+ * the task. */
 #define START_REFUSED_BACKOFF_S 1.0
-/* Mean interval between rounds of share switching: the quantum of its design. */
+/* Mean interval between rounds of share switching (see core/scheduling/share_switching.h): the
+ * quantum of the design of share switching. */
 #define SWITCH_QUANTUM_S 5.0
-/* Jitter as a share of the quantum, so that the controllers' load spreads. */
+/* Jitter of the interval between rounds of share switching, as a share of SWITCH_QUANTUM_S: it
+ * spreads the controllers' load. */
 #define SWITCH_JITTER 0.4
-/* Time that a freed slot is kept for the array that used it, or to which it was switched: a
- * scheduling cycle or two. */
+/* Time that the slot (see core/scheduling/share_switching.h) of a task that ended is kept for the
+ * array that used the slot, or to which the slot was switched: a scheduling cycle or two. */
 #define FREED_SLOT_HOLD_S 2.0
 /* Cost, in seconds of waiting, of a task without GPUs on a machine with GPUs. */
 #define GPU_WASTE_COST_S 3.0
-/* Cost, in seconds of waiting, of leaving all of a machine's CPUs free, in proportion for a part of
- * them, and of a machine without tasks: the best fit matters less than a cached image. */
+/* Cost, in seconds of waiting, of leaving all of a machine's CPUs free (in proportion if a part
+ * stays free), and of using a machine without tasks: the best fit matters less than a cached image.
+ */
 #define WORST_FIT_COST_S 0.5
 /* Least time that a job waits before work of lower priority is stopped for it. */
 #define PREEMPT_AFTER_S 0.2
-/* Share of its class's tightest wait objective that a job waits before that, if it is longer. */
+/* Share of its class's tightest wait objective that a job waits before work of lower priority is
+ * stopped for it, if longer than PREEMPT_AFTER_S. */
 #define PREEMPT_OBJECTIVE_SHARE 0.1
 /* Time that capacity is reserved for a job after other work, or its own replica that moves, was
  * stopped. */
 #define PREEMPT_RESERVE_S 20.0
 /* Interval between tries to free capacity for one job by preemption. */
 #define PREEMPT_RETRY_S 2.0
-/* Time that a gang waits before it gets a growing reservation, of capacity that falls free: it has
- * to begin within four minutes, and other jobs are to be served too. */
+/* Time that a gang waits before it gets a growing reservation, of capacity that falls free: the
+ * gang has to begin within four minutes, and other jobs are to be served too. */
 #define RESERVE_AFTER_S 45.0
-/* Time before the gang's next wait objective at which a growing reservation begins, if that is
- * later, but no later than ORDER_FIRST_AFTER_S: large gangs took up to 40 s to get all of their
- * capacity. */
+/* Time before the gang's next wait objective at which a growing reservation begins, if later than
+ * RESERVE_AFTER_S, but no later than ORDER_FIRST_AFTER_S: large gangs took up to 40 s to get all of
+ * their capacity. */
 #define RESERVE_LEAD_S 60.0
 /* Gangs that have a growing reservation at once: reserved capacity idles. */
 #define RESERVE_MAX_GANGS 2
 /* Share of the fleet's CPUs that growing reservations may take for any number of gangs. */
 #define RESERVE_CPU_SHARE 0.05
-/* The same share for gangs that have waited long: their four minutes are nearly over. */
+/* Share of the fleet's CPUs that growing reservations may take so that a gang that has waited for
+ * RESERVE_LONG_WAIT_S gets one too: the gang's four minutes are nearly over. */
 #define RESERVE_CPU_SHARE_LONG_WAIT 0.1
-/* Time of waiting from which a gang has waited long, so that the wider limits hold for it. */
+/* Time of waiting from which RESERVE_CPU_SHARE_LONG_WAIT and RESERVE_MAX_GANGS_LONG_WAIT hold for a
+ * gang. */
 #define RESERVE_LONG_WAIT_S 140.0
-/* Gangs that have a growing reservation at once, where the wider limits hold. */
+/* Gangs that have a growing reservation at once, so that a gang that has waited for
+ * RESERVE_LONG_WAIT_S gets one too. */
 #define RESERVE_MAX_GANGS_LONG_WAIT 4
 /* Time beyond the last scheduling cycle for which a growing reservation stands: cycles come twice a
  * second. */
 #define RESERVE_EXTEND_S 2.0
-/* Share of a machine's whole capacity that is expected to fall free soon enough, in addition to its
- * free capacity. */
+/* Share of a machine's whole capacity that is expected to fall free soon enough for a growing
+ * reservation, in addition to the machine's free capacity. */
 #define RESERVE_USED_SHARE 0.05
 /* Time that a stopped task needs to find capacity, start and fetch its image again. */
 #define RESTART_OVERHEAD_S 15.0
 /* Factor on the estimate of a task that begins again: estimates are often wrong by half. */
 #define RESTART_ESTIMATE_FACTOR 1.5
-/* Time to start tasks and fetch the image, taken off the time that an array has left. */
+/* Time to start tasks and fetch the image, taken off the time that an array has left until its
+ * deadline. */
 #define ARRAY_START_OVERHEAD_S 10.0
 /* Time of waiting after which a gang or service goes before all others of its priority. */
 #define ORDER_FIRST_AFTER_S 140.0
-/* Order key that places a gang or service after all that are ordered by a wait objective; its
- * negative places one before them. */
+/* Order key that places a gang or service after all gangs and services that are ordered by a wait
+ * objective. The negative of the key places a gang or service before them. */
 #define ORDER_KEY_EXTREME_S 1e6
 /* Cost, in seconds of waiting, of an on-demand machine for a task that may use spot machines, while
  * there are open jobs that may not. */
 #define ON_DEMAND_COST_S 4.0
 /* Cost, in seconds of waiting, of a second replica of a service on one machine, against a fetch of
- * the image elsewhere. The same for each job that failed on the machine. */
+ * the image elsewhere. Also the cost of each job that failed on the machine. */
 #define REPLICA_SAME_MACHINE_COST_S 8.0
 /* Time that a replica must have run for its end not to count as a failure to start. */
 #define REPLICA_MIN_UPTIME_S 20.0
 /* Cost, in seconds of waiting, of each replica, of any service, that the machine runs: all would be
  * lost together. */
 #define REPLICA_COLOCATED_COST_S 1.0
-/* Cost, in seconds of waiting, of each other replica of the service in the zone: it decides between
- * machines that are alike. */
+/* Cost, in seconds of waiting, of each other replica of the service in the zone: the cost decides
+ * between machines that are alike. */
 #define REPLICA_SAME_ZONE_COST_S 0.5
-/* Cost, in seconds of waiting, of a spot machine, which may be taken back with the replica. */
+/* Cost, in seconds of waiting, of placing a replica on a spot machine, since the cloud may take the
+ * machine back. */
 #define REPLICA_SPOT_COST_S 20.0
 /* Tolerance when capacity is compared, in CPUs, GPUs or GB: decimal amounts are summed up. */
 #define ROOM_SLACK 1e-6
 /* Machines that the search for places of single tasks visits in one cycle, per core that the
  * controller may use: 0.2 s of work on a whole core. */
 #define CYCLE_VISITS_PER_CORE 2e7
-/* Shapes (see same_shape) of waiting gangs whose capacity is left to them in a cycle: one bit each
- * of a pool's `gang_shapes`. */
+/* Shapes (see same_shape) of the waiting gangs to which a cycle leaves capacity: each shape is one
+ * bit of `gang_shapes` of struct pool. */
 #define CYCLE_GANG_SHAPES_MAX 32
 /* Shapes remembered in a cycle for which no capacity was found. */
 #define CYCLE_NO_ROOM_SHAPES_MAX 32
@@ -419,15 +437,15 @@
 #define SCALE_OUT_AFTER_S 0.3
 /* Time after a failover without scale-out and share switching: agents have yet to report. */
 #define AUTOSCALE_SETTLE_S 4.0
-/* Searches for planned capacity, by shape and zone, whose progress is kept while a scale-out is
- * planned; more than that are slower. */
+/* Searches for planned capacity (struct plan_search) whose progress is kept while a scale-out is
+ * planned. Further searches are slower. */
 #define SCALE_OUT_SEARCHES_MAX 64
 /* Share of the cloud's allowed rate of requests that is used: clocks differ, and after a late
  * event-loop iteration requests are sent at once. */
 #define CLOUD_RATE_SHARE 0.9
 /* Time for which a rental request without a definite answer is repeated. */
 #define SCALE_OUT_GIVE_UP_S 30.0
-/* Cost, in seconds of waiting, of a new spot machine: it may be taken back. */
+/* Cost, in seconds of waiting, of a new spot machine: the cloud may take it back. */
 #define SCALE_OUT_SPOT_COST_S 5.0
 /* Cost, in seconds of waiting, of a new machine with GPUs for a job without: GPUs are rented for
  * jobs that use them. */
@@ -439,18 +457,20 @@
 #define SCALE_OUT_LEAD_S 60.0
 /* Random share added to an offer's cost, so that equal offers are spread over zones. */
 #define SCALE_OUT_JITTER 0.02
-/* Tombstones of deleted machines, some 1 MB, beyond which a new fencing token is requested: it
- * makes the older ones needless. */
+/* Tombstones of deleted machines, some 1 MB, beyond which a new fencing token is requested: the
+ * token makes the older tombstones needless. */
 #define TOMBSTONES_MAX 8192
 /* Time, beyond twice the inventory's lag, for which an inventory that is being read and applied may
  * still name a deleted machine. */
 #define TOMBSTONE_INVENTORY_MARGIN_S 60.0
-/* Time, added to what a task needs to save its work, by which it is stopped before its machine is
- * taken back: the stop has to arrive. */
+/* Time, added to what a task needs to save its work, by which the task is stopped before its
+ * machine is taken back: the stop has to arrive. */
 #define NOTICE_MARGIN_S 2.0
-/* First backoff, which doubles, before a refused machine type, zone and kind is requested again. */
+/* First backoff, which doubles, before machines of a type, zone and purchase kind that the cloud
+ * refused are requested again. */
 #define SCALE_OUT_REFUSED_BACKOFF_S 10.0
-/* Longest such backoff: capacity may come back any time. */
+/* Longest backoff before machines that the cloud refused are requested again: capacity may come
+ * back any time. */
 #define SCALE_OUT_REFUSED_BACKOFF_MAX_S 40.0
 /* Machines in one rental request, as the protocol limits them. */
 #define SCALE_OUT_BATCH_MAX 50
@@ -463,18 +483,19 @@
 /* Time that a machine without GPUs may be idle before it is deleted, where the objectives ask for
  * low cost: about a boot. */
 #define IDLE_MAX_S 25.0
-/* The same for a machine with GPUs: a shorter time leads to more boots, a longer one to more idle
- * GPUs. */
+/* Time that a machine with GPUs may be idle before it is deleted, where the objectives ask for low
+ * cost: a shorter time leads to more boots, a longer one to more idle GPUs. */
 #define IDLE_MAX_GPU_S 12.0
-/* Time that a machine may be idle which no open job could use. */
+/* Time that a machine that no open job could use may be idle before it is deleted. */
 #define IDLE_MAX_UNUSABLE_S 60.0
-/* Time that any machine may be idle where the objectives guarantee capacity and do not ask for low
- * cost. */
+/* Time that any machine may be idle before it is deleted, where the objectives guarantee capacity
+ * and do not ask for low cost. */
 #define IDLE_MAX_GUARANTEE_S 3600.0
 /* Free capacity for each class of jobs, as a share of its use, where the objectives guarantee
  * capacity and do not ask for low cost, and the operators set no `headroom`. */
 #define HEADROOM_GUARANTEE_SHARE 0.6
-/* Tasks for which each class has free capacity on top of that share. */
+/* Tasks for which each class of jobs has free capacity on top of the share of its use
+ * (HEADROOM_GUARANTEE_SHARE or `headroom`). */
 #define HEADROOM_MIN_TASKS 6
 
 #endif
--- a/src/core/autoscale/autoscale.h
+++ b/src/core/autoscale/autoscale.h
@@ -23,21 +23,22 @@
 struct autoscale {
 	struct catalog_reader catalog_reader;
 	struct inventory_reader inventory;
-	struct rental_request *rental_requests; /* owned list of those without a final answer */
-	/* Rental requests made since this process started. It is part of their names. */
+	struct rental_request *rental_requests; /* requests without a final answer; owned list */
+	/* Rental requests made since this process started. The counter is part of the requests'
+	 * names. */
 	uint32_t request_counter;
-	struct capacity_refusal *refusals; /* owned hash table, by pool */
+	struct capacity_refusal *refusals; /* refusals by capacity pool; owned hash table */
 	/* Limits the rate of all requests to the cloud, except reads of the catalog. */
 	struct rate_limiter request_limiter;
 	double next_scan_at; /* when autoscale_tick does its work next */
-	/* End of the backoff after an error of the cloud: no request but reads of the catalog
-	 * before. */
+	/* End of the backoff after an error of the cloud. Until then, only reads of the catalog are
+	 * sent to the cloud. */
 	double retry_at;
 };
 
 /*
- * Once in AUTOSCALE_INTERVAL_S, decides which machines to delete and which to rent, and sends
- * these requests to the cloud. Only the leader calls it.
+ * Once in AUTOSCALE_INTERVAL_S, decides which machines to delete and which to rent, and sends the
+ * requests for both to the cloud. Only the leader calls it.
  */
 void autoscale_tick(struct core *core);
 /* Makes the next tick scan at once, because machines are to be deleted. */
--- a/src/core/autoscale/capacity_refusals.h
+++ b/src/core/autoscale/capacity_refusals.h
@@ -48,7 +48,8 @@
  * SCALE_OUT_REFUSED_BACKOFF_MAX_S.
  */
 void capacity_refusal_record(struct core *core, struct capacity_pool pool);
-/* Records that the pool has machines again: ends its backoff, and resets the length of the next. */
+/* Records that the pool has machines again: ends the pool's backoff, and resets the length of the
+ * next backoff. */
 void capacity_refusal_reset(struct core *core, struct capacity_pool pool);
 /* Removes the refusals of all pools. Called when leadership has ended. */
 void capacity_refusals_clear(struct core *core);
--- a/src/core/autoscale/catalog_reader.h
+++ b/src/core/autoscale/catalog_reader.h
@@ -13,9 +13,9 @@
 struct catalog_reader {
 	bool in_flight; /* a read from the cloud is not answered yet */
 	/* This controller has read a copy from the state service or has sent one to it, and does
-	 * not write it again. */
+	 * not write a copy again. */
 	bool stored;
-	double next_read_at; /* steady seconds; no read from the cloud before */
+	double next_read_at; /* steady time before which nothing is read from the cloud */
 };
 
 /*
--- a/src/core/autoscale/cloud_link.h
+++ b/src/core/autoscale/cloud_link.h
@@ -14,8 +14,8 @@
  */
 bool cloud_rate_limit_acquire(struct core *core);
 /*
- * Starts a backoff of CLOUD_BACKOFF_S for all of these requests if the answer is not a success or
- * did not come at all. Has no effect after a success.
+ * Starts a backoff of CLOUD_BACKOFF_S for all requests to the cloud, except reads of the catalog,
+ * if the answer is not a success or did not come at all. Has no effect after a success.
  */
 void cloud_update_backoff(struct core *core, const struct call_answer *answer);
 
--- a/src/core/autoscale/inventory.h
+++ b/src/core/autoscale/inventory.h
@@ -15,10 +15,11 @@
 /* The state of the reads of the inventory. */
 struct inventory_reader {
 	bool in_flight; /* the read of a page is not answered yet */
-	/* Number of the newest inventory: counts those begun since this process started. */
+	/* Number of the newest inventory: counts the inventories begun since this process started.
+	 */
 	uint64_t number;
 	char cursor[ID_MAX]; /* id of the last machine read; empty: the next page is the first */
-	double next_read_at; /* steady seconds; no new inventory begins before */
+	double next_read_at; /* steady time before which no new inventory begins */
 };
 
 /* Begins an inventory or reads its next page, if that is due and the rate limit allows it. */
--- a/src/core/autoscale/machine_offers.h
+++ b/src/core/autoscale/machine_offers.h
@@ -18,7 +18,7 @@
 
 /* The tasks that a machine is to be rented for. */
 struct machine_demand {
-	const struct job_spec *spec; /* of the tasks' job */
+	const struct job_spec *spec; /* description of the tasks' job */
 	uint32_t tasks;		     /* number of tasks for which capacity is still missing */
 	const char *zone;	     /* required zone; NULL: any */
 	enum purchase_choice choice;
@@ -35,9 +35,9 @@
 };
 
 /*
- * Finds the cheapest offer that meets the demand and whose pool has no backoff after a refusal.
- * Returns false if there is none. One of several offers with nearly equal costs is chosen at
- * random.
+ * Finds the cheapest offer that meets the demand and whose capacity pool (see capacity_refusals.h)
+ * has no backoff after a refusal. Returns false if there is none. One of several offers with nearly
+ * equal costs is chosen at random.
  */
 bool machine_offer_find_cheapest(struct core *core, const struct machine_demand *demand,
 				 struct machine_offer *cheapest);
--- a/src/core/autoscale/planned_rooms.h
+++ b/src/core/autoscale/planned_rooms.h
@@ -23,7 +23,7 @@
 	enum purchase_kind kind;
 	bool to_request;	   /* added by the plan, and not requested from the cloud yet */
 	bool running;		   /* false: pending */
-	double cpus, gpus, mem_gb; /* free, less the tasks that the plan has added */
+	double cpus, gpus, mem_gb; /* free, less the demand of tasks that the plan added */
 };
 
 /* The machines whose capacity a search may use. */
@@ -35,20 +35,21 @@
 };
 
 /* The progress of the searches for jobs of one shape (see same_shape), with one scope and zone. The
- * next search continues where the last one ended, since machines that were too small stay so. */
+ * next search continues where the last one ended, since machines that were too small stay too
+ * small. */
 struct plan_search {
-	const struct job_spec *spec; /* of a job of this shape */
-	const char *zone;	     /* NULL: all zones */
+	const struct job_spec *spec; /* description of one job that has the shape */
+	const char *zone;	     /* zone of the searches; NULL: all zones */
 	enum plan_scope scope;
-	size_t index; /* machines before it are out of scope or lack capacity for a task */
+	size_t index; /* machines before this index are out of scope or lack capacity */
 };
 
 /* The capacity that a plan counts on, and the progress of the searches in it. */
 struct capacity_plan {
 	struct planned_machine *machines; /* owned */
 	size_t count;			  /* elements used in `machines` */
-	size_t allocated;		  /* elements allocated there */
-	size_t to_request_count;	  /* machines with `to_request` */
+	size_t allocated;		  /* elements allocated in `machines` */
+	size_t to_request_count;	  /* machines with `to_request` set */
 	struct plan_search searches[SCALE_OUT_SEARCHES_MAX];
 	size_t search_count;
 };
@@ -61,14 +62,14 @@
 /* Adds the capacity of a machine that is to be requested. */
 void capacity_plan_add_machine(struct capacity_plan *plan, const struct machine_offer *offer);
 /*
- * Allocates capacity for one task of the job in the zone; NULL: in any zone. Returns false if there
- * is not enough.
+ * Allocates capacity for one task of the job in the zone. If `zone` is NULL, any zone may be used.
+ * Returns false if there is not enough.
  */
 bool capacity_plan_allocate_task(struct capacity_plan *plan, const struct job_spec *spec,
 				 enum plan_scope scope, const char *zone);
 /*
- * Returns how many tasks of the job fit on the zone's pending machines, but at most `max_slots`.
- * NULL: in all zones. Allocates nothing.
+ * Returns how many tasks of the job fit on the zone's pending machines (on those of all zones if
+ * `zone` is NULL), but at most `max_slots`. Allocates nothing.
  */
 uint32_t capacity_plan_count_pending_slots(struct capacity_plan *plan, const struct job_spec *spec,
 					   const char *zone, uint32_t max_slots);
--- a/src/core/autoscale/rental_requests.h
+++ b/src/core/autoscale/rental_requests.h
@@ -13,16 +13,16 @@
 
 struct core;
 
-/* A request without a final answer, for machines of one capacity pool. */
+/* A rental request without a final answer, for machines of one capacity pool. */
 struct rental_request {
 	char name[NAME_MAX_LEN];
 	char type[NAME_MAX_LEN]; /* name of the machine type */
 	char zone[NAME_MAX_LEN];
 	enum purchase_kind kind;
 	int count;	     /* machines requested */
-	double requested_at; /* steady seconds; when it was first sent */
-	bool in_flight;	     /* the answer has not come yet */
-	double retry_at;     /* steady seconds; if not in flight, when to send it again */
+	double requested_at; /* steady seconds; when the request was first sent */
+	bool in_flight;	     /* sent, and not answered yet */
+	double retry_at;     /* steady seconds; if not in flight, when to send the request again */
 	struct rental_request *prev, *next; /* in autoscale.rental_requests */
 };
 
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -29,7 +29,7 @@
 	char addr[CONF_NAME_MAX]; /* calls: address of the receiver */
 	const char *method;	  /* calls: HTTP method, a static string */
 	char *path;		  /* calls; owned */
-	char *body;		  /* NULL: none; owned */
+	char *body;		  /* body of the call or the answer; NULL: none; owned */
 	size_t len;		  /* bytes of the body */
 	double timeout_s;	  /* calls: time after which the call counts as not answered */
 	int status;		  /* answers: HTTP status */
@@ -54,11 +54,11 @@
 };
 
 /*
- * The end of a call. A `status` above 0 is that of the HTTP answer. 0: no answer came, and the
- * receiver may have carried the call out, or may yet. -1: the call was never sent.
+ * The end of a call. A `status` above 0 is the status of the HTTP answer. 0: no answer came, and
+ * the receiver may have carried the call out, or may yet. -1: the call was never sent.
  */
 struct core_answer {
-	uint64_t id; /* id of the call, from its action */
+	uint64_t id; /* id of the call that ended, as in its struct core_action */
 	int status;
 	const char *body;
 	size_t len;
@@ -78,9 +78,9 @@
 struct core *core_new(const struct conf *conf, uint64_t seed, struct core_time now);
 /* Frees the core and the actions that were not taken. */
 void core_free(struct core *core);
-/* Handles a request that arrived. An action answers it, now or after a later input. */
+/* Handles a request that arrived. An action answers the request, now or after a later input. */
 void core_request(struct core *core, struct core_time now, const struct core_request *request);
-/* Handles the end of a call. It is ignored if no call with this id is in flight. */
+/* Handles the end of a call. The end is ignored if no call with its id is in flight. */
 void core_answer(struct core *core, struct core_time now, const struct core_answer *answer);
 /* Does the periodic work that is due at the given time. */
 void core_tick(struct core *core, struct core_time now);
--- a/src/core/peers/peer_link.h
+++ b/src/core/peers/peer_link.h
@@ -14,18 +14,18 @@
 
 /* Another controller. All times are in seconds of the steady clock. */
 struct peer {
-	double answered_at;	  /* when its last answer of any kind came */
-	double no_forward_before; /* no user's request is forwarded to it before this time */
-	uint64_t incarnation;	  /* of its process, as last answered */
-	double incarnation_since; /* when its first answer with this incarnation came */
-	double confirmed_until;	  /* all cancellations that it confirmed to users before this time
-				   * are known here; < 0: none */
+	double answered_at;	  /* when the peer's last answer of any kind came */
+	double no_forward_before; /* before this time no user's request is forwarded to the peer */
+	uint64_t incarnation;	  /* incarnation of the peer's process, as last answered */
+	double incarnation_since; /* when the peer's first answer with `incarnation` came */
+	double confirmed_until;	  /* all cancellations that the peer confirmed to users before this
+				   * time are known to this controller; < 0: none */
 };
 
 /* The other controllers, and what this process tells them of itself. */
 struct peers {
-	struct peer *list;    /* one for each peer of the settings, in their order; owned */
-	uint64_t incarnation; /* of this process */
+	struct peer *list;    /* one for each peer, in the order of the settings; owned */
+	uint64_t incarnation; /* incarnation of this process */
 };
 
 /* Initialises the link. `incarnation` must differ from that of each earlier process of this
@@ -36,9 +36,9 @@
 
 /* The peer with this index in the settings. The link owns it. */
 struct peer *peer_get(const struct core *core, size_t index);
-/* Encodes the message. The caller owns the bytes; *len is set to their number. */
+/* Encodes the message. The caller owns the returned bytes; *len is set to their number. */
 uint8_t *peers_pack(const struct ProtobufCMessage *message, size_t *len);
-/* Sends an encoded message to the peer by POST and takes ownership of `packed`. */
+/* Sends the encoded message `packed` to the peer by POST and takes ownership of it. */
 void peer_send(struct core *core, size_t peer, const char *path, uint8_t *packed, size_t len,
 	       answer_fn on_answer);
 /* Sends an empty message to the peer by POST. */
--- a/src/core/runtime/call.h
+++ b/src/core/runtime/call.h
@@ -23,14 +23,14 @@
 
 enum call_outcome {
 	CALL_ANSWERED,	 /* an answer came, with any status */
-	CALL_UNANSWERED, /* no answer came; the receiver may have carried it out, or may yet */
-	CALL_NOT_SENT	 /* it was never sent, so the receiver will not carry it out */
+	CALL_UNANSWERED, /* no answer came; the call may have been carried out, or may yet be */
+	CALL_NOT_SENT	 /* the call was never sent, so the receiver will not carry it out */
 };
 
 /* How a call ended. The caller owns the body. A NUL follows it, which `len` does not count. */
 struct call_answer {
 	enum call_outcome outcome;
-	int status; /* HTTP status, see enum http_status; 0 unless answered */
+	int status; /* HTTP status of the answer, see enum http_status; 0: no answer came */
 	const char *body;
 	size_t len;
 };
@@ -42,7 +42,7 @@
 struct call {
 	uint64_t id;
 	answer_fn on_answer;
-	void *arg; /* for on_answer, which owns it if free_arg is set */
+	void *arg; /* argument for on_answer, which owns it if free_arg is set */
 	/* Frees `arg` if the core is freed before the call ends; NULL: nothing to free. */
 	void (*free_arg)(void *arg);
 	uint64_t term;	/* core->term when the call was made, see core_call_is_current */
@@ -64,7 +64,8 @@
 /* Sends an encoded message to another controller by POST and takes ownership of `packed`. */
 struct call *core_call_packed(struct core *core, const char *addr, const char *path,
 			      uint8_t *packed, size_t len, answer_fn on_answer, void *arg);
-/* Calls the on_answer of the call with this id and frees the call; false if there is none. */
+/* Calls the on_answer of the call with this id and frees the call; false if there is no such call.
+ */
 bool core_call_end(struct core *core, uint64_t id, const struct call_answer *answer);
 /* Frees all calls without calling their on_answer. */
 void core_calls_clear(struct core *core);
--- a/src/core/runtime/events.h
+++ b/src/core/runtime/events.h
@@ -1,8 +1,8 @@
 /*
  * Events: how a folder notifies the folders above it. A folder calls only functions of its own and
  * of the folders below it (see .ci/layers.conf). Where a higher folder has to react, it calls a
- * member of this table, which core.c sets up. The handler has returned when that call returns. All
- * members are set.
+ * member of this table, which core.c sets up. The handler has returned when the call of the member
+ * returns. All members are set.
  */
 #ifndef PLOVERLOFT_EVENTS_H
 #define PLOVERLOFT_EVENTS_H
--- a/src/core/runtime/rate_limiter.h
+++ b/src/core/runtime/rate_limiter.h
@@ -9,7 +9,7 @@
  * clock.
  */
 struct rate_limiter {
-	double tokens;	    /* operations allowed now; the caller subtracts those it performs */
+	double tokens;	    /* operations allowed now; the caller subtracts what it performs */
 	double refilled_at; /* steady time of the last refill */
 };
 
--- a/src/core/scheduling/candidates.h
+++ b/src/core/scheduling/candidates.h
@@ -1,4 +1,5 @@
-/* Operations on a cycle's candidates: sorting, counting slots, and the choice of a zone. */
+/* Operations on the candidates (struct candidate) of a scheduling cycle: sorting, counting slots
+ * (see free_room.h), and the choice of a zone. */
 #ifndef PLOVERLOFT_CANDIDATES_H
 #define PLOVERLOFT_CANDIDATES_H
 
@@ -6,14 +7,14 @@
 
 /* How the costs of several candidates are combined. */
 enum cost_rule {
-	COST_RULE_MAX, /* the maximum: all tasks begin when the last one can */
-	COST_RULE_SUM  /* the sum */
+	COST_RULE_MAX, /* the maximum of the costs: all tasks begin when the last one can */
+	COST_RULE_SUM  /* the sum of the costs */
 };
 
 /* The zone that is chosen for a job, and what placing the job there costs. */
 struct zone_choice {
 	const char *zone; /* owned by a machine; NULL: machines of all zones may be used */
-	double cost;	  /* seconds; INFINITY: there is not enough capacity */
+	double cost;	  /* cost in the zone, in seconds; INFINITY: not enough capacity */
 };
 
 /* Sorts the candidates by their cost, the cheapest first. */
--- a/src/core/scheduling/cycle.h
+++ b/src/core/scheduling/cycle.h
@@ -17,7 +17,7 @@
 
 /* The usable machines of one type and zone that are all spot, or all on-demand. The rules of a job
  * on types, zones and spot machines allow all machines of a pool or none. The cloud's supply of
- * such machines is a struct capacity_pool. */
+ * machines of one pool is a struct capacity_pool. */
 struct pool {
 	const struct machine_type *type;
 	const char *zone;
@@ -25,8 +25,8 @@
 	/* The job that cycle_evaluate_pools was last called for may use the machines, and one of
 	 * its tasks fits on an empty one. */
 	bool allowed;
-	uint32_t gang_shapes; /* bit i: gangs of the cycle's `gang_shapes[i]` may use it */
-	double cost_s;	      /* part of the placement cost that is the same for all its machines */
+	uint32_t gang_shapes; /* bit i: gangs of the cycle's `gang_shapes[i]` may use the pool */
+	double cost_s;	      /* part of the placement cost that is equal for the pool's machines */
 };
 
 /* A room of the cycle: one usable machine and its free capacity, less what this cycle has placed on
@@ -46,13 +46,13 @@
 
 /* A shape (see same_shape) for which the cycle has found no capacity. */
 struct shape_without_room {
-	const struct job_spec *spec; /* of a job of this shape */
-	uint32_t tasks;		     /* so many tasks, or more, do not fit */
+	const struct job_spec *spec; /* description of one job that has the shape */
+	uint32_t tasks;		     /* so many tasks of the shape, or more, do not fit */
 };
 
 struct scheduling_cycle {
 	struct core *core;
-	uint64_t attempt; /* number for all array tasks and replicas placed; 0: none yet */
+	uint64_t attempt; /* number of the cycle's attempt, see cycle_attempt; 0: none yet */
 	struct machine_room *rooms; /* one for each usable machine */
 	size_t room_count;
 	uint32_t *open_rooms; /* ascending indices of the rooms that a waiting task may fit in */
@@ -66,15 +66,15 @@
 	size_t candidate_count;
 	struct shape_without_room shapes_without_room[CYCLE_NO_ROOM_SHAPES_MAX];
 	size_t shape_without_room_count;
-	const struct job_spec *gang_shapes[CYCLE_GANG_SHAPES_MAX]; /* of waiting gangs */
+	const struct job_spec *gang_shapes[CYCLE_GANG_SHAPES_MAX]; /* shapes of the waiting gangs */
 	size_t gang_shape_count;
 	bool on_demand_needed; /* there is a job that may not use spot machines */
 };
 
 /*
- * Initializes the cycle with the free capacity of all usable machines. `open_rooms` leaves out
- * rooms that are too small for all of the jobs; with an empty list, it holds all rooms. cycle_end
- * frees what the cycle owns.
+ * Initializes the cycle with the free capacity of all usable machines. `open_rooms` leaves out the
+ * rooms that are too small for all of `jobs`; if `jobs` is empty, `open_rooms` holds all rooms.
+ * cycle_end frees what the cycle owns.
  */
 void cycle_begin(struct core *core, struct scheduling_cycle *cycle, const struct job_list *jobs);
 /* Frees what the cycle owns, but not the cycle itself. */
--- a/src/core/scheduling/cycle_trigger.h
+++ b/src/core/scheduling/cycle_trigger.h
@@ -18,9 +18,9 @@
 	uint32_t attempt_counter; /* attempts numbered under the current fencing token */
 };
 
-/* Requests a cycle, after an event that may make placements possible or necessary. */
+/* Requests a scheduling cycle, after an event that may make placements possible or necessary. */
 void cycle_request(struct core *core);
-/* Runs a cycle if one is due. Only the leader calls it. */
+/* Runs a scheduling cycle if one is due. Only the leader calls it. */
 void cycle_tick(struct core *core);
 
 #endif
--- a/src/core/scheduling/objectives.h
+++ b/src/core/scheduling/objectives.h
@@ -20,13 +20,13 @@
 struct deadline_demand {
 	struct job *job;
 	double deadline_factor; /* the deadline that counts, as a multiple of the job's own */
-	uint32_t slots;		/* at the same time from now on, by the job's estimate; 0: none */
+	uint32_t slots;		/* needed at the same time, by the job's estimate; 0: none */
 };
 
 /*
- * Returns the slots that the array needs for the earliest deadline that it can still meet: its own,
- * or a multiple of it that a deadline objective of its class names. No slots: it has no deadline,
- * or can meet none.
+ * Returns the slots that the array needs for the earliest deadline that it can still meet: the
+ * job's own deadline, or the job's deadline times a factor that a deadline objective of its class
+ * names. `slots` is 0 if the array has no deadline, or can meet none.
  */
 struct deadline_demand deadline_demand(const struct core *core, struct job *job);
 
--- a/src/core/scheduling/placement.h
+++ b/src/core/scheduling/placement.h
@@ -7,10 +7,12 @@
 /* The free capacity that a search may use. */
 enum room_scope {
 	ROOM_ANY,  /* all that is not reserved for another job */
-	ROOM_SPARE /* the same without what a waiting gang of higher priority could use */
+	ROOM_SPARE /* all that neither is reserved for another job nor suits a waiting gang of
+		    * higher priority */
 };
 
-/* How many tasks of the job fit in the room, less what is reserved there for another job. */
+/* How many tasks of the job fit in the room without what is reserved for another job on the room's
+ * machine. */
 uint32_t machine_room_slots(const struct machine_room *room, const struct job *job);
 /* Returns the machine with the least placement cost for a task of the job; NULL: none fits. */
 struct machine *find_machine(struct scheduling_cycle *cycle, const struct job *job,
@@ -23,13 +25,13 @@
  * counter of ATTEMPT_COUNTER_BITS. */
 uint64_t new_attempt(struct core *core);
 /*
- * Returns the attempt of all array tasks and replicas that the cycle places. A task starts at most
- * once in a cycle, so one number is enough, and a record names it only once.
+ * Returns the number of the attempt of all array tasks and replicas that the cycle places. A task
+ * starts at most once in a cycle, so one number is enough, and a record names it only once.
  */
 uint64_t cycle_attempt(struct scheduling_cycle *cycle);
 /* Binds the task to the machine, updates the free capacity in the cycle, and queues the write of
- * the task's record. Ends the reservation of a gang or array; that of a service on this machine is
- * reduced by one task. */
+ * the task's record. Ends the job's reservation if the job is a gang or an array. If it is a
+ * service, its reservation on this machine is reduced by one task. */
 void bind_task(struct scheduling_cycle *cycle, struct job *job, struct machine *machine,
 	       uint32_t task, uint64_t attempt);
 
--- a/src/core/scheduling/placement_cost.h
+++ b/src/core/scheduling/placement_cost.h
@@ -18,7 +18,8 @@
  * (prefers the best fit, and machines in use), and earlier failures of the job there.
  */
 double placement_cost(const struct machine *machine, const struct job *job);
-/* Returns the additional cost if the task is a replica; 0 if the job is not a service. */
+/* Returns the cost that one task of the job on the machine has in addition to placement_cost
+ * because it is a replica; 0 if the job is not a service. */
 double replica_cost(const struct core *core, const struct job *job, const struct machine *machine);
 
 #endif
--- a/src/core/scheduling/preemption.h
+++ b/src/core/scheduling/preemption.h
@@ -1,8 +1,8 @@
 /*
  * Preemption: frees capacity for a job that does not fit. Array tasks of lower priority, or beyond
  * their team's guarantee, are stopped where that costs least, and the capacity is reserved for the
- * job meanwhile. If that is not possible, a gang may get a growing reservation instead, of capacity
- * that falls free.
+ * job meanwhile. If that is not possible, a gang may get a growing reservation (see reservation.h)
+ * instead, of capacity that falls free.
  */
 #ifndef PLOVERLOFT_PREEMPTION_H
 #define PLOVERLOFT_PREEMPTION_H
--- a/src/core/scheduling/preemption_victims.h
+++ b/src/core/scheduling/preemption_victims.h
@@ -12,7 +12,8 @@
 /* Whose tasks may be stopped. */
 enum victim_scope {
 	VICTIMS_OF_ANY_TEAM,
-	VICTIMS_OF_OWN_TEAM /* the job's team is at its quota: only its own tasks may be stopped */
+	VICTIMS_OF_OWN_TEAM /* the job's team is at its quota: only tasks of this team may be
+			     * stopped */
 };
 
 /* The job for which capacity is to be freed. */
--- a/src/core/scheduling/reservation.h
+++ b/src/core/scheduling/reservation.h
@@ -3,9 +3,9 @@
  * use only what is not reserved (backfill). This keeps them from using capacity for which
  * preemption stopped tasks, and it keeps smaller gangs from overtaking a large gang for ever.
  *
- * A reservation is made at once where preemption stops tasks or a replica is to be moved, or it
- * grows in each cycle by the capacity that falls free. Few gangs have a growing reservation at a
- * time, because reserved capacity idles.
+ * A reservation is made at once where preemption stops tasks or a replica is to be moved. A growing
+ * reservation instead grows in each cycle by the capacity that falls free. Few gangs have a growing
+ * reservation at a time, because reserved capacity idles.
  */
 #ifndef PLOVERLOFT_RESERVATION_H
 #define PLOVERLOFT_RESERVATION_H
@@ -20,7 +20,8 @@
 void reservation_set(struct machine *machine, struct job *job, uint32_t tasks);
 /* Reserves capacity for one more task, on a machine that is not reserved for another job. */
 void reservation_add_task(struct machine *machine, struct job *job);
-/* Reduces the job's reservation on the machine, if there is one, by a task placed there. */
+/* Reduces the job's reservation on the machine, if there is one, by one task, which was placed on
+ * the machine. */
 void reservation_remove_task(struct machine *machine, const struct job *job);
 
 /* --- all reservations of a job --- */
--- a/src/core/scheduling/share_switching.h
+++ b/src/core/scheduling/share_switching.h
@@ -1,6 +1,7 @@
 /*
- * Share switching between job arrays, after the macroscheduler of the Cilk-NOW thesis; see
- * docs/design.md.
+ * Share switching between job arrays, after the macroscheduler in P. A. Lisiecki, "Macro-Level
+ * Scheduling in the Cilk Network of Workstations Environment", MIT, 1996. docs/design.md says what
+ * is kept of the thesis and what is changed.
  *
  * Where the thesis switches machines, this switches slots, because there are more jobs than
  * machines here. A slot is the part of a machine that one array task uses. Once each quantum the
@@ -23,8 +24,9 @@
 
 /* The state of share switching in this controller. */
 struct share_switching {
-	bool *peer_live;   /* by peer, as in the settings: it answered its last part with success */
-	double next_at;	   /* steady seconds; when the leader begins the next quantum */
+	bool *peer_live;   /* for each peer, by its index in the settings: whether the peer answered
+			    * its last part with success */
+	double next_at;	   /* steady time at which the leader begins the next quantum */
 	uint64_t quantum;  /* quanta for which this controller has written its counts */
 	uint64_t switches; /* slots switched since this process started */
 };
@@ -41,8 +43,8 @@
 
 /*
  * Decides which slots of a packed Part message are switched. The switches are sent as the answer on
- * `connection`; 0: this controller is the leader, and applies them itself. The caller keeps the
- * message.
+ * `connection`; 0: this controller is the leader, and applies the switches itself. The caller keeps
+ * the message.
  */
 void share_switching_decide(struct core *core, uint64_t connection, const uint8_t *message,
 			    size_t len);
@@ -53,7 +55,7 @@
  */
 void share_switching_apply(struct core *core, size_t peer, const uint8_t *message, size_t len);
 
-/* Begins a quantum if one is due. Only the leader calls it. */
+/* Begins a quantum of share switching if one is due. Only the leader calls it. */
 void share_switching_tick(struct core *core);
 
 #endif
--- a/src/core/scheduling/zones.h
+++ b/src/core/scheduling/zones.h
@@ -9,7 +9,7 @@
 
 struct job;
 
-/* Whether the zone is the required one; NULL: no zone is required. */
+/* Whether the zone is the required one. `required` is NULL if no zone is required. */
 static inline bool zone_matches(const char *required, const char *zone)
 {
 	return !required || !strcmp(required, zone);
--- a/src/core/state.h
+++ b/src/core/state.h
@@ -46,8 +46,8 @@
 	const struct core_events *events;
 	unsigned short rand48[3];
 	double now;		     /* time of the present input: seconds of the steady clock */
-	double wall;		     /* the same by the wall clock: seconds since 1970 */
-	struct core_action *actions; /* the caller has not taken them yet, oldest first */
+	double wall;		     /* time of the present input: wall clock, seconds since 1970 */
+	struct core_action *actions; /* outputs not yet taken by the caller, oldest first */
 	struct call *calls;	     /* hash table by id of the calls that have not ended */
 	uint64_t next_call;	     /* id of the next call */
 	uint64_t term;		     /* counts the starts and the ends of this controller's terms */
@@ -56,7 +56,8 @@
 	struct format_gate format;
 	struct learned_limits limits;
 	bool store_unavailable;	  /* the last call to the state service got no answer or a 503 */
-	double store_answered_at; /* steady; last answer other than 503, or the core's start */
+	double store_answered_at; /* steady time of the last answer of the state service other than
+				   * 503, or of the core's start */
 	struct catalog catalog;
 	struct job_api api;
 	struct peers peers;
--- a/src/net/client_pool.h
+++ b/src/net/client_pool.h
@@ -16,7 +16,7 @@
 
 /* The state of a connection. */
 enum client_state {
-	CLIENT_CONNECTING, /* not yet established; a call waits for that */
+	CLIENT_CONNECTING, /* not yet established; a call waits until it is */
 	CLIENT_CALLING,	   /* established, and a call is being sent or waits for its response */
 	CLIENT_IDLE	   /* established, without a call */
 };
@@ -25,16 +25,16 @@
 struct endpoint {
 	char address[NET_ADDR_MAX];
 	struct client_connection *idle; /* list, the most recently used first */
-	int references;	   /* of its connections and from client_pool_acquire_endpoint() */
-	UT_hash_handle hh; /* of the pool's `endpoints` */
+	int references;	   /* number of its connections and of references held by callers */
+	UT_hash_handle hh; /* links of the pool's `endpoints` */
 };
 
-/* One connection. */
+/* One connection that we made for our own calls. */
 struct client_connection {
 	struct connection base; /* must be first, see connection.h */
 	enum client_state state;
 	uint64_t call_id;   /* id of the call under way */
-	double deadline_at; /* when that call ends without a reply */
+	double deadline_at; /* when the call under way ends without a reply */
 	double idle_since;  /* when the last call ended; valid while idle */
 	struct endpoint *endpoint;
 	/* Links of the pool's `calls`, the endpoint's `idle`, or the pool's `closed`. */
@@ -50,11 +50,11 @@
 
 /* The connections to all endpoints. */
 struct client_pool {
-	struct connection_set *set;	 /* not owned */
-	struct endpoint *endpoints;	 /* hash table by address */
-	struct client_connection *calls; /* list of the connections with a call under way */
-	struct client_connection *idle; /* list of those of all endpoints, the longest idle first */
-	struct client_connection *closed; /* list, freed at the end of the iteration */
+	struct connection_set *set;	  /* not owned */
+	struct endpoint *endpoints;	  /* hash table by address */
+	struct client_connection *calls;  /* list of the connections with a call under way */
+	struct client_connection *idle;	  /* list over all endpoints, the longest idle first */
+	struct client_connection *closed; /* list, freed at the end of the event-loop iteration */
 };
 
 /* Initialises an empty pool. `set` must outlive it. */
@@ -63,8 +63,8 @@
 /* Closes and frees all connections. Calls under way end without their callback. */
 void client_pool_free(struct client_pool *pool);
 
-/* Returns the endpoint of an address, which is created if there is none, with a reference for the
- * caller. client_pool_release_endpoint() releases that. */
+/* Returns the endpoint of the address, with a reference for the caller. Creates the endpoint if
+ * there is none. client_pool_release_endpoint() releases the reference. */
 struct endpoint *client_pool_acquire_endpoint(struct client_pool *pool, const char *address);
 /* Releases a reference to the endpoint. The endpoint is freed with its last reference. */
 void client_pool_release_endpoint(struct client_pool *pool, struct endpoint *endpoint);
@@ -82,12 +82,12 @@
 void client_pool_begin_call(struct client_pool *pool, struct client_connection *connection,
 			    uint64_t call_id, double deadline_at);
 
-/* Makes the connection idle after its call ended. The caller has already removed the response from
- * the input buffer. */
+/* Makes the connection idle after the end of its call. The caller has already removed the response
+ * from the input buffer. */
 void client_pool_end_call(struct client_pool *pool, struct client_connection *connection);
 
-/* The head of the list of connections with a call under way, linked by `next`; NULL if there are
- * none. */
+/* The head of the list of connections with a call under way, linked by `next`; NULL if no call is
+ * under way. */
 struct client_connection *client_pool_calls(const struct client_pool *pool);
 
 /* The connection that has been idle longest; NULL if none is idle. */
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -14,7 +14,8 @@
 
 struct epoll_event;
 
-/* The log shows these values, as field `kind` of the event connection_evicted. */
+/* The kinds of sockets. The log shows the values as field `kind` of the event connection_evicted.
+ */
 enum connection_kind {
 	CONNECTION_LISTENER = 0,
 	CONNECTION_SERVER = 1, /* made by a caller: see server_connections.h */
@@ -24,14 +25,15 @@
 /* The result of a read or write on a connection. */
 enum connection_result {
 	CONNECTION_OK,
-	/* The other side closed it or sent too much, or it failed. The caller has to close it. */
+	/* The other side closed the connection or sent too much, or the connection failed. The
+	 * caller has to close the connection. */
 	CONNECTION_BROKEN
 };
 
 /* How much a single call of connection_read() reads. */
 enum read_extent {
-	/* Until a read returns less than a full chunk, which saves the system call that would
-	 * return nothing. */
+	/* Until a read returns less than a full chunk. The system call that would return nothing is
+	 * saved. */
 	READ_AVAILABLE,
 	/* Until nothing is left, so that the end of the stream is noticed too. */
 	READ_TO_END
@@ -51,13 +53,13 @@
 	 * events that are not yet handled may point to it. */
 	bool closed;
 	bool awaits_write; /* epoll reports when the socket becomes writable */
-	struct buf input;  /* received and not yet consumed */
-	struct buf output; /* to be sent */
+	struct buf input;  /* bytes received and not yet consumed */
+	struct buf output; /* bytes to be sent */
 };
 
 /* Initialises an empty set and opens its epoll descriptor. */
 void connection_set_init(struct connection_set *set);
-/* Closes the epoll descriptor. The connections must already be closed. */
+/* Closes the epoll descriptor of the set. The connections must already be closed. */
 void connection_set_free(struct connection_set *set);
 
 /*
--- a/src/net/connection_limit.h
+++ b/src/net/connection_limit.h
@@ -14,7 +14,8 @@
 
 /* The limit and the connections that it is applied to. */
 struct connection_limit {
-	int max; /* open connections; NET_CONNS_RESERVED of them for our own calls only */
+	int max; /* maximum number of open connections; NET_CONNS_RESERVED of them for our own calls
+		  * only */
 	/* The sets of connections are not owned. */
 	const struct connection_set *set;
 	struct server_connections *servers;
@@ -23,7 +24,8 @@
 
 /*
  * Returns true if one more connection of this kind may be opened. If the limit is reached, an idle
- * connection is closed to allow that; if none is idle, this is logged and false is returned.
+ * connection is closed to admit the new one; if no connection is idle, this is logged and false is
+ * returned.
  */
 bool connection_limit_admit(struct connection_limit *limit, enum connection_kind kind);
 
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -26,11 +26,11 @@
 /* A parsed message. */
 struct http_msg {
 	char method[HTTP_METHOD_SIZE]; /* requests only */
-	const char *path; /* requests only: path and query, `path_len` bytes without a NUL */
+	const char *path; /* path and query of a request: `path_len` bytes without a NUL */
 	size_t path_len;
-	int status;	  /* responses only */
+	int status;	  /* status of a response */
 	int close;	  /* 1: the sender closes the connection after this exchange; else 0 */
-	size_t head_len;  /* bytes before the body */
+	size_t head_len;  /* bytes of the message before its body */
 	const char *body; /* `body_len` bytes without a NUL */
 	size_t body_len;
 };
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -11,7 +11,7 @@
 #include "net/connection_limit.h"
 #include "net/net.h"
 
-/* The pointers are not owned. */
+/* The parts of the network layer that the client side uses. The pointers are not owned. */
 struct http_client {
 	struct client_pool *pool;
 	struct connection_limit *limit;
@@ -19,10 +19,12 @@
 	void *callback_context; /* `ctx` of the callbacks */
 };
 
-/* Sends a call as net_send() does. If that fails at once, the callback runs before this returns. */
+/* Sends a call as net_send() does. If sending fails at once, the callback runs before the function
+ * returns. */
 void http_client_send(struct http_client *client, const struct net_call *call);
 
-/* Handles the events that epoll reported for a connection: a mask of EPOLLIN and others. */
+/* Handles the events that epoll reported for a connection. `events` is a mask of EPOLLIN and
+ * others. */
 void http_client_handle_events(struct http_client *client, struct client_connection *connection,
 			       uint32_t events);
 
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -13,7 +13,7 @@
 #include "net/net.h"
 #include "net/server_connections.h"
 
-/* The pointers are not owned. */
+/* The parts of the network layer that the server side uses. The pointers are not owned. */
 struct http_server {
 	struct server_connections *connections;
 	struct connection_limit *limit;
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -26,8 +26,8 @@
 int listener_open(struct listener *listener, struct connection_set *set, const char *address,
 		  int backlog);
 
-/* Accepts up to NET_ACCEPT_BATCH connections. The first one that the limit does not admit is
- * closed; those behind it keep waiting. */
+/* Accepts up to NET_ACCEPT_BATCH connections. The first connection that the limit does not admit is
+ * closed; the connections behind it keep waiting. */
 void listener_accept(const struct listener *listener, struct connection_limit *limit,
 		     struct server_connections *connections);
 
--- a/src/net/net.h
+++ b/src/net/net.h
@@ -54,7 +54,7 @@
 	const char *path;
 	const char *body;
 	size_t len;	  /* bytes of the body */
-	double timeout_s; /* after it the call ends without a reply; precise to NET_SWEEP_MS */
+	double timeout_s; /* time until the call ends without a reply; precise to NET_SWEEP_MS */
 };
 
 /*
@@ -75,7 +75,7 @@
  */
 int net_listen(struct net *net, enum net_side side, const char *addr);
 
-/* Sends a call. If that fails at once, the reply callback runs before this returns. */
+/* Sends a call. If sending fails at once, the reply callback runs before the function returns. */
 void net_send(struct net *net, const struct net_call *call);
 
 /*
--- a/src/net/server_connections.h
+++ b/src/net/server_connections.h
@@ -12,18 +12,18 @@
 #include "net/connection.h"
 #include "net/net.h"
 
-/* One connection. At most one of its requests is being answered at a time. */
+/* One connection that a caller made. At most one of its requests is being answered at a time. */
 struct server_connection {
 	struct connection base; /* must be first, see connection.h */
 	uint64_t id;		/* never reused within the process */
 	enum net_side side;
 	bool awaits_response;	   /* a request was dispatched and is not yet answered */
 	bool close_after_response; /* close once the response is sent */
-	/* When it was accepted, a request began to arrive or a response was written, whichever was
-	 * last. */
+	/* When the connection was accepted, a request began to arrive or a response was written,
+	 * whichever was last. */
 	double active_at;
 	struct server_connection *prev, *next; /* links of `by_activity`, or of `closed` */
-	UT_hash_handle hh;		       /* of `by_id` */
+	UT_hash_handle hh;		       /* links of `by_id` */
 };
 
 /* The connection whose first member is `base`, which must be of the kind CONNECTION_SERVER. */
@@ -38,7 +38,7 @@
 	uint64_t next_id;		       /* id of the next connection */
 	struct server_connection *by_activity; /* list, the least recently active first */
 	struct server_connection *by_id;       /* hash table */
-	struct server_connection *closed;      /* list, freed at the end of the iteration */
+	struct server_connection *closed;      /* freed at the end of the event-loop iteration */
 };
 
 /* Initialises an empty table. `set` must outlive it. */
@@ -65,16 +65,16 @@
 void server_connection_close(struct server_connections *connections,
 			     struct server_connection *connection);
 
-/* Of the connections without a request or response under way, the one whose last activity is
- * longest ago; NULL if there is none. */
+/* The connection without a request or response under way whose last activity is longest ago; NULL
+ * if there is none. */
 struct server_connection *
 server_connections_longest_idle(const struct server_connections *connections);
 
 /*
  * Closes the connections that have been idle for more than `idle_max_s` seconds (a value below
- * NET_MESSAGE_TIMEOUT_S has the effect of that). Also closes those on which, after more than
- * NET_MESSAGE_TIMEOUT_S, a request is only partly received or the caller has not read all of a
- * response. A connection stays open while its request is being answered.
+ * NET_MESSAGE_TIMEOUT_S has the effect of NET_MESSAGE_TIMEOUT_S). Also closes the connections on
+ * which, after more than NET_MESSAGE_TIMEOUT_S, a request is only partly received or the caller has
+ * not read all of a response. A connection stays open while its request is being answered.
  */
 void server_connections_close_timed_out(struct server_connections *connections, double now,
 					double idle_max_s);
--- a/src/net/tcp.h
+++ b/src/net/tcp.h
@@ -21,8 +21,8 @@
  * tcp_connect_failed() then tells which. */
 int tcp_connect(const struct sockaddr_in *address);
 
-/* True if the attempt to connect failed. To be called once, when the socket has become writable:
- * reading the error clears it. */
+/* True if the attempt of tcp_connect() failed. To be called once, when the socket has become
+ * writable: reading the error clears it. */
 int tcp_connect_failed(int fd);
 
 /* Makes the socket send small messages at once instead of gathering them (TCP_NODELAY). */
--- a/src/util/log.h
+++ b/src/util/log.h
@@ -6,7 +6,7 @@
 #ifndef PLOVERLOFT_LOG_H
 #define PLOVERLOFT_LOG_H
 
-/* From the least to the most detailed. */
+/* The levels of log lines, from the least to the most detailed. */
 enum log_level { LOG_ERROR, LOG_INFO, LOG_DEBUG };
 
 /*
@@ -29,8 +29,8 @@
 void log_line(enum log_level level, const char *event, const char *format, ...)
     __attribute__((format(printf, 3, 4)));
 
-/* These write a line of one level. The arguments of log_info and log_debug are not evaluated if the
- * level is not written. */
+/* log_error, log_info and log_debug write a line of their level. The arguments of log_info and
+ * log_debug are not evaluated if the level is not written. */
 #define log_error(event, ...) log_line(LOG_ERROR, event, __VA_ARGS__)
 #define log_info(event, ...)                                                                       \
 	do {                                                                                       \
--- a/src/wire/cloud_codec.h
+++ b/src/wire/cloud_codec.h
@@ -14,11 +14,11 @@
 	char name[NAME_MAX_LEN];
 	double cpus, gpus, mem_gb;
 	double cache_gb;	/* size of the local cache for images */
-	double fetch_gb_per_s;	/* speed at which it fetches images */
+	double fetch_gb_per_s;	/* speed at which the machine fetches images */
 	double price;		/* of an hour */
-	double spot_price;	/* of an hour of a spot machine */
+	double spot_price;	/* price of an hour of a spot machine */
 	double boot_s;		/* seconds from the rental to the agent's first report */
-	struct name_list zones; /* zones in which the cloud offers it; at least one */
+	struct name_list zones; /* zones in which the cloud offers the type; at least one */
 };
 
 /* The state of a rented machine in the cloud's list. */
@@ -27,12 +27,12 @@
 /* An entry of the cloud's list of rented machines. */
 struct listed_machine {
 	char id[ID_MAX];
-	char addr[NAME_MAX_LEN]; /* address of its agent; empty: not known yet */
+	char addr[NAME_MAX_LEN]; /* address of the machine's agent; empty: not known yet */
 	char type[NAME_MAX_LEN];
 	char zone[NAME_MAX_LEN];
 	bool spot; /* true if the cloud may take the machine back */
 	enum listed_state state;
-	double age_s; /* seconds since it was rented; 0 if the cloud does not say */
+	double age_s; /* seconds since the machine was rented; 0 if the cloud does not say */
 };
 
 /*
--- a/src/wire/job_codec.h
+++ b/src/wire/job_codec.h
@@ -10,15 +10,16 @@
 #include "wire/name_list.h"
 
 enum job_kind {
-	JOB_ARRAY,  /* its tasks run independently of each other */
-	JOB_GANG,   /* its tasks run at the same time or not at all */
-	JOB_SERVICE /* its tasks run until the user cancels it; a task that ends is started again */
+	JOB_ARRAY,  /* the job's tasks run independently of each other */
+	JOB_GANG,   /* the job's tasks run at the same time or not at all */
+	JOB_SERVICE /* the tasks run until the user cancels the job; a task that ends is started
+		     * again */
 };
 
 /* The priorities of jobs, the most urgent first. */
 enum job_priority { PRIO_PRODUCTION, PRIO_HIGH, PRIO_NORMAL, PRIO_LOW };
 
-/* The states of a job as users see them; the last two are final. */
+/* The states of a job as users see them; done and cancelled are final. */
 enum job_state { JOB_STATE_QUEUED, JOB_STATE_RUNNING, JOB_STATE_DONE, JOB_STATE_CANCELLED };
 
 /* A job description: what a user submits. Sizes are in GB. */
@@ -32,7 +33,7 @@
 	enum job_kind kind;
 	enum job_priority priority;
 	uint32_t task_count;
-	double cpus, gpus, mem_gb; /* of each task */
+	double cpus, gpus, mem_gb; /* demand of each task */
 	double image_gb;	   /* size of the image, which the machine fetches */
 	double estimate_s;	   /* the user's estimate of a task's run time, in seconds */
 	double checkpoint_s;	   /* seconds between checkpoints; 0: the job makes none */
@@ -40,7 +41,7 @@
 	double deadline_s;	   /* seconds from submission to the job's end; < 0: none */
 	bool one_zone;		   /* all tasks must run in the same zone */
 	bool spread;		   /* at most half of the tasks may run in one zone */
-	bool spot;		   /* may run on spot machines, which the cloud may take back */
+	bool spot;		   /* may use spot machines, which the cloud may take back */
 };
 
 /* Whether the id has the form that the protocol demands: W_JOB_PREFIX and decimal digits. */
--- a/src/wire/json_fields.h
+++ b/src/wire/json_fields.h
@@ -14,7 +14,7 @@
 
 #include "wire/name_list.h"
 
-/* The number of elements of an array. It is wrong for a pointer. */
+/* The number of elements of an array. The result is wrong for a pointer. */
 #define ARRAY_LENGTH(array) (sizeof(array) / sizeof((array)[0]))
 
 /* The names on the wire of an enum's values, indexed by value. */
@@ -29,7 +29,8 @@
 		(array), ARRAY_LENGTH(array)                                                       \
 	}
 
-/* Copies a text, which must fit into `capacity` bytes with its NUL. After -1 `out` is unchanged. */
+/* Copies the field's text, which must fit into `capacity` bytes with its NUL. After -1 `out` is
+ * unchanged. */
 int field_text(const json_t *object, const char *key, char *out, size_t capacity);
 
 /* Like field_text, but the text must not be empty. */
@@ -38,13 +39,14 @@
 /* Reads a number from 0 to below WIRE_NUMBER_MAX. */
 int field_number(const json_t *object, const char *key, double *out);
 
-/* Returns a number like field_number, or `fallback` if the field is missing or invalid. */
+/* Returns the number that field_number would read, or `fallback` if the field is missing or
+ * invalid. */
 double field_number_or(const json_t *object, const char *key, double fallback);
 
 /* Reads an integer of at least 0. */
 int field_count(const json_t *object, const char *key, uint64_t *out);
 
-/* Returns an integer like field_count, or 0 if the field is missing or invalid. */
+/* Returns the integer that field_count would read, or 0 if the field is missing or invalid. */
 uint64_t field_count_or_zero(const json_t *object, const char *key);
 
 /* Reads true or false. */
@@ -63,7 +65,7 @@
 bool field_is_absent(const json_t *object, const char *key);
 
 /* Appends the names of a JSON array to the list. Returns 0, or -1 at the first invalid name: the
- * names before it are in the list. */
+ * names before the invalid one are in the list. */
 int names_decode(const json_t *array, struct name_list *list);
 
 /* Encodes the names as a JSON array, which the caller releases with json_decref. */
--- a/src/wire/name_list.h
+++ b/src/wire/name_list.h
@@ -18,7 +18,7 @@
 int name_list_add(struct name_list *list, const char *name);
 /* Whether the name is in the list. */
 bool name_list_has(const struct name_list *list, const char *name);
-/* Frees the names and makes the list empty. */
+/* Frees the names of the list and makes the list empty. */
 void name_list_free(struct name_list *list);
 
 #endif
--- a/src/wire/names.h
+++ b/src/wire/names.h
@@ -12,7 +12,7 @@
 #define W_PATH_READY "/ready"	/* whether the controller serves */
 /* Paths of agents: the first is served by controllers, the others by agents. */
 #define W_PATH_HEARTBEAT "/agent/beat" /* a report, answered with commands */
-#define W_PATH_COMMANDS "/do"	       /* commands that are sent directly */
+#define W_PATH_COMMANDS "/do"	       /* commands sent directly, not as an answer */
 #define W_PATH_PROBE "/show"	       /* a request for a report */
 /* Paths of the cloud. */
 #define W_PATH_CATALOG "/catalog"	/* the machine types */
@@ -59,7 +59,7 @@
 #define W_CHECKPOINT "marcoS"	/* seconds between checkpoints */
 #define W_SAVE "gravarS"	/* seconds that a stopped task takes to save its state */
 #define W_DEADLINE "prazoS"	/* seconds from submission to the end of the job */
-#define W_STATE "estado"	/* W_JOB_..., of an attempt W_TASK_..., of a machine W_CLOUD_... */
+#define W_STATE "estado"	/* W_JOB_... (job), W_TASK_... (attempt) or W_CLOUD_... (machine) */
 #define W_JOB_QUEUED "pending"	/* no task is known to run */
 #define W_JOB_RUNNING "running" /* at least one task runs */
 #define W_JOB_DONE "done"	/* all tasks are done */
@@ -76,7 +76,7 @@
 #define W_TOKEN "batuta"	     /* fencing token, a number */
 #define W_PREEMPTION_NOTICE "avisoS" /* seconds until the cloud takes the machine back */
 #define W_ATTEMPT "entrada"	     /* number of a task's attempt */
-#define W_END_REASON "motivo"	     /* why a task exited or was refused: W_END_... */
+#define W_END_REASON "motivo"	     /* why an attempt exited or was refused: W_END_... */
 #define W_SAVED "kept"		     /* boolean: the task's state was saved */
 #define W_COMMANDS "ordens"	     /* list of commands to an agent */
 #define W_OP "gesto"		     /* what a command does: W_OP_... */
@@ -86,18 +86,18 @@
 #define W_GRACE "folgaS"	     /* seconds that a stopped task is given to save its state */
 #define W_REPORT_TO "regente"	     /* address of the leader, to which the agent should report */
 #define W_TASK_FETCHING "pulling"    /* the machine fetches the image */
-#define W_TASK_WAITING "waiting"     /* waits until the other tasks of its gang can start */
+#define W_TASK_WAITING "waiting"     /* the attempt waits until its gang's other tasks can start */
 #define W_TASK_RUNNING "running"     /* the attempt runs */
-#define W_TASK_SAVING "flushing"     /* stopped; it saves its state */
+#define W_TASK_SAVING "flushing"     /* the attempt was stopped and saves its state */
 #define W_TASK_EXITED "ended"	     /* the attempt has exited, see W_END_REASON */
 #define W_END_DONE "done"	     /* the task is done */
 #define W_END_STOPPED "stopped"	     /* stopped by a command */
 #define W_END_PEERS_LOST "peers"     /* another task of its gang stopped running */
 #define W_END_GANG_TIMEOUT "alone"   /* the other tasks of its gang did not start in time */
 #define W_END_ERROR "error"	     /* the task failed */
-#define W_END_NO_ROOM "full"	     /* too little free capacity */
-#define W_END_BUSY "busy"	     /* the machine runs another attempt of the task */
-#define W_END_UNKNOWN_JOB "unknown"  /* the agent does not know the job's description */
+#define W_END_NO_ROOM "full"	     /* refused: too little free capacity */
+#define W_END_BUSY "busy"	     /* refused: the machine runs another attempt of the task */
+#define W_END_UNKNOWN_JOB "unknown"  /* refused: the agent does not know the job's description */
 
 /* The cloud: machine types, the list of machines, rental requests. */
 #define W_TYPE_NAME "label"	   /* name of a machine type */
@@ -112,9 +112,9 @@
 #define W_LIMIT "limit"	   /* maximum number of entries in a page */
 #define W_AGE "ageS"	   /* seconds since the machine was rented */
 #define W_MORE "truncated" /* boolean: another page follows */
-#define W_CLOUD_BOOTING "starting" /* rented; it boots */
-#define W_CLOUD_RUNNING "running"  /* it has booted */
-#define W_CLOUD_FAILED "failed"	   /* it has failed and is of no use */
+#define W_CLOUD_BOOTING "starting" /* the machine is rented and boots */
+#define W_CLOUD_RUNNING "running"  /* the machine has booted */
+#define W_CLOUD_FAILED "failed"	   /* the machine has failed and is of no use */
 
 /* The state service: items, transactions, leases, watches. */
 #define W_KEY "k"	    /* key of an item or a guard */
--- a/src/wire/report_codec.h
+++ b/src/wire/report_codec.h
@@ -10,16 +10,16 @@
 
 /* The states of an attempt, in the order in which an attempt passes through them. */
 enum task_state {
-	TASK_FETCHING, /* its machine fetches the image */
-	TASK_WAITING,  /* waits until the other tasks of its gang can start */
+	TASK_FETCHING, /* the attempt's machine fetches the image */
+	TASK_WAITING,  /* the attempt waits until the other tasks of its gang can start */
 	TASK_RUNNING,
-	TASK_SAVING, /* stopped; it saves its state */
+	TASK_SAVING, /* the attempt was stopped and saves its state */
 	TASK_EXITED
 };
 
 /* Why a task exited or was refused. */
 enum task_end_reason {
-	END_NONE, /* it has not exited, or the reason is not one of those below */
+	END_NONE, /* the task has not exited, or the reason is none of the other values */
 	END_DONE,
 	END_STOPPED,	  /* stopped by a command */
 	END_PEERS_LOST,	  /* another task of its gang stopped running */
@@ -37,7 +37,7 @@
 	uint64_t attempt;
 	enum task_state state;
 	enum task_end_reason end_reason;
-	bool saved; /* true if its state was saved when it was stopped */
+	bool saved; /* true if the task's state was saved when the attempt was stopped */
 };
 
 /* A report of an agent: its machine and all attempts that the agent knows of. */
--- a/src/wire/store_codec.h
+++ b/src/wire/store_codec.h
@@ -25,8 +25,8 @@
 /* Encodes a request for a lease of `ttl_ms` milliseconds. The caller frees the text. */
 char *wire_lease_request(int ttl_ms);
 
-/* Decodes an item of a range or an event of a watch. Returns 0, or -1 if it has no key; `item->key`
- * is NULL then. */
+/* Decodes an item of a range or an event of a watch. Returns 0. If there is no key, sets
+ * `item->key` to NULL and returns -1. */
 int wire_item_decode(json_t *object, struct kv_item *item);
 
 /* Calls `each` for every item of a range or event of a watch, except those without a key. */
--- a/src/wire/transaction.h
+++ b/src/wire/transaction.h
@@ -14,7 +14,7 @@
 
 /* A transaction that is being built: its text, and the amounts that the state service limits. */
 struct txn {
-	struct buf guards, ops; /* the elements of both lists, without the brackets */
+	struct buf guards, ops; /* the lists of guards and of changes, without brackets */
 	int op_count;		/* changes of keys */
 	size_t largest_value;	/* bytes of the largest value, as sent */
 };
@@ -50,10 +50,11 @@
 /* Removes everything that was added since the savepoint. */
 void txn_rollback(struct txn *txn, const struct txn_savepoint *savepoint);
 
-/* Returns the text, which the caller frees. The transaction is empty afterwards. */
+/* Returns the text of the transaction, which the caller frees. The transaction is empty afterwards.
+ */
 char *txn_finish(struct txn *txn);
 
-/* Discards what was added and frees it. The transaction is empty afterwards. */
+/* Discards the guards and changes of the transaction. The transaction is empty afterwards. */
 void txn_abandon(struct txn *txn);
 
 #endif
