--- a/src/conf/conf.h
+++ b/src/conf/conf.h
@@ -26,7 +26,7 @@
 	OBJECTIVE_MAKESPAN,
 	OBJECTIVE_PRICE,
 	OBJECTIVE_REPLICA_TIME, /* `up`: share of the time in which a service's replicas run */
-	OBJECTIVE_OTHER		/* any other name */
+	OBJECTIVE_OTHER		/* a kind with any other name */
 };
 
 /* Another controller. */
@@ -46,11 +46,11 @@
 /* A service-level objective for a class of jobs. Fields that are not stated are 0, `times` is 1. */
 struct conf_objective {
 	enum objective_kind kind;
-	char class_name[CONF_NAME_MAX]; /* empty: not stated */
+	char class_name[CONF_NAME_MAX]; /* class of the jobs; empty: not stated */
 	double within_s;		/* OBJECTIVE_WAIT: the longest wait */
-	double share;			/* only logged */
+	double share;			/* share that the objective states; only logged */
 	double times; /* OBJECTIVE_DEADLINE: factor by which the job's deadline is multiplied */
-	double most;  /* only logged */
+	double most;  /* `most` of the objective in the settings; only logged */
 };
 
 /* Limits of the state service; 0: not stated. */
--- a/src/conf/toml.cc
+++ b/src/conf/toml.cc
@@ -66,7 +66,7 @@
 	table.optional("most", &objective.most);
 }
 
-/* Reads limits of the state service. Optional ones that are absent stay as they are. */
+/* Reads limits of the state service. Optional limits that are absent stay as they are. */
 void read_limits(table_reader table, conf_limits *limits, presence needed)
 {
 	double txn_ops = limits->txn_ops;
@@ -109,7 +109,7 @@
 	read_resources(facts["resources"], conf);
 }
 
-/* Reads all fields. Of several wrong ones, the first in this order is reported. */
+/* Reads all fields of the settings. Of several wrong fields, the first one read is reported. */
 void read_settings(table_reader settings, conf *conf)
 {
 	table_reader facts = settings["facts"];
--- a/src/core/autoscale/catalog_reader.c
+++ b/src/core/autoscale/catalog_reader.c
@@ -7,8 +7,8 @@
 #include "util/log.h"
 #include "wire/names.h"
 
-/* Key of the copy in the state service. If the copy is too large for one value, it is instead the
- * prefix of one key for each type. */
+/* Key of the catalog's copy in the state service. If the copy is too large for one value, it is
+ * instead the prefix of one key for each type. */
 #define CATALOG_KEY "k/catalog"
 
 /* Makes the types of a message the catalog. Returns false if the message is malformed. */
@@ -24,7 +24,7 @@
 	return true;
 }
 
-/* Handles the end of a write of the copy. A write that failed is not repeated. */
+/* Handles the end of a write of the catalog's copy. A write that failed is not repeated. */
 static void on_catalog_stored(struct core *core, struct call *call,
 			      const struct call_answer *answer)
 {
@@ -84,7 +84,7 @@
 	return json_pack("{s:o}", W_MACHINE_TYPES, types);
 }
 
-/* Handles the copy read from the state service, unless a catalog is known meanwhile. */
+/* Handles the catalog's copy read from the state service, unless a catalog is known meanwhile. */
 static void on_stored_catalog_read(struct core *core, struct call *call,
 				   const struct call_answer *answer)
 {
@@ -101,7 +101,8 @@
 	json_decref(message);
 }
 
-/* Applies the catalog of the cloud's answer, and writes a copy if this has not been done yet. */
+/* Applies the catalog of the cloud's answer, and writes a copy to the state service unless one was
+ * read from there or written. */
 static void apply_cloud_catalog(struct core *core, const struct call_answer *answer)
 {
 	struct catalog_reader *reader = &core->autoscale.catalog_reader;
--- a/src/core/autoscale/inventory.c
+++ b/src/core/autoscale/inventory.c
@@ -118,7 +118,7 @@
 		read_page(core);
 }
 
-/* The number is kept, so that no two inventories have the same one. */
+/* Keeps the number of the newest inventory, so that no two inventories have the same number. */
 void inventory_clear(struct core *core)
 {
 	struct inventory_reader *inventory = &core->autoscale.inventory;
--- a/src/core/autoscale/machine_offers.c
+++ b/src/core/autoscale/machine_offers.c
@@ -76,7 +76,8 @@
 	       !capacity_pool_is_in_backoff(core, pool);
 }
 
-/* Replaces the cheapest offer so far if this one is acceptable and cheaper. Sets its cost. */
+/* Sets the cost of `offer` if it is acceptable, and replaces `cheapest`, the cheapest offer so far,
+ * if `offer` is cheaper. */
 static void update_cheapest_offer(struct core *core, const struct machine_demand *demand,
 				  struct machine_offer *offer, struct machine_offer *cheapest)
 {
--- a/src/core/autoscale/planned_rooms.c
+++ b/src/core/autoscale/planned_rooms.c
@@ -7,7 +7,7 @@
 #include "core/state.h"
 #include "util/xalloc.h"
 
-/* Elements allocated for the first machine. */
+/* Elements that are allocated for a plan when its first machine is added. */
 #define PLAN_INITIAL_ALLOCATION 64
 
 /* Adds the capacity of an empty machine. The pointer is valid until the next machine is added. */
@@ -136,7 +136,7 @@
 }
 
 /* Returns the search for jobs of this shape, and begins one if there is none. NULL: there are
- * already SCALE_OUT_SEARCHES_MAX others, so its progress can't be kept. */
+ * already SCALE_OUT_SEARCHES_MAX others, so the progress of this one can't be kept. */
 static struct plan_search *find_search(struct capacity_plan *plan, const struct job_spec *spec,
 				       enum plan_scope scope, const char *zone)
 {
--- a/src/core/autoscale/planned_rooms.h
+++ b/src/core/autoscale/planned_rooms.h
@@ -54,8 +54,8 @@
 	size_t search_count;
 };
 
-/* Begins a plan with the capacity of all running machines, and of those that are booting or already
- * requested. */
+/* Begins a plan with the capacity of all machines that are running, booting or already requested.
+ */
 void capacity_plan_init(const struct core *core, struct capacity_plan *plan);
 /* Frees the machines. The plan is empty afterwards. */
 void capacity_plan_clear(struct capacity_plan *plan);
@@ -63,7 +63,7 @@
 void capacity_plan_add_machine(struct capacity_plan *plan, const struct machine_offer *offer);
 /*
  * Allocates capacity for one task of the job in the zone. If `zone` is NULL, any zone may be used.
- * Returns false if there is not enough.
+ * Returns false if there is not enough capacity.
  */
 bool capacity_plan_allocate_task(struct capacity_plan *plan, const struct job_spec *spec,
 				 enum plan_scope scope, const char *zone);
--- a/src/core/autoscale/rental_requests.c
+++ b/src/core/autoscale/rental_requests.c
@@ -40,7 +40,8 @@
 	free(request);
 }
 
-/* Decodes a grant; false if the answer is none. On success the caller calls free_granted. */
+/* Decodes the cloud's grant of machines; false if the answer is not a grant. On success the caller
+ * calls free_granted. */
 static bool decode_granted(const struct call_answer *answer, struct granted_machines *granted)
 {
 	return answer->status == STATUS_OK &&
@@ -55,7 +56,7 @@
 	free(granted->ids);
 }
 
-/* Adds a granted machine. It counts as planned capacity while it boots. */
+/* Adds a granted machine. The machine counts as planned capacity while it boots. */
 static void add_granted_machine(struct core *core, const struct rental_request *request,
 				const char *id)
 {
@@ -101,7 +102,8 @@
 	       core->now - request->requested_at < SCALE_OUT_GIVE_UP_S;
 }
 
-/* Handles the end of a rental request: it is deleted unless it will be repeated. */
+/* Handles the end of a call with a rental request: the request is deleted unless it will be
+ * repeated. */
 static void on_rental_answer(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	struct granted_machines granted;
--- a/src/core/autoscale/scale_in.c
+++ b/src/core/autoscale/scale_in.c
@@ -65,7 +65,7 @@
 }
 
 /* Whether the machine's agent has sent a message in this term, no task is bound to the machine and
- * no capacity is reserved there. */
+ * no capacity is reserved on it. */
 static bool is_idle(const struct machine *machine)
 {
 	/* Reserved capacity does not count as idle: to delete the machine would undo the
--- a/src/core/autoscale/scale_out.c
+++ b/src/core/autoscale/scale_out.c
@@ -10,8 +10,8 @@
 	return a->type == b->type && a->kind == b->kind && !strcmp(a->zone, b->zone);
 }
 
-/* Sends one request for planned machines of the same pool as the first of them: for as many as one
- * request may name. */
+/* Sends one request for planned machines that are still to be requested: those of the first one's
+ * capacity pool, as many as one request may name. */
 static void request_first_pool(struct core *core, struct capacity_plan *plan)
 {
 	const struct planned_machine *first = NULL;
--- a/src/core/autoscale/scale_out_headroom.c
+++ b/src/core/autoscale/scale_out_headroom.c
@@ -8,8 +8,8 @@
 
 /* The tasks of the open jobs of one class. */
 struct class_use {
-	const struct job_spec *spec; /* of one of its jobs, as a sample of future jobs */
-	uint32_t bound_tasks;	     /* of all of its jobs */
+	const struct job_spec *spec; /* one of the class's jobs, as a sample of future jobs */
+	uint32_t bound_tasks;	     /* bound tasks of all jobs of the class */
 };
 
 /* All classes with open jobs. */
--- a/src/core/autoscale/scale_out_jobs.c
+++ b/src/core/autoscale/scale_out_jobs.c
@@ -20,7 +20,7 @@
 }
 
 /* Returns the zone whose pending machines have capacity for the most tasks of the job; NULL: no
- * zone has any. */
+ * zone has capacity for any. */
 static const char *zone_with_most_pending_capacity(const struct core *core,
 						   struct capacity_plan *plan,
 						   const struct job_spec *spec)
@@ -68,7 +68,8 @@
 	return zone_with_most_pending_capacity(core, plan, spec);
 }
 
-/* Plans a machine in the demand's zone, or in any zone if there is no offer in that one. */
+/* Plans a machine in the demand's zone, or in any zone if there is no offer in the demand's zone.
+ */
 static bool plan_machine_preferring_zone(struct core *core, struct capacity_plan *plan,
 					 const struct machine_demand *demand)
 {
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -219,7 +219,7 @@
 
 /*
  * Each tick function checks by itself whether its work is due. One coarse interval between ticks is
- * enough for all of them but scheduling cycles.
+ * enough for all tick functions but that of scheduling cycles.
  */
 double core_next_tick_at(const struct core *core)
 {
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -28,7 +28,7 @@
 	uint64_t id;		  /* id of the call, or of the connection to answer */
 	char addr[CONF_NAME_MAX]; /* calls: address of the receiver */
 	const char *method;	  /* calls: HTTP method, a static string */
-	char *path;		  /* calls; owned */
+	char *path;		  /* calls: path and query; owned */
 	char *body;		  /* body of the call or the answer; NULL: none; owned */
 	size_t len;		  /* bytes of the body */
 	double timeout_s;	  /* calls: time after which the call counts as not answered */
--- a/src/core/runtime/call.h
+++ b/src/core/runtime/call.h
@@ -46,7 +46,7 @@
 	/* Frees `arg` if the core is freed before the call ends; NULL: nothing to free. */
 	void (*free_arg)(void *arg);
 	uint64_t term;	/* core->term when the call was made, see core_call_is_current */
-	double sent_at; /* steady time */
+	double sent_at; /* steady time at which the call was made */
 	double timeout_s;
 	/* Calls to agents: incarnation and sequence of the agent's newest message when the call
 	 * was made. */
--- a/src/core/scheduling/array_placement.c
+++ b/src/core/scheduling/array_placement.c
@@ -1,5 +1,5 @@
 /*
- * Places job arrays, one task at a time. The slots that an array needs most are placed first. The
+ * Places job arrays, one task at a time. The tasks that an array needs most are placed first. The
  * last step shares the other capacity equally, except what waiting gangs of higher priority could
  * use: the next task is always of an array that has the fewest slots (max-min fairness).
  */
@@ -18,7 +18,7 @@
 #include "core/state.h"
 #include "util/xalloc.h"
 
-/* Places one task of each array that has no slot. Preemption is tried only for these tasks. */
+/* Places one task of each array that has none. Preemption is tried only for these first tasks. */
 static void place_first_tasks(struct scheduling_cycle *cycle, const struct job_list *arrays)
 {
 	for (size_t i = 0; i < arrays->count; i++) {
@@ -92,8 +92,8 @@
 
 /*
  * Clears the machine's record of a freed slot. Returns the array for which the slot is kept: the
- * one whose task ended there, or the one that the slot was switched to. NULL: it can't use the slot
- * now.
+ * array whose task ended on the machine, or the array that the slot was switched to. NULL: this
+ * array can't use the slot now.
  */
 static struct job *claim_freed_slot(struct scheduling_cycle *cycle, struct machine *machine)
 {
@@ -128,8 +128,8 @@
 /* --- equal shares of the other capacity --- */
 
 /*
- * Places one more task of each array that has at most `level` slots. Arrays for which none can be
- * placed are removed from the list. Returns the number of arrays that remain.
+ * Places one more task of each array that has at most `level` slots. Arrays for which no task can
+ * be placed are removed from the list. Returns the number of arrays that remain.
  */
 static size_t place_fair_share_round(struct scheduling_cycle *cycle, struct job_list *arrays,
 				     uint32_t level)
--- a/src/core/scheduling/cycle.c
+++ b/src/core/scheduling/cycle.c
@@ -65,7 +65,8 @@
 			cycle->open_rooms[cycle->open_count++] = (uint32_t)i;
 }
 
-/* Removes a room that is too small for all waiting tasks from `open_rooms`, if it is there. */
+/* Removes a room that is too small for all waiting tasks from `open_rooms`, if the list contains
+ * the room. */
 static void close_room(struct scheduling_cycle *cycle, uint32_t room_index)
 {
 	size_t low = 0, high = cycle->open_count;
--- a/src/core/scheduling/cycle.h
+++ b/src/core/scheduling/cycle.h
@@ -52,7 +52,7 @@
 
 struct scheduling_cycle {
 	struct core *core;
-	uint64_t attempt; /* number of the cycle's attempt, see cycle_attempt; 0: none yet */
+	uint64_t attempt;	    /* number of the attempt, see cycle_attempt; 0: none yet */
 	struct machine_room *rooms; /* one for each usable machine */
 	size_t room_count;
 	uint32_t *open_rooms; /* ascending indices of the rooms that a waiting task may fit in */
--- a/src/core/scheduling/cycle_trigger.c
+++ b/src/core/scheduling/cycle_trigger.c
@@ -45,8 +45,8 @@
 	free(arrays.jobs);
 }
 
-/* Returns the jobs from index `first` on that have the same priority as that one. The result shares
- * the array of `jobs`. */
+/* Returns the jobs from index `first` on that have the priority of the job at `first`. The result
+ * shares the array of `jobs`. */
 static struct job_list jobs_of_priority(const struct job_list *jobs, size_t first)
 {
 	struct job_list same = {.jobs = jobs->jobs + first};
--- a/src/core/scheduling/gang_placement.c
+++ b/src/core/scheduling/gang_placement.c
@@ -44,7 +44,7 @@
 	candidates_sort_by_cost(cycle);
 }
 
-/* Whether a pool with a lower index is in the same zone. */
+/* Whether a pool with a lower index than `pool` is in the zone of `pool`. */
 static bool zone_is_in_earlier_pool(const struct scheduling_cycle *cycle, size_t pool)
 {
 	for (size_t i = 0; i < pool; i++)
@@ -87,7 +87,7 @@
 	return task;
 }
 
-/* Binds all tasks to the cheapest machines of the zone; NULL: of any zone. */
+/* Binds all tasks of the gang to the cheapest machines of the zone; NULL: of any zone. */
 static void bind_gang(struct scheduling_cycle *cycle, struct job *job, const char *zone)
 {
 	uint64_t attempt = new_attempt(cycle->core);
--- a/src/core/scheduling/job_counts.h
+++ b/src/core/scheduling/job_counts.h
@@ -14,7 +14,7 @@
 struct job_slot_count {
 	char id[ID_MAX];
 	double slots;
-	bool accepts_slots; /* slots of other jobs may be switched to this one */
+	bool accepts_slots; /* slots of other jobs may be switched to this job */
 	UT_hash_handle hh;
 };
 
--- a/src/core/scheduling/job_order.c
+++ b/src/core/scheduling/job_order.c
@@ -17,9 +17,9 @@
  * all of them would miss their objectives. Among equal keys the smaller gang comes first, since the
  * capacity of one large gang is enough for several small ones.
  *
- * Those that have waited longer than ORDER_FIRST_AFTER_S come before all others. So do gangs with a
- * growing reservation: otherwise other jobs would use the capacity that falls free before it is
- * reserved.
+ * Gangs and services that have waited longer than ORDER_FIRST_AFTER_S come before all other jobs of
+ * the priority. So do gangs with a growing reservation (see reservation.h): otherwise other jobs
+ * would use the capacity that falls free before it is reserved.
  *
  * Arrays are ordered by their deadlines, or by submission if they have none.
  */
@@ -36,8 +36,9 @@
 	return objective > 0 ? objective : ORDER_KEY_EXTREME_S;
 }
 
-/* Returns the CPUs of all tasks, which decide between jobs with equal keys. 0 for arrays, whose
- * tasks are placed one by one, and for jobs that come before all others. */
+/* Returns the CPUs that all tasks of the job demand together: they decide between jobs with equal
+ * keys. 0 for arrays, whose tasks are placed one by one, and for jobs that come before all others.
+ */
 static double gang_size(const struct job *job)
 {
 	if (job->spec.kind == JOB_ARRAY || job->scheduling.order_key < 0)
--- a/src/core/scheduling/objectives.h
+++ b/src/core/scheduling/objectives.h
@@ -19,7 +19,7 @@
 /* The slots that an array needs to be done by its deadline. */
 struct deadline_demand {
 	struct job *job;
-	double deadline_factor; /* the deadline that counts, as a multiple of the job's own */
+	double deadline_factor; /* the deadline that counts, divided by the job's deadline */
 	uint32_t slots;		/* needed at the same time, by the job's estimate; 0: none */
 };
 
--- a/src/core/scheduling/placement_cost.c
+++ b/src/core/scheduling/placement_cost.c
@@ -33,7 +33,7 @@
 }
 
 /* The cost of other replicas of the service on the machine or in its zone: they would be lost
- * together with this one. */
+ * together with a replica placed on the machine. */
 static double colocation_cost(const struct job *job, const struct machine *machine)
 {
 	const struct binding *binding;
--- a/src/core/scheduling/preemption.c
+++ b/src/core/scheduling/preemption.c
@@ -39,8 +39,8 @@
 	candidate->cost = candidate->slots > free_slots ? cost : 0;
 }
 
-/* Sets the candidates to the machines where tasks of the job would fit after preemption, those with
- * the cheapest slots first. */
+/* Sets the candidates to the machines where tasks of the job would fit after preemption, the
+ * machines with the cheapest slots first. */
 static void find_candidates(struct scheduling_cycle *cycle, const struct preemption_demand *demand)
 {
 	const struct job *job = demand->job;
@@ -138,8 +138,8 @@
 	}
 }
 
-/* Frees capacity for all tasks of the demand; false, without stopping any task, if that is not
- * possible. */
+/* Frees capacity for all tasks of the demand. If not all of them would fit, stops no task and
+ * returns false. */
 static bool preempt(struct scheduling_cycle *cycle, const struct preemption_demand *demand)
 {
 	struct job *job = demand->job;
--- a/src/core/scheduling/reservation.c
+++ b/src/core/scheduling/reservation.c
@@ -78,9 +78,9 @@
 }
 
 /*
- * Limits growing reservations, since reserved capacity idles. The gang gets one if few others have
- * one, or if its CPUs and theirs are a small share of the fleet. The limits are wider for a gang
- * that has waited long.
+ * Limits growing reservations, since reserved capacity idles. The gang gets one if few other gangs
+ * have one, or if the CPUs of the gang and of those others are a small share of the fleet's. The
+ * limits are wider for a gang that has waited long.
  */
 static bool is_within_limits(struct core *core, const struct job *gang, double waited_s)
 {
@@ -101,7 +101,7 @@
 }
 
 /*
- * Returns the seconds that a gang has to wait before it gets a growing reservation. Reserved
+ * Returns the seconds that a gang has to wait before it may get a growing reservation. Reserved
  * capacity idles, and the capacity of a large gang is enough for several small ones, so a gang
  * whose next wait objective is far away waits longer.
  */
@@ -121,8 +121,8 @@
 
 /* --- reserving capacity that falls free --- */
 
-/* Whether the job may reserve capacity in the room. An empty zone allows all. The pools must be
- * evaluated for the job with cycle_evaluate_pools. */
+/* Whether the job may reserve capacity in the room. An empty `zone` allows rooms of all zones. The
+ * pools (struct pool) must be evaluated for the job with cycle_evaluate_pools. */
 static bool may_reserve_room(const struct scheduling_cycle *cycle, const struct machine_room *room,
 			     const struct job *job, const char *zone)
 {
@@ -132,8 +132,8 @@
 	       !machine_is_reserved_for_other(room->machine, job);
 }
 
-/* Returns the zone's free slots for the job, plus a share of the slots that its machines would have
- * if they were empty: some of those in use are expected to fall free soon enough. */
+/* Returns the zone's free slots for the job, plus a share of the slots that the zone's machines
+ * would have if they were empty: some of the slots in use are expected to fall free soon enough. */
 static double expected_slots(const struct scheduling_cycle *cycle, const struct job *job,
 			     const char *zone)
 {
@@ -152,8 +152,8 @@
 	return slots;
 }
 
-/* Returns the zone with the most expected slots for the job, where enough of them are probably free
- * soonest; NULL: no zone has any. */
+/* Returns the zone with the most expected slots for the job (see expected_slots): enough slots are
+ * probably free there soonest. NULL: no zone has any. */
 static const char *zone_with_most_slots(const struct scheduling_cycle *cycle, const struct job *job)
 {
 	const char *best = NULL;
--- a/src/core/scheduling/service_placement.c
+++ b/src/core/scheduling/service_placement.c
@@ -25,8 +25,9 @@
 }
 
 /*
- * Stops a replica so that it can start on another machine, and reserves the capacity there: it
- * can't run on both at the same time. If it fits on no other machine, it goes on running.
+ * Stops a replica so that it can start on another machine, and reserves capacity on the other
+ * machine: the replica can't run on both machines at the same time. If the replica fits on no other
+ * machine, it goes on running.
  */
 static void move_replica(struct scheduling_cycle *cycle, struct binding *binding)
 {
--- a/src/core/scheduling/share_switching.c
+++ b/src/core/scheduling/share_switching.c
@@ -20,20 +20,21 @@
  * p/NAME/2 and so on for further ones. */
 #define COUNTS_PREFIX "p/"
 #define COUNTS_KEY_BYTES (CONF_NAME_MAX + 16)
-/* Bytes of a value without its entries: names of fields, token, quantum. */
+/* Bytes of a value with counts, without its entries: names of fields, token, quantum. */
 #define COUNTS_OVERHEAD_BYTES 64
-/* Bytes of an entry without the job's id. */
+/* Bytes of one entry (the count of one job) without the job's id. */
 #define COUNT_OVERHEAD_BYTES 16
 
-/* A decision under way about one Part message: the counts are written, then read. */
+/* A decision under way about one Part message: this controller's counts are written, then the
+ * counts of all controllers are read. */
 struct part_decision {
-	uint64_t connection; /* of the leader's request; 0: this controller is the leader */
+	uint64_t connection; /* connection to answer on; 0: this controller is the leader */
 	Peer__Part *part;
 	struct job_slot_count *own_counts; /* slots by job in the part, until they are written */
 	int values_written;		   /* values of own counts written so far */
 	uint64_t own_quantum;		   /* the quantum of the own counts */
-	struct job_slot_count *counts;	   /* slots by job in all parts; jobs that accept slots */
-	json_int_t newest_quantum;	   /* of the controller whose values are being read */
+	struct job_slot_count *counts;	   /* slots by job in all parts; which jobs accept slots */
+	json_int_t newest_quantum; /* newest one of the controller whose values are being read */
 };
 
 static void part_decision_free(void *arg)
@@ -78,8 +79,8 @@
 	return NULL;
 }
 
-/* Draws whether a slot of the job `id` is switched. Returns the job that gets it; NULL if it is not
- * switched. */
+/* Draws whether a slot of the job `id` is switched. Returns the job that gets the slot; NULL if the
+ * slot is not switched. */
 static struct job_slot_count *draw_switch_target(struct core *core, struct part_decision *decision,
 						 const char *id, double total)
 {
@@ -138,9 +139,9 @@
 /* --- reading the counts of all controllers --- */
 
 /*
- * Whether the value is of an earlier quantum: a controller that wrote more values then does not
- * delete the additional ones. The quantum of its first value, which is read before the others, is
- * its newest; it is kept in `newest_quantum`.
+ * Whether the value is of an earlier quantum: a controller that wrote more values in an earlier
+ * quantum does not delete the additional ones. The controller's first value is read before its
+ * others and is of its newest quantum, which is kept in `newest_quantum`.
  */
 static bool counts_are_outdated(struct part_decision *decision, const struct kv_item *item)
 {
@@ -210,8 +211,8 @@
 	decision->values_written++;
 }
 
-/* Adds the write of a value with as many own counts as fit in it, and removes these from the counts
- * that are still to be written. */
+/* Adds the write of a value with as many own counts as fit in it, and removes the added counts from
+ * the counts that are still to be written. */
 static void add_counts_value(const struct core *core, struct txn *txn,
 			     struct part_decision *decision)
 {
--- a/src/core/scheduling/share_switching.h
+++ b/src/core/scheduling/share_switching.h
@@ -27,7 +27,7 @@
 	bool *peer_live;   /* for each peer, by its index in the settings: whether the peer answered
 			    * its last part with success */
 	double next_at;	   /* steady time at which the leader begins the next quantum */
-	uint64_t quantum;  /* quanta for which this controller has written its counts */
+	uint64_t quantum;  /* number of quanta for which this controller has written its counts */
 	uint64_t switches; /* slots switched since this process started */
 };
 
--- a/src/core/scheduling/share_switching_leader.c
+++ b/src/core/scheduling/share_switching_leader.c
@@ -1,8 +1,8 @@
 /*
  * What the leader does in share switching: each quantum it sends every controller a part with the
  * slots of the machines that hash to that controller, and it applies the switches in the answers. A
- * controller that did not answer its last part with success is sent one without slots: its answer
- * shows that it is live again.
+ * controller that did not answer its last part with success is sent a part without slots: an answer
+ * shows that the controller is live again.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -136,7 +136,7 @@
 	}
 }
 
-/* Adds the arrays that slots may be switched to. */
+/* Adds the entries for the arrays that slots may be switched to. */
 static void add_open_jobs(struct core *core, struct part_entries *entries)
 {
 	struct job *job, *next;
--- a/src/net/client_pool.h
+++ b/src/net/client_pool.h
@@ -25,7 +25,7 @@
 struct endpoint {
 	char address[NET_ADDR_MAX];
 	struct client_connection *idle; /* list, the most recently used first */
-	int references;	   /* number of its connections and of references held by callers */
+	int references;	   /* connections to the endpoint, and references held by callers */
 	UT_hash_handle hh; /* links of the pool's `endpoints` */
 };
 
--- a/src/net/http.c
+++ b/src/net/http.c
@@ -166,7 +166,8 @@
 	return 0;
 }
 
-/* Repeated Content-Length headers must be equal, else the message could count as two. */
+/* Parses a Content-Length. Repeated headers of this name must be equal, else the message could
+ * count as two. */
 static int parse_content_length(struct http_msg *msg, struct header_state *state, struct span value)
 {
 	size_t length;
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -25,7 +25,7 @@
 
 /* A parsed message. */
 struct http_msg {
-	char method[HTTP_METHOD_SIZE]; /* requests only */
+	char method[HTTP_METHOD_SIZE]; /* method of a request */
 	const char *path; /* path and query of a request: `path_len` bytes without a NUL */
 	size_t path_len;
 	int status;	  /* status of a response */
--- a/src/net/http_client.c
+++ b/src/net/http_client.c
@@ -55,7 +55,7 @@
 static struct client_connection *obtain_connection(struct http_client *client, const char *address)
 {
 	/* This reference keeps the endpoint, which may be new, until a connection refers to it. If
-	 * there is none in the end, the endpoint is freed again. */
+	 * no connection does in the end, the endpoint is freed again. */
 	struct endpoint *endpoint = client_pool_acquire_endpoint(client->pool, address);
 	struct client_connection *connection = client_pool_pop_idle(client->pool, endpoint);
 
@@ -65,7 +65,7 @@
 	return connection;
 }
 
-/* Appends the call's request to the output. */
+/* Appends the call's request to the connection's output. */
 static void write_request(struct client_connection *connection, const struct net_call *call)
 {
 	struct buf *output = &connection->base.output;
@@ -115,7 +115,7 @@
 	buf_free(&received);
 }
 
-/* Handles the bytes received so far. */
+/* Handles the bytes received so far on the connection. */
 static void handle_input(struct http_client *client, struct client_connection *connection)
 {
 	const struct buf *input = &connection->base.input;
@@ -140,8 +140,8 @@
 	}
 }
 
-/* Returns true if the connection is established. If not, it is still connecting, or the attempt and
- * with it the call has failed. */
+/* Returns true if the connection is established. Otherwise the connection is still being made, or
+ * the attempt to connect and with it the call has failed. */
 static bool finish_connecting(struct http_client *client, struct client_connection *connection,
 			      uint32_t events)
 {
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -34,7 +34,7 @@
 		server_connection_close(server->connections, connection);
 }
 
-/* Appends a response to the output. */
+/* Appends a response to the connection's output. */
 static void write_response(struct server_connection *connection, int status, int retry_after_s,
 			   const char *body, size_t body_len)
 {
@@ -80,7 +80,7 @@
 static void reject_request(struct http_server *server, struct server_connection *connection,
 			   int status)
 {
-	/* The same text for each status. */
+	/* The body is the same for each status. */
 	static const char body[] = "{\"error\":\"bad request\"}";
 
 	connection->close_after_response = true;
--- a/src/net/net.c
+++ b/src/net/net.c
@@ -33,7 +33,7 @@
 	double caller_idle_max_s;
 	double iteration_ended_at;  /* when the previous iteration had handled its events */
 	double next_sweep_at;	    /* when timeouts are checked next */
-	struct epoll_event *events; /* of the current iteration, up to limit.max; owned */
+	struct epoll_event *events; /* events of the current iteration, up to limit.max; owned */
 };
 
 struct net *net_new(const struct net_callbacks *callbacks, void *ctx, int max_conns,
--- a/src/util/buf.c
+++ b/src/util/buf.c
@@ -14,7 +14,7 @@
 
 #define BUF_CAPACITY_MIN 256 /* bytes of the first allocation: enough for the head of a message */
 
-/* Moves the contents to the start of the memory. */
+/* Moves the contents to the start of the buffer's memory. */
 static void move_to_front(struct buf *buf)
 {
 	if (buf->len)
@@ -22,7 +22,7 @@
 	buf->start = 0;
 }
 
-/* Enlarges the memory to at least `needed` bytes by doubling it. */
+/* Enlarges the buffer's memory to at least `needed` bytes by doubling it. */
 static void grow(struct buf *buf, size_t needed)
 {
 	size_t capacity = buf->capacity ? buf->capacity : BUF_CAPACITY_MIN;
--- a/src/wire/cloud_codec.c
+++ b/src/wire/cloud_codec.c
@@ -15,7 +15,8 @@
 
 static const struct name_table listed_states = NAME_TABLE(listed_state_names);
 
-/* Returns -1 if there is no zone, or one with an invalid name. */
+/* Decodes the zones of a machine type. Returns -1 if there is no zone, or one with an invalid name.
+ */
 static int decode_zones(const json_t *object, struct machine_type *type)
 {
 	if (!names_decode(json_object_get(object, W_ZONES), &type->zones) && type->zones.count)
--- a/src/wire/cloud_codec.h
+++ b/src/wire/cloud_codec.h
@@ -15,7 +15,7 @@
 	double cpus, gpus, mem_gb;
 	double cache_gb;	/* size of the local cache for images */
 	double fetch_gb_per_s;	/* speed at which the machine fetches images */
-	double price;		/* of an hour */
+	double price;		/* price of an hour of an on-demand machine */
 	double spot_price;	/* price of an hour of a spot machine */
 	double boot_s;		/* seconds from the rental to the agent's first report */
 	struct name_list zones; /* zones in which the cloud offers the type; at least one */
--- a/src/wire/job_codec.c
+++ b/src/wire/job_codec.c
@@ -32,7 +32,7 @@
 	return strspn(id + prefix, "0123456789") == length - prefix;
 }
 
-/* Decodes the id and the required names. */
+/* Decodes the id and the required names of a job description. */
 static int decode_names(const json_t *object, struct job_spec *spec, const char **why)
 {
 	const struct {
@@ -112,7 +112,7 @@
 	return 0;
 }
 
-/* Decodes the allowed machine types. The list may be absent, but not empty. */
+/* Decodes the machine types that a job allows. The list of types may be absent, but not empty. */
 static int decode_types(const json_t *object, struct job_spec *spec)
 {
 	const json_t *types = json_object_get(object, W_MACHINE_TYPES);
@@ -122,7 +122,7 @@
 	return names_decode(types, &spec->types);
 }
 
-/* Decodes the optional fields. */
+/* Decodes the optional fields of a job description. */
 static int decode_optional(const json_t *object, struct job_spec *spec, const char **why)
 {
 	*why = W_ZONE;
--- a/src/wire/name_list.h
+++ b/src/wire/name_list.h
@@ -6,7 +6,7 @@
 #include <stdbool.h>
 
 #define ID_MAX 48	/* bytes of a job's or a machine's id, with its NUL */
-#define NAME_MAX_LEN 64 /* bytes of any other name or address, with its NUL */
+#define NAME_MAX_LEN 64 /* bytes of a name that is not an id, or of an address, with its NUL */
 
 /* A list of names. A zeroed struct is the empty list. */
 struct name_list {
--- a/src/wire/report_codec.c
+++ b/src/wire/report_codec.c
@@ -73,7 +73,7 @@
 	return 0;
 }
 
-/* Decodes the fields about the machine itself. */
+/* Decodes the fields of a report about the machine itself. */
 static int decode_machine(const json_t *object, struct report *report)
 {
 	const json_t *notice = json_object_get(object, W_PREEMPTION_NOTICE);
--- a/src/wire/report_codec.h
+++ b/src/wire/report_codec.h
@@ -33,7 +33,7 @@
 /* One attempt of a task, as its agent reports it. */
 struct report_task {
 	char job[ID_MAX];
-	uint32_t task; /* its index in the job */
+	uint32_t task; /* index of the task in the job */
 	uint64_t attempt;
 	enum task_state state;
 	enum task_end_reason end_reason;
@@ -68,7 +68,7 @@
 struct command {
 	enum command_op op;
 	char job[ID_MAX];
-	uint32_t task; /* its index in the job */
+	uint32_t task; /* index of the task in the job */
 	uint64_t attempt;
 	double grace_s; /* OP_STOP only: seconds that the task is given to save its state */
 };
--- a/src/wire/transaction.c
+++ b/src/wire/transaction.c
@@ -8,7 +8,8 @@
 #include "wire/json_text.h"
 #include "wire/names.h"
 
-/* Upper bound of the bytes outside the two lists: the braces, brackets and names of the lists. */
+/* Upper bound of a transaction's bytes outside its two lists: the braces, brackets and names of the
+ * lists. */
 #define TXN_FRAME_BYTES 32
 
 void txn_begin(struct txn *txn)
@@ -27,7 +28,7 @@
 	json_decref(string);
 }
 
-/* Adds the comma before an element, except before the first. */
+/* Adds the comma before an element of a list, except before the first element. */
 static void add_comma(struct buf *list)
 {
 	if (list->len)
