--- a/src/wire/name_list.h
+++ b/src/wire/name_list.h
@@ -6,7 +6,7 @@
 #include <stdbool.h>
 
 #define ID_MAX 48	/* bytes of a job's or a machine's id, with its NUL */
-#define NAME_MAX_LEN 64 /* bytes of any other name or address, with its NUL */
+#define NAME_MAX_LEN 64 /* bytes of a name that is not an id, or of an address, with its NUL */
 
 /* A list of names. A zeroed struct is the empty list. */
 struct name_list {
@@ -18,7 +18,7 @@
 int name_list_add(struct name_list *list, const char *name);
 /* Whether the name is in the list. */
 bool name_list_has(const struct name_list *list, const char *name);
-/* Frees the names and makes the list empty. */
+/* Frees the names of the list and makes the list empty. */
 void name_list_free(struct name_list *list);
 
 #endif
--- a/src/wire/report_codec.h
+++ b/src/wire/report_codec.h
@@ -10,16 +10,16 @@
 
 /* The states of an attempt, in the order in which an attempt passes through them. */
 enum task_state {
-	TASK_FETCHING, /* its machine fetches the image */
-	TASK_WAITING,  /* waits until the other tasks of its gang can start */
+	TASK_FETCHING, /* the attempt's machine fetches the image */
+	TASK_WAITING,  /* the attempt waits until the other tasks of its gang can start */
 	TASK_RUNNING,
-	TASK_SAVING, /* stopped; it saves its state */
+	TASK_SAVING, /* the attempt was stopped and saves its state */
 	TASK_EXITED
 };
 
 /* Why a task exited or was refused. */
 enum task_end_reason {
-	END_NONE, /* it has not exited, or the reason is not one of those below */
+	END_NONE, /* the task has not exited, or the reason is none of the other values */
 	END_DONE,
 	END_STOPPED,	  /* stopped by a command */
 	END_PEERS_LOST,	  /* another task of its gang stopped running */
@@ -33,11 +33,11 @@
 /* One attempt of a task, as its agent reports it. */
 struct report_task {
 	char job[ID_MAX];
-	uint32_t task; /* its index in the job */
+	uint32_t task; /* index of the task in the job */
 	uint64_t attempt;
 	enum task_state state;
 	enum task_end_reason end_reason;
-	bool saved; /* true if its state was saved when it was stopped */
+	bool saved; /* true if the task's state was saved when the attempt was stopped */
 };
 
 /* A report of an agent: its machine and all attempts that the agent knows of. */
@@ -68,7 +68,7 @@
 struct command {
 	enum command_op op;
 	char job[ID_MAX];
-	uint32_t task; /* its index in the job */
+	uint32_t task; /* index of the task in the job */
 	uint64_t attempt;
 	double grace_s; /* OP_STOP only: seconds that the task is given to save its state */
 };
