--- a/src/core/model/binding.c
+++ b/src/core/model/binding.c
@@ -42,8 +42,9 @@
 }
 
 /*
- * Keeps the slot of an array's task that ended for FREED_SLOT_HOLD_S: for the same array, or for
- * the one that share switching gave the slot to. Other kinds of jobs have no slots.
+ * If the binding was that of an array's task, keeps the freed slot, the capacity that the task
+ * used, for FREED_SLOT_HOLD_S. It is kept for the same array, or for the array to which share
+ * switching gave the slot. Other kinds of jobs have no slots.
  */
 static void keep_freed_slot(const struct core *core, const struct binding *binding)
 {
@@ -79,8 +80,9 @@
 }
 
 /*
- * Requests stops of all tasks of a gang of which one ended before it was done. Without that, the
- * other tasks would notice the loss by themselves, but later. A gang that is done is left alone.
+ * Requests stops of all tasks of a gang after one of them ended before it was done. Without these
+ * stops, the other tasks would notice the loss by themselves, but later. A gang that is done is
+ * left alone.
  */
 static void stop_gang(struct core *core, struct job *job, enum task_end_reason reason)
 {
@@ -100,8 +102,8 @@
 /*
  * Handles a replica that exited by itself, although it is to run until its job is cancelled. A
  * replica that exits soon after its start, whether in success or failure, is started again after a
- * backoff that grows, so that its restarts don't displace the starts of other tasks. One that has
- * run for REPLICA_MIN_UPTIME_S is started again at once.
+ * backoff that grows, so that its restarts don't displace the starts of other tasks. A replica that
+ * has run for REPLICA_MIN_UPTIME_S is started again at once.
  */
 static void handle_replica_exit(struct core *core, const struct binding *binding,
 				enum task_end_reason reason)
@@ -117,7 +119,7 @@
 		machine_add_failed_job(binding->machine, job);
 }
 
-/* Applies the reason of the end to the job and to the machine. */
+/* Applies the reason of the binding's end to the job and to the machine. */
 static void apply_end_reason(struct core *core, const struct binding *binding,
 			     enum task_end_reason reason)
 {
--- a/src/core/model/chunk.c
+++ b/src/core/model/chunk.c
@@ -21,11 +21,11 @@
 	return &binding->job->records.chunks[job_chunk_index(binding->job, binding->task)];
 }
 
-/* The size of the binding in its chunk's record, at most. */
+/* The largest size in bytes that the binding takes in its chunk's record. */
 static uint32_t binding_record_bytes(const struct binding *binding)
 {
 	/* The text is longest if no other binding of the chunk has the same attempt and zone: then
-	 * it is a group of its own, [attempt,"zone",task,"machine"]. */
+	 * the binding is a group of its own, [attempt,"zone",task,"machine"]. */
 	int bytes =
 	    snprintf(NULL, 0, "[%llu,\"%s\",%u,\"%s\"],", (unsigned long long)binding->attempt,
 		     binding->machine->zone, binding->task, binding->machine->id);
--- a/src/core/model/job.c
+++ b/src/core/model/job.c
@@ -121,8 +121,8 @@
 }
 
 /*
- * True if the task's success still has to be recorded. A service's tasks are never done, and those
- * of an orphan don't matter any more.
+ * True if the task's success still has to be recorded. A service's tasks are never done, and the
+ * tasks of an orphaned job don't matter any more.
  */
 static bool may_become_done(const struct job *job, uint32_t task)
 {
@@ -182,7 +182,8 @@
 	if (job->done_count < job->spec.task_count)
 		return;
 	/* The tasks of a gang report their ends within moments of each other. The final record
-	 * waits for them, up to FINAL_RECORD_DELAY_S, so that one transaction is enough. */
+	 * waits for the ends of their bindings, up to FINAL_RECORD_DELAY_S, so that one transaction
+	 * is enough. */
 	if (job->all_done_at <= 0)
 		job->all_done_at = core->now;
 	if (!job->bindings || core->now - job->all_done_at >= FINAL_RECORD_DELAY_S)
--- a/src/core/model/machine.c
+++ b/src/core/model/machine.c
@@ -46,7 +46,7 @@
 	free(machine);
 }
 
-/* Subtracts the resources of one task from the free capacity. */
+/* Subtracts the resources of one task of the job from the machine's free capacity. */
 static void allocate_resources(struct machine *machine, const struct job_spec *spec)
 {
 	machine->free_cpus -= spec->cpus;
@@ -54,7 +54,7 @@
 	machine->free_mem_gb -= spec->mem_gb;
 }
 
-/* Adds the resources of one task to the free capacity. */
+/* Adds the resources of one task of the job to the machine's free capacity. */
 static void release_resources(struct machine *machine, const struct job_spec *spec)
 {
 	machine->free_cpus += spec->cpus;
@@ -89,8 +89,8 @@
 }
 
 /*
- * Looks up the machine's type in the catalog. The free capacity is what the type has less what is
- * bound; an unknown type counts as one without any capacity.
+ * Looks up the machine's type in the catalog. The free capacity is what the type has less what the
+ * bindings use; an unknown type counts as one without any capacity.
  */
 static void machine_apply_type(const struct core *core, struct machine *machine)
 {
@@ -147,9 +147,9 @@
 }
 
 /*
- * A recent message is not enough: only answers to heartbeats renew an agent's lease. An agent that
- * answers probes and direct commands, but whose heartbeats don't arrive here, will lose its lease
- * and its tasks with it.
+ * A recent message does not make a machine usable: only answers to heartbeats renew an agent's
+ * lease. An agent that answers probes and direct commands, but whose heartbeats don't arrive here,
+ * will lose its lease and its tasks with it.
  */
 bool machine_is_usable(const struct core *core, const struct machine *machine)
 {
--- a/src/core/model/machine.h
+++ b/src/core/model/machine.h
@@ -22,133 +22,153 @@
  * stop it, or to forget it if it has ended. */
 struct unbound_task {
 	char job[ID_MAX];
-	uint32_t task;	  /* index in the job */
-	uint64_t attempt; /* number of the attempt; see struct binding */
+	uint32_t task;	  /* index of the task in the job */
+	uint64_t attempt; /* number of the attempt, see `attempt` in struct binding */
 	bool ended;	  /* the attempt has exited, and the agent may be told to forget it */
 };
 
 /*
  * The agent on the machine, as its messages show it: its heartbeats, and its answers to probes and
  * direct commands. reports.h says which messages are applied and which heartbeats are stale. Times
- * are seconds on the steady clock, as core->now. Those named `last_..._at` are negative while there
- * was no such message in this term, or since the agent's restart.
+ * are seconds on the steady clock, as core->now. Fields named `last_..._at` are negative if no such
+ * message has come in this term, or since the agent's restart.
  */
 struct machine_agent {
 	/* The incarnation in the newest message that was applied; 0: no message was applied in this
-	 * term, or since the agent's restart. It rises when the agent's lease expires or the agent
-	 * is restarted; only a restart within a fraction of a second may lower it. */
+	 * term, or since the agent's restart. The incarnation rises when the agent's lease expires
+	 * or the agent is restarted; only a restart within a fraction of a second may lower it. */
 	uint64_t incarnation;
 	uint64_t sequence; /* sequence number of the newest message that was applied */
 	uint64_t token;	   /* newest fencing token that the agent has shown */
 	/* Heartbeats with a lower fencing token may be copies from before the agent's restart, and
-	 * are stale; 0: it was not restarted in this term. */
+	 * are stale (see reports.h); 0: the agent was not restarted in this term. */
 	uint64_t min_token;
-	/* The agent was restarted: no report of it is applied until a new fencing token is held. */
+	/* The agent was restarted: no report of the agent is applied until this controller holds a
+	 * new fencing token. */
 	bool restarted;
-	/* False: our messages do not reach the agent (an outbound partition), or it was restarted
-	 * and no message was applied since. */
+	/* False: our messages do not reach the agent (an outbound partition), or the agent was
+	 * restarted and no message of the agent was applied since. */
 	bool reachable;
-	int stale_reports; /* stale heartbeats since the agent was last found reachable */
-	/* Consecutive heartbeats that lack a task whose start was sent in the answer to an earlier
-	 * heartbeat. */
+	/* Number of stale heartbeats (see reports.h) since the agent was last found reachable. */
+	int stale_reports;
+	/* Number of consecutive heartbeats that lack a task whose start was sent in the answer to
+	 * an earlier heartbeat. */
 	int ignored_starts;
-	/* When the agent last became unreachable, or its last restart was detected; 0: neither. */
+	/* When the agent last became unreachable, or the last restart of the agent was detected; 0:
+	 * neither has happened. */
 	double unreachable_since;
 	double last_heartbeat_at; /* when the newest heartbeat was applied */
 	double last_message_at;	  /* when the newest message of any kind was applied */
 	double last_report_at;	  /* when the last heartbeat came, even a stale one */
-	/* When the first message in this term was applied, or the first one since the agent's
-	 * restart; until that one, when the token that followed the restart was held; 0: none of
-	 * these. */
+	/* When the agent's first message in this term, or the first message since the agent's
+	 * restart, was applied. From a restart until then: when this controller first held the new
+	 * fencing token. 0: none of these has happened. */
 	double up_at;
 	/* The preemption notice in the newest message that was applied: seconds until the cloud
 	 * takes the machine back, counted from `notice_received_at`; < 0: no notice. */
 	double notice_s;
-	double notice_received_at;		  /* when `notice_s` was last set; 0: never */
-	struct report_cache_entry *cached_report; /* owned by agents.report_cache; NULL: none */
-	struct unbound_task *unbound_tasks;	  /* owned; from the newest report applied */
+	double notice_received_at; /* when `notice_s` was last set; 0: never */
+	/* The machine's entry in agents.report_cache, which owns the entry; NULL: none. */
+	struct report_cache_entry *cached_report;
+	/* Owned array; the unbound tasks in the newest report that was applied. */
+	struct unbound_task *unbound_tasks;
 	size_t unbound_task_count;
 };
 
 /* The probes of the machine: requests for a report that the leader sends to its agent. */
 struct machine_probes {
-	double sent_at;		 /* steady seconds; when the newest probe was sent */
-	int unanswered;		 /* probes that timed out since the agent's last message */
-	double unanswered_since; /* steady seconds; when the first of those was sent */
-	bool supervised;	 /* in the list of machines with replicas that are supervised */
-	struct machine *supervised_prev, *supervised_next; /* in that list */
+	double sent_at; /* steady seconds; when the newest probe was sent */
+	int unanswered; /* number of probes that timed out since the agent's last message */
+	/* Steady seconds; when the first probe counted in `unanswered` was sent. */
+	double unanswered_since;
+	bool supervised; /* the machine is in replica_supervision.machines */
+	/* Links of replica_supervision.machines. */
+	struct machine *supervised_prev, *supervised_next;
 };
 
 /* Commands that are sent to the agent directly, not with the answer to a heartbeat. */
 struct machine_commands {
-	/* Fencing token of the newest message with a start that was not answered; 0: there is none.
-	 * That start may still arrive until the agent has shown a newer token. */
+	/* Fencing token of the newest direct message that contained a start and was not answered;
+	 * 0: there is no such message. The start may still take effect until the agent has shown a
+	 * newer token. */
 	uint64_t unanswered_token;
-	int in_flight; /* messages that wait for their answer */
-	/* A message is to be sent even without commands: the agent may still report to an earlier
-	 * leader, and our fencing token makes it report here. */
+	int in_flight; /* number of direct messages that wait for their answer */
+	/* A direct message is to be sent even without commands: the agent may still report to an
+	 * earlier leader, and the fencing token in the message makes the agent report to this
+	 * controller. */
 	bool announce_token;
-	bool due;    /* commands may have become due since the last message was sent */
-	bool queued; /* in agents.command_queue */
-	struct machine *queue_prev, *queue_next; /* in that queue */
+	bool due;    /* commands may have become due since the last direct message was sent */
+	bool queued; /* the machine is in agents.command_queue */
+	struct machine *queue_prev, *queue_next; /* links of agents.command_queue */
 };
 
 /* What the cloud says of the machine, and what the leader has decided about keeping it. */
 struct machine_cloud {
-	bool listed; /* an inventory has named it */
-	/* The cloud has granted or listed it: it counts as capacity even before its agent has sent
-	 * a message. */
+	bool listed; /* an inventory of the cloud has named the machine */
+	/* The cloud has granted or listed the machine: it counts as capacity even before its agent
+	 * has sent a message. */
 	bool expected;
-	bool failed;		   /* an inventory says that it has failed */
-	uint64_t inventory_number; /* number of the newest inventory that named it */
-	int missed_inventories;	   /* complete inventories since that one, which lacked it */
-	/* Steady seconds; when it was rented, as far as is known, or its agent was restarted. The
-	 * time allowed for its boot runs from then. */
+	bool failed;		   /* an inventory says that the machine has failed */
+	uint64_t inventory_number; /* number of the newest inventory that named the machine */
+	/* Number of complete inventories without the machine since one last named it. */
+	int missed_inventories;
+	/* Steady seconds; when the machine was rented, as far as is known, or its agent was
+	 * restarted. The time allowed for a boot counts from this time. */
 	double rented_at;
-	double idle_since; /* steady seconds; when its last binding ended or it came up */
-	bool draining;	   /* it gets no new tasks, and is deleted once it has no bindings */
-	bool deleting;	   /* it is to be deleted: no task is placed or started on it any more */
-	bool delete_in_flight; /* the request to delete it is not answered yet */
-	bool deleted;	       /* the cloud has answered 200 to the request to delete it */
+	/* Steady seconds; when the machine's last binding ended or the machine came up. */
+	double idle_since;
+	bool draining; /* the machine gets no new tasks, and is deleted once it has no bindings */
+	/* The machine is to be deleted: no task is placed or started on it any more. */
+	bool deleting;
+	bool delete_in_flight; /* the request to delete the machine is not answered yet */
+	bool deleted;	       /* the cloud has answered 200 to the request to delete the machine */
 };
 
 /* What the scheduler keeps of the machine. Times are seconds on the steady clock, as core->now. */
 struct machine_scheduling {
-	/* Images that its cache probably holds, most recently used first. */
+	/* Images that the machine's cache probably holds, most recently used first. */
 	char images[MACHINE_IMAGES_MAX][NAME_MAX_LEN];
 	int image_count;
-	/* Ids of different jobs that failed here since a task last succeeded here. */
+	/* Ids of different jobs that failed on the machine since a task last succeeded on it. */
 	char failed_jobs[MACHINE_FAILED_JOBS_MAX][ID_MAX];
 	int failed_job_count;
-	struct job *reserved_for; /* the job that capacity is reserved for here; NULL: none */
-	uint32_t reserved_tasks;  /* tasks of that job for which it is reserved */
-	uint32_t room_index;	  /* index in the scheduling cycle's rooms, if it is usable */
-	/* Id of the array that gets the slot that was last freed here; empty: no slot is kept. */
+	/* The job for which capacity of the machine is reserved; NULL: none. */
+	struct job *reserved_for;
+	/* Number of tasks of `reserved_for` for which capacity is reserved. */
+	uint32_t reserved_tasks;
+	/* Index in `rooms` of struct scheduling_cycle, if the machine is usable. */
+	uint32_t room_index;
+	/* Id of the array for which the slot last freed on the machine is kept; empty: no slot is
+	 * kept. A slot is the part of a machine that one array task uses. */
 	char freed_slot_job[ID_MAX];
-	double freed_slot_until; /* end of the time that the slot is kept for it */
-	double backoff_until;	 /* end of the backoff after a refused start: no placement before */
+	double freed_slot_until; /* end of the time for which the freed slot is kept */
+	/* End of the backoff after a refused start: no task is placed on the machine before this
+	 * time. */
+	double backoff_until;
 };
 
-/* A rented machine, or one that is named only by a record or by a late copy of a report. */
+/* A rented machine, or a machine that only a record or a late copy of a report names. */
 struct machine {
 	char id[ID_MAX];
-	char addr[NAME_MAX_LEN];	 /* address of its agent; empty: not known yet */
-	char type_name[NAME_MAX_LEN];	 /* empty: not known yet */
-	char zone[NAME_MAX_LEN];	 /* empty: not known yet */
-	const struct machine_type *type; /* in the catalog; NULL: not there or not known yet */
-	bool spot;			 /* a spot machine, which the cloud may take back */
-	/* What its type has and its bindings do not use, in CPUs, GPUs and GB. Negative if more is
-	 * bound, as while the type is not known. */
+	char addr[NAME_MAX_LEN];      /* address of the machine's agent; empty: not known yet */
+	char type_name[NAME_MAX_LEN]; /* name of the machine type; empty: not known yet */
+	char zone[NAME_MAX_LEN];      /* availability zone; empty: not known yet */
+	/* The machine type in the catalog; NULL: not in the catalog, or not known yet. */
+	const struct machine_type *type;
+	bool spot; /* a spot machine, which the cloud may take back */
+	/* Free capacity: what a machine of this type has and the bindings do not use, in CPUs, GPUs
+	 * and GB. Negative if the bindings use more, as while the type is not known. */
 	double free_cpus, free_gpus, free_mem_gb;
-	struct binding *bindings; /* list, by machine_prev and machine_next */
-	int binding_count;	  /* length of `bindings` */
-	int replica_count;	  /* bindings that are tasks of services */
+	/* List of the machine's bindings, linked by machine_prev and machine_next. */
+	struct binding *bindings;
+	int binding_count; /* length of `bindings` */
+	int replica_count; /* number of bindings of tasks of services */
 	struct machine_agent agent;
 	struct machine_probes probes;
 	struct machine_commands commands;
 	struct machine_cloud cloud;
 	struct machine_scheduling scheduling;
-	UT_hash_handle hh; /* in core->machines, by id */
+	UT_hash_handle hh; /* links of the hash table core->machines, by id */
 };
 
 /* Iterates over all machines. `next` is a second cursor, so that the body may free `machine`. */
@@ -158,7 +178,7 @@
 unsigned machine_count(const struct core *core);
 /* The machine with this id; NULL if there is none. */
 struct machine *machine_find(const struct core *core, const char *id);
-/* The machine with this id. If there is none, it is added, and nothing but its id is known. */
+/* The machine with this id. If there is none, adds a machine of which only the id is known. */
 struct machine *machine_find_or_add(struct core *core, const char *id);
 /* Removes the machine and frees it. All of its bindings must have been freed. */
 void machine_free(struct core *core, struct machine *machine);
@@ -174,13 +194,16 @@
 /* Points all machines to the types of a new catalog, and computes their free capacity again. */
 void machines_apply_catalog(const struct core *core);
 
-/* True if a message of its agent was applied within MACHINE_FRESH_REPORTS report intervals. */
+/* True if a message of the machine's agent was applied within MACHINE_FRESH_REPORTS report
+ * intervals. */
 bool machine_is_responsive(const struct core *core, const struct machine *machine);
-/* True if it has a preemption notice or is drained, and its deletion is not decided yet. */
+/* True if the machine has a preemption notice or is drained, and its deletion is not decided
+ * yet. */
 bool machine_is_leaving(const struct machine *machine);
 /*
- * True if tasks may be placed on it now: its type is known, its agent reports and is reachable, it
- * has not failed, is neither drained nor being deleted, and has no preemption notice or backoff.
+ * True if tasks may be placed on the machine now: its type is known, its agent reports and is
+ * reachable, and the machine has not failed, is neither drained nor being deleted, and has no
+ * preemption notice or backoff.
  */
 bool machine_is_usable(const struct core *core, const struct machine *machine);
 /* True if the job allows machines of this type and zone, spot or not. Sizes are not compared. */
@@ -192,11 +215,12 @@
 /* Makes the image the most recently used one of those that the machine's cache probably holds. */
 void machine_mark_image_used(struct machine *machine, const char *image);
 
-/* Adds the binding to the list of its machine, and takes its resources. Only for binding.c. */
+/* Adds the binding to its machine's list, and subtracts the task's resources from the machine's
+ * free capacity. Only for binding.c. */
 void machine_add_binding(struct core *core, struct binding *binding);
 /*
- * Reverts machine_add_binding. After its last binding, the machine is idle from now on. Only for
- * binding.c.
+ * Reverts machine_add_binding. If that was the last binding of the machine, the machine is idle
+ * from now on. Only for binding.c.
  */
 void machine_remove_binding(struct core *core, struct binding *binding);
 
--- a/src/core/model/task_bitmap.c
+++ b/src/core/model/task_bitmap.c
@@ -28,7 +28,8 @@
 	bits[task / 8] &= (uint8_t) ~(1u << (task % 8));
 }
 
-/* The value of the character for the bits from `first` on; bits from `nbits` on count as 0. */
+/* The value of the character that holds the bits from index `first` on; bits from index `nbits` on
+ * count as 0. */
 static unsigned character_value(const uint8_t *bits, size_t first, size_t nbits)
 {
 	unsigned value = 0;
--- a/src/core/model/task_bitmap.h
+++ b/src/core/model/task_bitmap.h
@@ -1,7 +1,7 @@
 /*
- * Bitmaps with one bit per task of a job, and their text form in the records. The text has six bits
- * per character, of which the first task's is the lowest, in the alphabet of base64url, without
- * padding. It ends with the last byte that is not zero.
+ * Bitmaps with one bit per task of a job, and their text form in the records. Each character of the
+ * text holds the bits of six tasks, the first task's in the lowest bit, in the alphabet of
+ * base64url, without padding. The text covers the bitmap up to its last byte that is not zero.
  */
 #ifndef PLOVERLOFT_TASK_BITMAP_H
 #define PLOVERLOFT_TASK_BITMAP_H
--- a/src/core/model/team.h
+++ b/src/core/model/team.h
@@ -1,4 +1,4 @@
-/* Teams: the CPUs and GPUs that the tasks of each team use, and its quotas. */
+/* Teams: the CPUs and GPUs that each team's tasks use, and the team's quotas. */
 #ifndef PLOVERLOFT_TEAM_H
 #define PLOVERLOFT_TEAM_H
 
@@ -15,15 +15,15 @@
  * the end of its binding, which has to be proved (see binding.h).
  */
 struct team {
-	const struct conf_team *conf; /* its name and quotas in the settings */
-	double cpus, gpus;	      /* sums over the team's bound tasks */
+	const struct conf_team *conf; /* the team's name and quotas in the settings */
+	double cpus, gpus;	      /* CPUs and GPUs that the team's bound tasks use */
 };
 
-/* The team with this name; NULL if the settings have none. */
+/* The team with this name; NULL if the settings have no such team. */
 struct team *team_find(const struct core *core, const char *name);
 /*
- * True if the quotas of the job's team allow so many more of its tasks; false if the settings don't
- * have the team.
+ * True if the quotas of the job's team allow `tasks` more tasks of the job; false if the settings
+ * don't have the team.
  */
 bool team_quota_allows(const struct core *core, const struct job_spec *spec, uint32_t tasks);
 /*
--- a/src/core/model/tombstones.c
+++ b/src/core/model/tombstones.c
@@ -27,7 +27,8 @@
 	HASH_ADD_STR(core->tombstones.list, id, tombstone);
 }
 
-/* A steady time. No inventory names a machine any more that was deleted before it. */
+/* Returns a steady time: a machine that was deleted before this time is not named by inventories
+ * any more. */
 static double inventory_cutoff(const struct core *core)
 {
 	return core->now - TOMBSTONE_INVENTORY_MARGIN_S - 2 * core->conf->inventory_lag_s;
@@ -35,7 +36,7 @@
 
 bool tombstones_need_new_token(const struct core *core)
 {
-	/* The list is in the order of additions. */
+	/* The list of tombstones is in the order of additions. */
 	const struct tombstone *oldest = core->tombstones.list;
 
 	return HASH_COUNT(core->tombstones.list) > TOMBSTONES_MAX &&
--- a/src/core/model/tombstones.h
+++ b/src/core/model/tombstones.h
@@ -18,12 +18,12 @@
 struct tombstone {
 	char id[ID_MAX];
 	double deleted_at; /* steady seconds; when the cloud's answer to the delete came */
-	UT_hash_handle hh; /* in tombstones.list, by id */
+	UT_hash_handle hh; /* links of the hash table tombstones.list, by id */
 };
 
 /* All tombstones of the term. */
 struct tombstones {
-	struct tombstone *list; /* hash table that keeps the order of additions, oldest first */
+	struct tombstone *list; /* hash table by id, in the order of additions, oldest first */
 	double trimmed_at;	/* steady seconds; when tombstones_trim was last called; 0: never */
 };
 
@@ -40,7 +40,7 @@
  * Removes the tombstones that are not needed under a new fencing token, whose write was sent at
  * `fenced_at` (steady seconds). Late copies of reports of machines that were deleted before then
  * show an older token and are stale (see reports.h). The tombstone of such a machine is needed only
- * while an inventory may still name it.
+ * while an inventory may still name the machine.
  */
 void tombstones_trim(struct core *core, double fenced_at);
 /* Frees all tombstones. Called when leadership has ended. */
