--- a/src/core/agents/agent_calls.h
+++ b/src/core/agents/agent_calls.h
@@ -1,6 +1,6 @@
 /*
  * Calls that the leader makes to agents: direct commands and probes. Each call holds a socket until
- * it is answered or times out, and all of them share one limit on sockets.
+ * it is answered or times out, and all these calls share one limit on sockets.
  */
 #ifndef PLOVERLOFT_AGENT_CALLS_H
 #define PLOVERLOFT_AGENT_CALLS_H
@@ -10,7 +10,8 @@
 #include "core/model/machine.h"
 #include "core/runtime/call.h"
 
-/* True if the limit on sockets is reached, so that no further call may be made for now. */
+/* True if the calls to agents have reached their limit on sockets, so that no further call may be
+ * made for now. */
 bool agent_call_limit_reached(const struct core *core);
 /*
  * Calls the machine's agent: with a POST of `body`, which the call owns from then on, or with a GET
--- a/src/core/agents/agent_restart.c
+++ b/src/core/agents/agent_restart.c
@@ -6,8 +6,8 @@
 
 /*
  * All tasks of a restarted agent have ended, but a start that was sent before the restart may still
- * arrive. A new token is therefore requested, and no heartbeat that shows an older one is applied,
- * whether the agent sent it after the restart or it is a late copy.
+ * arrive. A new token is therefore requested, and no heartbeat that shows an older token is
+ * applied, whether the agent sent it after the restart or it is a late copy.
  */
 void agent_mark_restarted(struct core *core, struct machine *machine)
 {
@@ -42,7 +42,7 @@
 
 /*
  * Treats the binding like one of an earlier leader, since its task may have been started. A report
- * under the new token that does not list the task proves that it has ended.
+ * under the new token that does not list the task proves that the task has ended.
  */
 static void reset_binding(const struct core *core, struct binding *binding)
 {
--- a/src/core/agents/agent_restart.h
+++ b/src/core/agents/agent_restart.h
@@ -1,7 +1,7 @@
 /*
  * Restarts of agents. An agent that is restarted within a fraction of a second resets its
- * incarnation and sequence number. Its reports then look older than the newest one on record, as
- * late copies of old reports do.
+ * incarnation and sequence number. The reports of the restarted agent then look older than the
+ * newest report that was applied, as late copies of old reports do.
  */
 #ifndef PLOVERLOFT_AGENT_RESTART_H
 #define PLOVERLOFT_AGENT_RESTART_H
--- a/src/core/agents/agents.h
+++ b/src/core/agents/agents.h
@@ -10,14 +10,14 @@
 
 struct agents {
 	struct report_cache report_cache;
-	/* machines with commands to send, longest waiting first */
+	/* machines to which direct commands are to be sent, longest waiting first */
 	struct machine *command_queue;
-	/* for all probes but those of replica supervision */
+	/* limits the rate of all probes but those of replica supervision */
 	struct rate_limiter probe_limiter;
 	/* unanswered direct commands and probes, each of which holds a socket */
 	int calls_in_flight;
 	struct contact_histogram contact_histogram;
-	double next_scan_at; /* steady; no scan of all machines before */
+	double next_scan_at; /* steady seconds; machines_tick scans no machines before this time */
 	/* true if the last scan found replicas on machines that they must leave, or a machine with
 	 * replicas got a preemption notice since */
 	bool replicas_must_move;
--- a/src/core/agents/commands.c
+++ b/src/core/agents/commands.c
@@ -11,8 +11,8 @@
 }
 
 /*
- * Returns NULL if the message is full. The caller records the command as sent even then: it is due
- * again later, like a command that was lost on the way.
+ * Adds a command to the message. Returns NULL if the message is full. The caller records the
+ * command as sent even then: the command is due again later, like one that was lost on the way.
  */
 static struct command *add_command(struct command_list *list, enum command_op op, const char *job,
 				   uint32_t task, uint64_t attempt)
@@ -51,8 +51,8 @@
 }
 
 /*
- * A command that was sent directly may have been carried out before any report shows it, so it is
- * not sent directly again within COMMAND_RESEND_S.
+ * A command that was sent directly may have been carried out before any report shows it, so the
+ * command is not sent directly again within COMMAND_RESEND_S.
  */
 static bool may_send(const struct core *core, enum command_channel channel, double sent_at)
 {
@@ -74,7 +74,7 @@
 }
 
 /*
- * A stop is repeated with the same grace period: a shorter one would interrupt a task that is
+ * A stop is repeated with the same grace period: a shorter period would interrupt a task that is
  * saving its state.
  */
 static void add_stop(struct core *core, struct binding *binding, struct command_list *list)
@@ -99,8 +99,9 @@
 
 /*
  * The agent may forget an ended task only once the task's end is recorded in the state service:
- * until then the agent's report is the only proof of it. Nor may it forget the task while a start
- * that was sent earlier, or under an older token, can still arrive: it would start the task again.
+ * until then the agent's report is the only proof of it. Nor may the agent forget the task while a
+ * start that was sent earlier, or under an older token, can still arrive: the agent would start the
+ * task again.
  */
 static bool may_forget(struct core *core, const struct machine *machine,
 		       const struct unbound_task *unbound)
@@ -115,7 +116,7 @@
 
 /*
  * Adds the command that is due for a task that is reported but not bound. If only a newer token
- * would allow the agent to forget the task, requests one.
+ * would allow the agent to forget the task, requests a new token.
  */
 static void add_unbound_task_command(struct core *core, const struct machine *machine,
 				     const struct unbound_task *unbound, struct command_list *list)
--- a/src/core/agents/commands.h
+++ b/src/core/agents/commands.h
@@ -11,7 +11,7 @@
 
 /* How commands are sent to an agent. */
 enum command_channel {
-	CHANNEL_HEARTBEAT, /* in the answer to its heartbeat */
+	CHANNEL_HEARTBEAT, /* in the answer to the agent's heartbeat */
 	CHANNEL_DIRECT	   /* in a separate message, see direct_commands.h */
 };
 
@@ -24,12 +24,13 @@
 
 /*
  * True if no start that was sent directly can still take effect on this machine: no direct message
- * is in flight, and the agent has shown a newer token than that of any unanswered direct start.
+ * is in flight, and the agent has shown a newer token than that of any direct message with a start
+ * that was not answered.
  */
 bool machine_starts_are_fenced(const struct machine *machine);
 /*
  * Fills *list with the commands that are due, at most COMMANDS_MAX. All starts and stops that are
- * due are recorded as sent through the channel, also those that did not fit.
+ * due are recorded as sent through the channel, even if they did not fit into the list.
  */
 void commands_collect(struct core *core, struct machine *machine, enum command_channel channel,
 		      struct command_list *list);
--- a/src/core/agents/direct_commands.c
+++ b/src/core/agents/direct_commands.c
@@ -39,8 +39,9 @@
 }
 
 /*
- * An unanswered start may still arrive. Until the agent has shown a newer token, which makes it
- * reject the start, a report that does not list the task does not prove that the task has ended.
+ * A start in a direct message that was not answered may still arrive. Until the agent has shown a
+ * newer token, which makes it reject the start, a report that does not list the task does not prove
+ * that the task has ended.
  */
 static void record_unanswered_start(struct machine *machine, const struct call *call)
 {
@@ -79,9 +80,9 @@
 	while (binding) {
 		if (binding->stopping && binding_start_never_sent(binding)) {
 			binding_end(core, binding, END_STOPPED);
-			/* This has ended no other binding. But the end of a gang's task requests
-			 * stops of the gang's other tasks, so that bindings earlier in the list may
-			 * now have to end as well. */
+			/* binding_end has ended no other binding. But the end of a gang's task
+			 * requests stops of the gang's other tasks, so that bindings earlier in the
+			 * list may now have to end as well. */
 			binding = machine->bindings;
 		} else {
 			binding = binding->machine_next;
@@ -107,7 +108,7 @@
 	call->has_start = list.has_start;
 }
 
-/* An agent only accepts commands for its own incarnation, so that must be known. */
+/* An agent only accepts commands for its own incarnation, so the incarnation must be known. */
 static bool can_receive_commands(const struct core *core, const struct machine *machine)
 {
 	return machine->agent.incarnation && *machine->addr && !machine->cloud.deleted &&
--- a/src/core/agents/direct_commands.h
+++ b/src/core/agents/direct_commands.h
@@ -10,10 +10,11 @@
 
 /*
  * Requests a direct message with the commands that are due for the machine. The machine joins the
- * queue at once, or after the answer to the message in flight.
+ * queue for direct messages at once, or after the answer to the message in flight to this machine.
  */
 void commands_request(struct core *core, struct machine *machine);
-/* Cancels the request, and removes the machine from the queue. */
+/* Cancels the request for a direct message to the machine, and removes the machine from the
+ * queue. */
 void commands_cancel_request(struct core *core, struct machine *machine);
 /* Sends commands to the queued machines until the limit on sockets is reached. */
 void direct_commands_tick(struct core *core);
--- a/src/core/agents/heartbeats.c
+++ b/src/core/agents/heartbeats.c
@@ -21,8 +21,8 @@
 /*
  * Decides whether to probe an agent whose report is stale (see reports.h). An agent that was just
  * started or restarted has seen no token and is probed at once. Any other agent shows the current
- * token in its next heartbeat, so its first stale report calls for no probe. Later ones do if no
- * heartbeat has been applied for long.
+ * token in its next heartbeat, so its first stale report causes no probe. Later stale reports do if
+ * no heartbeat has been applied for long.
  */
 static void handle_stale_report(struct core *core, struct machine *machine,
 				const struct report *report)
@@ -78,9 +78,9 @@
 }
 
 /*
- * Returns false, and has refused the report, if its token is higher than this controller's: then
- * another controller leads. While this controller renews its own token, the answer to that write
- * says who leads, so it does not step down here.
+ * Returns false, and has refused the report, if the token of the report is higher than this
+ * controller's: then another controller leads. While this controller renews its own token, the
+ * answer to the write of the renewal says who leads, so this controller does not step down here.
  */
 static bool check_report_token(struct core *core, uint64_t connection, const struct report *report)
 {
@@ -114,7 +114,8 @@
 	return true;
 }
 
-/* Moves the report to the cache if a repetition of it can be recognised there. */
+/* Moves the report to the report cache if the cache can recognise a repetition of it (see
+ * report_cache.h). */
 static void cache_report(struct core *core, const struct core_request *request,
 			 struct report *report)
 {
--- a/src/core/agents/heartbeats.h
+++ b/src/core/agents/heartbeats.h
@@ -7,7 +7,7 @@
 
 #include "core/core.h"
 
-/* Applies and answers an agent's heartbeat. The request may also be a late copy of one. */
+/* Applies and answers an agent's heartbeat. The request may also be a late copy of a heartbeat. */
 void agents_handle_heartbeat(struct core *core, const struct core_request *request);
 
 #endif
--- a/src/core/agents/machine_health.c
+++ b/src/core/agents/machine_health.c
@@ -25,7 +25,7 @@
 /*
  * True if no heartbeat has come for longer than the agent's lease, so that its tasks have ended by
  * now. A machine without bindings whose agent has sent no message in this term may still be
- * booting, and is given the time for that instead.
+ * booting, and is given the time of a boot instead.
  */
 static bool lease_has_expired(const struct core *core, const struct machine *machine)
 {
@@ -58,7 +58,7 @@
 
 /*
  * All agents report to a new leader by themselves within LEADER_DISCOVERY_REPORTS report intervals.
- * To probe each of them before that would double the cost.
+ * To probe each agent before then would double the cost.
  */
 void probe_unseen_machine(struct core *core, struct machine *machine)
 {
@@ -123,7 +123,8 @@
 		histogram->buckets[(int)age]++;
 }
 
-/* Numbers of machines that have sent a message in this term, and of those that are silent now. */
+/* Number of machines that have sent a message in this term, and how many of these are silent
+ * now. */
 struct contact_summary {
 	int seen, silent;
 };
@@ -139,7 +140,7 @@
 }
 
 /*
- * Recomputes the state about all machines together: the histogram of the times since their last
+ * Recomputes the state about all machines together: the histogram of the times since the last
  * messages, and whether replicas have to move. Machines that are being deleted are left out.
  */
 static struct contact_summary scan_machines(struct core *core)
--- a/src/core/agents/probes.c
+++ b/src/core/agents/probes.c
@@ -8,15 +8,16 @@
 #include "wire/names.h"
 
 /*
- * True if the full timeout has passed. A probe that ended earlier may never have been sent, for
- * lack of a socket, and then says nothing about the machine.
+ * True if the call of a probe has lasted for its full timeout. A probe that ended earlier may never
+ * have been sent, for lack of a socket, and then says nothing about the machine.
  */
 static bool timed_out(const struct core *core, const struct call *call)
 {
 	return core->now - call->sent_at >= call->timeout_s * (1 - CLOCK_DRIFT);
 }
 
-/* Counts a probe that timed out, unless a message of the agent has come since it was sent. */
+/* Counts a probe that timed out, unless a message of the agent has come since the probe was
+ * sent. */
 static void record_unanswered_probe(const struct core *core, const struct call *call,
 				    struct machine *machine)
 {
@@ -40,9 +41,9 @@
 }
 
 /*
- * Returns the allowed rate in probes per second. It lets all machines be probed well within an
- * agent's lease, whatever their number. At the beginning of a term the least rate is enough, since
- * agents then find the new leader by themselves.
+ * Returns the allowed rate in probes per second. This rate lets all machines be probed well within
+ * an agent's lease, whatever their number. At the beginning of a term the least rate is enough,
+ * since agents then find the new leader by themselves.
  */
 static double probe_rate(const struct core *core)
 {
--- a/src/core/agents/probes.h
+++ b/src/core/agents/probes.h
@@ -8,8 +8,8 @@
 
 /*
  * Sends a probe to the machine's agent. Returns false if none was sent: the agent's address is not
- * known, the last probe was sent less than PROBE_INTERVAL_S ago, or the rate limit or the limit on
- * sockets is reached.
+ * known, the last probe of the machine was sent less than PROBE_INTERVAL_S ago, or the rate limit
+ * or the limit on sockets is reached.
  */
 bool probe_machine(struct core *core, struct machine *machine);
 /*
--- a/src/core/agents/reachability.c
+++ b/src/core/agents/reachability.c
@@ -61,10 +61,10 @@
 }
 
 /*
- * A report that is not newer than the newest one on record is either a late copy or comes from an
- * agent that was restarted. As long as newer reports arrive, the agent has not been restarted, and
- * no probe is needed: if late copies arrive from all machines, a probe for each copy would cost
- * more than the reports themselves.
+ * A report that is not newer than the newest report that was applied is either a late copy or comes
+ * from an agent that was restarted. As long as newer reports arrive, the agent has not been
+ * restarted, and no probe is needed: if late copies arrive from all machines, a probe for each copy
+ * would cost more than the reports themselves.
  */
 bool machine_heartbeat_overdue(const struct core *core, const struct machine *machine)
 {
--- a/src/core/agents/reachability.h
+++ b/src/core/agents/reachability.h
@@ -12,7 +12,7 @@
 
 /*
  * Marks the machine as unreachable: our messages do not reach its agent. The machine gets no work
- * until an answer of the agent shows that they do. `reason` is logged.
+ * until an answer of the agent shows that our messages reach it. `reason` is logged.
  */
 void machine_mark_unreachable(struct core *core, struct machine *machine, const char *reason);
 /* Marks the machine as reachable: our messages reach its agent. */
@@ -23,13 +23,14 @@
  */
 void machine_check_ignored_starts(struct core *core, struct machine *machine);
 /*
- * True if the machine is to be probed because no newer heartbeat has arrived for
- * HEARTBEAT_OVERDUE_REPORTS report intervals, and no probe was sent within PROBE_INTERVAL_S.
+ * True if the machine is to be probed because no heartbeat of its agent has been applied for
+ * HEARTBEAT_OVERDUE_REPORTS report intervals, and no probe was sent to the machine within
+ * PROBE_INTERVAL_S.
  */
 bool machine_heartbeat_overdue(const struct core *core, const struct machine *machine);
 /*
  * True if there is an inbound partition: the agent answers probes, but no heartbeat has come for so
- * long that its lease is going to expire.
+ * long that the agent's lease is going to expire.
  */
 bool machine_is_partitioned_inbound(const struct core *core, const struct machine *machine);
 
--- a/src/core/agents/reconciliation.c
+++ b/src/core/agents/reconciliation.c
@@ -100,8 +100,8 @@
 }
 
 /*
- * True if a heartbeat that does not list the task proves that it is not on the machine: no start
- * that was sent for it can take effect after the agent made this heartbeat.
+ * True if a heartbeat that does not list the task proves that the task is not on the machine: no
+ * start that was sent for it can take effect after the agent made this heartbeat.
  */
 static bool absence_proves_end(const struct machine *machine, const struct binding *binding)
 {
@@ -133,16 +133,17 @@
 			write_queue_request_token(core);
 		return;
 	}
-	/* In all other cases the start did not arrive: it is sent again. */
+	/* In all other cases the start did not arrive, and it is sent again. */
 	if (binding->recovered || binding->observed || binding->stopping)
 		binding_end(core, binding, END_NONE);
 }
 
 /*
- * Ends the first binding that is not listed and whose end is proved. Returns true if there was one.
- * The caller then starts again from the head of the list. The end of a binding ends no other one,
- * but the end of a gang's task requests stops of the gang's other tasks. So a binding earlier in
- * the list, which was kept because its start was to be sent again, may now have to end.
+ * Ends the first binding that the report does not list and whose end it proves. Returns true if
+ * there was such a binding. The caller then starts again from the head of the list. The end of a
+ * binding ends no other one, but the end of a gang's task requests stops of the gang's other tasks.
+ * So a binding earlier in the list, which was kept because its start was to be sent again, may now
+ * have to end.
  */
 static bool end_first_unlisted_binding(struct core *core, struct machine *machine,
 				       enum report_origin origin)
--- a/src/core/agents/reconciliation.h
+++ b/src/core/agents/reconciliation.h
@@ -3,9 +3,9 @@
  *
  * A report proves the end of a binding in three cases only:
  * - It lists the task as ended.
- * - The agent's incarnation is newer than the one that was sent the start.
+ * - The agent's incarnation is newer than the incarnation that was sent the start.
  * - It is a heartbeat that does not list the task, the agent has shown the newest token under which
- *   the task can have been started, and the heartbeat is newer than the one whose answer last
+ *   the task can have been started, and the heartbeat is newer than the heartbeat whose answer last
  *   carried the start.
  *
  * A direct start that was sent under the newest token and not answered may still arrive. Until a
@@ -19,12 +19,12 @@
 #include "core/model/machine.h"
 
 /*
- * Updates the machine's bindings from its newest report, ends those whose end the report proves,
- * and replaces the machine's list of unbound tasks.
+ * Updates the machine's bindings from the agent's newest report, ends the bindings whose end the
+ * report proves, and replaces the machine's list of unbound tasks.
  */
 void reconcile_report(struct core *core, struct machine *machine, const struct report *report,
 		      enum report_origin origin);
-/* Empties the list of the tasks that the agent reports though they are not bound. */
+/* Empties the machine's list of unbound tasks, see struct unbound_task. */
 void unbound_tasks_clear(struct machine *machine);
 
 #endif
--- a/src/core/agents/replica_supervision.c
+++ b/src/core/agents/replica_supervision.c
@@ -93,8 +93,8 @@
 
 /*
  * True if most other machines are responsive, so that this controller is not partitioned from the
- * agents. If many machines with replicas fail together, the reports of all machines show the same
- * within a report interval.
+ * agents. If many machines with replicas fail together, the reports of the whole fleet show within
+ * a report interval that this controller is not partitioned.
  */
 static bool other_machines_responsive(const struct core *core, const struct machine *silent,
 				      double since)
--- a/src/core/agents/report_cache.c
+++ b/src/core/agents/report_cache.c
@@ -23,10 +23,13 @@
 };
 
 struct report_cache_entry {
-	uint64_t hash; /* of `text`; entries are found by it */
-	char *text;    /* head and tail, concatenated */
+	/* Hash of the head and the tail, by which the entry is found; see text_hash. */
+	uint64_t hash;
+	/* The report's text without the digits of its sequence number: head and tail,
+	 * concatenated. */
+	char *text;
 	size_t head_len, tail_len;
-	struct report report; /* the entry owns its list of tasks */
+	struct report report; /* the decoded report, whose list of tasks the entry owns */
 	UT_hash_handle hh;
 };
 
@@ -47,7 +50,7 @@
 
 /*
  * Splits the text at the first field with the name of the sequence number. Returns false if there
- * is none, or its value is not a number followed by the end of the field.
+ * is no such field, or its value is not a number followed by the end of the field.
  */
 static bool text_split(const char *body, size_t len, struct report_text *text)
 {
@@ -132,7 +135,7 @@
 		return;
 	hash = text_hash(&text);
 	HASH_FIND(hh, cache->entries, &hash, sizeof(hash), entry);
-	if (entry) /* the entry of another machine has the same hash, and stays */
+	if (entry) /* the entry of another machine has the same hash, and stays in the cache */
 		return;
 	entry = entry_new(hash, &text);
 	entry->report = *report;
--- a/src/core/agents/report_cache.h
+++ b/src/core/agents/report_cache.h
@@ -12,14 +12,14 @@
 
 struct report_cache_entry; /* owned by the cache, though a machine also points to its entry */
 
-/* The entries, by the hash of their text. An empty cache has NULL. */
+/* The cache: a hash table of entries, by the hash of their text; NULL if the cache is empty. */
 struct report_cache {
 	struct report_cache_entry *entries;
 };
 
 /*
  * Returns the cached report that equals the one in `body` in all but the sequence number, with the
- * sequence number from `body`. Returns NULL if there is none. The cache keeps ownership.
+ * sequence number from `body`. Returns NULL if there is no such report. The cache keeps ownership.
  */
 const struct report *report_cache_find(struct report_cache *cache, const char *body, size_t len);
 
@@ -31,7 +31,8 @@
 void report_cache_store(struct report_cache *cache, struct report_cache_entry **slot,
 			const char *body, size_t len, struct report *report);
 
-/* Removes the machine's entry, if there is one, and sets *slot to NULL. */
+/* Removes *slot, the entry of one machine, from the cache and sets *slot to NULL. Does nothing if
+ * *slot is NULL. */
 void report_cache_remove(struct report_cache *cache, struct report_cache_entry **slot);
 
 #endif
--- a/src/core/agents/reports.c
+++ b/src/core/agents/reports.c
@@ -25,8 +25,8 @@
 
 /*
  * A heartbeat with a newer incarnation shows that the agent's lease has expired because our answers
- * did not arrive. An answer to our own message shows that the message arrived. The first message of
- * the term is assumed to show the same.
+ * did not arrive. An answer to our own message shows that our messages arrive. The first message of
+ * an agent in the term is assumed to show that too.
  */
 static void update_reachability(struct core *core, struct machine *machine,
 				const struct report *report, enum report_origin origin)
@@ -116,9 +116,9 @@
 }
 
 /*
- * An answer to our own message cannot be a late copy. If the report in it is not newer than the
- * agent's newest message was when the call was made, the agent was restarted. An answer to a call
- * that was made under an older token than that of the agent's last restart is ignored.
+ * An answer to our own message cannot be a late copy. If the report in it is not newer than what
+ * was the agent's newest message when the call was made, the agent was restarted. An answer to a
+ * call that was made under an older token than that of the agent's last restart is ignored.
  */
 static void apply_answer(struct core *core, struct machine *machine, const struct call *call,
 			 const struct report *report)
--- a/src/core/agents/reports.h
+++ b/src/core/agents/reports.h
@@ -4,11 +4,11 @@
  * A heartbeat may be a late copy: from seconds or minutes ago, from before a failover, or of a
  * machine that was deleted. A heartbeat is current if it shows election_min_report_token or a newer
  * token, and so was made in this term, and if it was made after any known restart of its agent. Any
- * other heartbeat is stale: it is answered, but only the machine's identity is taken from it. An
- * agent that has not seen the token yet learns it from that answer, and its heartbeats are current
- * from then on. A report in the answer to a call of this controller cannot be a late copy, and is
- * applied whatever token it shows. Within the term, (incarnation, sequence) orders the messages of
- * an agent.
+ * other heartbeat is stale: it is answered, but of its contents only the machine's identity is
+ * used. An agent that has not seen the token yet learns it from that answer, and its heartbeats are
+ * current from then on. A report in the answer to a call of this controller cannot be a late copy,
+ * and is applied whatever token it shows. Within the term, (incarnation, sequence) orders the
+ * messages of an agent.
  */
 #ifndef PLOVERLOFT_REPORTS_H
 #define PLOVERLOFT_REPORTS_H
@@ -21,7 +21,7 @@
 /* Why an agent sent a report. */
 enum report_origin {
 	REPORT_HEARTBEAT, /* the agent sent it by itself, as it does at each interval */
-	REPORT_SOLICITED  /* in the answer to a probe or to direct commands */
+	REPORT_SOLICITED  /* the agent sent it in the answer to a probe or to direct commands */
 };
 
 /*
@@ -34,14 +34,14 @@
 /* True if the report is newer than the message with this incarnation and sequence number. */
 bool report_is_newer(const struct report *report, uint64_t incarnation, uint64_t sequence);
 /*
- * Applies a current heartbeat, or the report in an answer to a call. Returns false if it is not
- * newer than the machine's newest message.
+ * Applies a current heartbeat, or the report in an answer to a call. Returns false, and applies
+ * nothing, if the report is not newer than the last applied message of the machine's agent.
  */
 bool report_apply(struct core *core, struct machine *machine, const struct report *report,
 		  enum report_origin origin);
 /*
- * Applies the report in an agent's answer to `call`. A malformed one, or one of another machine, is
- * ignored.
+ * Applies the report in an agent's answer to `call`. Ignores a malformed report and the report of
+ * another machine.
  */
 void report_apply_solicited(struct core *core, struct machine *machine, const struct call *call,
 			    const struct call_answer *answer);
