--- a/src/core/records/job_record.h
+++ b/src/core/records/job_record.h
@@ -22,23 +22,24 @@
 
 /* Writes the key of the job's open or final record. */
 void job_record_key(char key[KEY_MAX], enum job_record_kind kind, const char *id);
-/* Returns the value of an open record, which the caller owns. `submitted_at` is wall time. */
+/* Returns the value of a job's open record; the caller owns the value. `submitted_at` is wall
+ * time. */
 json_t *job_record_open_value(const struct job_spec *spec, double submitted_at);
-/* Returns a copy of an open record's value, marked as cancelled. The caller owns the copy. */
+/* Returns a copy, marked as cancelled, of the value of an open record. The caller owns the copy. */
 json_t *job_record_cancelled_value(json_t *value);
 /* Removes the list of allowed machine types from an open record's value, to make it smaller. */
 void job_record_remove_machine_types(json_t *value);
-/* Returns the largest size in bytes that the value of the job's open record may get: its size once
- * it is marked as cancelled. */
+/* Returns the largest size in bytes that the value of the job's open record may get: the size of
+ * the value marked as cancelled. */
 size_t job_record_max_bytes(const struct job_spec *spec, double submitted_at);
 /*
  * Decodes the job description in an open record's value. Returns 0, or -1 and the name of the
  * invalid field in `*field`. The caller frees `spec` with wire_job_free in both cases.
  */
 int job_record_decode_spec(const json_t *value, struct job_spec *spec, const char **field);
-/* Returns the time (wall) at which the job of an open record's value was submitted. */
+/* Returns the wall time at which a job was submitted, from the value of the job's open record. */
 double job_record_submitted_at(const json_t *value);
-/* Returns the value of a final record, which the caller owns. */
+/* Returns the value of a job's final record; the caller owns the value. */
 json_t *job_record_final_value(const struct job_outcome *outcome);
 /* Returns true if an open record's value is marked as cancelled. */
 bool job_record_is_cancelled(const json_t *value);
--- a/src/core/records/limits.c
+++ b/src/core/records/limits.c
@@ -19,7 +19,8 @@
 	return core->now < core->limits.expires_at;
 }
 
-/* Returns the limit of `value_kb` in bytes, or the learned limit if that is smaller. */
+/* Returns a limit on the size of a value in bytes: `value_kb` or the learned limit, whichever is
+ * smaller. */
 static size_t value_limit(const struct core *core, double value_kb)
 {
 	size_t learned_bytes = core->limits.value_bytes;
--- a/src/core/records/recovery.c
+++ b/src/core/records/recovery.c
@@ -1,8 +1,8 @@
 /*
  * Recovery: reads all records before the leader makes any decision.
  *
- * The records are read page by page. Changes of jobs that are committed in the meantime are
- * delivered by the watch on the open records, which begins at the revision of the first page.
+ * The records are read page by page. The watch on the open records delivers the changes of jobs
+ * that are committed in the meantime: it begins at the revision of the first page.
  */
 #include "core/records/recovery.h"
 
@@ -18,19 +18,20 @@
 #define OPEN_JOBS_INDEX 0 /* index of KEY_OPEN_JOBS in the lists of prefixes */
 
 /*
- * Prefixes of the keys, in the order in which they are read. Jobs come before the records of their
- * tasks. Records of small chunks come before those of large chunks, which count only for tasks that
- * no newer record covers.
+ * Prefixes of the keys of records, in the order in which recovery reads them. Jobs come before the
+ * records of their tasks. Records of small chunks come before those of large chunks, which count
+ * only for tasks that no newer record covers.
  */
 static const char *const prefixes_large_chunks[] = {KEY_OPEN_JOBS, KEY_LARGE_CHUNKS, NULL};
 static const char *const prefixes_small_chunks[] = {KEY_OPEN_JOBS, KEY_SMALL_CHUNKS,
 						    KEY_LARGE_CHUNKS, NULL};
 
-/* Progress of recovery. It is owned by the call that reads the next page. */
+/* Progress of recovery. The call that reads the next page owns the struct. */
 struct recovery {
 	size_t prefix_index;
-	char cursor[KEY_MAX]; /* the last key read under this prefix; empty: none yet */
-	bool first_page;      /* no page has been read yet */
+	/* The last key read under the current prefix; empty: no key was read yet. */
+	char cursor[KEY_MAX];
+	bool first_page; /* no page has been read yet */
 };
 
 /* Returns the prefix of the keys to be read next, or NULL if all have been read. */
@@ -96,7 +97,7 @@
 
 /* --- reading pages of records --- */
 
-/* Context of load_record, which is called for each entry of a page. */
+/* Context of load_record, which is called for each record in a page. */
 struct page_context {
 	struct core *core;
 	struct recovery *recovery;
--- a/src/core/records/recovery.h
+++ b/src/core/records/recovery.h
@@ -6,7 +6,7 @@
 
 struct core;
 
-/* Begins to read all records. This controller leads once they have been read. */
+/* Begins to read all records. This controller leads once all records have been read. */
 void recovery_start(struct core *core);
 
 #endif
--- a/src/core/records/task_record_load.c
+++ b/src/core/records/task_record_load.c
@@ -8,12 +8,13 @@
 #include "core/records/task_records.h"
 #include "core/state.h"
 
-/* A parsed record. Its pointers are valid as long as the entry that it was parsed from. */
+/* A parsed task record. The pointers in it are valid as long as the entry from which the record was
+ * parsed. */
 struct task_record {
 	char job_id[ID_MAX];
 	uint32_t chunk_index;
 	uint32_t tasks_per_chunk;
-	json_t *groups;	  /* see enum task_group_index */
+	json_t *groups;	  /* groups of bindings, see enum task_group_index */
 	const char *done; /* the encoded bitmap of done tasks */
 	uint64_t version;
 	const char *key;
@@ -103,7 +104,8 @@
 	}
 }
 
-/* Adds an orphaned job: its final record is written, but some of its tasks may still run. */
+/* Adds an orphaned job: a job whose final record is written, but of which some tasks may still
+ * run. */
 static struct job *add_orphan(struct core *core, const char *id)
 {
 	struct job_spec spec = {.task_count = 1, .deadline_s = -1};
@@ -117,8 +119,9 @@
 
 /*
  * Returns the job that the record belongs to, or NULL if the record is of no use: it covers no task
- * of the job, or its job is not open and it has no bindings. In the second case its delete is
- * queued. Bindings of a job that is not open belong to an orphaned job, which is added.
+ * of the job, or the job is not open and the record has no bindings. In the second case a delete of
+ * the record is queued. Bindings of a job that is not open belong to an orphaned job, which is
+ * added.
  */
 static struct job *job_of_record(struct core *core, const struct task_record *record)
 {
--- a/src/core/records/task_record_migration.c
+++ b/src/core/records/task_record_migration.c
@@ -18,8 +18,8 @@
 	uint32_t count = (job->spec.task_count + LARGE_CHUNK_TASKS - 1) / LARGE_CHUNK_TASKS;
 
 	/*
-	 * The task count of an orphaned job grows as its records are read, so the array grows with
-	 * it. No record has been read yet for the elements that are new.
+	 * The task count of an orphaned job grows as the job's records are read, and the array
+	 * grows with the task count. No record has been read yet for the new elements of the array.
 	 */
 	records->old_chunks =
 	    xreallocarray(records->old_chunks, count, sizeof(*records->old_chunks));
@@ -119,7 +119,7 @@
 	job->records.chunks = xcalloc(job_chunk_count(job), sizeof(*job->records.chunks));
 	DL_FOREACH2 (job->bindings, binding, job_next)
 		chunk_add_binding(binding);
-	/* The writes of large chunks that were queued are queued again as writes of small ones. */
+	/* The queued writes of large chunks are queued again as writes of small chunks. */
 	for (uint32_t chunk_index = 0; chunk_index < job_chunk_count(job); chunk_index++)
 		if (large_chunks[chunk_index / SMALL_PER_LARGE_CHUNK].queued_write)
 			write_queue_add_chunk(core, job, chunk_index * SMALL_CHUNK_TASKS, 0);
--- a/src/core/records/transaction.c
+++ b/src/core/records/transaction.c
@@ -11,7 +11,7 @@
 #include "util/log.h"
 #include "util/xalloc.h"
 
-#define LOGGED_BODY_MAX 200 /* bytes of an answer that are logged */
+#define LOGGED_BODY_MAX 200 /* largest number of bytes of an answer that are logged */
 
 /* --- ending the transaction --- */
 
@@ -94,7 +94,8 @@
 	json_decref(answer_json);
 }
 
-/* Returns true if neither the number of changes nor a value can be made smaller. */
+/* Returns true if neither the number of changes nor a value of the transaction can be made
+ * smaller. */
 static bool is_minimal(const struct transaction *transaction)
 {
 	return transaction->op_count <= LIMITS_TXN_OPS_MIN &&
--- a/src/core/records/transaction.h
+++ b/src/core/records/transaction.h
@@ -19,17 +19,22 @@
 struct pending_write;
 
 /* The transaction that has no definite answer yet, or whose conflict is being resolved. All fields
- * are zero if there is none. */
+ * are zero if there is no transaction in flight. */
 struct transaction {
 	bool in_flight;
-	struct pending_write *writes; /* owned */
-	char *body;		      /* owned; the text of the request */
-	int op_count;		      /* changes of keys */
-	size_t largest_value;	      /* size of its largest value in bytes */
-	bool renews_token;	      /* writes the leader's key; its revision is the new token */
-	bool raises_format;  /* a renewal of the token that also raises the records' format */
-	bool awaits_retry;   /* to be sent again unchanged, at the write queue's `retry_at` */
-	int reads_in_flight; /* after a conflict: keys whose present values are being read */
+	struct pending_write *writes; /* list of the writes that the transaction carries; owned */
+	char *body;		      /* text of the request; owned */
+	int op_count;		      /* number of changes of keys */
+	size_t largest_value;	      /* size of the transaction's largest value in bytes */
+	/* The transaction writes the leader's key, and the revision of the commit is the new
+	 * token. */
+	bool renews_token;
+	/* The transaction renews the token and also raises the records' format. */
+	bool raises_format;
+	/* The transaction is to be sent again unchanged, at `retry_at` of struct write_queue. */
+	bool awaits_retry;
+	/* After a conflict: number of keys whose present values are being read. */
+	int reads_in_flight;
 };
 
 /*
@@ -39,21 +44,22 @@
 void transaction_send(struct core *core, struct txn *txn);
 /* Sends the transaction in flight again if it awaits a retry and the delay has passed. */
 void transaction_retry_if_due(struct core *core);
-/* Ends the transaction: frees what it owns. Answers to it are ignored from then on. */
+/* Ends the transaction in flight and frees what it owns. Answers to it are ignored from then on. */
 void transaction_clear(struct core *core);
 /*
- * Ends the transaction as not committed: its writes return to the head of their queues. Deletes are
- * given up.
+ * Ends the transaction in flight as not committed: its writes return to the head of their queues,
+ * but writes that delete records are given up.
  */
 void transaction_requeue(struct core *core);
-/* Ends the transaction as committed at the revision: applies its writes and the new token. */
+/* Ends the transaction in flight as committed at the revision: applies its writes and, if it renews
+ * the token, the new token. */
 void transaction_apply_commit(struct core *core, uint64_t revision);
 /* Applies the job's final record, which is committed. May free the job. */
 void transaction_apply_final(struct core *core, struct job *job);
 /*
  * Resolves a conflict: a guard of the transaction failed, as `answer` says. Depending on which
- * guards failed, and on the present values of the keys, which are read, the transaction is ended as
- * committed or requeued, or the term ends.
+ * guards failed, and on the present values of the keys, which are read, the transaction in flight
+ * is ended as committed or requeued, or the term ends.
  */
 void transaction_resolve_conflict(struct core *core, json_t *answer);
 
--- a/src/core/records/transaction_build.c
+++ b/src/core/records/transaction_build.c
@@ -28,9 +28,9 @@
 
 /*
  * Handles a chunk whose value is over the limit, as happens when the limit is lowered. Bindings
- * that are not on record yet are ended, so that their tasks wait again. If there are none, the
- * write is delayed: the value shrinks when tasks end. Either way, no task of the job is placed for
- * LIMITS_VALUE_RETRY_S.
+ * that are not on record yet are ended, so that their tasks wait again. If there are no such
+ * bindings, the write is delayed: the value shrinks when tasks end. Either way, no task of the job
+ * is placed for LIMITS_VALUE_RETRY_S.
  */
 static void shrink_chunk(struct core *core, struct pending_write *write)
 {
@@ -62,7 +62,9 @@
 enum batch_result {
 	BATCH_ADDED,
 	BATCH_SKIPPED, /* the write is blocked for now */
-	BATCH_FULL     /* the write does not fit, or the queues have changed: add no more writes */
+	/* The write does not fit into the transaction, or the queues have changed: add no more
+	 * writes. */
+	BATCH_FULL
 };
 
 /* Returns true if `op_count` more changes fit the limits of a transaction and of the rate. */
@@ -95,7 +97,7 @@
 	if (value_bytes > limits_value_bytes(core)) {
 		txn_rollback(txn, &savepoint);
 		shrink_chunk(core, write);
-		return BATCH_FULL; /* ended bindings may have changed the queues */
+		return BATCH_FULL; /* the end of bindings may have changed the queues */
 	}
 	write_queue_remove(write);
 	DL_APPEND(core->write_queue.transaction.writes, write);
@@ -104,14 +106,15 @@
 	return BATCH_ADDED;
 }
 
-/* Returns true if the chunk has no record of its own and needs none any more. */
+/* Returns true if the chunk of the write has no record of its own and needs none any more. */
 static bool is_unneeded(const struct pending_write *write)
 {
 	return task_record_is_obsolete(write->job, write->chunk_index) &&
 	       !write->job->records.chunks[write->chunk_index].version;
 }
 
-/* Removes a write of a chunk that is not needed any more, and frees it. May free the job too. */
+/* Removes a write of a chunk that needs no record any more from its queue, and frees the write. May
+ * free the job too. */
 static void discard_unneeded_write(struct core *core, struct pending_write *write)
 {
 	struct job *job = write->job;
--- a/src/core/records/transaction_commit.c
+++ b/src/core/records/transaction_commit.c
@@ -45,8 +45,8 @@
 
 /*
  * Updates a chunk of a job whose final record is committed. The chunk's record was deleted in the
- * same transaction, or a delete of it is queued, or it is kept as long as the chunk has bindings or
- * writes.
+ * same transaction, or a delete of it is queued, or the record is kept as long as the chunk has
+ * bindings or writes.
  */
 static void finish_chunk(struct core *core, struct job *job, uint32_t chunk_index)
 {
@@ -78,9 +78,10 @@
 }
 
 /*
- * From now on, reports that show an older token do not count. Only an agent that was running after
- * the new token was written can show it; a late copy of a report from a machine that was deleted
- * before cannot. So no tombstone is needed against late reports of such a machine.
+ * From now on, heartbeats that show an older token than the new one are stale (see
+ * agents/reports.h). Only an agent that was running after the new token was written can show the
+ * new token; a late copy of a heartbeat from a machine that was deleted earlier cannot. So no
+ * tombstone is needed against late heartbeats of such a machine.
  */
 static void expire_tombstones(struct core *core)
 {
--- a/src/core/records/transaction_conflict.c
+++ b/src/core/records/transaction_conflict.c
@@ -43,7 +43,7 @@
 		job_cancel(core, job);
 }
 
-/* Updates the transaction's writes of this key by the key's present version and value. */
+/* Updates the transaction's writes of `key` by the key's present version and value in `entry`. */
 static void update_writes_of_key(struct core *core, const char *key, const struct kv_item *entry)
 {
 	struct pending_write *write;
@@ -137,9 +137,9 @@
 
 /*
  * Handles the value of the leader's key. A renewal whose answer was lost may have been committed;
- * the retry then failed since it found the new version. This is so if the key has our own name and
- * a version above this term's token: only our own renewal, which is guarded by that token, can have
- * written both. Any other value ends the term.
+ * the retry then failed since it found the new version. The renewal was committed if the key has
+ * our own name and a version above this term's token: only our own renewal, which is guarded by
+ * that token, can have written both. Any other value ends the term.
  */
 static void on_leader_key_read(struct core *core, struct call *call,
 			       const struct call_answer *answer)
--- a/src/core/records/write_ops.c
+++ b/src/core/records/write_ops.c
@@ -6,8 +6,8 @@
 #include "core/records/job_record.h"
 #include "core/state.h"
 
-/* Changes for a final record without those of chunks: the open record is deleted, the final one
- * written. */
+/* Number of changes for a final record, without the deletes of chunks' records: the open record is
+ * deleted, and the final record is written. */
 #define FINAL_OPS 2
 
 enum job_state final_record_state(const struct job *job)
@@ -28,7 +28,7 @@
 	txn_drop(txn, key);
 }
 
-/* Adds deletes of the records of the job's idle chunks. Those for which `max_ops` leaves no place
+/* Adds deletes of the records of the job's idle chunks. Records for which `max_ops` leaves no place
  * are deleted by writes of their own after the final record is committed. */
 static void add_idle_chunk_deletes(struct txn *txn, const struct job *job, int max_ops)
 {
@@ -62,7 +62,8 @@
 	add_idle_chunk_deletes(txn, job, max_ops);
 }
 
-/* Returns the size of the chunk's value in bytes, or 0 if its record is deleted. */
+/* Adds the write or the delete of the chunk's record to the transaction. Returns the size of the
+ * record's value in bytes, or 0 if the record is deleted. */
 static size_t add_chunk(struct txn *txn, const struct job *job, uint32_t chunk_index)
 {
 	char key[KEY_MAX];
