--- a/src/core/api/admission.h
+++ b/src/core/api/admission.h
@@ -12,14 +12,16 @@
 
 enum admission_outcome {
 	ADMISSION_ACCEPTED,
-	ADMISSION_MALFORMED,	    /* the description can't be decoded */
-	ADMISSION_UNKNOWN_TEAM,	    /* the settings don't have the job's team */
-	ADMISSION_OVER_QUOTA,	    /* exceeds its team's quota even while nothing else runs */
-	ADMISSION_NOT_READY,	    /* the catalog of machine types is not known yet */
-	ADMISSION_UNSATISFIABLE,    /* no allowed machine type is large enough for a task */
-	ADMISSION_TOO_FEW_ZONES,    /* a spread job, but its tasks can run in one zone only */
-	ADMISSION_RECORD_TOO_LARGE, /* the state service doesn't store so large a value */
-	ADMISSION_OVERLOADED	    /* the queue of submissions is full */
+	ADMISSION_MALFORMED,	 /* the description can't be decoded */
+	ADMISSION_UNKNOWN_TEAM,	 /* the settings don't have the job's team */
+	ADMISSION_OVER_QUOTA,	 /* the job exceeds its team's quota even while nothing else runs */
+	ADMISSION_NOT_READY,	 /* the catalog of machine types is not known yet */
+	ADMISSION_UNSATISFIABLE, /* no allowed machine type is large enough for a task */
+	/* The job's tasks have to be spread over two zones or more, but fit in fewer. */
+	ADMISSION_TOO_FEW_ZONES,
+	/* The job's record is larger than any value that the state service stores. */
+	ADMISSION_RECORD_TOO_LARGE,
+	ADMISSION_OVERLOADED /* the queue of submissions is full */
 };
 
 /* The result of the checks. */
@@ -37,7 +39,7 @@
 	const char *text;  /* static string */
 };
 
-/* Checks a decoded description. `submitted_at` is wall time. */
+/* Checks the decoded description of a submitted job. `submitted_at` is wall time. */
 struct admission admission_check(struct core *core, const struct job_spec *spec,
 				 double submitted_at);
 /* Returns the answer to a submission that was not accepted. */
--- a/src/core/api/api.c
+++ b/src/core/api/api.c
@@ -40,8 +40,8 @@
 		submissions_receive(core, request);
 }
 
-/* Handles a poll or a cancellation. An id that does not have the form of job ids is answered as
- * that of an unknown job. */
+/* Handles a poll or a cancellation. A request whose id does not have the form of job ids is
+ * answered like one for an unknown job. */
 static void handle_job(struct core *core, const struct core_request *request,
 		       enum user_request_kind kind, const char *id)
 {
@@ -53,8 +53,8 @@
 		core_reply_error(core, request->connection, STATUS_NOT_FOUND, 0, "no such job");
 }
 
-/* Routes a request about one job. `rest` is the part of the path after that of all jobs: the job's
- * id, followed by W_PATH_CANCEL in a cancellation. */
+/* Routes a request about one job. `rest` is the part of the path after the path of all jobs: the
+ * job's id, followed by W_PATH_CANCEL in a cancellation. */
 static void route_job(struct core *core, const struct core_request *request, const char *rest)
 {
 	char id[ID_MAX + 1];
@@ -62,7 +62,7 @@
 	size_t len = slash ? (size_t)(slash - rest) : strlen(rest);
 
 	if (len >= sizeof(id))
-		len = sizeof(id) - 1; /* cut, but still too long to be valid */
+		len = sizeof(id) - 1; /* the id is cut, but still too long to be valid */
 	memcpy(id, rest, len);
 	id[len] = 0;
 	if (!slash)
--- a/src/core/api/api.h
+++ b/src/core/api/api.h
@@ -1,7 +1,8 @@
 /*
  * The users' API: submissions, polls and cancellations. Every controller answers them from the
- * jobs' records in the state service. Task counts are not in those records: the leader shows its
- * own, and the other controllers show those that the leader sent them within the last seconds.
+ * jobs' records in the state service. Task counts are not in the records: the leader shows its own
+ * counts, and the other controllers show the counts that the leader sent them within
+ * COUNTS_MAX_AGE_S.
  */
 #ifndef PLOVERLOFT_API_H
 #define PLOVERLOFT_API_H
@@ -30,7 +31,7 @@
 
 /* Initialises the API of a new core. */
 void api_init(struct core *core);
-/* Routes a user's request. It is answered at once, or after calls to the state service. */
+/* Routes a user's request. The request is answered at once, or after calls to the state service. */
 void api_request(struct core *core, const struct core_request *request);
 /* Commits waiting submissions, and reads the records that waiting lookups need. */
 void api_tick(struct core *core);
--- a/src/core/api/cancel_requests.c
+++ b/src/core/api/cancel_requests.c
@@ -38,7 +38,7 @@
  * After a conflict, another transaction has changed or ended the job, so its records are read again
  * and the cancellation is tried again. Without an answer, the transaction may have been committed,
  * or may yet be: the records are read again to see if the job is cancelled. After any other failure
- * it was not committed, so the request may be forwarded.
+ * the transaction was not committed, so the request may be forwarded.
  */
 static void on_commit_answer(struct core *core, struct call *call, const struct call_answer *answer)
 {
@@ -58,7 +58,7 @@
 	}
 }
 
-/* Sends the transaction that marks the open record `item` as cancelled. */
+/* Sends a transaction that marks the open record `item` of the request's job as cancelled. */
 static void commit_cancelled_record(struct core *core, struct user_request *request,
 				    const struct kv_item *item)
 {
@@ -78,8 +78,8 @@
 
 /*
  * Cancels a job that is still open. The request is answered "unknown outcome" instead if an earlier
- * transaction had no answer and may yet be committed, or if it is so old that the user will have
- * given up before the answer arrives.
+ * transaction had no answer and may yet be committed, or if the request is so old that the user
+ * will have given up before the answer arrives.
  */
 static void cancel_open_job(struct core *core, struct user_request *request,
 			    const struct kv_item *item)
--- a/src/core/api/cancellations.c
+++ b/src/core/api/cancellations.c
@@ -33,9 +33,9 @@
 }
 
 /*
- * All controllers are told, whichever of them leads: the state service may refuse the leader alone,
- * or a controller that is cut off from the state service may not know that it was deposed, while
- * agents still report to it.
+ * A cancellation is announced to all controllers, whichever of them leads: the state service may
+ * refuse the leader alone, or a controller that is cut off from the state service may not know that
+ * it was deposed, while agents still report to it.
  */
 void cancellations_announce(struct core *core, const char *id, uint64_t version)
 {
@@ -67,8 +67,8 @@
 }
 
 /*
- * Removes the cancellations that are older than any leader needs, and further ones, the oldest
- * first, until there is space for one more.
+ * Removes the confirmed cancellations that are older than any leader needs, and further ones, the
+ * oldest first, until there is space for one more.
  */
 static void trim_confirmed(struct core *core)
 {
@@ -80,10 +80,11 @@
 
 		if (!expired &&
 		    HASH_COUNT(core->api.cancellations.confirmed) < CONFIRMED_CANCELS_MAX)
-			break; /* all others are newer */
+			break; /* all later entries are newer */
 		/*
 		 * A leader must not conclude from the shorter list that this cancellation was never
-		 * confirmed. The new incarnation tells it that the list may lack earlier ones.
+		 * confirmed. The new incarnation tells the leader that the list may lack earlier
+		 * cancellations.
 		 */
 		if (!expired)
 			peers_renew_incarnation(core);
@@ -147,8 +148,8 @@
 
 /* --- cancellations that other controllers have confirmed --- */
 
-/* The steady time up to which all cancellations that the other controllers confirmed are known
- * here; < 0: there is none. */
+/* Returns the steady time up to which all cancellations that the other controllers confirmed are
+ * known to this controller; < 0: there is no such time. */
 static double confirmed_until(const struct core *core)
 {
 	double oldest = core->now;
@@ -162,8 +163,8 @@
  * Applies the cancellations that the peer lists. Each one that the peer confirmed before the
  * request was sent is either in the list or was confirmed under an earlier incarnation, that is
  * before the peer's first answer with the present one. If this leader has read the changes of jobs
- * since that first answer, it knows the earlier ones too. If not, the list does not prove that it
- * knows all.
+ * since that first answer, the leader knows those of the earlier incarnation too. If not, the list
+ * does not prove that this leader knows all cancellations.
  */
 static void apply_confirmed(struct core *core, size_t index, double sent_at,
 			    const Peer__ConfirmedCancellations *message)
@@ -197,8 +198,8 @@
 	peer__confirmed_cancellations__free_unpacked(message, NULL);
 }
 
-/* Followers send these requests too: an answer also shows that the peer is running, on which
- * peers_ready depends. */
+/* Followers request the confirmed cancellations too: an answer also shows that the peer is running,
+ * and peers_ready depends on that. */
 void cancellations_tick(struct core *core)
 {
 	if (!store_is_unavailable(core) || core->now < core->api.cancellations.next_request_at)
--- a/src/core/api/cancellations.h
+++ b/src/core/api/cancellations.h
@@ -1,9 +1,9 @@
 /*
  * Messages between controllers about cancellations. A leader must learn of each cancellation early
- * enough to end the job within `cancel_s` of its confirmation, even while it can't read the
- * records. So a committed cancellation is announced to all controllers at once. In addition, while
- * the state service is unavailable to a controller, it requests from all others the cancellations
- * that they have confirmed to users.
+ * enough to end the job within `cancel_s` of its confirmation, even while the leader can't read the
+ * records. So a committed cancellation is announced to all controllers at once. In addition, a
+ * controller to which the state service is unavailable requests from all other controllers the
+ * cancellations that they have confirmed to users.
  */
 #ifndef PLOVERLOFT_CANCELLATIONS_H
 #define PLOVERLOFT_CANCELLATIONS_H
@@ -25,22 +25,27 @@
 
 /* A cancellation that this controller has confirmed to a user. */
 struct confirmed_cancel {
-	char id[ID_MAX];     /* id of the job */
-	uint64_t version;    /* version of the job's open record; 0: not known */
+	char id[ID_MAX]; /* id of the job */
+	/* Version of the job's open record that is marked as cancelled; 0: not known. */
+	uint64_t version;
 	double confirmed_at; /* steady time of the first confirmation */
 	UT_hash_handle hh;
 };
 
 /* The state of the exchange of cancellations. */
 struct cancellations {
-	struct confirmed_cancel *confirmed; /* hash table by job id, oldest first; owned */
-	double next_request_at; /* steady; earliest time of the next requests to the others */
+	/* Confirmed cancellations: hash table by job id, oldest first; owned. */
+	struct confirmed_cancel *confirmed;
+	/* Steady seconds; earliest time of the next requests for the other controllers' confirmed
+	 * cancellations. */
+	double next_request_at;
 };
 
-/* Announces a committed cancellation to all other controllers. `version` is that of the job's open
- * record. */
+/* Announces a committed cancellation to all other controllers. `version` is the version of the
+ * job's open record that is marked as cancelled. */
 void cancellations_announce(struct core *core, const char *id, uint64_t version);
-/* Records that the user is answered that the job is cancelled. `version` 0: not known. */
+/* Records that a user is answered that the job is cancelled. `version` is the version of the job's
+ * open record that is marked as cancelled; 0: not known. */
 void cancellations_record_confirmed(struct core *core, const char *id, uint64_t version);
 /* Handles another controller's announcement of a cancellation. */
 void cancellations_receive(struct core *core, const struct core_request *request);
--- a/src/core/api/forwarding.c
+++ b/src/core/api/forwarding.c
@@ -54,8 +54,9 @@
 		message = peer__forwarded_answer__unpack(NULL, answer->len,
 							 (const uint8_t *)answer->body);
 	peer_record_answer(core, context->peer, answer);
-	/* The peer does not answer, or the state service does not serve it either. Requests aren't
-	 * forwarded to it for a while, since the outage probably concerns it as well. */
+	/* The peer does not answer, or the state service does not serve it either. Requests
+	 * aren't forwarded to this peer for a while, since the outage probably concerns the peer
+	 * as well. */
 	if (!message || message->status == STATUS_UNAVAILABLE)
 		peer->no_forward_before = core->now + PEER_FORWARD_BACKOFF_S;
 	if (message) {
@@ -107,8 +108,8 @@
 	call->free_arg = free;
 }
 
-/* Returns the peer with the newest answer of those to which requests may be forwarded now; the
- * number of peers if there is none. */
+/* Returns the index of the peer that answered last, among the peers to which requests may be
+ * forwarded now; the number of peers if there is no such peer. */
 static size_t choose_peer(const struct core *core)
 {
 	size_t best = core->conf->peer_count;
--- a/src/core/api/job_index.c
+++ b/src/core/api/job_index.c
@@ -45,7 +45,8 @@
 	free(entry);
 }
 
-/* Removes the oldest final states beyond FINAL_CACHE_MAX. Their records can be read again. */
+/* Removes the oldest final entries beyond FINAL_CACHE_MAX. The final records of these jobs can be
+ * read again. */
 static void trim_finals(struct core *core)
 {
 	while (core->api.index.final_count > FINAL_CACHE_MAX)
@@ -69,7 +70,8 @@
 	trim_finals(core);
 }
 
-/* Applies an open record. It may be older than the final state, which doesn't change any more. */
+/* Applies an open record, unless the index has the job's final state: the record may be older than
+ * that state, which doesn't change any more. */
 static void set_open(struct core *core, const char *id, json_t *value)
 {
 	struct indexed_job *entry = find_or_add(core, id);
@@ -82,7 +84,8 @@
 
 /*
  * Applies the deletion of an open record. The transaction that deletes it also writes the final
- * record, which is applied as a change of its own. Until then, nothing is known of the job.
+ * record, which is applied as a change of its own. Until the final record is applied, the index
+ * knows nothing of the job.
  */
 static void remove_open(struct core *core, const char *id)
 {
@@ -116,7 +119,8 @@
 	}
 }
 
-/* The open entries are removed, since those jobs may have ended in the meantime. */
+/* The entries of open jobs are removed, since these jobs may have ended by the time the open
+ * records are read again. */
 void job_index_invalidate(struct core *core)
 {
 	struct indexed_job *entry, *next;
--- a/src/core/api/job_index_reads.c
+++ b/src/core/api/job_index_reads.c
@@ -28,7 +28,7 @@
 	json_decref(document);
 }
 
-/* The batch of the read that was refused waits for another read. */
+/* Lets the batch of lookups of a refused read wait for another read. */
 static void requeue_batch(struct core *core)
 {
 	lookups_requeue_batch(core);
@@ -36,8 +36,9 @@
 }
 
 /*
- * 410: the state service no longer keeps all changes since the last read, so the open records are
- * read again. 429: another read may succeed while the batch can wait.
+ * Handles the answer to a read of changes. 410: the state service no longer keeps all changes since
+ * the last read, so the open records are read again. 429: another read may succeed while the batch
+ * can wait.
  */
 static void on_changes(struct core *core, struct call *call, const struct call_answer *answer)
 {
@@ -69,7 +70,8 @@
 
 /* --- reads of pages of open records --- */
 
-/* Returns the last key of the page; an empty string if the page is empty. */
+/* Returns the last key of the page of records in `document`; an empty string if the page is
+ * empty. */
 static const char *last_key(json_t *document)
 {
 	json_t *items = json_object_get(document, W_ITEMS);
@@ -81,8 +83,8 @@
 }
 
 /*
- * Applies a page. The pages are read at different revisions. So after the last page, the changes
- * since the revision of the first page are read.
+ * Applies a page of open records. The pages are read at different revisions. So after the last
+ * page, the changes since the revision of the first page are read.
  */
 static void apply_page(struct core *core, const struct call *call, json_t *document)
 {
@@ -100,7 +102,8 @@
 	}
 }
 
-/* If the read fails, the pages read so far stay valid: the next read continues after them. */
+/* Handles the answer to a read of a page. If the read failed, the pages read so far stay valid: the
+ * next read continues after them. */
 static void on_page(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	struct job_index *index = &core->api.index;
@@ -132,7 +135,7 @@
 }
 
 /* True if so many records may have changed since the last read, at the allowed rate of writes, that
- * one answer with all changes would be too large. The pages are then read again. */
+ * one answer with all changes would be too large. The pages of open records are then read again. */
 static bool may_have_too_many_changes(const struct core *core)
 {
 	double age_s = core->now - core->api.index.current_as_of;
--- a/src/core/api/lookups.c
+++ b/src/core/api/lookups.c
@@ -86,8 +86,8 @@
 
 /* --- lookups that share a read of changes --- */
 
-/* A cancellation is not answered from the index: it needs the open record itself, which it replaces
- * by a cancelled one. */
+/* A cancellation is not answered from the index: a cancellation needs the open record itself, and
+ * replaces it by a cancelled one. */
 void user_request_lookup(struct core *core, struct user_request *request)
 {
 	struct lookup_queue *queue = &core->api.lookups;
@@ -105,8 +105,9 @@
 }
 
 /*
- * The status of an open job that is not cancelled. `job` has the leader's own task counts; NULL in
- * other controllers, which use the counts that the leader has sent if they are fresh.
+ * The status of an open job that is not cancelled. `job` is the leader's own state of the job, with
+ * its task counts. It is NULL in other controllers, which use the counts that the leader has sent
+ * if these are fresh.
  */
 static struct job_status open_status(const struct core *core, const struct indexed_job *entry,
 				     const struct job *job)
@@ -134,8 +135,8 @@
 	user_request_answer(core, request, STATUS_OK, open_status(core, entry, job));
 }
 
-/* Without an entry, the job has no open record, but may have a final one that the index does not
- * keep. */
+/* Answers the request from the index of jobs. A job without an entry has no open record, but may
+ * have a final record that the index does not keep. */
 static void answer_from_index(struct core *core, struct user_request *request)
 {
 	const struct indexed_job *entry = job_index_find(core, request->id);
--- a/src/core/api/submissions.c
+++ b/src/core/api/submissions.c
@@ -16,7 +16,8 @@
 
 /* --- transactions --- */
 
-/* Returns the submissions of the transaction that has ended. The caller owns them. */
+/* Returns the submissions of the transaction that was in flight and has ended. The caller owns the
+ * submissions. */
 static struct user_request *detach_batch(struct core *core)
 {
 	struct user_request *batch = core->api.submissions.in_flight;
@@ -25,7 +26,7 @@
 	return batch;
 }
 
-/* Puts a submission back at the head of the queue, ahead of those that came later. */
+/* Puts a submission back at the head of the queue, ahead of submissions that came later. */
 static void requeue(struct core *core, struct user_request *request)
 {
 	DL_PREPEND(core->api.submissions.waiting, request);
@@ -57,8 +58,8 @@
 }
 
 /*
- * A submission whose job has a record already is answered with the job's status. The others were
- * not committed either, and wait for the next transaction.
+ * A submission whose job has a record already is answered with the job's status. The other
+ * submissions of the transaction were not committed either, and wait for the next transaction.
  */
 static void on_batch_conflict(struct core *core, struct user_request *batch,
 			      const struct call_answer *answer)
@@ -87,7 +88,7 @@
 /*
  * After a 400, nothing was or will be committed. Either the transaction has too many changes, and
  * the submissions are sent again in smaller ones, or a record is too large. A record is refused
- * only after a transaction of at most LIMITS_TXN_OPS_MIN changes: so many are assumed to be
+ * only after a transaction of at most LIMITS_TXN_OPS_MIN changes: so many changes are assumed to be
  * allowed. A single submission whose record is not too large was refused for an unknown reason and
  * is not sent again.
  */
@@ -113,7 +114,8 @@
 
 /*
  * Without an answer, the transaction may have been committed, or may yet be: the records are read
- * to find out. After any other failure it was not committed, so the submissions may be forwarded.
+ * to find out. After any other failure the transaction was not committed, so the submissions may be
+ * forwarded.
  */
 static void on_batch_failed(struct core *core, struct user_request *batch,
 			    const struct call_answer *answer)
@@ -169,7 +171,7 @@
 }
 
 /* Adds waiting submissions to the transaction, up to its limits, and moves them to the list of
- * those in flight. The first one is added whatever its size. */
+ * those in flight. The first submission is added whatever its size. */
 static void fill_batch(struct core *core, struct txn *txn)
 {
 	struct submission_queue *queue = &core->api.submissions;
@@ -223,7 +225,8 @@
 	return (int)fmax(SUBMIT_QUEUE_MIN, SUBMIT_QUEUE_S * limits_write_rps(core));
 }
 
-/* Decodes and checks the description, and sets `admission` to the result. */
+/* Decodes and checks the submitted description, and sets `admission` of the request to the
+ * result. */
 static void decode_and_admit(struct core *core, struct user_request *request, json_t *document)
 {
 	const char *reason;
@@ -237,8 +240,8 @@
 	request->admission = admission_check(core, request->spec, request->received_wall_at);
 }
 
-/* Lets an accepted submission wait for a transaction. It is answered at once if the queue is full,
- * or if the job is known to have ended. */
+/* Lets an accepted submission wait for a transaction. The submission is answered at once if the
+ * queue is full, or if the job is known to have ended. */
 static void enqueue(struct core *core, struct user_request *request)
 {
 	struct submission_queue *queue = &core->api.submissions;
@@ -275,8 +278,8 @@
 	json_t *document = wire_parse(received->body, received->len);
 	const char *id = json_string_value(json_object_get(document, W_ID));
 
-	/* Without a valid id, it can't be a job that was accepted before, so no lookup is needed.
-	 * The answer is "not JSON", or else the key of the id, the invalid field. */
+	/* Without a valid id, the job can't have been accepted before, so no lookup is needed. The
+	 * answer is "not JSON", or else the key of the id, the invalid field. */
 	if (!id || !wire_job_id_is_valid(id)) {
 		core_reply_error(core, received->connection, STATUS_BAD_REQUEST, 0,
 				 document ? W_ID : "not JSON");
--- a/src/core/api/submissions.h
+++ b/src/core/api/submissions.h
@@ -1,8 +1,8 @@
 /*
- * Submissions of jobs. Each is checked when it arrives. If it is accepted, it waits for a
- * transaction that writes its job's record. One transaction at a time is in flight. The next one
- * writes the records of all submissions that arrived in the meantime, as far as the limits allow,
- * so that batches grow with the load.
+ * Submissions of jobs. Each submission is checked when it arrives. An accepted submission waits for
+ * a transaction that writes its job's record. One transaction at a time is in flight. The next
+ * transaction writes the records of all submissions that arrived in the meantime, as far as the
+ * limits allow, so that batches grow with the load.
  */
 #ifndef PLOVERLOFT_SUBMISSIONS_H
 #define PLOVERLOFT_SUBMISSIONS_H
@@ -14,10 +14,12 @@
 struct user_request;
 
 struct submission_queue {
-	struct user_request *waiting; /* list: wait for the next transaction; owned */
+	/* List: submissions that wait for the next transaction; owned. */
+	struct user_request *waiting;
 	int waiting_count;
-	struct user_request *in_flight; /* list: in the transaction in flight; owned */
-	size_t largest_record; /* size of the largest record in that transaction in bytes */
+	struct user_request *in_flight; /* list: submissions in the transaction in flight; owned */
+	/* Size in bytes of the largest record in the transaction in flight. */
+	size_t largest_record;
 };
 
 /*
--- a/src/core/api/task_counts.c
+++ b/src/core/api/task_counts.c
@@ -10,7 +10,8 @@
 #include "peer.pb-c.h"
 #include "util/xalloc.h"
 
-/* Both times are so long ago that the counts are not fresh and no request is due. */
+/* Sets `received_at` and `last_demand_at` so far in the past that the counts are not fresh and no
+ * request is due. */
 void task_counts_init(struct core *core)
 {
 	core->api.counts.received_at = core->now - COUNTS_DEMAND_WINDOW_S;
@@ -29,8 +30,8 @@
 
 /* --- the leader's answer --- */
 
-/* True if the answer lists the job. Jobs without done or running tasks are left out, as are those
- * that have no open record any more. */
+/* True if the leader's answer lists the job. Jobs without done or running tasks are left out, and
+ * so are jobs that have no open record any more. */
 static bool has_counts(const struct job *job)
 {
 	return !job->orphan && (job->done_count || job->running_count);
@@ -99,7 +100,7 @@
 {
 	struct task_counts *state = &core->api.counts;
 
-	/* The sender was deposed: counts of a newer leader were received before. */
+	/* The sender of the counts was deposed: counts of a newer leader were received before. */
 	if (message->token < state->token)
 		return;
 	state->token = message->token;
@@ -133,7 +134,8 @@
 	peer_send_empty(core, peer, COUNTS_PATH, on_counts);
 }
 
-/* True if a request is due: in a follower, for a while after a user was answered with counts. */
+/* True if a request for task counts is due: in a follower, for COUNTS_DEMAND_WINDOW_S after a user
+ * was answered with counts. */
 static bool request_due(const struct core *core)
 {
 	const struct task_counts *state = &core->api.counts;
@@ -143,7 +145,7 @@
 	       core->now - state->last_demand_at <= COUNTS_DEMAND_WINDOW_S;
 }
 
-/* Sends no request while no leader is known. */
+/* Sends no request for task counts while no leader is known. */
 void task_counts_tick(struct core *core)
 {
 	if (!request_due(core))
--- a/src/core/api/user_requests.c
+++ b/src/core/api/user_requests.c
@@ -90,7 +90,7 @@
 	return true;
 }
 
-/* Answers with the error and frees the request. */
+/* Answers the request with the error `reply` and frees the request. */
 static void fail_with(struct core *core, struct user_request *request, struct error_reply reply)
 {
 	core_reply_error(core, request->connection, reply.status, reply.retry_after_s, reply.text);
--- a/src/core/election/election.c
+++ b/src/core/election/election.c
@@ -151,6 +151,6 @@
 	if (core->election.role == ROLE_FOLLOWER)
 		return;
 	election_step_down(core, STEP_DOWN_PEER_LEADS);
-	/* Agents are redirected to that controller even if the leader's key can't be read now. */
+	/* Agents are redirected to the newer leader even if the leader's key can't be read now. */
 	snprintf(core->election.leader, sizeof(core->election.leader), "%s", leader);
 }
--- a/src/core/election/election.h
+++ b/src/core/election/election.h
@@ -3,9 +3,9 @@
  * service under a lease. The revision of that key is the fencing token: it guards every transaction
  * that makes a decision, and orders the commands to agents.
  *
- * leader_key.h reads and watches the key, leader_lease.h claims it and renews its lease, and
- * serving_deadline.c computes how long a leader that cannot reach the state service may answer
- * agents.
+ * leader_key.h reads and watches the leader's key, leader_lease.h claims the key and renews the
+ * lease, and serving_deadline.c computes how long a leader that cannot reach the state service may
+ * answer agents.
  */
 #ifndef PLOVERLOFT_ELECTION_H
 #define PLOVERLOFT_ELECTION_H
@@ -36,8 +36,8 @@
 	STEP_DOWN_LEASE_REFUSED,
 	/* a transaction was rejected because the leader's key has another revision */
 	STEP_DOWN_GUARD_FAILED,
-	/* the state service no longer keeps the changes since the last watch of the open jobs:
-	 * some may have been missed */
+	/* the state service no longer keeps the changes since the last watch of the open jobs: some
+	 * changes may have been missed */
 	STEP_DOWN_WATCH_TOO_OLD,
 	/* the serving deadline has passed, see serving_deadline.c */
 	STEP_DOWN_STATE_UNREACHABLE,
@@ -52,25 +52,33 @@
 /* All times are in seconds of the steady clock. */
 struct election {
 	enum leadership_role role;
-	char leader[CONF_NAME_MAX];   /* name of the leader as last read; empty: none */
-	int format;		      /* see election_format */
-	uint64_t key_revision;	      /* of the leader's key; 0: absent */
-	uint64_t format_key_revision; /* of LEADER_KEY, used in formats after the first */
-	uint64_t watch_revision;      /* the next watch returns the changes after this revision */
-	bool keys_are_current;	      /* the keys were read, and a watch can continue from there */
+	char leader[CONF_NAME_MAX]; /* name of the leader as last read; empty: none */
+	int format;		    /* see election_format */
+	/* Revision of the leader's key as last known; 0: the key is absent. */
+	uint64_t key_revision;
+	/* Revision of LEADER_KEY as last known; 0: the key is absent; used in formats after the
+	 * first. */
+	uint64_t format_key_revision;
+	uint64_t watch_revision; /* the next watch returns the changes after this revision */
+	/* The leader's key and LEADER_KEY were read, and a watch can continue from
+	 * `watch_revision`. */
+	bool keys_are_current;
 	bool read_in_flight;
 	bool watch_in_flight;
 	bool claim_in_flight;	      /* the request for a lease, or the claim under it */
-	bool renewal_in_flight;	      /* of the lease */
+	bool renewal_in_flight;	      /* a request to renew the lease is in flight */
 	bool token_renewal_in_flight; /* the write of the leader's key that renews the token */
 	uint64_t min_report_token;    /* see election_min_report_token */
-	uint64_t token;		      /* 0: this controller does not hold the leader's key */
-	uint64_t lease;		      /* id of the lease of the leader's key; 0: none */
-	double renewed_at;	      /* when the last successful renewal of the lease was sent;
-				       * before the first, when the lease was requested */
+	uint64_t token;	   /* fencing token; 0: this controller does not hold the leader's key */
+	uint64_t lease;	   /* id of the lease of the leader's key; 0: none */
+	double renewed_at; /* when the last successful renewal of the lease was sent;
+			    * before the first, when the lease was requested */
 	double next_renewal_at;
-	double retry_at;	   /* the keys are not read and not claimed before this time */
-	double no_claim_before;	   /* set when this controller resigns: no claim before then */
+	/* The leader's key and LEADER_KEY are not read, and the leader's key is not claimed, before
+	 * this time. */
+	double retry_at;
+	/* Set when this controller resigns: the leader's key is not claimed before this time. */
+	double no_claim_before;
 	double jobs_read_at;	   /* see election_jobs_read_at */
 	double peers_confirmed_at; /* see election_record_peers_confirmed; < 0: never */
 };
@@ -86,17 +94,19 @@
 /* The fencing token under which this controller acts; 0 if it does not hold the leader's key. */
 uint64_t election_token(const struct core *core);
 /*
- * Reports that show a lower token than this one do not count. A report that shows this token, or a
- * newer one, proves that its agent was running in this term.
+ * Heartbeats that show a lower token than the returned one are stale (see agents/reports.h). A
+ * heartbeat that shows the returned token, or a newer one, proves that its agent was running in
+ * this term.
  */
 uint64_t election_min_report_token(const struct core *core);
 /* The id of the lease of the leader's key; 0 if there is none. */
 uint64_t election_lease(const struct core *core);
-/* The version of the records' format, as last read from the state service or raised here. */
+/* The version of the records' format, as last read from the state service or raised by this
+ * controller. */
 int election_format(const struct core *core);
 /*
- * Seconds since the last successful renewal of the lease was sent; before the first, since the
- * lease was requested.
+ * Seconds since the last successful renewal of the lease was sent; before the first renewal,
+ * seconds since the lease was requested.
  */
 double election_renewal_age(const struct core *core);
 /*
@@ -106,7 +116,8 @@
 bool election_call_is_stale(const struct core *core, const struct call *call);
 /*
  * True while this controller's own write of the leader's key, which renews its token, is in flight.
- * Only the answer to that write then shows who leads: a newer revision of the key may be its own.
+ * Only the answer to that write then shows who leads: a newer revision of the key may come from the
+ * write itself.
  */
 bool election_is_renewing_token(const struct core *core);
 
@@ -114,17 +125,19 @@
 
 /* Sets the initial state: a follower that has read nothing yet and assumes the first format. */
 void election_init(struct core *core);
-/* Reads or watches the keys, claims the leader's key or renews its lease, as each is due. */
+/* Reads or watches the leader's key and LEADER_KEY, claims the leader's key or renews its lease, as
+ * each is due. Also steps down if the serving deadline has passed. */
 void election_tick(struct core *core);
 /* Makes this controller the leader, after it has read the records. */
 void election_start_leading(struct core *core);
-/* Records that a write of the leader's key was sent, which renews the token. */
+/* Records that a write of the leader's key was sent to renew the token. */
 void election_on_token_renewal_sent(struct core *core);
 /* Records that no write of the leader's key is in flight any more. */
 void election_on_token_renewal_ended(struct core *core);
 /* Sets the token: the revision of the leader's key after this leader has written it again. */
 void election_set_token(struct core *core, uint64_t token);
-/* From now on only reports that show the present token, or a newer one, count. */
+/* From now on only heartbeats that show the present token, or a newer one, are current (see
+ * agents/reports.h). */
 void election_require_current_token(struct core *core);
 /* Sets the format after this leader has raised it, by a commit with the given revision. */
 void election_set_format(struct core *core, int format, uint64_t revision);
@@ -143,24 +156,25 @@
  * Agents are redirected to that controller. Nothing happens in a follower.
  */
 void election_on_newer_leader(struct core *core, const char *leader);
-/* Makes the next tick read the keys again, once the retry delay is over. */
+/* Makes election_tick read the leader's key and LEADER_KEY again, once the retry delay is over. */
 void election_invalidate_keys(struct core *core);
 
 /* --- serving deadline: how long the leader may answer without the state service --- */
 
-/* Records that a read of the open jobs, or of their changes, was answered; it was sent at the
- * steady time `at`. */
+/* Records that a read of the open jobs, or of their changes, was answered. The request was sent at
+ * the steady time `at`. */
 void election_record_jobs_read(struct core *core, double at);
-/* The steady time at which the newest such read was sent. */
+/* The steady time at which the newest answered read of the open jobs, or of their changes, was
+ * sent. */
 double election_jobs_read_at(const struct core *core);
 /*
  * Records that all cancellations which the other controllers confirmed before `at` (steady) were
- * received; `at` < 0: that is not known for any time.
+ * received; `at` < 0: this is not known for any time.
  */
 void election_record_peers_confirmed(struct core *core, double at);
 /*
  * True if this controller leads and the serving deadline has not passed: a cancellation that
- * another controller confirms is then still carried out in time.
+ * another controller confirms is then still carried out in time (see serving_deadline.c).
  */
 bool election_may_serve(const struct core *core);
 /*
@@ -176,9 +190,9 @@
 /* The value of the leader's key while this controller leads. The caller owns it. */
 json_t *election_leader_key_value(const struct core *core);
 /*
- * The value that LEADER_KEY gets when the format is raised, and then keeps forever. The name in it
- * is that of no controller, so that a program version which reads only the first format takes the
- * leader's key as held. The caller owns the value.
+ * The value that LEADER_KEY gets when the records' format is raised, and then keeps forever. The
+ * name in the value is that of no controller, so that a program version which reads only the first
+ * format takes the leader's key as held. The caller owns the value.
  */
 json_t *election_format_key_value(int format);
 
--- a/src/core/election/format_gate.c
+++ b/src/core/election/format_gate.c
@@ -1,9 +1,9 @@
 /*
- * The format version gate. Each controller commits the newest format that it reads under a key of
- * its own. Once all controllers have registered the newest format, the leader raises the format of
- * the records with one transaction, which renews its token as well. Until then it writes only
- * records that every controller reads. The other controllers need not be running when the format is
- * raised, since what they registered is stored.
+ * The format version gate. Each controller registers the newest format that it reads: it commits
+ * the format's number under a key of its own. Once all controllers have registered the newest
+ * format, the leader raises the format of the records with one transaction, which renews its token
+ * as well. Until then the leader writes only records that every controller reads. The other
+ * controllers need not be running when the format is raised, since what they registered is stored.
  */
 #include "core/election/format_gate.h"
 
@@ -12,7 +12,8 @@
 
 #include "core/state.h"
 
-/* Prefix of the keys under which the controllers register: one key for each, with its name. */
+/* Prefix of the keys under which the controllers register: one key for each controller, with the
+ * controller's name. */
 #define KEY_VERSIONS "v/"
 
 /* --- registration of this controller's version --- */
@@ -29,7 +30,8 @@
 	gate->next_register_at = core->now + FORMAT_REGISTER_RETRY_S;
 }
 
-/* With `hold_format`, only the first format is registered, so the format is not raised. */
+/* Registers the newest format that this controller reads. With the setting `hold_format`, only the
+ * first format is registered, so that the records' format is not raised. */
 static void register_version(struct core *core)
 {
 	int format = core->conf->hold_format ? FORMAT_LARGE_CHUNKS : FORMAT_NEWEST;
@@ -48,7 +50,8 @@
 /* Context of a pass over the registered versions. */
 struct version_scan {
 	const struct core *core;
-	size_t newest_count; /* controllers of this cluster that read the newest format */
+	/* Number of controllers of this cluster that have registered the newest format. */
+	size_t newest_count;
 };
 
 static bool is_member(const struct core *core, const char *name)
@@ -61,7 +64,8 @@
 	return false;
 }
 
-/* Counts the controllers that read the newest format; those not in the settings do not count. */
+/* Counts the controllers that have registered the newest format; a controller that is not in the
+ * settings does not count. */
 static void count_version(void *context, const struct kv_item *entry)
 {
 	struct version_scan *scan = context;
--- a/src/core/election/leader_key.c
+++ b/src/core/election/leader_key.c
@@ -1,6 +1,6 @@
 /*
  * Reads and watches the leader's key and the key that holds the version of the records' format, and
- * applies what they hold to the state of the election.
+ * applies the contents of both keys to the state of the election.
  */
 #include "core/election/leader_key.h"
 
@@ -11,7 +11,7 @@
 #include "util/log.h"
 
 /*
- * The leader's key in formats after the first. Versions that know only the first format use
+ * The leader's key in formats after the first. Program versions that know only the first format use
  * LEADER_KEY. Both keys have the prefix LEADER_KEY, so that one read or watch covers them.
  */
 #define LEADER_KEY_SMALL_CHUNKS LEADER_KEY "/2"
@@ -47,7 +47,7 @@
 	/*
 	 * If the key names this controller although it does not lead, an earlier process of it or
 	 * an ended term has left the key: there is no leader. A claim in flight may have written
-	 * it, however.
+	 * the key, however.
 	 */
 	if (election->role == ROLE_FOLLOWER && !election->claim_in_flight &&
 	    !strcmp(election->leader, core->conf->name))
@@ -63,8 +63,8 @@
  * format.
  *
  * A controller whose program version does not support the format stays a follower. claim_is_due
- * checks this; for versions that take LEADER_KEY for the leader's key, that key is never free,
- * since it names a leader that is no controller.
+ * checks this; for program versions that take LEADER_KEY for the leader's key, LEADER_KEY is never
+ * free, since it names a leader that is no controller.
  */
 static void apply_format_key(struct core *core, const struct kv_item *entry)
 {
@@ -112,7 +112,8 @@
 		apply_leader_key(scan->core, entry);
 }
 
-/* Applies the format first, since it determines which key is the leader's. */
+/* Applies the entries of both keys. The format comes first, since it determines which key is the
+ * leader's. */
 static void scan_keys(struct key_scan *scan, json_t *answer_json)
 {
 	wire_items_for_each(answer_json, scan_format_key, scan);
@@ -155,8 +156,8 @@
 /* --- watching the keys --- */
 
 /*
- * A watch may deliver changes later than the answers to this leader's own writes: changes up to its
- * token are ignored, and all changes while it writes the leader's key.
+ * A watch may deliver changes later than the answers to this leader's own writes: changes up to
+ * this leader's token are ignored, and so are all changes while the leader writes its key.
  */
 static bool watched_entry_is_current(const struct core *core, const struct kv_item *entry)
 {
--- a/src/core/election/leader_key.h
+++ b/src/core/election/leader_key.h
@@ -10,8 +10,8 @@
 struct core;
 
 /*
- * Reads both keys if the last read may be out of date and the retry delay is over; otherwise starts
- * a watch on them if none is in flight.
+ * Reads the leader's key and LEADER_KEY if the last read may be out of date and the retry delay is
+ * over; otherwise starts a watch on these keys if none is in flight.
  */
 void leader_key_tick(struct core *core);
 
--- a/src/core/election/leader_lease.c
+++ b/src/core/election/leader_lease.c
@@ -12,7 +12,8 @@
 
 /* --- returning the lease --- */
 
-/* Nothing to do: if the request was lost, the lease expires by itself. */
+/* Handles the answer to the return of the lease. There is nothing to do: if the request was lost,
+ * the lease expires by itself. */
 static void on_return_answer(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	(void)core;
@@ -32,7 +33,7 @@
 
 /* --- claiming the leader's key --- */
 
-/* Starts a term under the token: the revision of the claim. */
+/* Starts a term under `token`, the revision of the committed claim of the leader's key. */
 static void begin_term(struct core *core, uint64_t token)
 {
 	struct election *election = &core->election;
@@ -48,7 +49,8 @@
 	core->events->leadership_won(core);
 }
 
-/* A lease without a successful claim is not returned; it expires by itself. */
+/* Handles the answer to the claim of the leader's key. A lease without a successful claim is not
+ * returned; it expires by itself. */
 static void on_claim_answer(struct core *core, struct call *call, const struct call_answer *answer)
 {
 	struct election *election = &core->election;
@@ -70,7 +72,7 @@
 	begin_term(core, token);
 }
 
-/* Writes the leader's key, on condition that this key, and LEADER_KEY if it is another one, still
+/* Writes the leader's key, on condition that this key, and LEADER_KEY if it is another key, still
  * have the revisions last read. */
 static void send_claim(struct core *core)
 {
@@ -103,7 +105,7 @@
 	/*
 	 * If there is a leader now, another controller claimed the key while the lease was
 	 * requested. Its claim must not be overwritten, and the guard would not prevent that, since
-	 * the revision last read is that of the other's claim.
+	 * the revision last read is that of the other controller's claim.
 	 */
 	if (*election->leader) {
 		election->claim_in_flight = false;
@@ -137,7 +139,7 @@
 
 /*
  * The lease is taken to be renewed from the time at which the request was sent, since the state
- * service may have renewed it at any time after that.
+ * service may have renewed the lease at any time after the request was sent.
  */
 static void on_renewal_answer(struct core *core, struct call *call,
 			      const struct call_answer *answer)
--- a/src/core/election/leader_lease.h
+++ b/src/core/election/leader_lease.h
@@ -7,14 +7,15 @@
 struct core;
 
 /*
- * Requests a lease and then claims the leader's key under it, if the keys as last read show no
- * leader, this program version supports the records' format, and the delays after a failure and
- * after a resignation are over.
+ * Requests a lease and then claims the leader's key under it, if the leader's key as last read
+ * shows no leader, this program version supports the records' format, and the delays after a
+ * failure and after a resignation are over.
  */
 void leader_lease_claim_if_due(struct core *core);
-/* Renews the lease if the renewal is due. */
+/* Renews the lease of the leader's key if the renewal is due. */
 void leader_lease_renew_if_due(struct core *core);
-/* Returns the lease, if there is one: the state service then deletes the leader's key at once. */
+/* Returns the lease of the leader's key, if there is one: the state service then deletes the key at
+ * once. */
 void leader_lease_return(struct core *core);
 
 #endif
--- a/src/core/election/serving_deadline.c
+++ b/src/core/election/serving_deadline.c
@@ -7,11 +7,11 @@
  * for `cancel_s` less the agent's lease, counted from the last time up to which it knows all
  * confirmed cancellations.
  *
- * That time is the later one of two:
+ * The time up to which the leader knows all confirmed cancellations is the later of two times:
  * - The time at which the newest answered read of the jobs' changes was sent: a cancellation that
- *   the leader does not know was committed after it. If the last successful renewal of the
- *   leader's lease was sent earlier, the time of the renewal counts instead. A renewal alone
- *   proves less: that the leader's key is held, not that the changes were read.
+ *   the leader does not know was committed after it. If the last successful renewal of the leader's
+ *   lease was sent earlier, the time of the renewal counts instead. A renewal alone proves less:
+ *   that the leader's key is held, not that the changes were read.
  * - The time up to which all other controllers have listed the cancellations that they confirmed.
  *   This time counts in an outage of the state service that concerns all controllers: only the
  *   other controllers can have confirmed a cancellation that this leader does not know.
@@ -47,8 +47,9 @@
 
 	/*
 	 * The span is never shorter than the lease of the leader's key, else a slow answer of the
-	 * state service would end a term. If cancel_s leaves less than that after the margin, the
-	 * margin is used as well; if it leaves still less, a cancellation may be carried out late.
+	 * state service would end a term. If `cancel_s` leaves less than the lease after the
+	 * margin, the margin is used as well; if it leaves still less, a cancellation may be
+	 * carried out late.
 	 */
 	return fmax(cancel_budget_s - CANCEL_MARGIN_S, LEADER_TTL_MS / 1000.0);
 }
