--- a/src/core/agents/commands.c
+++ b/src/core/agents/commands.c
@@ -87,7 +87,7 @@
 	binding->stop_sent_at = core->now;
 }
 
-/* Adds the start or stop that is due for the binding, if there is one. */
+/* Adds the start or stop command that is due for the binding to the message, if one is due. */
 static void add_binding_command(struct core *core, struct binding *binding,
 				enum command_channel channel, struct command_list *list)
 {
--- a/src/core/agents/commands.h
+++ b/src/core/agents/commands.h
@@ -11,8 +11,8 @@
 
 /* How commands are sent to an agent. */
 enum command_channel {
-	CHANNEL_HEARTBEAT, /* in the answer to the agent's heartbeat */
-	CHANNEL_DIRECT	   /* in a separate message, see direct_commands.h */
+	CHANNEL_HEARTBEAT, /* commands in the answer to the agent's heartbeat */
+	CHANNEL_DIRECT	   /* commands in a separate message, see direct_commands.h */
 };
 
 /* The commands of one message to an agent. */
@@ -29,8 +29,9 @@
  */
 bool machine_starts_are_fenced(const struct machine *machine);
 /*
- * Fills *list with the commands that are due, at most COMMANDS_MAX. All starts and stops that are
- * due are recorded as sent through the channel, even if they did not fit into the list.
+ * Fills *list with the commands that are due for the machine's agent, at most COMMANDS_MAX. All
+ * starts and stops that are due are recorded as sent through the channel, even if they did not fit
+ * into the list.
  */
 void commands_collect(struct core *core, struct machine *machine, enum command_channel channel,
 		      struct command_list *list);
--- a/src/core/agents/heartbeats.c
+++ b/src/core/agents/heartbeats.c
@@ -89,8 +89,8 @@
 	if (!election_is_renewing_token(core))
 		election_step_down(core, STEP_DOWN_HIGHER_TOKEN_SEEN);
 	/*
-	 * After a 200 the agent would keep sending its reports here, though it ignores answers with
-	 * a token lower than its own.
+	 * After a 200 the agent would keep sending its reports to this controller, though it
+	 * ignores answers with a token lower than its own.
 	 */
 	core_reply_error(core, connection, STATUS_UNAVAILABLE, 0, "not leading");
 	return false;
--- a/src/core/agents/machine_health.c
+++ b/src/core/agents/machine_health.c
@@ -162,8 +162,8 @@
 }
 
 /*
- * If nearly all agents fall silent at once, they have not failed: this controller is partitioned
- * from them.
+ * If nearly all agents fall silent at once, the agents have not failed: this controller is
+ * partitioned from them.
  */
 static bool is_partitioned(const struct contact_summary *summary)
 {
--- a/src/core/agents/report_cache.c
+++ b/src/core/agents/report_cache.c
@@ -15,10 +15,11 @@
 
 #define SEQUENCE_FIELD_LEN (sizeof(sequence_field) - 1)
 
-/* A report's text before and after the digits of its sequence number. Points into the text. */
+/* A report's text before and after the digits of its sequence number. `head` and `tail` point into
+ * the text. */
 struct report_text {
 	const char *head, *tail;
-	size_t head_len, tail_len; /* in bytes */
+	size_t head_len, tail_len; /* lengths of the head and the tail in bytes */
 	uint64_t sequence;
 };
 
--- a/src/core/agents/report_cache.h
+++ b/src/core/agents/report_cache.h
@@ -10,7 +10,8 @@
 
 #include "wire/wire.h"
 
-struct report_cache_entry; /* owned by the cache, though a machine also points to its entry */
+/* The cache owns its entries, though a machine also points to the entry of its report. */
+struct report_cache_entry;
 
 /* The cache: a hash table of entries, by the hash of their text; NULL if the cache is empty. */
 struct report_cache {
--- a/src/core/agents/reports.c
+++ b/src/core/agents/reports.c
@@ -81,9 +81,9 @@
 }
 
 /*
- * An agent that answers us but has sent no heartbeat here in this term may still report to an
- * earlier leader. Once the agent has seen our token, it ignores that leader's answers and reports
- * here.
+ * An agent that answers us but has sent no heartbeat to this controller in this term may still
+ * report to an earlier leader. Once the agent has seen our token, the agent ignores that leader's
+ * answers and reports to this controller.
  */
 static void announce_token(struct core *core, struct machine *machine, const struct report *report)
 {
--- a/src/core/agents/reports.h
+++ b/src/core/agents/reports.h
@@ -1,5 +1,5 @@
 /*
- * Decides which reports of agents are current, and applies those to the state of their machine.
+ * Decides which reports of agents are current, and applies reports to the state of their machines.
  *
  * A heartbeat may be a late copy: from seconds or minutes ago, from before a failover, or of a
  * machine that was deleted. A heartbeat is current if it shows election_min_report_token or a newer
--- a/src/core/api/forwarding.c
+++ b/src/core/api/forwarding.c
@@ -1,5 +1,6 @@
 /*
- * Forwards users' requests to other controllers, and handles those that others forward.
+ * Forwards users' requests to other controllers, and handles the requests that other controllers
+ * forward.
  */
 #include "core/api/forwarding.h"
 
--- a/src/core/api/job_index.c
+++ b/src/core/api/job_index.c
@@ -19,8 +19,8 @@
 	return entry;
 }
 
-/* Returns the job's entry, which is added if there is none. Returns NULL for an id that is longer
- * than any job's. */
+/* Returns the job's entry in the index. Adds an entry if there is none. Returns NULL for an id that
+ * is longer than any job's id. */
 static struct indexed_job *find_or_add(struct core *core, const char *id)
 {
 	struct indexed_job *entry = job_index_find(core, id);
--- a/src/core/api/lookups.h
+++ b/src/core/api/lookups.h
@@ -1,7 +1,7 @@
 /*
  * Lookups: requests that are answered from the records of their job. The records are read after the
  * request came, so that the answer is not older than the request. Lookups wait for the next read of
- * changes into the index of jobs, and that one read answers all of them.
+ * changes into the index of jobs, and one such read answers all lookups that wait for it.
  */
 #ifndef PLOVERLOFT_LOOKUPS_H
 #define PLOVERLOFT_LOOKUPS_H
--- a/src/core/api/peer_requests.h
+++ b/src/core/api/peer_requests.h
@@ -1,6 +1,7 @@
 /*
- * Requests between controllers, except those of share switching: routes the requests that other
- * controllers send to this controller, and sends this controller's periodic requests to them.
+ * Requests between controllers, except those of share switching (see scheduling/share_switching.h):
+ * routes the requests that other controllers send to this controller, and sends this controller's
+ * periodic requests to them.
  */
 #ifndef PLOVERLOFT_PEER_REQUESTS_H
 #define PLOVERLOFT_PEER_REQUESTS_H
--- a/src/core/api/submissions.c
+++ b/src/core/api/submissions.c
@@ -170,8 +170,8 @@
 	return false;
 }
 
-/* Adds waiting submissions to the transaction, up to its limits, and moves them to the list of
- * those in flight. The first submission is added whatever its size. */
+/* Adds waiting submissions to the transaction, up to its limits, and moves these submissions to the
+ * list of those in flight. The first submission is added whatever its size. */
 static void fill_batch(struct core *core, struct txn *txn)
 {
 	struct submission_queue *queue = &core->api.submissions;
--- a/src/core/api/task_counts.c
+++ b/src/core/api/task_counts.c
@@ -72,8 +72,8 @@
 
 /* --- requests of the other controllers --- */
 
-/* Sets the counts of all open jobs to 0. Jobs that the leader does not list have neither done nor
- * running tasks. */
+/* Sets the task counts of all open jobs in the index to 0. Jobs that the leader does not list have
+ * neither done nor running tasks. */
 static void reset_counts(struct core *core)
 {
 	struct indexed_job *entry, *next;
--- a/src/core/election/election.h
+++ b/src/core/election/election.h
@@ -26,7 +26,7 @@
 
 /* Why a term ends. */
 enum step_down_reason {
-	/* another controller wrote the leader's key, or it was deleted with its lease */
+	/* another controller wrote the leader's key, or the key was deleted with its lease */
 	STEP_DOWN_KEY_TAKEN,
 	/* another controller raised the version of the records' format */
 	STEP_DOWN_FORMAT_RAISED,
@@ -45,7 +45,8 @@
 	STEP_DOWN_PEER_LEADS,
 	/* an agent's report shows a newer token */
 	STEP_DOWN_HIGHER_TOKEN_SEEN,
-	/* too many agents are silent at once: this controller is probably cut off from them */
+	/* too many agents are silent at once: this controller is probably cut off from the
+	 * agents */
 	STEP_DOWN_PARTITIONED
 };
 
@@ -65,10 +66,13 @@
 	bool keys_are_current;
 	bool read_in_flight;
 	bool watch_in_flight;
-	bool claim_in_flight;	      /* the request for a lease, or the claim under it */
-	bool renewal_in_flight;	      /* a request to renew the lease is in flight */
-	bool token_renewal_in_flight; /* the write of the leader's key that renews the token */
-	uint64_t min_report_token;    /* see election_min_report_token */
+	/* The request for a lease, or the claim of the leader's key under the lease, is in
+	 * flight. */
+	bool claim_in_flight;
+	bool renewal_in_flight; /* a request to renew the lease is in flight */
+	/* A write of the leader's key that renews the token is in flight. */
+	bool token_renewal_in_flight;
+	uint64_t min_report_token; /* see election_min_report_token */
 	uint64_t token;	   /* fencing token; 0: this controller does not hold the leader's key */
 	uint64_t lease;	   /* id of the lease of the leader's key; 0: none */
 	double renewed_at; /* when the last successful renewal of the lease was sent;
@@ -134,12 +138,14 @@
 void election_on_token_renewal_sent(struct core *core);
 /* Records that no write of the leader's key is in flight any more. */
 void election_on_token_renewal_ended(struct core *core);
-/* Sets the token: the revision of the leader's key after this leader has written it again. */
+/* Sets the fencing token: the revision of the leader's key after this leader has written the key
+ * again. */
 void election_set_token(struct core *core, uint64_t token);
 /* From now on only heartbeats that show the present token, or a newer one, are current (see
  * agents/reports.h). */
 void election_require_current_token(struct core *core);
-/* Sets the format after this leader has raised it, by a commit with the given revision. */
+/* Sets the version of the records' format after this leader has raised it, by a commit with the
+ * given revision. */
 void election_set_format(struct core *core, int format, uint64_t revision);
 /*
  * Ends this controller's term. The lease is not returned and expires by itself. Nothing happens in
@@ -187,7 +193,7 @@
 
 /* The leader's key: the controller that holds it leads, in the given format of the records. */
 const char *election_leader_key(int format);
-/* The value of the leader's key while this controller leads. The caller owns it. */
+/* The value of the leader's key while this controller leads. The caller owns the value. */
 json_t *election_leader_key_value(const struct core *core);
 /*
  * The value that LEADER_KEY gets when the records' format is raised, and then keeps forever. The
--- a/src/core/model/binding.h
+++ b/src/core/model/binding.h
@@ -80,7 +80,8 @@
  * replaced only if its grace period was longer.
  */
 void binding_stop(struct core *core, struct binding *binding, double grace_s);
-/* True if no start was sent in this term, and an earlier leader can't have sent one either. */
+/* True if no start of the binding's task was sent in this term, and an earlier leader can't have
+ * sent one either. */
 bool binding_start_never_sent(const struct binding *binding);
 /*
  * Ends the binding, whose attempt is proved to have ended or was never started. `reason` decides on
--- a/src/core/model/chunk.h
+++ b/src/core/model/chunk.h
@@ -1,6 +1,8 @@
 /*
  * Chunks of task records. A chunk is a range of a job's tasks that share one record in the state
- * service. The record says which of the tasks are done, and which are bound to which machine.
+ * service. The record says which of the tasks are done, and which are bound to which machine. In
+ * the first format of the records, FORMAT_LARGE_CHUNKS, a chunk has LARGE_CHUNK_TASKS tasks (a
+ * large chunk), in later formats SMALL_CHUNK_TASKS (a small chunk).
  */
 #ifndef PLOVERLOFT_CHUNK_H
 #define PLOVERLOFT_CHUNK_H
@@ -32,8 +34,8 @@
 };
 
 /*
- * A record of LARGE_CHUNK_TASKS tasks that is left of the older format FORMAT_LARGE_CHUNKS. It is
- * valid for those tasks whose chunk has no record of the newer format.
+ * The record of a large chunk, left from the older format FORMAT_LARGE_CHUNKS. The record is valid
+ * for those of its tasks whose small chunk has no record of the newer format.
  */
 struct old_chunk {
 	uint64_t version; /* version of the record's key; 0: there is no such record */
--- a/src/core/model/job.c
+++ b/src/core/model/job.c
@@ -35,7 +35,7 @@
 	return job;
 }
 
-/* Extends an array from `count` to `new_count` elements; the new ones are zero. */
+/* Extends an array from `count` to `new_count` elements; the new elements are zero. */
 static void *grow_zeroed(void *array, size_t count, size_t new_count, size_t element_size)
 {
 	char *grown = xreallocarray(array, new_count, element_size);
--- a/src/core/model/job.h
+++ b/src/core/model/job.h
@@ -41,7 +41,7 @@
 	/* End of the job's reservation of capacity; 0: the job has no reservation. */
 	double reserved_until;
 	/* The job's reservation is a growing one: each scheduling cycle adds capacity that has
-	 * fallen free. */
+	 * fallen free (see scheduling/reservation.h). */
 	bool has_growing_reservation;
 	/* The zone to which a growing reservation is limited; empty: all zones. */
 	char reserved_zone[NAME_MAX_LEN];
--- a/src/core/model/job_failures.c
+++ b/src/core/model/job_failures.c
@@ -7,7 +7,7 @@
 #include "core/state.h"
 #include "util/log.h"
 
-/* The backoff in seconds after a failure that `earlier_failures` consecutive ones preceded. */
+/* The backoff in seconds after a failure that `earlier_failures` consecutive failures preceded. */
 static double backoff_s(int earlier_failures)
 {
 	double wait_s = ERROR_BACKOFF_S;
@@ -47,7 +47,7 @@
 	machine->scheduling.backoff_until = core->now + START_REFUSED_BACKOFF_S;
 }
 
-/* True if the job is among those remembered as failed on the machine. */
+/* True if the job is in the machine's list of jobs that failed on it. */
 static bool has_failed_job(const struct machine *machine, const struct job *job)
 {
 	for (int i = 0; i < machine->scheduling.failed_job_count; i++)
--- a/src/core/model/machine.c
+++ b/src/core/model/machine.c
@@ -148,8 +148,8 @@
 
 /*
  * A recent message does not make a machine usable: only answers to heartbeats renew an agent's
- * lease. An agent that answers probes and direct commands, but whose heartbeats don't arrive here,
- * will lose its lease and its tasks with it.
+ * lease. An agent that answers probes and direct commands, but whose heartbeats don't arrive at
+ * this controller, will lose its lease and its tasks with it.
  */
 bool machine_is_usable(const struct core *core, const struct machine *machine)
 {
--- a/src/core/model/machine.h
+++ b/src/core/model/machine.h
@@ -86,7 +86,8 @@
 	struct machine *supervised_prev, *supervised_next;
 };
 
-/* Commands that are sent to the agent directly, not with the answer to a heartbeat. */
+/* The direct messages to the machine's agent: commands that are not sent with the answer to a
+ * heartbeat, see agents/direct_commands.h. */
 struct machine_commands {
 	/* Fencing token of the newest direct message that contained a start and was not answered;
 	 * 0: there is no such message. The start may still take effect until the agent has shown a
@@ -110,7 +111,8 @@
 	bool expected;
 	bool failed;		   /* an inventory says that the machine has failed */
 	uint64_t inventory_number; /* number of the newest inventory that named the machine */
-	/* Number of complete inventories without the machine since one last named it. */
+	/* Number of complete inventories without the machine since an inventory last named the
+	 * machine. */
 	int missed_inventories;
 	/* Steady seconds; when the machine was rented, as far as is known, or its agent was
 	 * restarted. The time allowed for a boot counts from this time. */
--- a/src/core/model/task_bitmap.h
+++ b/src/core/model/task_bitmap.h
@@ -10,7 +10,8 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* The size in bytes of a bitmap for so many tasks: one more than their bits fill. */
+/* The size in bytes of a bitmap for `task_count` tasks: one byte more than the bits of these tasks
+ * need. */
 size_t task_bitmap_bytes(uint32_t task_count);
 /* True if the task's bit is set. */
 bool task_bit_test(const uint8_t *bits, uint32_t task);
@@ -19,11 +20,11 @@
 /* Clears the task's bit. */
 void task_bit_clear(uint8_t *bits, uint32_t task);
 
-/* The text form of the first `nbits` bits. The caller frees it. */
+/* Returns the text form of the first `nbits` bits. The caller frees the text. */
 char *bits_encode(const uint8_t *bits, uint32_t nbits);
 /*
- * Sets in `bits` the bits that are set in the text, and leaves the others as they are. Returns 0,
- * or -1 if the text has a character that is not in the alphabet or sets a bit beyond the first
+ * Sets in `bits` the bits that are set in the text, and leaves the other bits as they are. Returns
+ * 0, or -1 if the text has a character that is not in the alphabet or sets a bit beyond the first
  * `nbits`.
  */
 int bits_decode(const char *text, uint8_t *bits, uint32_t nbits);
--- a/src/core/model/tombstones.h
+++ b/src/core/model/tombstones.h
@@ -33,7 +33,7 @@
 void tombstone_add(struct core *core, const char *id);
 /*
  * True if a new fencing token is worth its write: there are more than TOMBSTONES_MAX tombstones, at
- * least the oldest is not needed under a new token, and they were not trimmed lately.
+ * least the oldest is not needed under a new token, and the tombstones were not trimmed lately.
  */
 bool tombstones_need_new_token(const struct core *core);
 /*
--- a/src/core/records/recovery.c
+++ b/src/core/records/recovery.c
@@ -19,8 +19,8 @@
 
 /*
  * Prefixes of the keys of records, in the order in which recovery reads them. Jobs come before the
- * records of their tasks. Records of small chunks come before those of large chunks, which count
- * only for tasks that no newer record covers.
+ * records of their tasks. Records of small chunks come before records of large chunks: a large
+ * chunk's record counts only for tasks that no newer record covers.
  */
 static const char *const prefixes_large_chunks[] = {KEY_OPEN_JOBS, KEY_LARGE_CHUNKS, NULL};
 static const char *const prefixes_small_chunks[] = {KEY_OPEN_JOBS, KEY_SMALL_CHUNKS,
--- a/src/core/records/task_records.c
+++ b/src/core/records/task_records.c
@@ -50,7 +50,7 @@
 	return (uint64_t)attempt == binding->attempt && !strcmp(zone, binding->machine->zone);
 }
 
-/* Returns the group of the binding's attempt and zone, which is added if there is none. */
+/* Returns the group of the binding's attempt number and zone. Adds the group if there is none. */
 static json_t *find_or_add_group(json_t *groups, const struct binding *binding)
 {
 	json_t *group;
--- a/src/core/records/transaction.h
+++ b/src/core/records/transaction.h
@@ -42,7 +42,7 @@
  * and is empty afterwards.
  */
 void transaction_send(struct core *core, struct txn *txn);
-/* Sends the transaction in flight again if it awaits a retry and the delay has passed. */
+/* Sends the transaction in flight again if it awaits a retry and the retry delay has passed. */
 void transaction_retry_if_due(struct core *core);
 /* Ends the transaction in flight and frees what it owns. Answers to it are ignored from then on. */
 void transaction_clear(struct core *core);
--- a/src/core/records/transaction_conflict.c
+++ b/src/core/records/transaction_conflict.c
@@ -1,6 +1,7 @@
 /*
  * Resolves a conflict. Either another party has changed a key, or an earlier copy of the same
- * transaction was applied though its answer was lost. The present values of the keys show which.
+ * transaction was applied though its answer was lost. The present values of the keys show which of
+ * the two happened.
  */
 #include <stdlib.h>
 #include <string.h>
--- a/src/core/records/write_queue.h
+++ b/src/core/records/write_queue.h
@@ -83,7 +83,7 @@
 
 /* --- used by the transaction files only --- */
 
-/* Removes the write from its queue. The caller owns it from then on. */
+/* Removes the write from its queue. The caller owns the write from then on. */
 void write_queue_remove(struct pending_write *write);
 /* Inserts a write that is in no queue at the head of the queue for its kind; the queue owns the
  * write from then on. */
