--- a/src/core/agents/agents.h
+++ b/src/core/agents/agents.h
@@ -14,7 +14,8 @@
 	struct machine *command_queue;
 	/* limits the rate of all probes but those of replica supervision */
 	struct rate_limiter probe_limiter;
-	/* unanswered direct commands and probes, each of which holds a socket */
+	/* number of unanswered calls to agents (direct commands and probes), each of which holds a
+	 * socket */
 	int calls_in_flight;
 	struct contact_histogram contact_histogram;
 	double next_scan_at; /* steady seconds; machines_tick scans no machines before this time */
--- a/src/core/agents/reports.h
+++ b/src/core/agents/reports.h
@@ -20,8 +20,9 @@
 
 /* Why an agent sent a report. */
 enum report_origin {
-	REPORT_HEARTBEAT, /* the agent sent it by itself, as it does at each interval */
-	REPORT_SOLICITED  /* the agent sent it in the answer to a probe or to direct commands */
+	REPORT_HEARTBEAT, /* the agent sent the report by itself, as at each report interval */
+	/* The agent sent the report in the answer to a probe or to direct commands. */
+	REPORT_SOLICITED
 };
 
 /*
--- a/src/core/api/admission.h
+++ b/src/core/api/admission.h
@@ -36,7 +36,7 @@
 struct error_reply {
 	enum http_status status;
 	int retry_after_s; /* value of the Retry-After header; 0: no such header */
-	const char *text;  /* static string */
+	const char *text;  /* text of the error; a static string */
 };
 
 /* Checks the decoded description of a submitted job. `submitted_at` is wall time. */
--- a/src/core/api/cancellations.h
+++ b/src/core/api/cancellations.h
@@ -28,7 +28,8 @@
 	char id[ID_MAX]; /* id of the job */
 	/* Version of the job's open record that is marked as cancelled; 0: not known. */
 	uint64_t version;
-	double confirmed_at; /* steady time of the first confirmation */
+	/* Steady time at which a user was first answered that the job is cancelled. */
+	double confirmed_at;
 	UT_hash_handle hh;
 };
 
--- a/src/core/api/job_index.h
+++ b/src/core/api/job_index.h
@@ -45,7 +45,7 @@
 	/* Last key of the pages of open records read so far; empty: no page was read. */
 	char cursor[KEY_MAX];
 	double next_read_at;	/* no read for the index is sent before this time */
-	double changes_sent_at; /* when the newest read of changes was sent */
+	double changes_sent_at; /* when the newest read of changes of jobs' records was sent */
 	/* When the newest read of changes that succeeded, or the read of the first page, was sent.
 	 * Later changes may be missing in the index. */
 	double current_as_of;
--- a/src/core/election/election.h
+++ b/src/core/election/election.h
@@ -19,9 +19,9 @@
 #define LEADER_KEY "leader"
 
 enum leadership_role {
-	ROLE_FOLLOWER,	 /* does not hold the leader's key */
-	ROLE_RECOVERING, /* holds the leader's key and reads the records */
-	ROLE_LEADER	 /* holds the leader's key and has read the records */
+	ROLE_FOLLOWER,	 /* the controller does not hold the leader's key */
+	ROLE_RECOVERING, /* the controller holds the leader's key and reads the records */
+	ROLE_LEADER	 /* the controller holds the leader's key and has read the records */
 };
 
 /* Why a term ends. */
@@ -76,7 +76,7 @@
 	uint64_t token;	   /* fencing token; 0: this controller does not hold the leader's key */
 	uint64_t lease;	   /* id of the lease of the leader's key; 0: none */
 	double renewed_at; /* when the last successful renewal of the lease was sent;
-			    * before the first, when the lease was requested */
+			    * before the first renewal, when the lease was requested */
 	double next_renewal_at;
 	/* The leader's key and LEADER_KEY are not read, and the leader's key is not claimed, before
 	 * this time. */
--- a/src/core/model/chunk.h
+++ b/src/core/model/chunk.h
@@ -46,8 +46,10 @@
 
 /* The records of a job's tasks. The job owns both arrays. */
 struct job_records {
-	uint32_t tasks_per_chunk; /* LARGE_CHUNK_TASKS or SMALL_CHUNK_TASKS */
-	struct chunk *chunks;	  /* job_chunk_count elements, in the order of the tasks */
+	/* Number of tasks in each chunk: LARGE_CHUNK_TASKS or SMALL_CHUNK_TASKS. */
+	uint32_t tasks_per_chunk;
+	/* Array of the job's chunks, in the order of the tasks; its length is job_chunk_count. */
+	struct chunk *chunks;
 	/* Records of the older format, in the order of the tasks; NULL: none was found. */
 	struct old_chunk *old_chunks;
 	uint32_t old_chunk_count; /* length of `old_chunks` */
--- a/src/core/model/job.h
+++ b/src/core/model/job.h
@@ -64,9 +64,9 @@
 	bool final_committed;		  /* the job's final record is committed */
 	uint8_t *done;			  /* bitmap of the tasks that are done */
 	uint8_t *bound;			  /* bitmap of the tasks that have a binding */
-	uint32_t done_count, bound_count; /* set bits of `done` and of `bound` */
+	uint32_t done_count, bound_count; /* number of set bits in `done` and in `bound` */
 	uint32_t running_count;	     /* number of bindings whose task a report has shown running */
-	uint32_t first_waiting_hint; /* no task with a lower index is waiting */
+	uint32_t first_waiting_hint; /* no task with an index below this one is waiting */
 	uint64_t gang_attempt;	     /* number of a gang's newest attempt */
 	/* The gang's tasks are being stopped: no task is started until all bindings of the gang
 	 * have ended. */
--- a/src/core/records/job_record.h
+++ b/src/core/records/job_record.h
@@ -16,7 +16,7 @@
 
 /* How a job ended: the contents of a final record. */
 struct job_outcome {
-	enum job_state state; /* JOB_STATE_DONE or JOB_STATE_CANCELLED */
+	enum job_state state; /* how the job ended: JOB_STATE_DONE or JOB_STATE_CANCELLED */
 	uint32_t task_count;
 };
 
--- a/src/core/records/task_records.h
+++ b/src/core/records/task_records.h
@@ -15,8 +15,8 @@
 #include "core/runtime/call.h"
 #include "core/model/job.h"
 
-#define KEY_LARGE_CHUNKS "b/" /* prefix of records of LARGE_CHUNK_TASKS tasks */
-#define KEY_SMALL_CHUNKS "t/" /* prefix of records of SMALL_CHUNK_TASKS tasks */
+#define KEY_LARGE_CHUNKS "b/" /* prefix of the keys of large chunks' records, see chunk.h */
+#define KEY_SMALL_CHUNKS "t/" /* prefix of the keys of small chunks' records, see chunk.h */
 
 /*
  * The value of a task record is {"done": TEXT, "bound": [GROUP, ...]}. TEXT is the bitmap of done
