--- a/.ci/external_names.py
+++ b/.ci/external_names.py
@@ -8,7 +8,7 @@
 
 Usage: external_names.py [--list] COMMIT
 --list prints the names of COMMIT and checks nothing. Otherwise, the status is 1 if a name of COMMIT
-is missing from the working tree.
+is missing from the working tree. The status is 2 if git fails, for example on an unknown COMMIT.
 """
 import re
 import subprocess
@@ -26,7 +26,11 @@
 
 
 def git(*arguments):
-    return subprocess.run(['git', *arguments], cwd=ROOT, check=True, capture_output=True, text=True).stdout
+    process = subprocess.run(['git', *arguments], cwd=ROOT, capture_output=True, text=True)
+    if process.returncode != 0:
+        print(process.stderr, end='', file=sys.stderr)
+        sys.exit(2)
+    return process.stdout
 
 
 def sources_of(commit):
@@ -73,7 +77,7 @@
         # Literals that start with "%s%s" are formats of keys and contain no name of their own.
         is_help_text = path == 'daemon/arguments.c' and len(literal.split()) > 2
         if literal != '""' and not literal.startswith('"%s%s') and not is_help_text:
-            names.add(f'text {folder if not folder.endswith(".h") else path} {literal}')
+            names.add(f'text {folder} {literal}')
     return names
 
 
--- a/.ci/sample_comments.py
+++ b/.ci/sample_comments.py
@@ -3,7 +3,7 @@
 
 A reviewer uses the sample to judge whether comments can be understood on their own. The same SEED
 and sources give the same COUNT comments. With COMMIT, the sources are those of that commit instead
-of the working tree.
+of the working tree. The status is 2 if git fails, for example on an unknown COMMIT.
 
 Usage: sample_comments.py SEED COUNT [COMMIT]
 """
@@ -20,7 +20,11 @@
 
 
 def git(*arguments):
-    return subprocess.run(['git', *arguments], cwd=ROOT, check=True, capture_output=True, text=True).stdout
+    process = subprocess.run(['git', *arguments], cwd=ROOT, capture_output=True, text=True)
+    if process.returncode != 0:
+        print(process.stderr, end='', file=sys.stderr)
+        sys.exit(2)
+    return process.stdout
 
 
 def sources(commit):
--- a/src/constants.h
+++ b/src/constants.h
@@ -62,7 +62,8 @@
  */
 #define WIRE_NUMBER_MAX 1e9
 
-/* Bytes of the longest report that is cached to recognise its repetition: it has some ten tasks. */
+/* Bytes of the longest report that is cached, to recognise repetitions of the report: a report of
+ * this length has some ten tasks. */
 #define REPORT_CACHE_TEXT_MAX 2048
 
 /* --- operators' settings --- */
@@ -74,7 +75,8 @@
 
 /* --- calls to other services --- */
 
-/* Timeout of a call to the state service, which answers in 10 ms, now and then in some hundred. */
+/* Timeout of a call to the state service, which answers in 10 ms, now and then in some hundred
+ * milliseconds. */
 #define CALL_STORE_TIMEOUT_S 1.5
 /* Timeout of a call to the cloud, which answers rental requests in some hundred milliseconds. */
 #define CALL_CLOUD_TIMEOUT_S 8.0
@@ -128,17 +130,20 @@
 /* Capacity of the queue of submissions, if more than SUBMIT_QUEUE_MIN, in seconds of writes at the
  * allowed rate: users who would wait longer have given up. */
 #define SUBMIT_QUEUE_S 5.0
-/* Time without lookups after which the changes of jobs are read all the same, before they are too
- * many for one answer. */
+/* Time without lookups of jobs after which the changes of jobs' records are read all the same,
+ * before the changes are too many for one answer of the state service. */
 #define INDEX_IDLE_READ_S 10.0
-/* Changes of jobs that one answer may hold: some 2 MB, and a fraction of the changes that the state
- * service keeps. */
+/* Changes of jobs' records that one answer of the state service may hold: some 2 MB, and a fraction
+ * of the changes that the state service keeps. */
 #define INDEX_CHANGES_MAX 4000
-/* Least interval between reads of changes, in which lookups gather for the next read. */
+/* Least interval between reads of the changes of jobs' records: lookups that come in this time
+ * share the next read. */
 #define INDEX_BATCH_S 0.05
-/* Delay before a refused read of changes, or a failed read of a page of jobs, is tried again. */
+/* Delay before a refused read of the changes of jobs' records, or a failed read of a page of these
+ * records, is tried again. */
 #define INDEX_RETRY_S 0.2
-/* Time that a lookup may wait for a refused read to be repeated: users give up a poll after 2 s. */
+/* Time that a lookup of a job may wait until a refused read of the changes of jobs' records is
+ * repeated: users give up a poll after 2 s. */
 #define LOOKUP_MAX_WAIT_S 1.0
 /* Interval between requests to the leader for task counts: what users see may lag by 3 s. */
 #define COUNTS_INTERVAL_S 2.0
@@ -179,11 +184,12 @@
 /* Tasks whose bindings and done bits share one record (a chunk, see core/model/chunk.h), so that
  * the record stays below 8 KiB. */
 #define LARGE_CHUNK_TASKS 128
-/* Size of one more binding in a record, with long names of machine and zone. */
+/* Size of one more binding in a chunk's record, with long names of machine and zone. */
 #define CHUNK_BINDING_BYTES 100
-/* Size of a record without its bindings: the done bits and braces. */
+/* Size of a chunk's record without its bindings: the done bits and braces. */
 #define CHUNK_OVERHEAD_BYTES 64
-/* Time that the final record of a done job waits for the ends of its other tasks to be reported. */
+/* Longest time that the final record of a job whose tasks are all done waits until the ends of the
+ * bindings that the job still has are reported. */
 #define FINAL_RECORD_DELAY_S 1.0
 /* Interval between checks for jobs whose final record has waited long enough. */
 #define JOB_SCAN_INTERVAL_S 0.25
@@ -210,16 +216,19 @@
 
 /* --- versions of the records' format --- */
 
-/* Bindings in records of LARGE_CHUNK_TASKS tasks. */
+/* The first version of the records' format: one record holds the bindings of LARGE_CHUNK_TASKS
+ * tasks. */
 #define FORMAT_LARGE_CHUNKS 1
-/* Bindings in records of SMALL_CHUNK_TASKS tasks. */
+/* The second version of the records' format: one record holds the bindings of SMALL_CHUNK_TASKS
+ * tasks. */
 #define FORMAT_SMALL_CHUNKS 2
 #define FORMAT_NEWEST FORMAT_SMALL_CHUNKS
 /* Delay before a controller tries again to record the newest format that it reads. */
 #define FORMAT_REGISTER_RETRY_S 1.0
 /* Interval between the leader's reads of the formats that the controllers have recorded. */
 #define FORMAT_SCAN_INTERVAL_S 1.0
-/* Tasks whose bindings fit a value of 2 KiB, even if each binding belongs to another attempt. */
+/* Tasks whose bindings and done bits share one record from FORMAT_SMALL_CHUNKS on: their bindings
+ * fit a value of 2 KiB, even if each binding belongs to another attempt. */
 #define SMALL_CHUNK_TASKS 32
 
 /* --- lists and watches --- */
@@ -259,11 +268,13 @@
 #define PROBE_UNSEEN_INTERVAL_S 3.0
 /* Time in which all agents find a new leader by themselves. */
 #define LEADER_DISCOVERY_REPORTS 2.0
-/* Multiple of a type's boot time after which a machine counts as never coming up. */
+/* Multiple of the boot time of a machine's type after which the machine counts as never coming up.
+ */
 #define MACHINE_BOOT_FACTOR 3.0
 /* Time added to MACHINE_BOOT_FACTOR times the boot time: short boots vary more. */
 #define MACHINE_BOOT_EXTRA_S 20.0
-/* Inventories that lack a machine, once listed and now silent, before it is deleted. */
+/* Number of inventories in a row without a machine after which the machine is deleted, if an
+ * earlier inventory listed the machine and its agent is silent. */
 #define MACHINE_MISSED_INVENTORIES 2
 /* Different jobs that fail on a machine before it is drained. */
 #define MACHINE_FAILED_JOBS_MAX 2
@@ -284,8 +295,8 @@
 /* Share of the machines beyond which, if they are silent at once, this controller counts itself as
  * partitioned and resigns. */
 #define PARTITION_SILENT_SHARE 0.7
-/* Share of the other machines that may be silent when one is given up before its lease ends: if
- * more are, it may be this controller that is cut off. */
+/* Share of the other machines that may be silent when a machine is given up before its agent's
+ * lease ends: if more machines are silent, this controller may be the one that is cut off. */
 #define EARLY_DELETE_SILENT_SHARE 0.34
 /* Buckets of the histogram of times since the machines' last messages: together they span the
  * longest lease of an agent. */
@@ -363,8 +374,8 @@
 #define PREEMPT_RESERVE_S 20.0
 /* Interval between tries to free capacity for one job by preemption. */
 #define PREEMPT_RETRY_S 2.0
-/* Time that a gang waits before it gets a growing reservation, of capacity that falls free: the
- * gang has to begin within four minutes, and other jobs are to be served too. */
+/* Time that a gang waits before it gets a growing reservation (see core/scheduling/reservation.h):
+ * the gang has to begin within four minutes, and other jobs are to be served too. */
 #define RESERVE_AFTER_S 45.0
 /* Time before the gang's next wait objective at which a growing reservation begins, if later than
  * RESERVE_AFTER_S, but no later than ORDER_FIRST_AFTER_S: large gangs took up to 40 s to get all of
@@ -391,7 +402,9 @@
 #define RESERVE_USED_SHARE 0.05
 /* Time that a stopped task needs to find capacity, start and fetch its image again. */
 #define RESTART_OVERHEAD_S 15.0
-/* Factor on the estimate of a task that begins again: estimates are often wrong by half. */
+/* Factor on the user's estimate of a task's run time when it is decided whether the task would
+ * still meet its job's deadline if it were stopped and ran again from the start: estimates are
+ * often wrong by half, so the run may take that much longer. */
 #define RESTART_ESTIMATE_FACTOR 1.5
 /* Time to start tasks and fetch the image, taken off the time that an array has left until its
  * deadline. */
@@ -405,7 +418,8 @@
  * there are open jobs that may not. */
 #define ON_DEMAND_COST_S 4.0
 /* Cost, in seconds of waiting, of a second replica of a service on one machine, against a fetch of
- * the image elsewhere. Also the cost of each job that failed on the machine. */
+ * the image elsewhere. Also the cost of placing a replica on a machine, for each job that failed on
+ * the machine. */
 #define REPLICA_SAME_MACHINE_COST_S 8.0
 /* Time that a replica must have run for its end not to count as a failure to start. */
 #define REPLICA_MIN_UPTIME_S 20.0
@@ -450,15 +464,16 @@
 /* Cost, in seconds of waiting, of a new machine with GPUs for a job without: GPUs are rented for
  * jobs that use them. */
 #define SCALE_OUT_GPU_WASTE_COST_S 100.0
-/* Factor on a job's estimated run time when it is decided whether the job can wait for a spot
- * machine: owners are often wrong by half. */
+/* Factor on the user's estimate of a task's run time when it is decided whether the task's job can
+ * wait for a spot machine and still meet its deadline: estimates are often wrong by half, so the
+ * run may take that much longer. */
 #define SCALE_OUT_ESTIMATE_FACTOR 1.5
 /* Time to rent and boot a machine and fetch the image before a task can start. */
 #define SCALE_OUT_LEAD_S 60.0
 /* Random share added to an offer's cost, so that equal offers are spread over zones. */
 #define SCALE_OUT_JITTER 0.02
-/* Tombstones of deleted machines, some 1 MB, beyond which a new fencing token is requested: the
- * token makes the older tombstones needless. */
+/* Tombstones of deleted machines (see core/model/tombstones.h), some 1 MB, beyond which a new
+ * fencing token is requested: the token makes the older tombstones needless. */
 #define TOMBSTONES_MAX 8192
 /* Time, beyond twice the inventory's lag, for which an inventory that is being read and applied may
  * still name a deleted machine. */
@@ -481,7 +496,7 @@
 /* Interval between the leader's reads of the catalog, for its prices. */
 #define CATALOG_INTERVAL_S 60.0
 /* Time that a machine without GPUs may be idle before it is deleted, where the objectives ask for
- * low cost: about a boot. */
+ * low cost: about the time that a boot takes. */
 #define IDLE_MAX_S 25.0
 /* Time that a machine with GPUs may be idle before it is deleted, where the objectives ask for low
  * cost: a shorter time leads to more boots, a longer one to more idle GPUs. */
--- a/src/core/election/leader_key.c
+++ b/src/core/election/leader_key.c
@@ -77,8 +77,8 @@
 	log_info("format", "old=%d new=%d", election->format, format);
 	election->format = format;
 	election->format_key_revision = entry->value ? entry->version : 0;
-	/* Nothing is known yet of the leader's key of the new format: it may be absent, or its
-	 * entry is applied after this one. */
+	/* The leader under the new format is not known yet: the leader's key of that format may be
+	 * absent, or scan_keys applies the entry of that key after this entry of LEADER_KEY. */
 	election->leader[0] = 0;
 	election->key_revision = 0;
 	if (election->role != ROLE_FOLLOWER)
--- a/src/core/scheduling/share_switching.c
+++ b/src/core/scheduling/share_switching.c
@@ -22,7 +22,7 @@
 #define COUNTS_KEY_BYTES (CONF_NAME_MAX + 16)
 /* Bytes of a value with counts, without its entries: names of fields, token, quantum. */
 #define COUNTS_OVERHEAD_BYTES 64
-/* Bytes of one entry (the count of one job) without the job's id. */
+/* Bytes of one entry of a value with counts: the count of one job, without the job's id. */
 #define COUNT_OVERHEAD_BYTES 16
 
 /* A decision under way about one Part message: this controller's counts are written, then the
@@ -30,11 +30,16 @@
 struct part_decision {
 	uint64_t connection; /* connection to answer on; 0: this controller is the leader */
 	Peer__Part *part;
-	struct job_slot_count *own_counts; /* slots by job in the part, until they are written */
-	int values_written;		   /* values of own counts written so far */
-	uint64_t own_quantum;		   /* the quantum of the own counts */
-	struct job_slot_count *counts;	   /* slots by job in all parts; which jobs accept slots */
-	json_int_t newest_quantum; /* newest one of the controller whose values are being read */
+	/* Number of slots of each job in `part`; without the counts that a transaction has already
+	 * taken. */
+	struct job_slot_count *own_counts;
+	int values_written;   /* number of values with own counts added to transactions so far */
+	uint64_t own_quantum; /* number of the quantum in which the own counts are written */
+	/* Number of slots of each job in the parts of all controllers, and whether the job accepts
+	 * slots of other jobs. */
+	struct job_slot_count *counts;
+	/* Number of the newest quantum of the controller whose counts are being read. */
+	json_int_t newest_quantum;
 };
 
 static void part_decision_free(void *arg)
@@ -139,9 +144,10 @@
 /* --- reading the counts of all controllers --- */
 
 /*
- * Whether the value is of an earlier quantum: a controller that wrote more values in an earlier
- * quantum does not delete the additional ones. The controller's first value is read before its
- * others and is of its newest quantum, which is kept in `newest_quantum`.
+ * Whether a value with counts is left from an earlier quantum of its controller: a controller that
+ * wrote more values in an earlier quantum does not delete the additional ones. A controller's first
+ * value is read before its other values and shows the controller's newest quantum, which is kept
+ * in `newest_quantum`.
  */
 static bool counts_are_outdated(struct part_decision *decision, const struct kv_item *item)
 {
@@ -193,7 +199,7 @@
 
 /* --- writing this controller's counts --- */
 
-/* Adds the write of one value to the transaction, and takes ownership of `counts`. */
+/* Adds the write of one value with `counts` to the transaction, and takes ownership of `counts`. */
 static void add_counts_write(const struct core *core, struct txn *txn,
 			     struct part_decision *decision, json_t *counts)
 {
--- a/src/core/scheduling/share_switching.h
+++ b/src/core/scheduling/share_switching.h
@@ -24,8 +24,9 @@
 
 /* The state of share switching in this controller. */
 struct share_switching {
-	bool *peer_live;   /* for each peer, by its index in the settings: whether the peer answered
-			    * its last part with success */
+	/* For each peer, by its index in the settings: whether the peer answered with success when
+	 * the leader last sent it a part of the slots; false before the first answer. */
+	bool *peer_live;
 	double next_at;	   /* steady time at which the leader begins the next quantum */
 	uint64_t quantum;  /* number of quanta for which this controller has written its counts */
 	uint64_t switches; /* slots switched since this process started */
@@ -51,7 +52,7 @@
 
 /*
  * Applies a packed Switches message. `peer` is the index in the settings of the controller that
- * sent it; the number of peers stands for this controller. The caller keeps the message.
+ * sent the message; the number of peers stands for this controller. The caller keeps the message.
  */
 void share_switching_apply(struct core *core, size_t peer, const uint8_t *message, size_t len);
 
--- a/src/core/scheduling/share_switching_leader.c
+++ b/src/core/scheduling/share_switching_leader.c
@@ -1,8 +1,8 @@
 /*
  * What the leader does in share switching: each quantum it sends every controller a part with the
- * slots of the machines that hash to that controller, and it applies the switches in the answers. A
- * controller that did not answer its last part with success is sent a part without slots: an answer
- * shows that the controller is live again.
+ * slots of the machines that hash to that controller, and it applies the switches in the answers.
+ * If a controller did not answer the last part that the leader sent it, or answered with an error,
+ * its next part has no slots: an answer with success shows that the controller is live again.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -89,8 +89,8 @@
 	return best;
 }
 
-/* The entries of a Part message. The lists point to the items of the arrays, whose strings belong
- * to jobs and machines. */
+/* The entries of a Part message. `slot_list` and `open_list` point to the items of `slots` and
+ * `open_jobs`. The strings of these items belong to jobs and machines. */
 struct part_entries {
 	Peer__Slot *slots, **slot_list;
 	Peer__OpenJob *open_jobs, **open_list;
@@ -136,7 +136,7 @@
 	}
 }
 
-/* Adds the entries for the arrays that slots may be switched to. */
+/* Adds an entry for each job to which slots may be switched. */
 static void add_open_jobs(struct core *core, struct part_entries *entries)
 {
 	struct job *job, *next;
--- a/src/wire/json_fields.h
+++ b/src/wire/json_fields.h
@@ -55,7 +55,8 @@
 /* Whether the field is present and true. */
 bool field_is_true(const json_t *object, const char *key);
 
-/* Returns the field's text, which belongs to the object; NULL if it is missing or not a text. */
+/* Returns the field's text, which belongs to the object; NULL if the field is missing or not a
+ * text. */
 const char *field_string(const json_t *object, const char *key);
 
 /* Returns the enum value that the field names; -1 if the field or the name is not valid. */
@@ -71,8 +72,8 @@
 /* Encodes the names as a JSON array, which the caller releases with json_decref. */
 json_t *names_encode(const struct name_list *list);
 
-/* Decodes one element of an array into a zeroed struct. Returns 0, or -1 if it is invalid. A
- * decoder that fails must free what it allocated. */
+/* Decodes one element of an array into a zeroed struct. Returns 0, or -1 if the element is invalid.
+ * A decoder that fails must free what it allocated. */
 typedef int element_decoder(const json_t *element, void *out);
 
 /*
--- a/src/wire/json_text.h
+++ b/src/wire/json_text.h
@@ -7,8 +7,8 @@
 #include <jansson.h>
 
 /*
- * Parses `len` bytes of text. Returns NULL if they are not exactly one JSON object or array, or if
- * an object has a key twice. The caller releases the value with json_decref.
+ * Parses `len` bytes of text. Returns NULL if the text is not exactly one JSON object or array, or
+ * if an object has a key twice. The caller releases the value with json_decref.
  */
 json_t *wire_parse(const char *body, size_t len);
 
--- a/src/wire/name_list.c
+++ b/src/wire/name_list.c
@@ -1,4 +1,4 @@
-/* Lists of the platform's names. */
+/* Lists of names from the platform's messages: names of zones and of machine types. */
 #include "wire/name_list.h"
 
 #include <stdlib.h>
--- a/src/wire/name_list.h
+++ b/src/wire/name_list.h
@@ -1,5 +1,5 @@
-/* Lists of the platform's names, such as zones and machine types, and the maximum sizes of names.
- */
+/* Lists of names from the platform's messages (names of zones and of machine types), and the
+ * maximum sizes of ids and names. */
 #ifndef PLOVERLOFT_NAME_LIST_H
 #define PLOVERLOFT_NAME_LIST_H
 
--- a/src/wire/report_codec.c
+++ b/src/wire/report_codec.c
@@ -149,8 +149,8 @@
 	return array;
 }
 
-/* Encodes the answer to most reports, one without commands. It is printed directly, since no text
- * in it needs quoting. */
+/* Encodes an answer without commands, which most reports get. The answer is printed directly, since
+ * no text in it needs quoting. */
 static char *heartbeat_answer_empty(uint64_t token)
 {
 	char *text;
--- a/src/wire/store_codec.h
+++ b/src/wire/store_codec.h
@@ -16,16 +16,16 @@
 	uint64_t version;
 };
 
-/* Returns the store's revision from an answer; 0 if there is none. */
+/* Returns the store's revision from an answer; 0 if the answer has none. */
 uint64_t wire_revision(json_t *object);
 
-/* Returns the number of the lease that an answer grants; 0 if there is none. */
+/* Returns the number of the lease that an answer grants; 0 if the answer grants none. */
 uint64_t wire_lease(json_t *object);
 
 /* Encodes a request for a lease of `ttl_ms` milliseconds. The caller frees the text. */
 char *wire_lease_request(int ttl_ms);
 
-/* Decodes an item of a range or an event of a watch. Returns 0. If there is no key, sets
+/* Decodes an item of a range or an event of a watch. Returns 0. If the object has no key, sets
  * `item->key` to NULL and returns -1. */
 int wire_item_decode(json_t *object, struct kv_item *item);
 
--- a/src/wire/transaction.h
+++ b/src/wire/transaction.h
@@ -15,8 +15,8 @@
 /* A transaction that is being built: its text, and the amounts that the state service limits. */
 struct txn {
 	struct buf guards, ops; /* the lists of guards and of changes, without brackets */
-	int op_count;		/* changes of keys */
-	size_t largest_value;	/* bytes of the largest value, as sent */
+	int op_count;		/* number of changes in `ops` */
+	size_t largest_value;	/* bytes of the longest text of a value in `ops` */
 };
 
 /* A savepoint: the state of a transaction to which txn_rollback can return. */
