--- a/src/core/agents/agent_restart.c
+++ b/src/core/agents/agent_restart.c
@@ -41,8 +41,9 @@
 }
 
 /*
- * Treats the binding like one of an earlier leader, since its task may have been started. A report
- * under the new token that does not list the task proves that the task has ended.
+ * Resets the binding to the state of a binding that an earlier leader has made: its task may have
+ * been started. A report under the new token that does not list the task proves that the task has
+ * ended.
  */
 static void reset_binding(const struct core *core, struct binding *binding)
 {
--- a/src/core/agents/heartbeats.c
+++ b/src/core/agents/heartbeats.c
@@ -21,8 +21,8 @@
 /*
  * Decides whether to probe an agent whose report is stale (see reports.h). An agent that was just
  * started or restarted has seen no token and is probed at once. Any other agent shows the current
- * token in its next heartbeat, so its first stale report causes no probe. Later stale reports do if
- * no heartbeat has been applied for long.
+ * token in its next heartbeat, so its first stale report causes no probe. A later stale report
+ * causes one if no heartbeat of the agent has been applied for long.
  */
 static void handle_stale_report(struct core *core, struct machine *machine,
 				const struct report *report)
@@ -89,8 +89,9 @@
 	if (!election_is_renewing_token(core))
 		election_step_down(core, STEP_DOWN_HIGHER_TOKEN_SEEN);
 	/*
-	 * After a 200 the agent would keep sending its reports to this controller, though it
-	 * ignores answers with a token lower than its own.
+	 * The report is refused with 503. If it were answered 200, the agent would keep sending its
+	 * reports to this controller, though the agent ignores answers with a token lower than its
+	 * own.
 	 */
 	core_reply_error(core, connection, STATUS_UNAVAILABLE, 0, "not leading");
 	return false;
--- a/src/core/agents/machine_health.c
+++ b/src/core/agents/machine_health.c
@@ -58,7 +58,7 @@
 
 /*
  * All agents report to a new leader by themselves within LEADER_DISCOVERY_REPORTS report intervals.
- * To probe each agent before then would double the cost.
+ * Probes of all agents before then would double the work, since a probe costs as much as a report.
  */
 void probe_unseen_machine(struct core *core, struct machine *machine)
 {
@@ -84,7 +84,10 @@
 
 static void check_machine(struct core *core, struct machine *machine)
 {
-	/* The resources of an unusable machine are of no use to the job that reserved them. */
+	/*
+	 * No task can be placed on an unusable machine, so capacity of the machine that is reserved
+	 * for a job is released.
+	 */
 	if (machine->scheduling.reserved_for && !machine_is_usable(core, machine))
 		machine->scheduling.reserved_for = NULL;
 	if (machine->cloud.deleting)
--- a/src/core/agents/replica_supervision.c
+++ b/src/core/agents/replica_supervision.c
@@ -111,8 +111,8 @@
 	if (machine->cloud.deleting || machine->probes.unanswered < REPLICA_UNANSWERED_PROBES)
 		return false;
 	/*
-	 * The leader's lease may have expired. Then another controller may lead by now and may have
-	 * started more tasks on the machine.
+	 * The leader's lease may have expired. Then this controller must not give up the machine:
+	 * another controller may lead by now and may have started more tasks on the machine.
 	 */
 	if (election_renewal_age(core) > LEADER_TTL_MS / 1000.0 * (1 - CLOCK_DRIFT))
 		return false;
--- a/src/core/agents/reports.c
+++ b/src/core/agents/reports.c
@@ -117,8 +117,9 @@
 
 /*
  * An answer to our own message cannot be a late copy. If the report in it is not newer than what
- * was the agent's newest message when the call was made, the agent was restarted. An answer to a
- * call that was made under an older token than that of the agent's last restart is ignored.
+ * was the agent's newest message when the call was made, the agent was restarted. The answer is
+ * ignored if the call was made under an older token than the one that this controller obtained
+ * after the agent's last restart.
  */
 static void apply_answer(struct core *core, struct machine *machine, const struct call *call,
 			 const struct report *report)
--- a/src/core/api/cancellations.c
+++ b/src/core/api/cancellations.c
@@ -160,11 +160,12 @@
 }
 
 /*
- * Applies the cancellations that the peer lists. Each one that the peer confirmed before the
- * request was sent is either in the list or was confirmed under an earlier incarnation of the peer,
- * that is before the peer's first answer with the present incarnation. If this leader has read the
- * changes of jobs since that first answer, the leader knows those of the earlier incarnation too.
- * If not, the list does not prove that this leader knows all cancellations.
+ * Applies the cancellations that the peer lists. Each cancellation that the peer confirmed before
+ * the request was sent is either in the list, or was confirmed under an earlier incarnation of the
+ * peer, that is, before the peer's first answer with the present incarnation. If this leader has
+ * read the changes of jobs since that first answer, it knows the cancellations of the earlier
+ * incarnation too. If not, the list does not prove that this leader knows all cancellations that
+ * the peer confirmed.
  */
 static void apply_confirmed(struct core *core, size_t index, double sent_at,
 			    const Peer__ConfirmedCancellations *message)
--- a/src/core/api/job_index.h
+++ b/src/core/api/job_index.h
@@ -12,7 +12,7 @@
 #include "core/runtime/call.h"
 #include "wire/wire.h"
 
-/* What an answer to a user tells of a job. */
+/* The part of a job's state that answers to users show. */
 struct job_status {
 	enum job_state state;
 	uint32_t done_count, running_count; /* numbers of done tasks and of running tasks */
--- a/src/core/api/job_index_reads.c
+++ b/src/core/api/job_index_reads.c
@@ -28,7 +28,7 @@
 	json_decref(document);
 }
 
-/* Lets the batch of lookups of a refused read wait for another read. */
+/* After a refused read of changes: lets the lookups that waited for it wait for the next read. */
 static void requeue_batch(struct core *core)
 {
 	lookups_requeue_batch(core);
@@ -37,8 +37,8 @@
 
 /*
  * Handles the answer to a read of changes. 410: the state service no longer keeps all changes since
- * the last read, so the open records are read again. 429: another read may succeed while the batch
- * can wait.
+ * the last read, so the open records are read again. 429: the state service limits the rate of
+ * requests, so the read is tried again as long as the lookups can wait.
  */
 static void on_changes(struct core *core, struct call *call, const struct call_answer *answer)
 {
--- a/src/core/api/lookups.c
+++ b/src/core/api/lookups.c
@@ -41,10 +41,11 @@
 }
 
 /*
- * Answers a request whose job has neither an open nor a final record, and had none when the request
- * came: a final record is never deleted, and an open one only together with the write of the final
- * one. A submission comes here either refused by admission, or accepted while its transaction has
- * no answer. That transaction may yet be committed, so the outcome is unknown.
+ * Answers a request whose job has neither an open nor a final record. The job had no record when
+ * the request came either: a final record is never deleted, and an open record is deleted only by
+ * the transaction that writes the final record. If the request is a submission, either admission
+ * has refused it, or it was accepted and its transaction has no answer. In the second case the
+ * transaction may yet be committed, so the outcome is unknown.
  */
 static void answer_no_record(struct core *core, struct user_request *request)
 {
--- a/src/core/api/submissions.c
+++ b/src/core/api/submissions.c
@@ -87,10 +87,11 @@
 
 /*
  * After a 400, nothing was or will be committed. Either the transaction has too many changes, and
- * the submissions are sent again in smaller ones, or a record is too large. A record is refused
- * only after a transaction of at most LIMITS_TXN_OPS_MIN changes: so many changes are assumed to be
- * allowed. A single submission whose record is not too large was refused for an unknown reason and
- * is not sent again.
+ * the submissions are sent again in smaller ones, or a record is too large. Which of the two is the
+ * cause is known only if the transaction has at most LIMITS_TXN_OPS_MIN changes, a number that the
+ * state service is assumed to allow. Only then is a submission refused for the size of its record.
+ * A single submission whose record is not too large was refused for an unknown reason and is not
+ * sent again.
  */
 static void on_batch_too_large(struct core *core, struct user_request *batch)
 {
@@ -278,8 +279,11 @@
 	json_t *document = wire_parse(received->body, received->len);
 	const char *id = json_string_value(json_object_get(document, W_ID));
 
-	/* Without a valid id, the job can't have been accepted before, so no lookup is needed. The
-	 * answer is "not JSON", or else the key of the id, the invalid field. */
+	/*
+	 * Without a valid id, the job can't have been accepted before, so no lookup is needed. The
+	 * error text is "not JSON" if the body can't be parsed, else W_ID, the name of the invalid
+	 * field.
+	 */
 	if (!id || !wire_job_id_is_valid(id)) {
 		core_reply_error(core, received->connection, STATUS_BAD_REQUEST, 0,
 				 document ? W_ID : "not JSON");
--- a/src/core/election/election.c
+++ b/src/core/election/election.c
@@ -1,8 +1,10 @@
 /*
  * The state of the election, and the end of this controller's terms.
  *
- * Every transaction that makes a decision is guarded by the fencing token, so a premature failover
- * wastes work but breaks nothing.
+ * Every transaction that makes a decision is guarded by the fencing token, so once another
+ * controller has claimed the leader's key, the earlier leader can't commit decisions any more. If a
+ * failover happens while the earlier leader is still running, work is wasted, but no conflicting
+ * decisions are committed.
  */
 #include "core/election/election.h"
 
@@ -151,6 +153,9 @@
 	if (core->election.role == ROLE_FOLLOWER)
 		return;
 	election_step_down(core, STEP_DOWN_PEER_LEADS);
-	/* Agents are redirected to the newer leader even if the leader's key can't be read now. */
+	/*
+	 * Agents are redirected to the controller of this name, even while the leader's key can't
+	 * be read.
+	 */
 	snprintf(core->election.leader, sizeof(core->election.leader), "%s", leader);
 }
--- a/src/core/election/leader_key.c
+++ b/src/core/election/leader_key.c
@@ -35,7 +35,8 @@
 
 /*
  * Updates the leader from the entry of the leader's key. An entry without a value means that there
- * is no leader. A controller that holds the key steps down if the key's revision is not its token.
+ * is no leader. A controller that holds the key steps down if the key's revision differs from its
+ * token, which is the revision of its own last write of the key.
  */
 static void apply_leader_key(struct core *core, const struct kv_item *entry)
 {
@@ -45,9 +46,10 @@
 	election->key_revision = entry->value ? entry->version : 0;
 	snprintf(election->leader, sizeof(election->leader), "%s", name ? name : "");
 	/*
-	 * If the key names this controller although it does not lead, an earlier process of it or
-	 * an ended term has left the key: there is no leader. A claim in flight may have written
-	 * the key, however.
+	 * If the key names this controller, but this controller does not lead, the key was written
+	 * by an earlier process of this controller or in a term that has ended: there is no leader.
+	 * While a claim is in flight this can't be concluded, since the claim may have written the
+	 * key.
 	 */
 	if (election->role == ROLE_FOLLOWER && !election->claim_in_flight &&
 	    !strcmp(election->leader, core->conf->name))
@@ -62,9 +64,10 @@
  * Updates the format from the entry of LEADER_KEY. An entry without a number means the first
  * format.
  *
- * A controller whose program version does not support the format stays a follower. claim_is_due
- * checks this; for program versions that take LEADER_KEY for the leader's key, LEADER_KEY is never
- * free, since it names a leader that is no controller.
+ * A controller whose program version does not support the format stays a follower. In this program
+ * version claim_is_due checks this. Program versions that know only the first format take
+ * LEADER_KEY for the leader's key. In later formats LEADER_KEY always holds the name of a leader,
+ * which is the name of no controller, so these program versions never claim it.
  */
 static void apply_format_key(struct core *core, const struct kv_item *entry)
 {
@@ -77,8 +80,10 @@
 	log_info("format", "old=%d new=%d", election->format, format);
 	election->format = format;
 	election->format_key_revision = entry->value ? entry->version : 0;
-	/* The leader under the new format is not known yet: the leader's key of that format may be
-	 * absent, or scan_keys applies the entry of that key after this entry of LEADER_KEY. */
+	/*
+	 * The leader under the new format is not known yet. If the leader's key of that format has
+	 * an entry, scan_keys applies that entry after this one.
+	 */
 	election->leader[0] = 0;
 	election->key_revision = 0;
 	if (election->role != ROLE_FOLLOWER)
@@ -88,7 +93,10 @@
 /* Context of a pass over the entries in the answer to a read or a watch. */
 struct key_scan {
 	struct core *core;
-	/* False for an entry that is older than this leader's own write of the leader's key. */
+	/*
+	 * Returns false for an entry that must be ignored, since it may be older than this leader's
+	 * own last write of the leader's key.
+	 */
 	bool (*is_current)(const struct core *core, const struct kv_item *entry);
 	bool leader_found;
 };
@@ -123,8 +131,11 @@
 /* --- reading the keys --- */
 
 /*
- * The versions of a key only grow: an entry with a version below the token was read before this
- * leader wrote the key.
+ * The version of a key is the revision of the key's last write, and the token is the revision of
+ * this leader's own last write of the leader's key. So an entry of the leader's key with a version
+ * below the token was read before that write. An entry of LEADER_KEY with a version below the token
+ * is already known to this leader: its claim required that LEADER_KEY had the revision last read,
+ * and only a leader changes LEADER_KEY.
  */
 static bool read_entry_is_current(const struct core *core, const struct kv_item *entry)
 {
@@ -156,8 +167,10 @@
 /* --- watching the keys --- */
 
 /*
- * A watch may deliver changes later than the answers to this leader's own writes: changes up to
- * this leader's token are ignored, and so are all changes while the leader writes its key.
+ * A watch may deliver a change after this leader has the answer to a later write of its own. The
+ * token is the revision of this leader's own last write of the leader's key, so changes up to that
+ * revision are ignored. While this leader writes the key again, the revision of that write is not
+ * known yet, and all changes are ignored: the answer to the write shows who leads.
  */
 static bool watched_entry_is_current(const struct core *core, const struct kv_item *entry)
 {
--- a/src/core/election/serving_deadline.c
+++ b/src/core/election/serving_deadline.c
@@ -37,8 +37,9 @@
 
 /*
  * Seconds for which the leader may answer agents after the time up to which it knows all confirmed
- * cancellations. The agent measures its lease, and the leader this span, each by its own clock: by
- * the share CLOCK_DRIFT, the lease is taken as longer and the rest of cancel_s as shorter.
+ * cancellations. The agent measures its lease by its own clock, and the leader measures this span
+ * by another, so that the two may drift apart by the share CLOCK_DRIFT. Therefore the lease is
+ * assumed to be longer by that share, and the rest of `cancel_s` is shortened by that share.
  */
 static double serving_span_s(const struct conf *conf)
 {
@@ -47,9 +48,9 @@
 
 	/*
 	 * The span is never shorter than the lease of the leader's key, else a slow answer of the
-	 * state service would end a term. If `cancel_s` leaves less than the lease after the
-	 * margin, the margin is used as well; if it leaves still less, a cancellation may be
-	 * carried out late.
+	 * state service would end a term. If less than that lease is left of `cancel_s` after the
+	 * agent's lease and CANCEL_MARGIN_S, the span uses up part of the margin. If too little is
+	 * left even without the margin, a cancellation may be carried out late.
 	 */
 	return fmax(cancel_budget_s - CANCEL_MARGIN_S, LEADER_TTL_MS / 1000.0);
 }
--- a/src/core/model/binding.c
+++ b/src/core/model/binding.c
@@ -81,8 +81,8 @@
 
 /*
  * Requests stops of all tasks of a gang after one of them ended before it was done. Without these
- * stops, the other tasks would notice the loss by themselves, but later. A gang that is done is
- * left alone.
+ * stops, the other tasks would find out by themselves that a task of the gang has ended, but later.
+ * If the gang is done, no stops are requested.
  */
 static void stop_gang(struct core *core, struct job *job, enum task_end_reason reason)
 {
@@ -146,7 +146,7 @@
 		job_handle_refused_start(core, job);
 		machine_handle_refused_start(core, machine);
 		break;
-	case END_UNKNOWN_JOB: /* the job's description is still on its way to the machine */
+	case END_UNKNOWN_JOB: /* the agent has not received the job's description yet */
 		job_handle_refused_start(core, job);
 		break;
 	case END_NONE:
--- a/src/core/model/job.h
+++ b/src/core/model/job.h
@@ -21,8 +21,8 @@
 struct core;
 
 /*
- * What the scheduler keeps of a job for its waiting tasks. Times are seconds on the steady clock,
- * as core->now.
+ * State that the scheduler keeps about a job, to place its waiting tasks. Times are seconds on the
+ * steady clock, as core->now.
  */
 struct job_scheduling {
 	double retry_at;      /* end of a backoff: no task of the job is placed before this time */
--- a/src/core/model/machine.h
+++ b/src/core/model/machine.h
@@ -126,7 +126,10 @@
 	bool deleted;	       /* the cloud has answered 200 to the request to delete the machine */
 };
 
-/* What the scheduler keeps of the machine. Times are seconds on the steady clock, as core->now. */
+/*
+ * State that the scheduler keeps about a machine. Times are seconds on the steady clock, as
+ * core->now.
+ */
 struct machine_scheduling {
 	/* Images that the machine's cache probably holds, most recently used first. */
 	char images[MACHINE_IMAGES_MAX][NAME_MAX_LEN];
--- a/src/core/model/tombstones.c
+++ b/src/core/model/tombstones.c
@@ -36,7 +36,7 @@
 
 bool tombstones_need_new_token(const struct core *core)
 {
-	/* The list of tombstones is in the order of additions. */
+	/* The list is in the order of additions, so its first tombstone is the oldest. */
 	const struct tombstone *oldest = core->tombstones.list;
 
 	return HASH_COUNT(core->tombstones.list) > TOMBSTONES_MAX &&
--- a/src/core/model/tombstones.h
+++ b/src/core/model/tombstones.h
@@ -32,8 +32,9 @@
 /* Adds a tombstone for a machine that was deleted now. */
 void tombstone_add(struct core *core, const char *id);
 /*
- * True if a new fencing token is worth its write: there are more than TOMBSTONES_MAX tombstones, at
- * least the oldest is not needed under a new token, and the tombstones were not trimmed lately.
+ * True if a new fencing token is to be requested so that tombstones can be removed: there are more
+ * than TOMBSTONES_MAX tombstones, at least the oldest is not needed under a new token, and
+ * tombstones_trim was not called within the last TOMBSTONE_INVENTORY_MARGIN_S.
  */
 bool tombstones_need_new_token(const struct core *core);
 /*
--- a/src/core/records/limits.h
+++ b/src/core/records/limits.h
@@ -1,9 +1,9 @@
 /*
  * The limits of the state service that this controller keeps to. The settings state the present
  * limits, and may announce upcoming ones that take effect at an unknown time. The smaller of the
- * present and the upcoming limit is used, since records outlive the change; limits_value_bytes has
- * an exception. A lower limit that was learned from a refusal replaces both for
- * LIMITS_LEARNED_TTL_S.
+ * present and the upcoming limit is used, since a record that is written now may still be in use
+ * when the upcoming limit takes effect; limits_value_bytes has an exception. A lower limit that was
+ * learned from a refusal replaces both for LIMITS_LEARNED_TTL_S.
  */
 #ifndef PLOVERLOFT_LIMITS_H
 #define PLOVERLOFT_LIMITS_H
--- a/src/core/records/task_record_load.c
+++ b/src/core/records/task_record_load.c
@@ -42,8 +42,8 @@
 }
 
 /*
- * Returns true if the task is in the record's range and the record counts for it. A record of the
- * older format counts only for tasks that no newer record covers.
+ * Returns true if the task is in the record's range and the record is valid for the task. A record
+ * of the older format is valid only for tasks that no record of the newer format covers.
  */
 static bool record_applies_to(const struct job *job, const struct task_record *record,
 			      uint32_t task)
--- a/src/core/records/transaction.c
+++ b/src/core/records/transaction.c
@@ -53,7 +53,7 @@
 		write_queue_requeue(core, write);
 		break;
 	case WRITE_DELETE:
-		free(write); /* the next recovery finds the record and deletes it */
+		free(write); /* given up: the next recovery deletes the record */
 		break;
 	}
 }
--- a/src/core/records/transaction_build.c
+++ b/src/core/records/transaction_build.c
@@ -97,7 +97,7 @@
 	if (value_bytes > limits_value_bytes(core)) {
 		txn_rollback(txn, &savepoint);
 		shrink_chunk(core, write);
-		return BATCH_FULL; /* the end of bindings may have changed the queues */
+		return BATCH_FULL; /* ended bindings may have changed the queues */
 	}
 	write_queue_remove(write);
 	DL_APPEND(core->write_queue.transaction.writes, write);
@@ -127,7 +127,7 @@
 
 enum due_filter {
 	CHUNKS_DUE,
-	CHUNKS_NOT_DUE /* chunks that may wait for a later transaction */
+	CHUNKS_NOT_DUE /* chunks whose write is not due yet */
 };
 
 /*
--- a/src/core/records/transaction_commit.c
+++ b/src/core/records/transaction_commit.c
@@ -44,9 +44,10 @@
 }
 
 /*
- * Updates a chunk of a job whose final record is committed. The chunk's record was deleted in the
- * same transaction, or a delete of it is queued, or the record is kept as long as the chunk has
- * bindings or writes.
+ * Updates a chunk of a job whose final record is committed. If the same transaction has deleted the
+ * chunk's record, only the chunk's state is updated. Otherwise a delete of the record, if there is
+ * one, is queued, unless the chunk has bindings or writes: the record is kept as long as it has
+ * any.
  */
 static void finish_chunk(struct core *core, struct job *job, uint32_t chunk_index)
 {
--- a/src/core/records/transaction_conflict.c
+++ b/src/core/records/transaction_conflict.c
@@ -127,7 +127,10 @@
 static void on_leader_key_read(struct core *core, struct call *call,
 			       const struct call_answer *answer);
 
-/* Reads the leader's key of the format that is in force if the transaction was committed. */
+/*
+ * Reads the leader's key that the transaction has written if it was committed. If the transaction
+ * raises the records' format, this is the leader's key of the newest format.
+ */
 static void read_leader_key(struct core *core)
 {
 	int format =
--- a/src/core/records/write_ops.c
+++ b/src/core/records/write_ops.c
@@ -12,7 +12,10 @@
 
 enum job_state final_record_state(const struct job *job)
 {
-	/* A cancelled job stays cancelled, even if its last task was done before the stop came. */
+	/*
+	 * A cancelled job stays cancelled, even if its last task was done before the command to
+	 * stop it arrived.
+	 */
 	return job->cancelled ? JOB_STATE_CANCELLED : JOB_STATE_DONE;
 }
 
--- a/src/core/records/write_queue.h
+++ b/src/core/records/write_queue.h
@@ -90,8 +90,10 @@
 void write_queue_requeue(struct core *core, struct pending_write *write);
 /* Frees all writes of a list. */
 void pending_writes_free(struct pending_write **list);
-/* Adds to the write limiter the tokens that the allowed rate of changes has given since the last
- * refill. */
+/*
+ * Refills the write limiter with the number of changes that the allowed rate permits for the time
+ * since the last refill.
+ */
 void write_queue_refill_limiter(struct core *core);
 
 #endif
--- a/src/core/store/store_client.c
+++ b/src/core/store/store_client.c
@@ -12,7 +12,10 @@
 
 void store_update_availability(struct core *core, const struct call_answer *answer)
 {
-	/* A 503 counts like no answer: the state service may refuse this controller alone. */
+	/*
+	 * A 503 counts as if no answer had come: the state service may answer 503 to this
+	 * controller while it serves the others.
+	 */
 	core->store_unavailable =
 	    answer->outcome != CALL_ANSWERED || answer->status == STATUS_UNAVAILABLE;
 	if (!core->store_unavailable)
