--- a/src/conf/conf.h
+++ b/src/conf/conf.h
@@ -22,7 +22,7 @@
 	OBJECTIVE_FINISHED,
 	OBJECTIVE_DEADLINE,
 	OBJECTIVE_GUARANTEE, /* capacity is available at any time */
-	OBJECTIVE_USEFUL,    /* about money, like OBJECTIVE_PRICE */
+	OBJECTIVE_USEFUL,    /* asks for low cost, like OBJECTIVE_PRICE */
 	OBJECTIVE_MAKESPAN,
 	OBJECTIVE_PRICE,
 	OBJECTIVE_REPLICA_TIME, /* `up`: share of the time in which a service's replicas run */
@@ -48,7 +48,7 @@
 	enum objective_kind kind;
 	char class_name[CONF_NAME_MAX]; /* class of the jobs; empty: not stated */
 	double within_s;		/* OBJECTIVE_WAIT: the longest wait */
-	double share;			/* share that the objective states; only logged */
+	double share;			/* `share` of the objective in the settings; only logged */
 	double times; /* OBJECTIVE_DEADLINE: factor by which the job's deadline is multiplied */
 	double most;  /* `most` of the objective in the settings; only logged */
 };
--- a/src/conf/hcl.c
+++ b/src/conf/hcl.c
@@ -27,7 +27,8 @@
 		vsnprintf(parse_error + len, sizeof(parse_error) - (size_t)len, format, arguments);
 }
 
-/* Reads a number of `rentals` from 0 to `max`. If the key is absent, `*out` is unchanged. */
+/* Reads a number from 0 to `max` from the block `rentals`. If the key is absent, `*out` is
+ * unchanged. */
 static int read_number(cfg_t *rentals, const char *key, double max, double *out, const char *path,
 		       char error[CONF_ERR_MAX])
 {
--- a/src/constants.h
+++ b/src/constants.h
@@ -193,8 +193,9 @@
 #define FINAL_RECORD_DELAY_S 1.0
 /* Interval between checks for jobs whose final record has waited long enough. */
 #define JOB_SCAN_INTERVAL_S 0.25
-/* Time that the record of a task's end waits for other changes to share its transaction. The proof
- * that the task has ended, and the agent's command to forget it, wait for the record. */
+/* Time that the record of a task's end waits for other changes to share its transaction. Until the
+ * end is recorded, only the agent's report proves it, so the agent is told to forget the task only
+ * after that. */
 #define TASK_END_WRITE_DELAY_S 0.8
 /* Low bits of an attempt's number that count the starts under one fencing token: a million. */
 #define ATTEMPT_COUNTER_BITS 20
@@ -254,10 +255,12 @@
 #define PROBES_MIN_PER_S 40.0
 /* Time in which the rate of probes must allow one to each machine. */
 #define PROBE_ALL_LEASES 0.5
-/* Share of the sockets that direct commands and probes may use. */
+/* Share of the sockets that may be used by probes, and by direct commands: those that are sent to
+ * an agent in a call, not in the answer to its report. */
 #define AGENT_CALL_CONNS_SHARE 0.125
-/* Consecutive heartbeats that lack a start which was sent before them, from which a machine counts
- * as unreachable: one answer may be lost. */
+/* Number of consecutive heartbeats that do not list a task, although its start was sent in the
+ * answer to an earlier heartbeat, after which the machine counts as unreachable. After one such
+ * heartbeat, just that answer may have been lost. */
 #define MACHINE_IGNORED_STARTS 2
 /* Time since an agent's newest heartbeat from which the next one is overdue: it may be a quarter of
  * an interval late. */
@@ -282,10 +285,10 @@
 #define MACHINE_IMAGES_MAX 8
 /* Delay before a direct start or stop that no report shows yet is sent directly again. */
 #define COMMAND_RESEND_S 1.5
-/* Commands in one message: a line is limited to 64 KiB. */
+/* Commands in one message to an agent: the message is one line, which is limited to 64 KiB. */
 #define COMMANDS_MAX 300
-/* Least interval between two renewals of the fencing token on request. Most are requested because
- * commands were not answered. */
+/* Least interval between two renewals of the fencing token that parts of the leader request. Most
+ * renewals are requested because an agent has not answered commands. */
 #define TOKEN_RENEW_INTERVAL_S 2.0
 /* Interval between inventories of the cloud's machines: what an inventory shows is older than this
  * interval. */
@@ -417,9 +420,9 @@
 /* Cost, in seconds of waiting, of an on-demand machine for a task that may use spot machines, while
  * there are open jobs that may not. */
 #define ON_DEMAND_COST_S 4.0
-/* Cost, in seconds of waiting, of a second replica of a service on one machine, against a fetch of
- * the image elsewhere. Also the cost of placing a replica on a machine, for each job that failed on
- * the machine. */
+/* Cost, in seconds of waiting, of placing a replica on a machine, for each replica of the same
+ * service that the machine already runs. The cost is weighed against the time to fetch the image on
+ * another machine. Also the cost for each job that failed on the machine. */
 #define REPLICA_SAME_MACHINE_COST_S 8.0
 /* Time that a replica must have run for its end not to count as a failure to start. */
 #define REPLICA_MIN_UPTIME_S 20.0
@@ -437,8 +440,8 @@
 /* Machines that the search for places of single tasks visits in one cycle, per core that the
  * controller may use: 0.2 s of work on a whole core. */
 #define CYCLE_VISITS_PER_CORE 2e7
-/* Shapes (see same_shape) of the waiting gangs to which a cycle leaves capacity: each shape is one
- * bit of `gang_shapes` of struct pool. */
+/* Shapes (see same_shape in core/scheduling/free_room.h) of the waiting gangs to which a cycle
+ * leaves capacity: each shape is one bit of `gang_shapes` of struct pool. */
 #define CYCLE_GANG_SHAPES_MAX 32
 /* Shapes remembered in a cycle for which no capacity was found. */
 #define CYCLE_NO_ROOM_SHAPES_MAX 32
--- a/src/core/autoscale/catalog_reader.c
+++ b/src/core/autoscale/catalog_reader.c
@@ -11,7 +11,8 @@
  * instead the prefix of one key for each type. */
 #define CATALOG_KEY "k/catalog"
 
-/* Makes the types of a message the catalog. Returns false if the message is malformed. */
+/* Replaces the catalog by the machine types of a message. Returns false if the message is
+ * malformed. */
 static bool apply_catalog(struct core *core, json_t *message)
 {
 	struct machine_type *types;
--- a/src/core/autoscale/inventory.c
+++ b/src/core/autoscale/inventory.c
@@ -118,7 +118,8 @@
 		read_page(core);
 }
 
-/* Keeps the number of the newest inventory, so that no two inventories have the same number. */
+/* Does not reset the number of the newest inventory, so that no two inventories of this process
+ * have the same number. */
 void inventory_clear(struct core *core)
 {
 	struct inventory_reader *inventory = &core->autoscale.inventory;
--- a/src/core/autoscale/planned_rooms.h
+++ b/src/core/autoscale/planned_rooms.h
@@ -34,9 +34,9 @@
 	PLAN_ALL_MACHINES
 };
 
-/* The progress of the searches for jobs of one shape (see same_shape), with one scope and zone. The
- * next search continues where the last one ended, since machines that were too small stay too
- * small. */
+/* The progress of the searches for jobs of one shape (see same_shape in
+ * core/scheduling/free_room.h), with one scope and zone. The next search continues where the last
+ * one ended, since machines that were too small stay too small. */
 struct plan_search {
 	const struct job_spec *spec; /* description of one job that has the shape */
 	const char *zone;	     /* zone of the searches; NULL: all zones */
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -1,6 +1,6 @@
 /*
- * The inputs and outputs of the core, and its periodic work: passes them on to the folders, and
- * sets up the events between them.
+ * The inputs and outputs of the core, and its periodic work. Passes inputs to the folders of
+ * src/core that handle them, and sets up the events between the folders (see runtime/events.h).
  */
 #include "core/core.h"
 
--- a/src/core/runtime/call.c
+++ b/src/core/runtime/call.c
@@ -129,7 +129,7 @@
 
 	if (core->events->wrap_forwarded_answer(core, connection, &status, retry_after, &body,
 						&len))
-		retry_after = 0; /* the message to the other controller contains the delay */
+		retry_after = 0; /* no header: the message to the peer contains the delay */
 	action->status = status;
 	action->retry_after = retry_after;
 	action->body = body;
--- a/src/core/scheduling/array_placement.c
+++ b/src/core/scheduling/array_placement.c
@@ -18,7 +18,8 @@
 #include "core/state.h"
 #include "util/xalloc.h"
 
-/* Places one task of each array that has none. Preemption is tried only for these first tasks. */
+/* Places one task of each array that has no bound task. Preemption is tried only for these first
+ * tasks. */
 static void place_first_tasks(struct scheduling_cycle *cycle, const struct job_list *arrays)
 {
 	for (size_t i = 0; i < arrays->count; i++) {
--- a/src/core/scheduling/cycle.c
+++ b/src/core/scheduling/cycle.c
@@ -39,8 +39,8 @@
 	cycle->room_count++;
 }
 
-/* Whether a waiting task may fit in the room. Compares only CPUs and memory, each with the smallest
- * demand of all waiting tasks. */
+/* Whether a waiting task may fit in the room (the free capacity of one machine). Compares only CPUs
+ * and memory, each with the smallest demand of all waiting tasks. */
 static bool room_is_open(const struct scheduling_cycle *cycle, const struct machine_room *room)
 {
 	return room->free.cpus + ROOM_SLACK >= cycle->least_cpus &&
@@ -144,7 +144,7 @@
 {
 	double cost = spec->gpus <= 0 && pool->type->gpus > 0 ? GPU_WASTE_COST_S : 0;
 
-	/* On-demand machines are left to jobs that may not use spot machines. */
+	/* This cost leaves on-demand machines to the jobs that may not use spot machines. */
 	if (cycle->on_demand_needed && spec->spot && !pool->spot)
 		cost += ON_DEMAND_COST_S;
 	return cost;
--- a/src/core/scheduling/cycle.h
+++ b/src/core/scheduling/cycle.h
@@ -44,10 +44,10 @@
 	double cost;	/* seconds: the placement cost, or the cost of the tasks to be stopped */
 };
 
-/* A shape (see same_shape) for which the cycle has found no capacity. */
+/* A shape (see same_shape in free_room.h) for which the cycle has found no capacity. */
 struct shape_without_room {
 	const struct job_spec *spec; /* description of one job that has the shape */
-	uint32_t tasks;		     /* so many tasks of the shape, or more, do not fit */
+	uint32_t tasks;		     /* this number of tasks of the shape, or more, does not fit */
 };
 
 struct scheduling_cycle {
--- a/src/core/scheduling/cycle_trigger.c
+++ b/src/core/scheduling/cycle_trigger.c
@@ -64,8 +64,9 @@
 	struct scheduling_cycle cycle;
 	struct job_list group;
 
-	/* A replica to be moved is not a waiting task, so its demand may be below that of all
-	 * waiting tasks: all rooms have to stay open for it. */
+	/* For the given jobs, cycle_begin omits machines with too little free capacity for any
+	 * waiting task. A replica to be moved is not a waiting task and may still fit on such a
+	 * machine, so no jobs are given then, and no machine is omitted. */
 	cycle_begin(core, &cycle, must_move ? &no_jobs : jobs);
 	for (size_t first = 0; first < jobs->count; first += group.count) {
 		group = jobs_of_priority(jobs, first);
@@ -82,11 +83,12 @@
 {
 	struct job_list jobs;
 
+	/* The end of a backoff, or a heartbeat that has become too old, raises no event. */
 	if (core->now >= core->cycles.next_periodic_at)
-		cycle_request(core); /* no event shows that a backoff or report has expired */
+		cycle_request(core);
 	if (!core->cycles.requested || core->now < core->cycles.next_at)
 		return;
-	/* Before the cycle runs, since it may request the next one. */
+	/* Cleared before the cycle runs, since the cycle may request the next one. */
 	core->cycles.requested = false;
 	core->cycles.next_periodic_at = core->now + CYCLE_PERIOD_S;
 	if (election_renewal_age(core) > LEADER_TTL_MS / 1000.0 * 2)
--- a/src/core/scheduling/preemption.c
+++ b/src/core/scheduling/preemption.c
@@ -184,7 +184,8 @@
 	const struct core *core = cycle->core;
 	double waited_s = core->now - job->scheduling.waiting_since;
 
-	/* There may be enough free capacity in rooms that the search has not visited. */
+	/* The search ended before it had visited all machines, so the job may fit without
+	 * preemption. */
 	if (cycle->budget_exhausted && job->spec.kind != JOB_GANG)
 		return false;
 	return preemption_is_supported(job) && !job->scheduling.reserved_until &&
--- a/src/core/scheduling/preemption_victims.c
+++ b/src/core/scheduling/preemption_victims.c
@@ -85,7 +85,7 @@
 {
 	if (victim->spec.priority <= job->spec.priority)
 		return false;
-	/* A gang or array that can't meet a wait objective, or has none, does not make another
+	/* A gang or array that can't meet a wait objective, or has none, must not make another
 	 * array miss its deadline. A gang may get a growing reservation instead. */
 	return job->spec.kind == JOB_SERVICE || wait_objective_s(core, job) > 0 ||
 	       !needs_all_slots(core, victim);
--- a/src/core/scheduling/share_switching.c
+++ b/src/core/scheduling/share_switching.c
@@ -25,13 +25,14 @@
 /* Bytes of one entry of a value with counts: the count of one job, without the job's id. */
 #define COUNT_OVERHEAD_BYTES 16
 
-/* A decision under way about one Part message: this controller's counts are written, then the
- * counts of all controllers are read. */
+/* A decision under way on the slots of one Part message of the leader (see
+ * share_switching.h): first this controller's counts are written, then the counts of all
+ * controllers are read. */
 struct part_decision {
 	uint64_t connection; /* connection to answer on; 0: this controller is the leader */
 	Peer__Part *part;
-	/* Number of slots of each job in `part`; without the counts that a transaction has already
-	 * taken. */
+	/* Number of slots of each job in `part`, except the jobs whose counts were already added to
+	 * a transaction. */
 	struct job_slot_count *own_counts;
 	int values_written;   /* number of values with own counts added to transactions so far */
 	uint64_t own_quantum; /* number of the quantum in which the own counts are written */
@@ -55,7 +56,7 @@
 static void part_decision_fail(struct core *core, struct part_decision *decision)
 {
 	if (decision->connection)
-		/* "state": the state service refused the request or did not answer. */
+		/* "state" means: the state service refused the request or did not answer. */
 		core_reply_error(core, decision->connection, STATUS_UNAVAILABLE, 0, "state");
 	part_decision_free(decision);
 }
@@ -169,7 +170,7 @@
 	const char *id;
 	json_t *slots;
 
-	/* Counts written under another fencing token are of another quantum. */
+	/* Counts written under another fencing token belong to another quantum. */
 	if ((uint64_t)token != decision->part->token)
 		return;
 	if (counts_are_outdated(decision, item))
@@ -282,7 +283,7 @@
 	struct part_decision *decision;
 
 	if (!part) {
-		/* "part": the request's body is not a Part message. */
+		/* "part" means: the request's body is not a Part message. */
 		core_reply_error(core, connection, STATUS_BAD_REQUEST, 0, "part");
 		return;
 	}
--- a/src/core/scheduling/share_switching_leader.c
+++ b/src/core/scheduling/share_switching_leader.c
@@ -136,7 +136,8 @@
 	}
 }
 
-/* Adds an entry for each job to which slots may be switched. */
+/* Adds an entry to the Part message's list of open jobs for each array to which slots may be
+ * switched (see share_switching.h). */
 static void add_open_jobs(struct core *core, struct part_entries *entries)
 {
 	struct job *job, *next;
--- a/src/core/scheduling/waiting_shapes.h
+++ b/src/core/scheduling/waiting_shapes.h
@@ -1,7 +1,7 @@
 /*
- * Shapes (see same_shape) of jobs that a cycle could not place. Until the cycle ends, no search is
- * made for such a shape again, and capacity that a gang of such a shape could use is left to the
- * gang.
+ * Shapes (see same_shape in free_room.h) of jobs that a cycle could not place. Until the cycle
+ * ends, no search is made for such a shape again, and capacity that a gang of such a shape could
+ * use is left to the gang.
  */
 #ifndef PLOVERLOFT_WAITING_SHAPES_H
 #define PLOVERLOFT_WAITING_SHAPES_H
--- a/src/net/client_pool.c
+++ b/src/net/client_pool.c
@@ -1,4 +1,5 @@
-/* Keeps the connections for our own calls: by endpoint, by idle time and by call under way. */
+/* Keeps the connections for our own calls in lists: the idle ones of each endpoint, all idle ones,
+ * and those with a call under way. */
 #include "net/client_pool.h"
 
 #include <stdio.h>
--- a/src/net/connection.c
+++ b/src/net/connection.c
@@ -49,7 +49,8 @@
 void connection_set_close(struct connection_set *set, struct connection *connection)
 {
 	connection->closed = true;
-	/* close() alone would leave the socket registered while a forked child has it open. */
+	/* close() alone would leave the socket registered with epoll as long as a forked child has
+	 * it open too. */
 	epoll_ctl(set->epoll_fd, EPOLL_CTL_DEL, connection->fd, NULL);
 	close(connection->fd);
 	set->open_count--;
@@ -58,8 +59,8 @@
 /* Appends a chunk to `input` with recv() and returns its result. Tries again after a signal. */
 static ssize_t receive(struct connection *connection)
 {
-	/* One byte more, for the NUL: without it, bytes that an earlier, longer message left in
-	 * memory would follow this one. */
+	/* One more byte is reserved for a NUL behind the contents. Without the NUL, bytes that an
+	 * earlier, longer message left in memory would follow the contents. */
 	char *space = buf_reserve(&connection->input, NET_READ_CHUNK_BYTES + 1);
 	ssize_t received;
 
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -32,8 +32,8 @@
 
 /* How much a single call of connection_read() reads. */
 enum read_extent {
-	/* Until a read returns less than a full chunk. The system call that would return nothing is
-	 * saved. */
+	/* Until a read returns less than a full chunk. This saves one more system call, which would
+	 * most likely return nothing. */
 	READ_AVAILABLE,
 	/* Until nothing is left, so that the end of the stream is noticed too. */
 	READ_TO_END
--- a/src/net/connection_limit.c
+++ b/src/net/connection_limit.c
@@ -37,8 +37,8 @@
 	return false;
 }
 
-/* The number of open connections, of both kinds, from which on a further caller is admitted only
- * after an eviction. */
+/* If so many connections of both kinds are open, another caller is admitted only after an idle
+ * connection was closed. */
 static int caller_admission_max(const struct connection_limit *limit)
 {
 	return limit->max - NET_CONNS_RESERVED;
@@ -55,8 +55,8 @@
  * Callers such as agents send requests periodically, so the least recently active one is about to
  * send its next request. If that one were always closed, every caller would have to reconnect each
  * time. Therefore idle connections of our own are closed first, and after them the connection of
- * the caller that is being answered, by a header in the response: its next request is the furthest
- * ahead. Then only as many callers reconnect as there are too many.
+ * the caller that is being answered, by a header in the response: the next request of that caller
+ * is the furthest ahead. So only as many callers have to reconnect as exceed the limit.
  */
 bool connection_limit_should_close_caller(struct connection_limit *limit)
 {
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -80,7 +80,7 @@
 static void reject_request(struct http_server *server, struct server_connection *connection,
 			   int status)
 {
-	/* The body is the same for each status. */
+	/* The response has this body whatever its status is. */
 	static const char body[] = "{\"error\":\"bad request\"}";
 
 	connection->close_after_response = true;
--- a/src/util/log.c
+++ b/src/util/log.c
@@ -45,7 +45,7 @@
 void log_line(enum log_level level, const char *event, const char *format, ...)
 {
 	char line[LOG_LINE_SIZE];
-	const int text_max = (int)sizeof(line) - 1; /* bytes before the newline at most */
+	const int text_max = (int)sizeof(line) - 1; /* maximum number of bytes before the newline */
 	va_list arguments;
 	int len, details_len;
 
