--- a/src/core/scheduling/share_switching.c
+++ b/src/core/scheduling/share_switching.c
@@ -31,11 +31,13 @@
 struct part_decision {
 	uint64_t connection; /* connection to answer on; 0: this controller is the leader */
 	Peer__Part *part;
-	/* Number of slots of each job in `part`, except the jobs whose counts were already added to
-	 * a transaction. */
+	/* Number of slots of each job in `part`, which is this controller's part; without the jobs
+	 * whose numbers were already added to a transaction. */
 	struct job_slot_count *own_counts;
-	int values_written;   /* number of values with own counts added to transactions so far */
-	uint64_t own_quantum; /* number of the quantum in which the own counts are written */
+	/* Number of values with this controller's counts added to transactions so far. */
+	int values_written;
+	/* Number of this controller's quantum, written with each of its values. */
+	uint64_t own_quantum;
 	/* Number of slots of each job in the parts of all controllers, and whether the job accepts
 	 * slots of other jobs. */
 	struct job_slot_count *counts;
@@ -218,8 +220,9 @@
 	decision->values_written++;
 }
 
-/* Adds the write of a value with as many own counts as fit in it, and removes the added counts from
- * the counts that are still to be written. */
+/* Adds to the transaction the write of one value: the number of slots that each job has in this
+ * controller's part, for as many of the jobs in `own_counts` as fit in one value. Removes from
+ * `own_counts` the jobs that the value holds; those that remain are still to be written. */
 static void add_counts_value(const struct core *core, struct txn *txn,
 			     struct part_decision *decision)
 {
@@ -259,8 +262,8 @@
 	read->free_arg = part_decision_free;
 }
 
-/* Writes the own counts that are still to be written, as many as fit in one transaction;
- * on_counts_written continues with the others. */
+/* Writes the number of slots that each job has in this controller's part, for as many of the jobs
+ * still to be written as fit in one transaction; on_counts_written continues with the others. */
 static void write_counts(struct core *core, struct part_decision *decision)
 {
 	struct txn txn;
