--- a/tests/compare_object_code.sh
+++ b/tests/compare_object_code.sh
@@ -1,8 +1,8 @@
 #!/bin/bash
-# Compares the machine code and the data of each object file of the program between the working tree and an
-# earlier commit. It guards against changes of behaviour in commits that only change comments, formatting or
-# names: these leave all object files equal, while a changed string literal shows in .rodata. Debug information
-# is not compared.
+# Compares the machine code, the data and the relocations of each object file of the program between the working
+# tree and an earlier commit (see object_code.py). It guards against changes of behaviour in commits that only
+# change comments, formatting or names: these leave all object files equal, while a changed string literal shows in
+# .rodata, and a call of another function in the relocations. Debug information is not compared.
 # Usage: compare_object_code.sh COMMIT
 # Exit status 0: no object file differs. COMPARE_DIR: directory in which the build of COMMIT is kept.
 # COMPARE_JOBS: number of parallel compilers.
@@ -19,13 +19,6 @@
 	cmake --build "$2" -j"$jobs" --target ploverloft >>"$2.log"
 }
 
-# Prints the sections with machine code and data. Names of symbols are in other sections.
-print_sections() { # print_sections OBJECT
-	objdump -s -j .text -j .text.unlikely -j .text.startup -j .rodata -j .rodata.str1.1 -j .rodata.str1.8 \
-		-j .rodata.cst8 -j .rodata.cst16 -j .data -j .data.rel.ro.local -j .data.rel.local "$1" 2>/dev/null |
-		grep -v 'file format' || true
-}
-
 if [ ! -x "$old/build/ploverloft" ]; then
 	mkdir -p "$old/source"
 	git archive "$commit" | tar -x -C "$old/source"
@@ -34,14 +27,10 @@
 mkdir -p "$new"
 build "$root" "$new/build"
 
-differing=0
-count=0
-for object in $(cd "$new/build" && find CMakeFiles -name '*.o' | sort); do
-	count=$((count + 1))
-	if ! cmp -s <(print_sections "$old/build/$object") <(print_sections "$new/build/$object"); then
-		echo "differs: ${object#CMakeFiles/*.dir/}"
-		differing=$((differing + 1))
-	fi
-done
-echo "$differing of $count object files differ from $commit"
-[ "$differing" -eq 0 ]
+tests/object_code.py "$old/build" >"$new/old_digests"
+tests/object_code.py "$new/build" >"$new/new_digests"
+# Object files that only one of the builds has differ too.
+differing=$(diff "$new/old_digests" "$new/new_digests" | sed -n 's/^[<>] [0-9a-f]* //p' | sort -u)
+echo "$differing" | sed -n 's/^CMakeFiles\/[^/]*\.dir\//differs: /p'
+echo "$(echo "$differing" | grep -c .) of $(wc -l <"$new/new_digests") object files differ from $commit"
+[ -z "$differing" ]
