--- a/.ci/check_docs.py
+++ b/.ci/check_docs.py
@@ -9,11 +9,11 @@
 The status is 1 if an identifier is missing from the sources.
 """
 import re
-import subprocess
 import sys
 from pathlib import Path
 
-ROOT = Path(__file__).resolve().parent.parent
+from repository import ROOT, sources
+
 PAGES = ['README.md', 'CONTRIBUTING.md', 'tests/README.md', 'docs/architecture.md', 'docs/design.md',
          'docs/failure-model.md', 'docs/glossary.md', 'docs/operating.md']
 CODE_SPAN = re.compile(r'`([^`]+)`')
@@ -22,14 +22,11 @@
 
 def source_words():
     """Returns all words in the sources, and the names of the source files without suffix."""
-    paths = subprocess.run(['git', 'ls-files', 'src', 'daemon', 'proto', 'tests', 'deploy', '.ci', '*.txt'], cwd=ROOT,
-                           check=True, capture_output=True, text=True).stdout.split()
     words = set()
-    for path in paths:
-        if path == 'tests/README.md':
-            continue
-        words.add(Path(path).stem)
-        words.update(re.findall(r'\w+', (ROOT / path).read_text()))
+    for path, text in sources(None, 'src', 'daemon', 'proto', 'tests', 'deploy', '.ci', '*.txt'):
+        if path != 'tests/README.md':
+            words.add(Path(path).stem)
+            words.update(re.findall(r'\w+', text))
     return words
 
 
--- a/.ci/external_names.py
+++ b/.ci/external_names.py
@@ -11,11 +11,11 @@
 is missing from the working tree. The status is 2 if git fails, for example on an unknown COMMIT.
 """
 import re
-import subprocess
 import sys
-from pathlib import Path
 
-ROOT = Path(__file__).resolve().parent.parent
+from repository import sources
+
+FOLDERS = ['src', 'daemon', 'proto', 'deploy']
 LITERAL = re.compile(r'"(?:[^"\\\n]|\\.)*"')
 COMMENT = re.compile(r'/\*.*?\*/|//[^\n]*', re.S)
 LOG_CALL = re.compile(r'\blog_(?:error|info|debug|line)\(([^;]*?)\);', re.S)
@@ -25,24 +25,6 @@
 PROTO_LINE = re.compile(r'^\s*(?:(?:repeated )?\w+ \w+ = \d+;|message \w+|package \w+;)', re.M)
 
 
-def git(*arguments):
-    process = subprocess.run(['git', *arguments], cwd=ROOT, capture_output=True, text=True)
-    if process.returncode != 0:
-        print(process.stderr, end='', file=sys.stderr)
-        sys.exit(2)
-    return process.stdout
-
-
-def sources_of(commit):
-    paths = git('ls-tree', '-r', '--name-only', commit, 'src', 'daemon', 'proto', 'deploy').split()
-    return {path: git('show', f'{commit}:{path}') for path in paths}
-
-
-def sources_of_working_tree():
-    paths = git('ls-files', 'src', 'daemon', 'proto', 'deploy').split()
-    return {path: (ROOT / path).read_text() for path in paths if (ROOT / path).exists()}
-
-
 def without_comments(text):
     # Literals are matched first and kept, because they may contain the start of a comment ("//").
     pattern = re.compile(f'({LITERAL.pattern})|{COMMENT.pattern}', re.S)
@@ -81,9 +63,10 @@
     return names
 
 
-def names_in(sources):
+def names_in(commit):
+    """Returns the names in the sources of the commit; None: of the working tree."""
     names = set()
-    for path, text in sources.items():
+    for path, text in sources(commit, *FOLDERS):
         if path.endswith('.proto'):
             names.update(f'peer message {" ".join(line.split())}' for line in PROTO_LINE.findall(text))
         elif path.startswith('deploy'):
@@ -97,11 +80,11 @@
     arguments = [argument for argument in sys.argv[1:] if argument != '--list']
     if len(arguments) != 1:
         sys.exit(__doc__)
-    expected = names_in(sources_of(arguments[0]))
+    expected = names_in(arguments[0])
     if '--list' in sys.argv:
         print('\n'.join(sorted(expected)))
         return
-    missing = sorted(expected - names_in(sources_of_working_tree()))
+    missing = sorted(expected - names_in(None))
     for name in missing:
         print(f'missing from the working tree: {name}')
     print(f'{len(expected)} external names checked, {len(missing)} missing')
--- a/.ci/sample_comments.py
+++ b/.ci/sample_comments.py
@@ -9,33 +9,15 @@
 """
 import random
 import re
-import subprocess
 import sys
-from pathlib import Path
 
-ROOT = Path(__file__).resolve().parent.parent
+from repository import sources
+
 # Matches string and character literals too, so that comment marks inside them do not start a
 # comment. Only comments fill the group.
 LITERAL_OR_COMMENT = re.compile(r'"(?:[^"\\\n]|\\.)*"|\'(?:[^\'\\\n]|\\.)+\'|(/\*.*?\*/|//[^\n]*)', re.S)
 
 
-def git(*arguments):
-    process = subprocess.run(['git', *arguments], cwd=ROOT, capture_output=True, text=True)
-    if process.returncode != 0:
-        print(process.stderr, end='', file=sys.stderr)
-        sys.exit(2)
-    return process.stdout
-
-
-def sources(commit):
-    if commit:
-        for path in git('ls-tree', '-r', '--name-only', commit, 'src').split():
-            yield path, git('show', f'{commit}:{path}')
-    else:
-        for path in git('ls-files', 'src').split():
-            yield path, (ROOT / path).read_text()
-
-
 def plain_text(comment):
     """Returns the text of a comment on one line, without comment marks."""
     lines = (re.sub(r'^\s*(/\*+|\*/|\*|//)?\s?', '', line) for line in comment.splitlines())
@@ -43,7 +25,7 @@
 
 
 def comments(commit):
-    for path, text in sources(commit):
+    for path, text in sources(commit, 'src'):
         for match in LITERAL_OR_COMMENT.finditer(text):
             if match.group(1) and plain_text(match.group(1)):
                 line = text.count('\n', 0, match.start()) + 1
